--- /dev/null
+++ b/internal/gossip/golden_test.go
@@ -0,0 +1,113 @@
+package gossip
+
+import (
+	"encoding/hex"
+	"fmt"
+	"math"
+	"reflect"
+	"testing"
+
+	"cloverrock/internal/golden"
+)
+
+const goldenNow = 1_700_000_000_123_000
+
+// A report has the same bytes as ever, and they say what was reported.
+func TestGoldenReports(t *testing.T) {
+	tests := []struct {
+		name       string
+		made, read report
+	}{
+		{"nothing known", report{}, report{}},
+		{"now, primary", report{Fact{Position: goldenNow, Role: Primary, Share: 1}, 0x010203, 1, 2}, report{Fact{Position: goldenNow, Role: Primary, Share: 1}, 0x010203, 1, 2}},
+		{"replica, most counts", report{Fact{Position: goldenNow - 300_000, Role: Replica, Share: 2}, 0xffffff, 255, 255}, report{Fact{Position: goldenNow - 300_000, Role: Replica, Share: 2}, 0xffffff, 255, 255}},
+		{"counts over the most", report{code: 1, out: 256, begun: 1000}, report{code: 1, out: 255, begun: 255}},
+		{"failing", report{Fact{Position: goldenNow - 1000, Failing: true}, 7, 0, 0}, report{Fact{Position: goldenNow - 1000, Failing: true}, 7, 0, 0}},
+		{"oldest age", report{Fact: Fact{Position: goldenNow - 65_534_000, Role: Replica}}, report{Fact: Fact{Position: goldenNow - 65_534_000, Role: Replica}}},
+		{"too old", report{Fact: Fact{Position: goldenNow - 65_535_000}}, report{}},
+		{"ahead of the clock", report{Fact: Fact{Position: goldenNow + 1000}}, report{}},
+		{"least share", report{Fact: Fact{Share: 0.0001}}, report{Fact: Fact{Share: math.Exp2(-31.0 / 8)}}},
+		{"most share", report{Fact: Fact{Share: 1000}}, report{Fact: Fact{Share: math.Exp2(30.0 / 8)}}},
+	}
+	var cases []golden.Case
+	for _, test := range tests {
+		b := appendReport(head(goldenNow, reportVersion), goldenNow, &test.made)
+		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(b)})
+	}
+	stored := golden.Check(t, "reports.golden", cases)
+	for _, test := range tests {
+		version, sent, body := opened(t, stored[test.name])
+		read, err := readReport(sent, body)
+		if version != reportVersion || err != nil || read != test.read {
+			t.Errorf("%s is read as %v (version %d, %v)", test.name, read, version, err)
+		}
+	}
+}
+
+// A digest has the same bytes as ever, and they say what was told.
+func TestGoldenDigests(t *testing.T) {
+	told := func(position int64, role Role, share float64, failing bool, code uint16, load float64) entry {
+		return entry{Fact{Position: position, Role: role, Share: share, Failing: failing}, code, load}
+	}
+	var bands []entry
+	for i, share := range shares {
+		bands = append(bands, told(goldenNow-int64(i)*ageStep, Replica, share, false, uint16(i), float64(i*2)))
+	}
+	tests := []struct {
+		name  string
+		leads bool
+		made  digest
+	}{
+		{"nothing", false, digest{}},
+		{"a primary leads", true, digest{0x010203, everyBy, 8, []entry{told(goldenNow, Primary, 1, false, 0xffff, 15), told(goldenNow-ageStep, Replica, 0, false, 1, 16)}}},
+		{"oldest, most", false, digest{0xffffff, maxEvery, 4096, []entry{told(goldenNow-oldest*ageStep, Replica, 0, true, 2, 76)}}},
+		{"not known", false, digest{1, 2 * everyBy, 0.5, []entry{told(0, Unknown, 0, false, 3, 0)}}},
+		{"each band", false, digest{2, 3 * everyBy, 0.25, bands}},
+	}
+	var cases []golden.Case
+	for _, test := range tests {
+		b := appendDigestHead(head(goldenNow, digestVersion), test.made.group, test.made.every, test.made.rate, test.leads)
+		for _, e := range test.made.entries {
+			b = appendEntry(b, goldenNow, uint32(e.code), e.Fact, e.load)
+		}
+		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(b)})
+	}
+	stored := golden.Check(t, "digests.golden", cases)
+	for _, test := range tests {
+		version, sent, body := opened(t, stored[test.name])
+		read, err := readDigest(sent, body)
+		if version != digestVersion || err != nil || !reflect.DeepEqual(read, test.made) {
+			t.Errorf("%s is read as %v (version %d, %v)", test.name, read, version, err)
+		}
+	}
+}
+
+// Gateways name hosts by the same codes and pass a group's keeping on in the same order, though they run other versions.
+func TestGoldenCodesAndOrder(t *testing.T) {
+	cases := []golden.Case{{Name: "bounds", Form: fmt.Sprint(MaxMessage, " ", Everybody)}}
+	for _, host := range []string{"", "host-a", "10.0.0.1:5432"} {
+		cases = append(cases, golden.Case{Name: "code of " + host, Form: fmt.Sprintf("%06x", code(host))})
+	}
+	for _, id := range []uint32{0, 1, 0xffffff} {
+		cases = append(cases, golden.Case{Name: fmt.Sprintf("order for %06x", id), Form: fmt.Sprint(order(id, 40))})
+	}
+	for _, group := range []int64{-1, 0, 1 << 31} {
+		circle := New(Config{Gateways: 3, Earn: 1, Within: 1}, 1).circle(group)
+		cases = append(cases, golden.Case{Name: fmt.Sprint("code of group ", group), Form: fmt.Sprintf("%06x", circle.code)})
+	}
+	golden.Check(t, "codes.golden", cases)
+}
+
+// opened takes the head off a message that was written down.
+func opened(t *testing.T, form string) (version byte, sent int64, body []byte) {
+	t.Helper()
+	b, err := hex.DecodeString(form)
+	if err != nil {
+		t.Fatal(err)
+	}
+	version, sent, body, err = open(goldenNow, b)
+	if err != nil || sent != goldenNow {
+		t.Fatalf("sent at %d, %v", sent, err)
+	}
+	return version, sent, body
+}
