--- /dev/null
+++ b/internal/accord/golden_test.go
@@ -0,0 +1,66 @@
+package accord
+
+import (
+	"encoding/hex"
+	"fmt"
+	"math"
+	"reflect"
+	"testing"
+
+	"cloverrock/internal/golden"
+	"cloverrock/internal/replica"
+)
+
+// A decision has the same bytes as ever, and they are read as what was agreed on.
+func TestGoldenDecisions(t *testing.T) {
+	tests := []struct {
+		name string
+		made Decision
+	}{
+		{"nothing", Decision{Choice: []byte{}, Previous: []byte{}}},
+		{"usual", Decision{7, []byte{0, 100}, []byte{100, 100}, start, "n0"}},
+		{"greatest", Decision{math.MaxUint64, []byte{255}, []byte{254}, math.MaxInt64, "n"}},
+		{"least moment", Decision{1, []byte{1}, []byte{2}, math.MinInt64, ""}},
+		{"longest choice", Decision{2, make([]byte, 255), make([]byte, 255), 1, "a"}},
+	}
+	var cases []golden.Case
+	for _, test := range tests {
+		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(test.made.encode())})
+	}
+	stored := golden.Check(t, "decisions.golden", cases)
+	for _, test := range tests {
+		value, err := hex.DecodeString(stored[test.name])
+		if err != nil {
+			t.Fatal(err)
+		}
+		read, err := decode(&replica.Entry{Sequence: test.made.Epoch, Value: value})
+		if err != nil || !reflect.DeepEqual(read, test.made) {
+			t.Errorf("%s is read as %v, %v", test.name, read, err)
+		}
+	}
+}
+
+// Votes and proposals go out as the same bytes as ever, and gateways propose in the same order whatever their versions.
+func TestGoldenEntriesAndRanks(t *testing.T) {
+	c, _ := council("n0")
+	var cases []golden.Case
+	add := func(name string, entry replica.Entry, told bool) {
+		b, err := replica.Encode(&replica.Message{Entries: []replica.Entry{entry}})
+		if err != nil || !told {
+			t.Fatal(name, err, told)
+		}
+		cases = append(cases, golden.Case{Name: name, Form: hex.EncodeToString(b)})
+	}
+	vote, told := c.Vote(start, topic, []byte{1, 2, 3})
+	add("vote", vote, told)
+	first, told := c.Propose(start, topic, []byte{0, 100}, none, roll(1, 0))
+	add("first epoch", first, told)
+	next, told := c.Propose(start+2*second, topic, []byte{50, 100}, none, roll(1, 0))
+	add("next epoch", next, told)
+	again, told := c.Again(start+400*second, topic, roll(1, 0))
+	add("again", again, told)
+	for epoch := range uint64(8) {
+		cases = append(cases, golden.Case{Name: fmt.Sprint("rank in epoch ", epoch), Form: fmt.Sprint(c.rank(topic, epoch, roll(9, 1)))})
+	}
+	golden.Check(t, "entries.golden", cases)
+}
