--- /dev/null
+++ b/internal/learned/golden_test.go
@@ -0,0 +1,79 @@
+package learned
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"math"
+	"reflect"
+	"testing"
+
+	"cloverrock/balance"
+	"cloverrock/internal/golden"
+	"cloverrock/internal/store/machine"
+)
+
+// goldenFacts is one of everything that a router may know, and goldenList a list with all that it may say of a host.
+func goldenFacts() (balance.Facts, List) {
+	f := facts("p", base, balance.HostFacts{Host: "p", Group: 1, Position: base, PositionAt: base - 1, Primary: true, Limit: 4.5},
+		balance.HostFacts{Host: "down/ü", Group: 1 << 31, Position: 1, PositionAt: 2, Down: true, ColdUntil: base + sec, Limit: math.MaxFloat64})
+	f.Groups = append(f.Groups, balance.GroupFacts{Group: math.MaxInt64, Primary: "q", At: base})
+	f.Floor = base - sec
+	return f, List{Generation: 9, Entries: []Entry{
+		{Entry: balance.Entry{Host: "p", Zone: 2, Group: 1, Kind: 3, Phase: balance.Draining, Primary: true, Weight: 1.5, Born: base}, Address: "h:5432"}, {}}}
+}
+
+// What is stored has the same keys and bytes as ever, and a fresh gateway believes of it what was known.
+func TestGoldenKeys(t *testing.T) {
+	known, list := goldenFacts()
+	keeper := New(Config{Name: "a", Every: sec, Believe: 60 * sec})
+	var cases []golden.Case
+	for i, command := range keeper.Plan(base, known, list) {
+		b, err := machine.Encode(&command)
+		if err != nil {
+			t.Fatal(err)
+		}
+		cases = append(cases, golden.Case{Name: fmt.Sprint("transaction ", i), Form: hex.EncodeToString(b)})
+		for _, op := range command.Then {
+			cases = append(cases, golden.Case{Name: op.NS + ":" + op.Key, Form: hex.EncodeToString(op.Value)})
+		}
+	}
+	stored := golden.Check(t, "keys.golden", cases)
+	fresh := New(Config{Name: "b", Every: sec, Believe: 60 * sec})
+	for _, key := range []string{"list", "floor", "group/00000000000000000001", "group/09223372036854775807", "host/p", "host/down/ü"} {
+		value, err := hex.DecodeString(stored[NS+":"+key])
+		if err != nil || len(value) == 0 {
+			t.Fatalf("%s: %x, %v", key, value, err)
+		}
+		fresh.Stored(&machine.KV{NS: NS, Key: key, Value: value}, false)
+	}
+	belief := fresh.Start(base, 0)
+	known.Hosts[0], known.Hosts[1] = known.Hosts[1], known.Hosts[0] // in the order of their ids
+	believed := belief.Facts
+	for i := range believed.Hosts {
+		believed.Hosts[i].Primary = known.Hosts[i].Primary // who is primary is told by group
+	}
+	if fresh.Unread() != 0 || len(belief.Doubt) != 0 || !reflect.DeepEqual(believed, known) || !reflect.DeepEqual(*belief.List, list) {
+		t.Errorf("%v is believed (%d unread)\nof %v", belief, fresh.Unread(), known)
+	}
+	if host := fresh.hosts["p"]; !host.Primary || host.By != "a" || host.At != base {
+		t.Errorf("the host is read as %v", host)
+	}
+}
+
+// What is shown of the store as JSON has the same names as ever.
+func TestGoldenJSON(t *testing.T) {
+	var cases []golden.Case
+	for i, shown := range []any{&Primary{"p", 2, 3, "a"}, &Host{1, 2, 3, true, true, 4, 5.5, 6, "a"}, &Floor{7}} {
+		b, err := json.Marshal(shown)
+		if err != nil {
+			t.Fatal(err)
+		}
+		cases = append(cases, golden.Case{Name: []string{"primary", "host", "floor"}[i], Form: string(b)})
+		read := reflect.New(reflect.TypeOf(shown).Elem()).Interface()
+		if err := json.Unmarshal(b, read); err != nil || !reflect.DeepEqual(read, shown) {
+			t.Errorf("%s is read as %v, %v", b, read, err)
+		}
+	}
+	golden.Check(t, "json.golden", cases)
+}
