--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,110 @@
+package wire
+
+import (
+	"reflect"
+	"strings"
+	"testing"
+
+	"cloverrock/balance"
+	"cloverrock/internal/golden"
+)
+
+// Each kind of action is written as the same line as ever.
+func TestGoldenActions(t *testing.T) {
+	actions := []struct {
+		name   string
+		action balance.Action
+	}{
+		{"send", balance.Action{Kind: balance.SendAction, Request: 1 << 62, Host: "h", Timeout: 1001}},
+		{"send, no timeout", balance.Action{Kind: balance.SendAction, Request: 1, Host: "h"}},
+		{"cancel", balance.Action{Kind: balance.CancelAction, Request: -1, Attempt: 2}},
+		{"refuse", balance.Action{Kind: balance.RefuseAction, Request: 3, RetryAfter: 1}},
+		{"refuse for good", balance.Action{Kind: balance.RefuseAction, Request: 3}},
+		{"fail", balance.Action{Kind: balance.FailAction, Request: 4}},
+		{"timer", balance.Action{Kind: balance.TimerAction, At: -1_000_010, Token: 5}},
+		{"probe", balance.Action{Kind: balance.ProbeAction, Host: "h"}},
+		{"close", balance.Action{Kind: balance.CloseAction, Host: "h"}},
+		{"tell all", balance.Action{Kind: balance.TellAction, Peer: -1, Data: []byte{0, 127, 255}}},
+		{"tell one nothing", balance.Action{Kind: balance.TellAction, Peer: 0}},
+		{"log", balance.Action{Kind: balance.LogAction, Text: "a\tb\nü"}},
+		{"subscribe", balance.Action{Kind: balance.SubscribeAction}},
+		{"fetch", balance.Action{Kind: balance.FetchAction}},
+	}
+	var cases []golden.Case
+	for _, test := range actions {
+		cases = append(cases, golden.Case{Name: test.name, Form: strings.TrimSuffix(string(AppendAction(nil, 7, &test.action)), "\n")})
+	}
+	cases = append(cases, golden.Case{Name: "exception", Form: strings.TrimSuffix(string(AppendException(nil, 7, "a\nb")), "\n")})
+	golden.Check(t, "actions.golden", cases)
+}
+
+// Each kind of line is read as the same event as ever: what a line says under each of its names, and nothing else.
+func TestGoldenEvents(t *testing.T) {
+	entries := []balance.Entry{{Host: "h", Zone: 1, Group: 2, Kind: 3, Phase: balance.Draining, Primary: true, Weight: 2.5, Born: 1500}}
+	report := balance.Report{HasPosition: true, Position: 1_500_007, HasRole: true, Primary: true}
+	tests := []struct {
+		line string
+		want balance.Event
+	}{
+		{"topology who=0 scope=0 buffer=2", balance.Event{Kind: balance.ListEvent, Entries: entries}},
+		{"topology who=0 scope=1 buffer=2", balance.Event{Kind: balance.ListEvent, Entries: entries, Full: true}},
+		{"topology who=0 scope=3", balance.Event{Kind: balance.ListEvent, Failed: true}},
+		{"call ticket=9223372036854775807 service=1 shard=2 session=3 lastWriteMs=-4.5 dropDeadMs=5.001 weightHintMs=6", balance.Event{Kind: balance.RequestEvent,
+			Request: 1<<63 - 1, Class: 1, Group: 2, Key: 3, HasKey: true, SinceWrite: -4500, Until: 5001, Hint: 6000}},
+		{"call ticket=1", balance.Event{Kind: balance.RequestEvent, Request: 1}},
+		{"completed ticket=1 try=2 over=1 note=9 host=h timeTakenMs=0.5 status=done feedback=x0:1.5,x1:1", balance.Event{Kind: balance.OutcomeEvent,
+			Request: 1, Attempt: 2, Over: true, Role: balance.Primary, Position: 2007, Host: "h", Took: 500, Result: balance.Served, Report: report}},
+		{"completed note=2 status=err", balance.Event{Kind: balance.OutcomeEvent, Role: balance.Replica, Result: balance.Errored}},
+		{"completed status=busy", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Full}},
+		{"completed status=etimedout", balance.Event{Kind: balance.OutcomeEvent, Result: balance.TimedOut}},
+		{"completed status=econnrefused", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Refused}},
+		{"completed status=econnreset", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Reset}},
+		{"completed status=ecanceled", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Cancelled}},
+		{"completed status=skipped", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Skipped}},
+		{"completed status=enoent", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Missed}},
+		{"check_result host=h timeTakenMs=1 status=done feedback=x0:1.5,x1:1", balance.Event{Kind: balance.ProbedEvent, Host: "h", Took: 1000, Report: report}},
+		{"left ticket=3", balance.Event{Kind: balance.GoneEvent, Request: 3}},
+		{"deadline_hit ref=4", balance.Event{Kind: balance.TimerEvent, Token: 4}},
+		{"message from=5 contents=007fff", balance.Event{Kind: balance.PeerEvent, Peer: 5, Data: []byte{0, 127, 255}}},
+		{"message from=0 contents=-", balance.Event{Kind: balance.PeerEvent}},
+	}
+	c := NewCodec()
+	if err := c.Roster(Split([]byte("roster buffer=2 records=1"))); err != nil {
+		t.Fatal(err)
+	}
+	if err := c.Entry(Split([]byte("m host=h rackZone=1 cluster=2 generationHw=3 phase=2 isPrimary=1 units=2.5 bornMs=1.5"))); err != nil {
+		t.Fatal(err)
+	}
+	for _, test := range tests {
+		var read balance.Event
+		if err := c.Event(Split([]byte(test.line)), 7, &read); err != nil || !reflect.DeepEqual(read, test.want) {
+			t.Errorf("%s is read as %v, %v", test.line, read, err)
+		}
+	}
+}
+
+// Each name of a start line's options has the same effect as ever. The names are those that the simulator writes, whatever
+// our code calls them.
+func TestGoldenStart(t *testing.T) {
+	line := `start who=1 entropy=18446744073709551615 options={"zone":1,"zones":["a","b"],"hostTypes":["x"],"tickMs":5,"discovery":"subscribe",` +
+		`"classes":[{"name":"n","aimMs":1,"deadlineMs":2,"windowMs":3,"worth":4,"lateWorth":0.5,"aimStretch":6,"repeat":"idempotency_key","group":"cell"},` +
+		`{"repeat":"non_idempotent","group":"zone"},{},{},{}],"balancers":3,"ordinal":2,"costs":{"crossZone":7,"peer":8},` +
+		`"extra":{"baseTimeMs":9,"classRead":["recent","own_writes","latest","update","any"],"stalenessBoundMs":[10],"serverChecks":"reject","tokens":"client"},` +
+		`"limits":{"cancel":true,"probes":true,"mayTell":true,"dialTimeoutMs":11,"maxRetryAfterMs":12,"idleCloseMs":13,"maxAttempts":14},` +
+		`"obligations":{"coldFrom":15,"coldMs":16,"fallMultiple":17,"overloadForMs":18,"drainBindsAlone":true}}`
+	want := balance.Settings{Zone: 1, Tick: 5000, Subscribe: true, Probes: true, Cancel: true, MaxRetryAfter: 12_000, MaxAttempts: 14, DialTimeout: 11_000,
+		HostsCheck: true, Carried: true, CrossPrice: 7, DrainAlone: true, ColdFrom: 15, ColdFor: 16_000, FallMultiple: 17, FallFor: 18_000,
+		Gateways: 3, Ordinal: 2, TellEarn: 1.92, Classes: []balance.Class{
+			{Aim: 1000, Deadline: 2000, Window: 3000, Worth: 4, LateWorth: 0.5, AimStretch: 6, Repeat: balance.Keyed, Scope: balance.ScopeGroup, Need: balance.Recent, Bound: 10_000},
+			{Repeat: balance.Unsafe, Scope: balance.ScopeZone, Need: balance.OwnWrite}, {Need: balance.Latest}, {Need: balance.Update}, {}}}
+	read, seed, origin, err := Start(Split([]byte(line)))
+	if err != nil || seed != 1<<64-1 || origin != 9000 || !reflect.DeepEqual(read, want) {
+		t.Errorf("read as %v, %d, %d, %v\nwant %v", read, seed, origin, err, want)
+	}
+	if clock, err := Turn(Split([]byte("turn wallMs=1.0005"))); err != nil || clock != 1001 {
+		t.Errorf("the clock is read as %d, %v", clock, err)
+	}
+	if who, err := Instance(Split([]byte("left who=3"))); err != nil || who != 3 {
+		t.Errorf("the instance is read as %d, %v", who, err)
+	}
+}
