--- /dev/null
+++ b/internal/zonal/golden_test.go
@@ -0,0 +1,63 @@
+package zonal
+
+import (
+	"encoding/hex"
+	"fmt"
+	"testing"
+
+	"cloverrock/internal/accord"
+	"cloverrock/internal/golden"
+	"cloverrock/internal/replica"
+)
+
+// A vote's body has the same bytes as ever, and they say of each zone what was found.
+func TestGoldenVotes(t *testing.T) {
+	tests := []struct {
+		name  string
+		own   int
+		views []View
+	}{
+		{"of no zone", -1, []View{{Good, 40, 1}}},
+		{"each verdict", 2, []View{{Unseen, 0, 0}, {Good, 255, 65535}, {Bad, 1, 256}}},
+		{"no zones", 0, nil},
+	}
+	var cases []golden.Case
+	for _, test := range tests {
+		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(encode(test.own, test.views))})
+	}
+	stored := golden.Check(t, "votes.golden", append(cases, golden.Case{Name: "topic and whole", Form: fmt.Sprint(topic, " ", Whole)}))
+	for _, test := range tests {
+		b, err := hex.DecodeString(stored[test.name])
+		if err != nil {
+			t.Fatal(err)
+		}
+		for zone, view := range test.views {
+			if own, read, ok := decode(b, zone); !ok || byte(own) != byte(test.own) || read != view {
+				t.Errorf("%s: zone %d is read as %v of %d, %v", test.name, zone, read, own, ok)
+			}
+		}
+	}
+}
+
+// What is proposed, and the vote before it, have the same bytes as ever: a share for each zone, in the order of the zones.
+func TestGoldenProposal(t *testing.T) {
+	const start = 1_000_000_000
+	state := replica.New(replica.Config{Self: "a", Incarnation: 1, Forms: map[replica.Kind]replica.Form{
+		1: {Name: "votes", Rule: replica.Newest, Keep: start, Most: 64}, 2: {Name: "decided", Rule: replica.Decided, Keep: start, Most: 64}}})
+	council := accord.New(accord.Config{Self: "a", Votes: 1, Decided: 2, Delay: 1, Fresh: start, Hold: start, Majority: true}, state)
+	s := New(Config{Zones: []string{"x", "y", "z"}, Own: 0, AtOnce: 1, Bad: 0.6, Views: 1, Bear: 0.6, Steps: []byte{50, Whole}, Step: 1, Away: 1}, council)
+	vote, voted := s.Vote(start, []View{{Good, 20, 5}, {Bad, 200, 5}, {Good, 20, 5}})
+	told := s.Decide(start, accord.Roll{"a": true})
+	if !voted || len(told) != 1 {
+		t.Fatalf("%d entries are told", len(told))
+	}
+	told = append(told, vote)
+	b, err := replica.Encode(&replica.Message{Entries: told})
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "proposal.golden", []golden.Case{{Name: "proposal and vote", Form: hex.EncodeToString(b)}})
+	if s.Share(start+1, 0) != Whole || s.Share(start+1, 1) != 0 {
+		t.Errorf("in force are %d and %d", s.Share(start+1, 0), s.Share(start+1, 1))
+	}
+}
