--- a/internal/learned/golden_test.go
+++ b/internal/learned/golden_test.go
@@ -20,7 +20,7 @@
 	f.Groups = append(f.Groups, balance.GroupFacts{Group: math.MaxInt64, Primary: "q", At: base})
 	f.Floor = base - sec
 	return f, List{Generation: 9, Entries: []Entry{
-		{Entry: balance.Entry{Host: "p", Zone: 2, Group: 1, Kind: 3, Phase: balance.Draining, Primary: true, Weight: 1.5, Born: base}, Address: "h:5432"}, {}}}
+		{StoredEndpoint: StoredEndpoint{Host: "p", Zone: 2, Group: 1, Kind: 3, Phase: balance.Draining, Primary: true, Weight: 1.5, Born: base}, Address: "h:5432"}, {}}}
 }
 
 // What is stored has the same keys and bytes as ever, and a fresh gateway believes of it what was known.
--- a/internal/learned/learned.go
+++ b/internal/learned/learned.go
@@ -60,10 +60,23 @@
 	By         string  `msgpack:"b" json:"by"`
 }
 
+// StoredEndpoint is an endpoint under the field names of its stored form, which stay as they are whatever the fields of
+// balance are called. The two types convert into one another.
+type StoredEndpoint struct {
+	Host    string        `msgpack:"Host"`
+	Zone    int           `msgpack:"Zone"`
+	Group   int64         `msgpack:"Group"`
+	Kind    int           `msgpack:"Kind"`
+	Phase   balance.Phase `msgpack:"Phase"`
+	Primary bool          `msgpack:"Primary"`
+	Weight  float64       `msgpack:"Weight"`
+	Born    int64         `msgpack:"Born"`
+}
+
 // Entry is a host of the list.
 type Entry struct {
-	balance.Entry `msgpack:"e"`
-	Address       string `msgpack:"a"`
+	StoredEndpoint `msgpack:"e"`
+	Address        string `msgpack:"a"`
 }
 
 // List is the stored list of hosts.
--- a/internal/storecli/keep.go
+++ b/internal/storecli/keep.go
@@ -41,7 +41,7 @@
 	}
 	t := &discovery.List{Generation: l.Generation, Full: true, Addresses: map[string]string{}}
 	for _, e := range l.Entries {
-		t.Entries = append(t.Entries, e.Entry)
+		t.Entries = append(t.Entries, balance.Entry(e.StoredEndpoint))
 		t.Addresses[e.Host] = e.Address
 	}
 	return t
@@ -98,7 +98,7 @@
 	k := learned.List{Generation: l.Generation}
 	for _, e := range l.Entries {
 		if e.Phase != balance.Gone {
-			k.Entries = append(k.Entries, learned.Entry{Entry: e, Address: l.Addresses[e.Host]})
+			k.Entries = append(k.Entries, learned.Entry{StoredEndpoint: learned.StoredEndpoint(e), Address: l.Addresses[e.Host]})
 		}
 	}
 	return k
