--- /dev/null
+++ b/internal/store/frame/golden_test.go
@@ -0,0 +1,130 @@
+package frame
+
+import (
+	"bytes"
+	"encoding/hex"
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"cloverrock/internal/store/core"
+	"cloverrock/internal/store/machine"
+)
+
+// update writes the golden files anew, for a change of a form that is meant.
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// held compares lines, one named case each, with a golden file, and returns the file's cases by name.
+func held(t *testing.T, file string, lines []string) map[string]string {
+	t.Helper()
+	path, now := filepath.Join("testdata", file), strings.Join(lines, "\n")+"\n"
+	if *update {
+		if err := errors.Join(os.MkdirAll("testdata", 0o755), os.WriteFile(path, []byte(now), 0o644)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	if len(golden) != len(lines) {
+		t.Errorf("%s has %d cases, now there are %d", path, len(golden), len(lines))
+	}
+	cases := map[string]string{}
+	for i, line := range golden {
+		name, value, _ := strings.Cut(line, " ")
+		cases[name] = value
+		if i < len(lines) && lines[i] != line {
+			t.Errorf("%s, line %d:\nheld %s\nnow  %s", path, i+1, line, lines[i])
+		}
+	}
+	return cases
+}
+
+// goldenCase is a value that goes over a connection, and an empty one of its type to read it into.
+type goldenCase struct {
+	name        string
+	kind        Kind
+	value, into any
+}
+
+func goldenCases() []goldenCase {
+	kv := machine.KV{NS: "config", Key: "one", Value: []byte{0, 255}, Created: 1, Modified: 2, Version: 3, Lease: 4}
+	command := machine.Command{V: 1, Kind: machine.TxnKind, Request: 5, Session: 6, Seq: 7,
+		If:   []machine.Compare{{NS: "config", Key: "one", Target: machine.Value, Number: 8, Value: []byte("v")}},
+		Then: []machine.Op{{Kind: machine.Put, NS: "config", Key: "one", Value: []byte("w"), Lease: 9, Limit: 10}},
+		Else: []machine.Op{{Kind: machine.Delete, NS: "config", Key: "one"}}, Lease: 11, Amount: 12}
+	return []goldenCase{
+		{"hello", HelloKind, &Hello{Form: 1, Peer: true, Cluster: 77, ID: 11, Address: "127.0.0.1:7001"}, &Hello{}},
+		{"hello-client", HelloKind, &Hello{Form: 1}, &Hello{}},
+		{"welcome", WelcomeKind, &Welcome{Form: 1, Cluster: 77, Name: "a"}, &Welcome{}},
+		{"welcome-refused", WelcomeKind, &Welcome{Form: 1, Error: "removed", Final: true, Cluster: 77, Name: "a"}, &Welcome{}},
+		{"request", RequestKind, &Request{ID: 1, Op: OpPropose, Command: &command, NS: "config", Key: "one", Limit: -1, Stale: true, After: 2, Node: 3,
+			Name: "gateway", Address: "127.0.0.1:7002", Token: "note", Body: []byte("{}")}, &Request{}},
+		{"request-least", RequestKind, &Request{ID: 2, Op: OpStatus}, &Request{}},
+		{"response", ResponseKind, &Response{ID: 1, Code: CodeFailed, Error: "why", Result: machine.Result{Code: machine.NoLease, Holds: true, Revision: 9, ID: 8, KVs: []machine.KV{kv}},
+			Events: []machine.Event{{Revision: 9, Deleted: true, KV: &kv}}, AgeMS: -1, More: true, Body: []byte("body")}, &Response{}},
+		{"response-least", ResponseKind, &Response{ID: 2}, &Response{}},
+		{"piece", PieceKind, &core.Piece{Index: 1, Term: 2, Total: 300, Offset: 4, Data: []byte("data")}, &core.Piece{}},
+		{"got", GotKind, &core.Got{Index: 1, Offset: 300}, &core.Got{}},
+	}
+}
+
+// frameOf reads a golden frame's kind and body.
+func frameOf(t *testing.T, text string) (Kind, []byte) {
+	t.Helper()
+	b, err := hex.DecodeString(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	kind, body, err := Read(bytes.NewReader(b), nil, Max)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return kind, body
+}
+
+// TestFramesKeepTheirBytes holds the frames of connections, both ways, with the words for operations and codes.
+func TestFramesKeepTheirBytes(t *testing.T) {
+	var lines []string
+	for _, c := range goldenCases() {
+		b, err := AppendValue(nil, c.kind, c.value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, fmt.Sprintf("%s %x", c.name, b))
+	}
+	message := &raftpb.Message{Type: raftpb.MsgApp.Enum(), To: proto.Uint64(12), From: proto.Uint64(11), Term: proto.Uint64(2), LogTerm: proto.Uint64(1), Index: proto.Uint64(3),
+		Commit: proto.Uint64(4), Entries: []*raftpb.Entry{{Index: proto.Uint64(4), Term: proto.Uint64(2), Data: []byte("four")}}}
+	for _, e := range []core.Envelope{{Raft: message}, {Piece: &core.Piece{Index: 1}}, {Got: &core.Got{Index: 2}}} {
+		b, err := AppendEnvelope(nil, e)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, fmt.Sprintf("envelope/%c %x", b[4], b))
+	}
+	lines = append(lines, fmt.Sprintf("operations %q", []string{OpPropose, OpRead, OpWatch, OpStatus, OpJoin, OpRemove, OpTransfer, OpBackup, OpDocument}),
+		fmt.Sprintf("codes %q", []string{CodeOK, CodeRetry, CodeUnknown, CodeRefused, CodeFailed}))
+	golden := held(t, "frames.txt", lines)
+
+	for _, c := range goldenCases() {
+		kind, body := frameOf(t, golden[c.name])
+		if err := Value(body, c.into); err != nil || kind != c.kind || !reflect.DeepEqual(c.into, c.value) {
+			t.Errorf("%s is read as %c %+v, %v", c.name, kind, c.into, err)
+		}
+	}
+	kind, body := frameOf(t, golden["envelope/r"])
+	e, ok, err := Envelope(kind, body, 11, 12)
+	if err != nil || !ok || e.From != 11 || e.To != 12 || !proto.Equal(e.Raft, message) {
+		t.Errorf("raft's message is read as %+v, %v", e, err)
+	}
+}
