--- /dev/null
+++ b/internal/settings/golden_test.go
@@ -0,0 +1,97 @@
+package settings
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// update writes the golden files anew, for a change of a form that is meant.
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// held compares lines, one named case each, with a golden file, and returns the file's cases by name.
+func held(t *testing.T, file string, lines []string) map[string]string {
+	t.Helper()
+	path, now := filepath.Join("testdata", file), strings.Join(lines, "\n")+"\n"
+	if *update {
+		if err := errors.Join(os.MkdirAll("testdata", 0o755), os.WriteFile(path, []byte(now), 0o644)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	if len(golden) != len(lines) {
+		t.Errorf("%s has %d cases, now there are %d", path, len(golden), len(lines))
+	}
+	cases := map[string]string{}
+	for i, line := range golden {
+		name, value, _ := strings.Cut(line, " ")
+		cases[name] = value
+		if i < len(lines) && lines[i] != line {
+			t.Errorf("%s, line %d:\nheld %s\nnow  %s", path, i+1, line, lines[i])
+		}
+	}
+	return cases
+}
+
+const everyKey = `{"store":{"name":"a","data":"data","listen":"127.0.0.1:1","advertise":"10.0.0.1:2","certificate":"a.pem","key":"a-key.pem","authority":"ca.pem",
+"join":["127.0.0.1:3","127.0.0.1:4"],"routes":{"b":"127.0.0.1:5"},"tick_ms":60,"election_ticks":7,"snapshot_entries":800,"snapshot_bytes_per_second":90000,"start_wait_ms":100},
+"fleet":{"listen":"127.0.0.1:6","join":["127.0.0.1:7"],"relay":"127.0.0.1:8",
+"zones":{"regions":{"z1":"r"},"at_once":2,"delay_ms":110,"step_ms":120,"away_ms":1300,"pin":{"z2":"left"},"without":["pace"]}},"learned":{"write_ms":140,"believe_ms":15000}}`
+
+const fewKeys = `{"store":{"name":"a","data":"/data","listen":"127.0.0.1:1","certificate":"/a.pem","key":"/a-key.pem","authority":"/ca.pem"},
+"fleet":{"listen":"127.0.0.1:6","zones":{}},"learned":{}}`
+
+// valueLines shows each value under the key that it is read from.
+func valueLines(t *testing.T, name, text string) (lines []string) {
+	t.Helper()
+	dir := t.TempDir()
+	path := filepath.Join(dir, "settings.json")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s, err := Load(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	show := func(key string, value any) {
+		lines = append(lines, fmt.Sprintf("%s:%s %s", name, key, strings.ReplaceAll(fmt.Sprint(value), dir, "DIR")))
+	}
+	st, f, z, l := s.Store, s.Fleet, s.Fleet.Zones, s.Learned
+	for _, c := range []struct {
+		key   string
+		value any
+	}{
+		{"name", st.Name}, {"data", st.Data}, {"listen", st.Listen}, {"advertise", st.Advertise}, {"certificate", st.Certificate}, {"key", st.Key}, {"authority", st.Authority},
+		{"join", st.Join}, {"routes", st.Routes}, {"tick_ms", st.TickMS}, {"election_ticks", st.ElectionTicks}, {"snapshot_entries", st.SnapshotEntries},
+		{"snapshot_bytes_per_second", st.SnapshotRate}, {"start_wait_ms", int64(st.StartWait() / time.Millisecond)}, {"address", st.Address()},
+	} {
+		show("store."+c.key, c.value)
+	}
+	show("fleet.listen", f.Listen)
+	show("fleet.join", f.Join)
+	show("fleet.relay", f.Relay)
+	for _, c := range []struct {
+		key   string
+		value any
+	}{{"regions", z.Regions}, {"at_once", z.AtOnce}, {"delay_ms", z.DelayMS}, {"step_ms", z.StepMS}, {"away_ms", z.AwayMS}, {"pin", z.Pin}, {"without", z.Without}} {
+		show("fleet.zones."+c.key, c.value)
+	}
+	show("learned.write_ms", l.WriteMS)
+	show("learned.believe_ms", l.BelieveMS)
+	return lines
+}
+
+// TestEachKeyKeepsItsValue holds what each key of the settings file becomes, and what stands where it is left out.
+func TestEachKeyKeepsItsValue(t *testing.T) {
+	held(t, "settings.txt", slices.Concat(valueLines(t, "every", everyKey), valueLines(t, "few", fewKeys)))
+}
