--- a/internal/storecli/golden_test.go
+++ b/internal/storecli/golden_test.go
@@ -10,6 +10,7 @@
 	"path/filepath"
 	"regexp"
 	"strings"
+	"syscall"
 	"testing"
 
 	"github.com/rs/zerolog"
@@ -164,6 +165,7 @@
 
 // TestInitWritesTheSameFiles holds names, modes and text of what "store init" writes; identities and keys are random.
 func TestInitWritesTheSameFiles(t *testing.T) {
+	defer syscall.Umask(syscall.Umask(0o022)) // modes are held, so they may not depend on who runs the test
 	r := &rig{t: t, dir: t.TempDir(), getenv: func(string) string { return "" }}
 	dir := filepath.Join(r.dir, "store")
 	r.run(0, "store init --dir "+dir+" --member a=127.0.0.1:7001 --member b=127.0.0.1:7002 --member c=127.0.0.1:7003")
