--- a/internal/storecli/golden_test.go
+++ b/internal/storecli/golden_test.go
@@ -54,8 +54,8 @@
 // foundAnew is apart from update: the directory is worth most as long as an older build wrote it.
 var foundAnew = flag.Bool("update-founded", false, "write the founded data directory anew")
 
-// serve opens the instance's directory as "store serve" does.
-func (r *rig) serve() *node.Node {
+// serve opens the instance's directory as "store serve" does; 0 entries between snapshots is the default.
+func (r *rig) serve(snapshotEntries uint64) *node.Node {
 	r.t.Helper()
 	set, err := settings.Load(filepath.Join(r.dir, "store", "a.json"))
 	if err != nil {
@@ -65,6 +65,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
+	conf.SnapshotEntries = snapshotEntries
 	instance, err := openOrJoin(context.Background(), set.Store, conf, "", zerolog.Nop())
 	if err != nil {
 		r.t.Fatal(err)
@@ -112,10 +113,11 @@
 	return lines
 }
 
-// writeFounded founds a store of one, writes, stops, writes more behind that, and keeps the directory.
+// writeFounded founds a store of one, writes until snapshots are taken, stops, writes more behind them, and keeps the
+// directory: what it holds comes back partly from a snapshot and partly from the log.
 func writeFounded(t *testing.T, to string) {
 	r := newRig(t)
-	instance := r.serve()
+	instance := r.serve(4)
 	r.put(`{"discovery":"127.0.0.1:7"}`, 0)
 	r.put(`{"discovery":"127.0.0.1:8","instances":{"a":{"discovery":"127.0.0.1:9"}}}`, 0)
 	r.run(0, "store key put notes first one")
@@ -124,7 +126,7 @@
 	r.run(0, "store key put notes gone three")
 	r.run(0, "store key delete notes gone")
 	r.stop(instance)
-	instance = r.serve()
+	instance = r.serve(0)
 	r.run(0, "store rollback gateway 1 --note back")
 	r.run(0, "store key put notes third four")
 	r.stop(instance)
@@ -140,7 +142,7 @@
 	}
 	r := newRig(t)
 	copyFiles(t, kept, filepath.Join(r.dir, "store", "a-data"))
-	instance := r.serve()
+	instance := r.serve(0)
 	lines := r.notes()
 	lines = append(lines, "history "+strings.TrimSpace(r.run(0, "store history gateway --output json")))
 	for _, number := range []string{"1", "2", "3"} {
@@ -157,7 +159,7 @@
 		t.Errorf("keys: %q", before)
 	}
 	r.stop(instance)
-	r.serve()
+	r.serve(0)
 	if after := r.notes(); strings.Join(after, "\n") != strings.Join(before, "\n") {
 		t.Errorf("opened again: %q, before %q", after, before)
 	}
