--- a/balance/balance.go
+++ b/balance/balance.go
@@ -61,7 +61,7 @@
 	id    string
 	zone  int
 	group *group
-	phase Phase
+	phase EndpointState
 	bound bool // told that it drains or is gone: nothing new goes there
 
 	out              []*request // own attempts out
@@ -146,29 +146,29 @@
 	tokens          [2]map[int64]int64 // commits of sessions, by age
 	turnedAt, floor int64
 	news            *gossip.State // what routers tell one another
-	view            View          // what they have agreed on; nil: nothing
+	view            ZoneShares    // what they have agreed on; nil: nothing
 }
 
 // New returns a router for the given settings; the seed feeds its own random numbers.
 func New(set Settings, seed uint64) (*Router, error) {
-	if set.Tick <= 0 || set.MaxAttempts < 1 {
+	if set.TickInterval <= 0 || set.MaxAttempts < 1 {
 		return nil, errors.New("balance: Tick must be positive, and MaxAttempts at least 1")
 	}
 	set.Classes = append([]Class(nil), set.Classes...)
 	r := &Router{
 		set: set, rand: random.Source(seed), hosts: map[string]*host{},
 		reqs: map[int64]*request{}, tokens: [2]map[int64]int64{{}, {}},
-		retries: retryBurst, probes: probeBurst, keep: keepIdle, probeRTT: float64(set.Tick),
+		retries: retryBurst, probes: probeBurst, keep: keepIdle, probeRTT: float64(set.TickInterval),
 		least: min(max(1, together/float64(cmp.Or(set.Gateways, 6))), firstLimit), // 6: one each of many
 	}
-	tell := gossip.Config{Gateways: set.Gateways, Ordinal: set.Ordinal, Earn: set.TellEarn}
+	tell := gossip.Config{Gateways: set.Gateways, Ordinal: set.Ordinal, BytesPerRequest: set.GossipBytesPerRequest}
 	for _, c := range set.Classes {
-		if c.Need == Recent {
-			tell.Within = max(tell.Within, c.Bound)
+		if c.Consistency == BoundedStaleness {
+			tell.FreshnessWindow = max(tell.FreshnessWindow, c.MaxStaleness)
 		}
-		r.cost = append(r.cost, float64(c.Aim))
-		r.usual += float64(c.Aim) / float64(len(set.Classes))
-		if c.Aim <= 0 || c.Deadline <= 0 {
+		r.cost = append(r.cost, float64(c.LatencyObjective))
+		r.usual += float64(c.LatencyObjective) / float64(len(set.Classes))
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 {
 			return nil, errors.New("balance: a class needs a positive Aim and Deadline")
 		}
 	}
@@ -181,21 +181,21 @@
 	r.now, r.acts = now, acts
 	if !r.started {
 		r.started, r.turnedAt, r.ratedAt = true, now, now
-		if r.set.Subscribe {
+		if r.set.MustSubscribe {
 			r.act(Action{Kind: SubscribeAction})
 		}
 		r.act(Action{Kind: TimerAction, At: now + r.period()})
 	}
 	switch ev.Kind {
-	case ListEvent:
+	case EndpointsEvent:
 		r.takeList(&ev)
 	case RequestEvent:
 		r.request(&ev)
 	case OutcomeEvent:
 		r.outcome(&ev)
-	case GoneEvent:
+	case ClientDisconnectedEvent:
 		if q := r.reqs[ev.Request]; q != nil {
-			if q.at != nil && r.set.Cancel { // nobody waits for this work any more
+			if q.at != nil && r.set.Cancellation { // nobody waits for this work any more
 				r.act(Action{Kind: CancelAction, Request: q.id, Attempt: q.try})
 			}
 			r.close(q)
@@ -203,9 +203,9 @@
 	case TimerEvent:
 		r.upkeep()
 		r.act(Action{Kind: TimerAction, At: now + r.period()})
-	case ProbedEvent:
+	case HealthCheckEvent:
 		r.probed(&ev)
-	case PeerEvent:
+	case GossipEvent:
 		r.hear(ev.Peer, ev.Data)
 	}
 	r.tellAll()
@@ -213,7 +213,7 @@
 }
 
 func (r *Router) act(a Action)  { r.acts = append(r.acts, a) }
-func (r *Router) period() int64 { return max(upkeepEvery, r.set.Tick) }
+func (r *Router) period() int64 { return max(upkeepEvery, r.set.TickInterval) }
 func (r *Router) pace() int64   { return findEvery * r.period() }
 func (r *Router) log(s string)  { r.act(Action{Kind: LogAction, Text: s}) }
 
@@ -240,34 +240,34 @@
 // takeList applies the list. A host told to drain, or gone, gets nothing from that moment on: the grace of
 // the drain rule is slack, not a plan. A new start makes a host cold.
 func (r *Router) takeList(ev *Event) {
-	if ev.Failed {
+	if ev.PollFailed {
 		r.askWait = min(max(2*r.askWait, 20*r.period()), 200*r.period())
 		r.askAt = r.now + r.askWait/2 + r.rand.Below(r.askWait)
 		return
 	}
 	r.askWait, r.askAt = 0, 0
 	seen := map[string]bool{}
-	for _, e := range ev.Entries {
+	for _, e := range ev.Endpoints {
 		seen[e.Host] = true
 		h := r.hosts[e.Host]
-		if h == nil && e.Phase == Gone {
+		if h == nil && e.State == Removed {
 			continue
 		} else if h == nil {
 			h = r.addHost(&e)
 		}
-		h.zone, h.phase = e.Zone, e.Phase
-		if born := min(e.Born, r.now); born > h.born { // a start in the future is no reason to wait for it
+		h.zone, h.phase = e.Zone, e.State
+		if born := min(e.StartedAt, r.now); born > h.born { // a start in the future is no reason to wait for it
 			h.born, h.died = born, false
-			if r.now-born < r.set.ColdFor {
+			if r.now-born < r.set.SlowStartDuration {
 				r.chill(h, born)
 			}
 		}
 		r.bind(h)
 	}
-	if ev.Full {
+	if ev.Complete {
 		for _, h := range r.order {
-			if !seen[h.id] && h.phase != Gone {
-				h.phase = Gone
+			if !seen[h.id] && h.phase != Removed {
+				h.phase = Removed
 				r.bind(h)
 			}
 		}
@@ -281,7 +281,7 @@
 	}
 }
 
-func (r *Router) addHost(e *Entry) *host {
+func (r *Router) addHost(e *Endpoint) *host {
 	i, known := r.findGroup(e.Group)
 	if !known {
 		r.groups = slices.Insert(r.groups, i, &group{id: e.Group})
@@ -289,7 +289,7 @@
 	g := r.groups[i]
 	h := &host{id: e.Host, group: g, limit: firstLimit}
 	r.hosts[h.id] = h
-	r.news.Add(h.id, e.Group)
+	r.news.AddHost(h.id, e.Group)
 	byID := func(a, b *host) int { return strings.Compare(a.id, b.id) }
 	i, _ = slices.BinarySearchFunc(r.order, h, byID)
 	r.order = slices.Insert(r.order, i, h)
@@ -307,7 +307,7 @@
 
 // bind notes whether the drain rule forbids the host. Where only draining binds, gone is no proof.
 func (r *Router) bind(h *host) {
-	h.bound = h.phase == Draining || h.phase == Gone && (!r.set.DrainAlone || h.bound)
+	h.bound = h.phase == Draining || h.phase == Removed && (!r.set.OnlyDrainingExcludes || h.bound)
 	if h.bound && h.group.primary == h {
 		r.lose(h.group, "is withdrawn")
 	}
@@ -323,46 +323,46 @@
 // ramp is the least share of its capacity that the host has by now.
 func (r *Router) ramp(h *host) float64 {
 	age := r.now - h.coldAt
-	if !h.cold || age >= r.set.ColdFor || r.set.ColdFor <= 0 {
+	if !h.cold || age >= r.set.SlowStartDuration || r.set.SlowStartDuration <= 0 {
 		h.cold = false
 		return 1
 	}
-	return r.set.ColdFrom + (1-r.set.ColdFrom)*float64(age)/float64(r.set.ColdFor)
+	return r.set.SlowStartInitialShare + (1-r.set.SlowStartInitialShare)*float64(age)/float64(r.set.SlowStartDuration)
 }
 
 // room tells whether the host may be sent the request: it is well, within its limits of attempts out, our own
 // and that of all, while cold within the budget that all routers together must keep, and not to be spared.
 func (r *Router) room(q *request, h *host) bool {
-	if h.bound || r.now < h.restUntil || float64(len(h.out)) >= h.limit || r.news.Full(r.now, h.id) {
+	if h.bound || r.now < h.restUntil || float64(len(h.out)) >= h.limit || r.news.AtCapacity(r.now, h.id) {
 		return false
 	}
 	if h.cond != up && (h.cond != down || len(h.out) > 0 || r.now+h.backoff/2 < h.retryAt ||
-		r.set.Probes && h.backoff < backoffLimit*r.pace()) { // its probes may fail alone
+		r.set.HealthChecks && h.backoff < backoffLimit*r.pace()) { // its probes may fail alone
 		return false
 	}
 	if ramp := r.ramp(h); h.cold {
 		// Our part of what all requests ask of a host; chance keeps half the multiple.
-		rate := r.perHost * ramp * r.set.FallMultiple / 2
-		most := max(1, rate*float64(r.set.FallFor)/4e6)
+		rate := r.perHost * ramp * r.set.SlowStartOverloadFactor / 2
+		most := max(1, rate*float64(r.set.SlowStartOverloadWindow)/4e6)
 		h.credit = min(most, h.credit+rate*float64(r.now-h.earned)/1e6)
 		h.earned = r.now
-		if h.credit < 1 || r.price(q) > heavy && q.class.Need != Update && h.credit < r.price(q) {
+		if h.credit < 1 || r.price(q) > heavy && q.class.Consistency != Write && h.credit < r.price(q) {
 			return false
 		}
 	}
 	// Of many routers each has too few out for its limit to bind, so each leaves out a part of its reads.
 	share := h.share
 	if r.perHost < seldom {
-		share = max(share, r.news.Busy())
+		share = max(share, r.news.OverloadRatio())
 	}
-	spare := q.class.Need != Update && q.luck*(1-spareShare) > 1-share
+	spare := q.class.Consistency != Write && q.luck*(1-spareShare) > 1-share
 	q.spared = q.spared || spare
 	return !spare
 }
 
 // price is what a request takes of a cold host's budget: one, or more where its class takes longer than most.
 func (r *Router) price(q *request) float64 { return max(1, r.cost[q.kind]/r.usual) }
-func (r *Router) long(q *request) bool     { return q.class.Need == Loose && r.price(q) > heavy }
+func (r *Router) long(q *request) bool     { return q.class.Consistency == Eventual && r.price(q) > heavy }
 
 // alive notes a sign of life. A host that was dead is cold now, even if the list has not said so yet.
 func (r *Router) alive(h *host) {
@@ -378,7 +378,7 @@
 
 // doubt stops sends to a host until a probe decides: a lossy link is no death, and the dead come back cold.
 func (r *Router) doubt(h *host) {
-	if !r.set.Probes {
+	if !r.set.HealthChecks {
 		r.fell(h, true)
 	} else if h.cond == up {
 		h.cond = doubted
@@ -404,13 +404,13 @@
 // sooner the more are out. A probe decides, so slow hosts are not taken for dead ones.
 func (r *Router) suspect(h *host) {
 	for _, q := range h.out { // not to answer says as much as a late answer does, and sooner
-		if late := float64(q.judged+1) / 2; late <= 1 && r.now-q.sentAt > int64(late*float64(q.class.Aim)) {
+		if late := float64(q.judged+1) / 2; late <= 1 && r.now-q.sentAt > int64(late*float64(q.class.LatencyObjective)) {
 			q.judged++
 			r.weigh(h, late)
 		}
 	}
 	patience := max(h.lat, (h.lat+4*h.dev)/float64(max(min(len(h.out), 4), 1)), float64(r.period())) +
-		float64(r.news.Quiet(h.id)) // what others hear of it counts, and comes so much later
+		float64(r.news.MaxReportDelay(h.id)) // what others hear of it counts, and comes so much later
 	if h.cond == up && len(h.out) > 0 && h.lat != 0 && float64(r.now-h.quietFrom) > patience {
 		r.doubt(h)
 	}
@@ -422,7 +422,7 @@
 func (r *Router) measure(h *host, q *request, took int64, served bool) {
 	h.rest /= 2
 	t := float64(took)
-	share := t / float64(q.class.Aim)
+	share := t / float64(q.class.LatencyObjective)
 	if !served {
 		share = max(share, 1)
 	} else {
@@ -447,7 +447,7 @@
 
 // learnReport takes a host's own account. It is as old as the position in it at the most, so evidence of
 // role is dated by that: a late report never overturns a newer answer.
-func (r *Router) learnReport(h *host, rep *Report) {
+func (r *Router) learnReport(h *host, rep *HostReport) {
 	at, role := r.now-int64(r.probeRTT), Replica
 	if rep.HasPosition {
 		h.pos, h.posAt = max(h.pos, rep.Position), r.now // a position never goes back
@@ -525,7 +525,7 @@
 			r.probe(m, 0)
 		}
 	}
-	if !r.set.Probes && g.primary == nil && r.now-g.lostAt >= backoffLimit*r.pace()/4 {
+	if !r.set.HealthChecks && g.primary == nil && r.now-g.lostAt >= backoffLimit*r.pace()/4 {
 		g.lostAt = r.now
 		g.round++
 		r.walk(g, nil)
@@ -536,17 +536,17 @@
 	// A group that no list has named has no host to wait for, and anyone may ask for any number of such.
 	i, known := r.findGroup(ev.Group)
 	if !known || ev.Class < 0 || ev.Class >= len(r.set.Classes) {
-		r.act(Action{Kind: RefuseAction, Request: ev.Request, RetryAfter: r.set.MaxRetryAfter})
+		r.act(Action{Kind: RejectAction, Request: ev.Request, RetryAfter: r.set.MaxRetryAfter})
 		return
 	}
 	c := &r.set.Classes[ev.Class]
 	q := &request{id: ev.Request, class: c, kind: ev.Class, group: r.groups[i],
-		key: ev.Key, hasKey: ev.HasKey, until: ev.Until, halfAt: r.now + (ev.Until-r.now)/2}
-	q.aimAt = min(r.now+c.Aim+int64(c.AimStretch*float64(ev.Hint)), q.until)
-	if c.Need == OwnWrite && !r.set.Carried {
+		key: ev.Key, hasKey: ev.HasKey, until: ev.Deadline, halfAt: r.now + (ev.Deadline-r.now)/2}
+	q.aimAt = min(r.now+c.LatencyObjective+int64(c.ObjectivePerWork*float64(ev.WorkHint)), q.until)
+	if c.Consistency == ReadYourWrites && !r.set.RequestsCarrySessionAge {
 		q.need = max(r.floor, r.tokens[0][ev.Key], r.tokens[1][ev.Key]) // one floor covers those forgotten
-	} else if c.Need == OwnWrite && ev.SinceWrite != 0 {
-		q.need = r.now - ev.SinceWrite
+	} else if c.Consistency == ReadYourWrites && ev.SessionWriteAge != 0 {
+		q.need = r.now - ev.SessionWriteAge
 	}
 	r.retries = min(retryBurst, r.retries+retryEarn)
 	r.probes = min(probeBurst, r.probes+probeEarn)
@@ -580,7 +580,7 @@
 
 func (r *Router) before(a, b *request) int {
 	return cmp.Or(cmp.Compare(a.late, b.late),
-		cmp.Compare(b.class.Worth/r.cost[b.kind], a.class.Worth/r.cost[a.kind]), // for the time taken
+		cmp.Compare(b.class.PriorityWeight/r.cost[b.kind], a.class.PriorityWeight/r.cost[a.kind]), // for the time taken
 		cmp.Compare(b.aimAt, a.aimAt))
 }
 
@@ -588,7 +588,7 @@
 func (r *Router) dispatch(g *group) {
 	noWrite, misfits := false, 0
 	g.wait = slices.DeleteFunc(g.wait, func(q *request) bool {
-		write := q.class.Need == Update
+		write := q.class.Consistency == Write
 		if q.done || write && noWrite || !write && misfits > maxMisfits {
 			return q.done
 		}
@@ -605,11 +605,11 @@
 }
 
 func (r *Router) choose(q *request) *host {
-	if q.class.Need != Update {
+	if q.class.Consistency != Write {
 		return r.reader(q)
 	}
 	h := q.group.primary
-	if h == nil || !r.room(q, h) || q.ranAt != 0 && q.class.Scope == ScopeZone && h.zone != q.ranZone {
+	if h == nil || !r.room(q, h) || q.ranAt != 0 && q.class.DeduplicationScope == ScopeZone && h.zone != q.ranZone {
 		return nil
 	}
 	return h
@@ -623,22 +623,22 @@
 	q.try, q.at, q.sentAt, q.judged = q.attempts, h, r.now, 0
 	q.attempts++
 	h.out = append(h.out, q)
-	r.news.Out(h.id, len(h.out))
+	r.news.SetInFlight(h.id, len(h.out))
 	if h.cold {
 		h.credit -= r.price(q)
 	}
 	r.act(Action{Kind: SendAction, Request: q.id, Host: h.id})
 }
 
-// StillFits tells whether the attempt that is out for a request may still be written. A decision ages while a
+// AttemptStillValid tells whether the attempt that is out for a request may still be written. A decision ages while a
 // connection opens: the host may have been withdrawn since, or what was known of its position grown too old.
 // One that no longer fits is to end as Skipped, which brings a new decision.
-func (r *Router) StillFits(now int64, id int64) bool {
+func (r *Router) AttemptStillValid(now int64, id int64) bool {
 	q := r.reqs[id]
 	if q == nil || q.done || q.at == nil || q.at.bound || now >= q.until || r.lapsed(q, now) {
 		return false
 	}
-	return q.class.Need != Recent || r.set.HostsCheck || q.at.been || q.at.pos >= now-q.class.Bound
+	return q.class.Consistency != BoundedStaleness || r.set.HostsCheckStaleness || q.at.been || q.at.pos >= now-q.class.MaxStaleness
 }
 
 // reader picks among the replicas whose known position suffices the less busy of two drawn at random; near
@@ -646,12 +646,12 @@
 // that by their lag of late should be fresh enough, or else asks, and takes the primary last.
 func (r *Router) reader(q *request) *host {
 	g, need := q.group, int64(0)
-	switch q.class.Need {
-	case Recent:
-		need = r.now - q.class.Bound
-	case OwnWrite:
+	switch q.class.Consistency {
+	case BoundedStaleness:
+		need = r.now - q.class.MaxStaleness
+	case ReadYourWrites:
 		need = q.need
-	case Latest:
+	case Linearizable:
 		return r.primaryFor(q)
 	}
 	// Long reads that bear any age go to as few replicas as their part of all work asks for, the same for all
@@ -675,7 +675,7 @@
 			busy = busy || suffices && m.cond == up // to ask others would tell nothing of it
 			continue
 		}
-		if !suffices && (known || !r.set.HostsCheck || q.attempts > 2 || r.now-(m.posAt-m.pos) < need &&
+		if !suffices && (known || !r.set.HostsCheckStaleness || q.attempts > 2 || r.now-(m.posAt-m.pos) < need &&
 			r.now-m.posAt < max(2*r.pace(), m.posAt-m.pos)) {
 			continue
 		}
@@ -702,7 +702,7 @@
 	}
 	// What a session has just written is at the primary; a bounded read asks whether a replica has caught up.
 	p := r.primaryFor(q)
-	if (p == nil || q.class.Need == Recent) && !busy && need > 0 && !r.set.HostsCheck && r.ask(q) {
+	if (p == nil || q.class.Consistency == BoundedStaleness) && !busy && need > 0 && !r.set.HostsCheckStaleness && r.ask(q) {
 		return nil
 	}
 	return p
@@ -711,9 +711,9 @@
 // left tells whether a read keeps from a host in a zone that the fleet has left, where its group has another.
 func (r *Router) left(q *request, h *host) bool {
 	elsewhere := func(m *host) bool {
-		return m != h.group.primary && m.cond == up && !m.bound && r.view.Share(m.zone) == 1
+		return m != h.group.primary && m.cond == up && !m.bound && r.view.ReadShare(m.zone) == 1
 	}
-	return math.Mod(q.luck*1024, 1) >= r.view.Share(h.zone) && slices.ContainsFunc(h.group.members, elsewhere)
+	return math.Mod(q.luck*1024, 1) >= r.view.ReadShare(h.zone) && slices.ContainsFunc(h.group.members, elsewhere)
 }
 
 // ask probes two replicas at random for a read that finds none known to suffice, and lets it wait for what
@@ -740,7 +740,7 @@
 	if (a.errs > failing) != (b.errs > failing) {
 		return a.errs <= failing
 	}
-	if r.set.CrossPrice > 0 && (a.zone == r.set.Zone) != (b.zone == r.set.Zone) && len(a.out) == len(b.out) {
+	if r.set.CrossZoneCost > 0 && (a.zone == r.set.Zone) != (b.zone == r.set.Zone) && len(a.out) == len(b.out) {
 		return a.zone == r.set.Zone
 	}
 	outA, coming := r.news.Load(r.now, a.id)
@@ -771,10 +771,10 @@
 	r.learn(h, q, ev)
 	if q != nil && q.at != nil && q.try == ev.Attempt {
 		q.at.out = slices.DeleteFunc(q.at.out, func(o *request) bool { return o == q })
-		r.news.Out(q.at.id, len(q.at.out))
+		r.news.SetInFlight(q.at.id, len(q.at.out))
 		q.at, q.last = nil, q.at
 	}
-	if q != nil && (ev.Over || q.done) {
+	if q != nil && (ev.Finished || q.done) {
 		r.close(q)
 	} else if q != nil && q.at == nil {
 		r.settle(q, ev)
@@ -784,7 +784,7 @@
 
 // learn takes from an outcome what it tells of the host.
 func (r *Router) learn(h *host, q *request, ev *Event) {
-	write := q != nil && q.class.Need == Update
+	write := q != nil && q.class.Consistency == Write
 	if ev.Position > 0 {
 		h.pos, h.posAt = max(h.pos, ev.Position), r.now
 	}
@@ -792,7 +792,7 @@
 	if ev.Result.Answered() {
 		r.alive(h)
 		role := ev.Role
-		if write && ev.Result == Missed {
+		if write && ev.Result == NotPrimary {
 			role = Replica
 		}
 		h.been = h.been && role != Replica
@@ -802,37 +802,37 @@
 		r.tell(h, ev.Position, role)
 	}
 	switch ev.Result {
-	case Errored:
+	case Failed:
 		h.errs += smooth * (1 - h.errs)
-		r.news.Sample(h.id, 0, true)
-	case Served, TimedOut:
-		if ev.Result == Served {
+		r.news.RecordLatencyShare(h.id, 0, true)
+	case Succeeded, TimedOut:
+		if ev.Result == Succeeded {
 			h.errs -= smooth * h.errs
 		}
-		if ev.Result == Served && q != nil && q.dials {
+		if ev.Result == Succeeded && q != nil && q.dials {
 			h.refusals = 0
 		}
 		if q != nil {
-			r.measure(h, q, ev.Took, ev.Result == Served)
+			r.measure(h, q, ev.Latency, ev.Result == Succeeded)
 		}
-		if write && q.hasKey && ev.Result == Served && ev.Position > 0 && !r.set.Carried {
+		if write && q.hasKey && ev.Result == Succeeded && ev.Position > 0 && !r.set.RequestsCarrySessionAge {
 			r.tokens[0][q.key] = max(r.tokens[0][q.key], ev.Position)
 		}
-	case Full, Refused, Reset:
-		if ev.Result == Full {
+	case Overloaded, ConnectionRefused, ConnectionReset:
+		if ev.Result == Overloaded {
 			r.weigh(h, 1)
 		}
 		// A full table refuses new connections at once and leaves open ones alone; bad links do neither.
-		if ev.Result == Refused && ev.Took < r.set.DialTimeout/2 && q != nil && q.dials {
+		if ev.Result == ConnectionRefused && ev.Latency < r.set.DialTimeout/2 && q != nil && q.dials {
 			h.refusals++
-		} else if ev.Result != Full {
+		} else if ev.Result != Overloaded {
 			h.refusals, r.keep = 0, min(2*r.keep, keepIdle)
 		}
-		if ev.Result == Full || h.refusals > 1 {
+		if ev.Result == Overloaded || h.refusals > 1 {
 			h.rest = min(max(2*h.rest, r.period()), r.pace())
 			h.restUntil = r.now + h.rest/2 + r.rand.Below(h.rest)
 		}
-		if ev.Result != Full {
+		if ev.Result != Overloaded {
 			h.open = false
 			r.doubt(h)
 		}
@@ -841,12 +841,12 @@
 
 // settle decides what follows an attempt that did not serve: another, an early refusal if safe, or a failure.
 func (r *Router) settle(q *request, ev *Event) {
-	unrun := ev.Result.ProvesUnrun()
-	q.met = q.met || ev.Result != Refused && ev.Result != Skipped
+	unrun := ev.Result.ProvesNotExecuted()
+	q.met = q.met || ev.Result != ConnectionRefused && ev.Result != NotSent
 	if !unrun && q.ranAt == 0 {
 		q.ranAt, q.ranZone = q.sentAt, q.last.zone
 	}
-	if !unrun && (r.retries < 1 || q.class.Repeat == Unsafe) || q.attempts >= r.set.MaxAttempts {
+	if !unrun && (r.retries < 1 || q.class.RetrySafety == NonIdempotent) || q.attempts >= r.set.MaxAttempts {
 		r.giveUp(q)
 		return
 	}
@@ -864,7 +864,7 @@
 
 // lapsed tells whether a repeat of a keyed request, sent now, may be too late to be dropped by its key.
 func (r *Router) lapsed(q *request, now int64) bool {
-	return q.ranAt != 0 && q.class.Repeat == Keyed && now+r.period() >= q.ranAt+q.class.Window
+	return q.ranAt != 0 && q.class.RetrySafety == IdempotencyKey && now+r.period() >= q.ranAt+q.class.DeduplicationWindow
 }
 
 // late is above 0 if the request, sent now, would miss its aim by the time that attempts in its group take.
@@ -875,12 +875,12 @@
 // giveUp gives the final answer at once. A refusal promises that trying again is harmless, so it needs
 // proof that nothing ran, or a class that may be repeated.
 func (r *Router) giveUp(q *request) {
-	if q.ranAt == 0 || q.class.Repeat == Safe || q.class.Repeat == Keyed && q.class.Scope == ScopeAll {
-		after := min(q.class.Aim/2, r.set.MaxRetryAfter)
+	if q.ranAt == 0 || q.class.RetrySafety == Idempotent || q.class.RetrySafety == IdempotencyKey && q.class.DeduplicationScope == ScopeGlobal {
+		after := min(q.class.LatencyObjective/2, r.set.MaxRetryAfter)
 		if q.spared { // to come back at once would undo it
 			after = r.set.MaxRetryAfter - r.rand.Below(r.set.MaxRetryAfter/8)
 		}
-		r.act(Action{Kind: RefuseAction, Request: q.id, RetryAfter: after})
+		r.act(Action{Kind: RejectAction, Request: q.id, RetryAfter: after})
 	} else {
 		r.act(Action{Kind: FailAction, Request: q.id})
 	}
@@ -896,7 +896,7 @@
 }
 
 func (r *Router) upkeep() {
-	if r.set.Subscribe && r.askAt != 0 && r.now >= r.askAt {
+	if r.set.MustSubscribe && r.askAt != 0 && r.now >= r.askAt {
 		r.askAt = 0
 		r.act(Action{Kind: SubscribeAction})
 	}
@@ -910,7 +910,7 @@
 		r.suspect(h)
 		if h.open && len(h.out) == 0 && r.now-h.heard > r.keep {
 			h.open = false
-			r.act(Action{Kind: CloseAction, Host: h.id})
+			r.act(Action{Kind: CloseIdleAction, Host: h.id})
 		}
 	}
 	if since := r.now - r.ratedAt; since >= 1e6 {
@@ -937,8 +937,8 @@
 func (r *Router) expire(g *group) {
 	g.wait = slices.DeleteFunc(g.wait, func(q *request) bool {
 		q.late = r.late(q)
-		vain := !q.met && q.class.Need != Update && r.now+r.period() >= q.halfAt
-		if !q.done && (vain || r.over(q) || q.late > 0 && q.class.LateWorth == 0) {
+		vain := !q.met && q.class.Consistency != Write && r.now+r.period() >= q.halfAt
+		if !q.done && (vain || r.over(q) || q.late > 0 && q.class.LatePriorityWeight == 0) {
 			r.giveUp(q)
 		}
 		return q.done
@@ -949,11 +949,11 @@
 // probe asks a host about itself, at a price in the budget that requests earn, and tells whether it did.
 func (r *Router) probe(h *host, price float64) bool {
 	waits := h.probing && r.now-h.probedAt < backoffLimit*r.pace() // a result may be lost for good
-	may := r.set.Probes && !waits && !h.bound && (price == 0 || r.probes >= price)
+	may := r.set.HealthChecks && !waits && !h.bound && (price == 0 || r.probes >= price)
 	if may {
 		r.probes -= price
 		h.probing, h.probedAt = true, r.now
-		r.act(Action{Kind: ProbeAction, Host: h.id})
+		r.act(Action{Kind: HealthCheckAction, Host: h.id})
 	}
 	return may
 }
@@ -968,9 +968,9 @@
 	h.probing = false
 	if !ev.Result.Answered() {
 		// One connection that breaks is no death: who is dead breaks the next ones, too, and at once.
-		broke := ev.Result == Refused || ev.Result == Reset
+		broke := ev.Result == ConnectionRefused || ev.Result == ConnectionReset
 		switch {
-		case h.heard >= h.probedAt, ev.Result == Skipped: // it was not asked
+		case h.heard >= h.probedAt, ev.Result == NotSent: // it was not asked
 		case broke && h.cond == up:
 			r.doubt(h)
 		case broke && h.cond == doubted && !h.again:
@@ -981,8 +981,8 @@
 		return
 	}
 	r.alive(h)
-	if ev.Result == Served {
-		mix(&r.probeRTT, float64(ev.Took), smooth)
+	if ev.Result == Succeeded {
+		mix(&r.probeRTT, float64(ev.Latency), smooth)
 	}
 	r.learnReport(h, &ev.Report)
 	r.dispatch(h.group)
@@ -991,11 +991,11 @@
 // forget drops hosts that are gone and have nothing of ours out.
 func (r *Router) forget() {
 	r.order = slices.DeleteFunc(r.order, func(h *host) bool {
-		if h.phase != Gone || !h.bound || len(h.out) > 0 || h.probing {
+		if h.phase != Removed || !h.bound || len(h.out) > 0 || h.probing {
 			return false
 		}
 		delete(r.hosts, h.id)
-		r.news.Remove(h.id)
+		r.news.RemoveHost(h.id)
 		h.group.members = slices.DeleteFunc(h.group.members, func(m *host) bool { return m == h })
 		return true
 	})
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -16,16 +16,16 @@
 
 func testSettings() Settings {
 	return Settings{
-		Tick: 5 * ms, Probes: true, Cancel: true, MaxRetryAfter: 500 * ms, MaxAttempts: 6, DialTimeout: 250 * ms,
-		Carried: true, ColdFrom: 0.2, ColdFor: 15000 * ms, FallMultiple: 2.5, FallFor: 2000 * ms,
+		TickInterval: 5 * ms, HealthChecks: true, Cancellation: true, MaxRetryAfter: 500 * ms, MaxAttempts: 6, DialTimeout: 250 * ms,
+		RequestsCarrySessionAge: true, SlowStartInitialShare: 0.2, SlowStartDuration: 15000 * ms, SlowStartOverloadFactor: 2.5, SlowStartOverloadWindow: 2000 * ms,
 		Classes: []Class{
-			recent:   {Aim: 400 * ms, Deadline: 1000 * ms, Worth: 1, LateWorth: 0.2, Need: Recent, Bound: 1000 * ms},
-			session:  {Aim: 200 * ms, Deadline: 500 * ms, Worth: 3, Need: OwnWrite},
-			unsafe:   {Aim: 500 * ms, Deadline: 3000 * ms, Worth: 3, LateWorth: 0.3, Repeat: Unsafe, Need: Update},
-			keyed:    {Aim: 500 * ms, Deadline: 3000 * ms, Worth: 3, LateWorth: 0.3, Repeat: Keyed, Scope: ScopeGroup, Window: 2000 * ms, Need: Update},
-			loose:    {Aim: 300 * ms, Deadline: 1000 * ms, Worth: 1, Need: Loose},
-			latest:   {Aim: 300 * ms, Deadline: 1000 * ms, Worth: 1, Need: Latest},
-			keyedAll: {Aim: 500 * ms, Deadline: 3000 * ms, Worth: 3, Repeat: Keyed, Scope: ScopeAll, Window: 2000 * ms, Need: Update},
+			recent:   {LatencyObjective: 400 * ms, Deadline: 1000 * ms, PriorityWeight: 1, LatePriorityWeight: 0.2, Consistency: BoundedStaleness, MaxStaleness: 1000 * ms},
+			session:  {LatencyObjective: 200 * ms, Deadline: 500 * ms, PriorityWeight: 3, Consistency: ReadYourWrites},
+			unsafe:   {LatencyObjective: 500 * ms, Deadline: 3000 * ms, PriorityWeight: 3, LatePriorityWeight: 0.3, RetrySafety: NonIdempotent, Consistency: Write},
+			keyed:    {LatencyObjective: 500 * ms, Deadline: 3000 * ms, PriorityWeight: 3, LatePriorityWeight: 0.3, RetrySafety: IdempotencyKey, DeduplicationScope: ScopeGroup, DeduplicationWindow: 2000 * ms, Consistency: Write},
+			loose:    {LatencyObjective: 300 * ms, Deadline: 1000 * ms, PriorityWeight: 1, Consistency: Eventual},
+			latest:   {LatencyObjective: 300 * ms, Deadline: 1000 * ms, PriorityWeight: 1, Consistency: Linearizable},
+			keyedAll: {LatencyObjective: 500 * ms, Deadline: 3000 * ms, PriorityWeight: 3, RetrySafety: IdempotencyKey, DeduplicationScope: ScopeGlobal, DeduplicationWindow: 2000 * ms, Consistency: Write},
 		},
 	}
 }
@@ -53,22 +53,22 @@
 	try  map[int64]int
 }
 
-func newRig(t *testing.T, set Settings, entries ...Entry) *rig {
+func newRig(t *testing.T, set Settings, entries ...Endpoint) *rig {
 	t.Helper()
 	r, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	g := &rig{t: t, r: r, now: base, try: map[int64]int{}}
-	g.do(Event{Kind: ListEvent, Full: true, Entries: entries})
+	g.do(Event{Kind: EndpointsEvent, Complete: true, Endpoints: entries})
 	return g
 }
 
-func trio() []Entry {
-	return []Entry{
-		{Host: "a", Phase: Ready, Weight: 1, Primary: true},
-		{Host: "b", Phase: Ready, Weight: 1},
-		{Host: "c", Phase: Ready, Weight: 1},
+func trio() []Endpoint {
+	return []Endpoint{
+		{Host: "a", State: Ready, Weight: 1, Primary: true},
+		{Host: "b", State: Ready, Weight: 1},
+		{Host: "c", State: Ready, Weight: 1},
 	}
 }
 
@@ -100,19 +100,19 @@
 func (g *rig) askFor(class int, key, since int64) (int64, []Action) {
 	g.next++
 	return g.next, g.do(Event{Kind: RequestEvent, Request: g.next, Class: class, Key: key, HasKey: key != 0,
-		SinceWrite: since, Until: g.now + g.r.set.Classes[class].Deadline})
+		SessionWriteAge: since, Deadline: g.now + g.r.set.Classes[class].Deadline})
 }
 
 func (g *rig) answer(id int64, host string, res Result, role Role, pos int64) []Action {
 	try := g.try[id]
 	g.try[id]++
 	return g.do(Event{Kind: OutcomeEvent, Request: id, Attempt: try, Host: host, Result: res, Role: role,
-		Position: pos, Took: 20 * ms, Over: res == Served})
+		Position: pos, Latency: 20 * ms, Finished: res == Succeeded})
 }
 
 func (g *rig) report(host string, primary bool, pos int64) []Action {
-	return g.do(Event{Kind: ProbedEvent, Host: host, Result: Served, Took: 2 * ms,
-		Report: Report{HasPosition: true, Position: pos, HasRole: true, Primary: primary}})
+	return g.do(Event{Kind: HealthCheckEvent, Host: host, Result: Succeeded, Latency: 2 * ms,
+		Report: HostReport{HasPosition: true, Position: pos, HasRole: true, Primary: primary}})
 }
 
 // reportAll answers for the trio: a is the primary, b and c have applied up to pos.
@@ -145,12 +145,12 @@
 		res   Result
 		want  string
 	}{
-		{loose, Errored, again}, {loose, TimedOut, again}, {loose, Reset, again}, {loose, Full, again},
-		{loose, Refused, again}, {loose, Cancelled, again}, {loose, Skipped, again},
-		{unsafe, Errored, fail}, {unsafe, TimedOut, fail}, {unsafe, Reset, fail}, {unsafe, Cancelled, fail},
-		{unsafe, Full, again}, {unsafe, Refused, again}, {unsafe, Missed, again}, {unsafe, Skipped, again},
-		{keyed, Errored, again}, {keyed, TimedOut, again}, {keyed, Reset, again}, {keyed, Missed, again},
-		{keyed, Skipped, again}, {keyedAll, Errored, again},
+		{loose, Failed, again}, {loose, TimedOut, again}, {loose, ConnectionReset, again}, {loose, Overloaded, again},
+		{loose, ConnectionRefused, again}, {loose, Canceled, again}, {loose, NotSent, again},
+		{unsafe, Failed, fail}, {unsafe, TimedOut, fail}, {unsafe, ConnectionReset, fail}, {unsafe, Canceled, fail},
+		{unsafe, Overloaded, again}, {unsafe, ConnectionRefused, again}, {unsafe, NotPrimary, again}, {unsafe, NotSent, again},
+		{keyed, Failed, again}, {keyed, TimedOut, again}, {keyed, ConnectionReset, again}, {keyed, NotPrimary, again},
+		{keyed, NotSent, again}, {keyedAll, Failed, again},
 	} {
 		t.Run(fmt.Sprint(c.class, "/", c.res), func(t *testing.T) {
 			g := readyRig(t, testSettings())
@@ -162,7 +162,7 @@
 			acts = g.answer(id, host, c.res, RoleUnknown, 0)
 			acts = append(acts, g.report("a", true, g.now)...) // whatever was doubted is cleared
 			got := again
-			if find(acts, RefuseAction, id) != nil {
+			if find(acts, RejectAction, id) != nil {
 				got = refuse
 			} else if find(acts, FailAction, id) != nil {
 				got = fail
@@ -181,12 +181,12 @@
 	for _, c := range []struct {
 		class int
 		kind  ActionKind
-	}{{keyed, FailAction}, {keyedAll, RefuseAction}, {loose, RefuseAction}} {
+	}{{keyed, FailAction}, {keyedAll, RejectAction}, {loose, RejectAction}} {
 		set := testSettings()
 		set.MaxAttempts = 1
 		g := readyRig(t, set)
 		id, acts := g.ask(c.class)
-		acts = g.answer(id, sentTo(acts, id), Errored, RoleUnknown, 0)
+		acts = g.answer(id, sentTo(acts, id), Failed, RoleUnknown, 0)
 		if find(acts, c.kind, id) == nil {
 			t.Errorf("class %d: wrong final answer in %v", c.class, acts)
 		}
@@ -203,9 +203,9 @@
 		if got := sentTo(acts, id); got != want {
 			t.Fatalf("try %d went to %q, want %q", i, got, want)
 		}
-		acts = g.answer(id, want, Missed, Replica, 0)
+		acts = g.answer(id, want, NotPrimary, Replica, 0)
 	}
-	if sentTo(acts, id) != "" || find(acts, RefuseAction, id) != nil {
+	if sentTo(acts, id) != "" || find(acts, RejectAction, id) != nil {
 		t.Fatalf("not held after a round of misses: %v", acts)
 	}
 	g.now += 300 * ms
@@ -217,14 +217,14 @@
 func TestHeldWriteIsRefusedInTime(t *testing.T) {
 	g := readyRig(t, testSettings())
 	first, _ := g.ask(unsafe)
-	g.answer(first, "a", Reset, RoleUnknown, 0)
+	g.answer(first, "a", ConnectionReset, RoleUnknown, 0)
 	id, acts := g.ask(unsafe)
 	if sentTo(acts, id) != "" {
 		t.Fatal("sent with no primary")
 	}
 	until := g.now + 3000*ms
 	for g.now < until {
-		if a := find(g.wait(20*ms), RefuseAction, id); a != nil {
+		if a := find(g.wait(20*ms), RejectAction, id); a != nil {
 			if a.RetryAfter <= 0 {
 				t.Fatal("no retry-after")
 			}
@@ -260,15 +260,15 @@
 		if host == "" {
 			t.Fatal("the write does not walk")
 		}
-		acts = g.answer(id, host, Missed, RoleUnknown, 0)
+		acts = g.answer(id, host, NotPrimary, RoleUnknown, 0)
 	}
-	if acts = append(acts, g.wait(2*g.r.pace())...); find(acts, ProbeAction, -1) == nil {
+	if acts = append(acts, g.wait(2*g.r.pace())...); find(acts, HealthCheckAction, -1) == nil {
 		t.Fatal("no probe after the round")
 	}
 	for _, host := range []string{"a", "b", "c"} {
 		g.report(host, false, g.now) // taken before the successor was made primary
 	}
-	if acts := g.wait(2 * g.r.pace()); find(acts, ProbeAction, -1) == nil {
+	if acts := g.wait(2 * g.r.pace()); find(acts, HealthCheckAction, -1) == nil {
 		t.Fatal("the search has ended after one probe")
 	}
 	if acts := g.report("b", true, g.now); sentTo(acts, id) != "b" {
@@ -280,7 +280,7 @@
 	g := readyRig(t, testSettings())
 	g.now += 1000 * ms
 	id, _ := g.ask(unsafe)
-	g.answer(id, "a", Served, Primary, g.now)
+	g.answer(id, "a", Succeeded, Primary, g.now)
 	g.report("a", false, g.now-200*ms) // made before the answer, delivered after it
 	if p := g.r.groups[0].primary; p == nil || p.id != "a" {
 		t.Fatal("an old report unseated the primary")
@@ -301,17 +301,17 @@
 	for range 10 {
 		id, _ := g.ask(keyed)
 		g.now += 20 * ms
-		g.answer(id, "a", Served, Primary, g.now)
+		g.answer(id, "a", Succeeded, Primary, g.now)
 	}
 	g.report("b", false, g.now)
 	g.report("c", false, g.now)
 	lost, _ := g.ask(keyed)
 	gone, _ := g.ask(unsafe)
 	acts := g.wait(200 * ms)
-	if find(acts, ProbeAction, -1) == nil {
+	if find(acts, HealthCheckAction, -1) == nil {
 		t.Fatal("silence was not probed")
 	}
-	g.do(Event{Kind: ProbedEvent, Host: "a", Result: TimedOut, Took: 250 * ms})
+	g.do(Event{Kind: HealthCheckEvent, Host: "a", Result: TimedOut, Latency: 250 * ms})
 	id, acts := g.ask(unsafe)
 	if sentTo(acts, id) != "" {
 		t.Fatal("a write went to a silent primary")
@@ -320,10 +320,10 @@
 	if sentTo(acts, id) != "b" {
 		t.Fatal("held write was not released")
 	}
-	if acts = g.answer(lost, "a", Reset, RoleUnknown, 0); sentTo(acts, lost) != "b" {
+	if acts = g.answer(lost, "a", ConnectionReset, RoleUnknown, 0); sentTo(acts, lost) != "b" {
 		t.Fatalf("keyed write did not go again: %v", acts)
 	}
-	if acts = g.answer(gone, "a", Reset, RoleUnknown, 0); find(acts, FailAction, gone) == nil {
+	if acts = g.answer(gone, "a", ConnectionReset, RoleUnknown, 0); find(acts, FailAction, gone) == nil {
 		t.Fatalf("want the unsafe write failed: %v", acts)
 	}
 }
@@ -331,7 +331,7 @@
 func TestKeyedRepeatStaysInWindow(t *testing.T) {
 	g := readyRig(t, testSettings())
 	id, _ := g.ask(keyed)
-	g.answer(id, "a", Reset, RoleUnknown, 0)
+	g.answer(id, "a", ConnectionReset, RoleUnknown, 0)
 	acts := g.wait(2000 * ms)
 	if find(acts, FailAction, id) == nil {
 		t.Fatal("a keyed write past its window was not failed")
@@ -342,9 +342,9 @@
 }
 
 func TestDrainedHostGetsNothing(t *testing.T) {
-	for _, ph := range []Phase{Draining, Gone} {
+	for _, ph := range []EndpointState{Draining, Removed} {
 		g := readyRig(t, testSettings())
-		g.do(Event{Kind: ListEvent, Entries: []Entry{{Host: "a", Phase: ph, Weight: 1}, {Host: "b", Phase: ph, Weight: 1}}})
+		g.do(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: "a", State: ph, Weight: 1}, {Host: "b", State: ph, Weight: 1}}})
 		for range 20 {
 			for class := range g.r.set.Classes {
 				id, acts := g.ask(class)
@@ -355,9 +355,9 @@
 		}
 	}
 	set := testSettings()
-	set.DrainAlone = true
+	set.OnlyDrainingExcludes = true
 	g := readyRig(t, set)
-	g.do(Event{Kind: ListEvent, Full: true, Entries: trio()[1:]})
+	g.do(Event{Kind: EndpointsEvent, Complete: true, Endpoints: trio()[1:]})
 	if id, acts := g.ask(unsafe); sentTo(acts, id) != "a" {
 		t.Fatal("where only draining binds, a host gone from the list may still serve")
 	}
@@ -382,7 +382,7 @@
 		g := newRig(t, testSettings(), trio()...)
 		g.reportAll(g.now - c.pos)
 		id, acts := g.askFor(c.class, 5, c.since)
-		if sentTo(acts, id) == "" && find(acts, ProbeAction, -1) != nil { // it waits for a word of the replicas
+		if sentTo(acts, id) == "" && find(acts, HealthCheckAction, -1) != nil { // it waits for a word of the replicas
 			g.report("b", false, g.now-c.pos)
 			acts = append(g.report("c", false, g.now-c.pos), g.wait(40*ms)...)
 		}
@@ -410,7 +410,7 @@
 
 func TestCheckingHostsAreTried(t *testing.T) {
 	set := testSettings()
-	set.HostsCheck = true
+	set.HostsCheckStaleness = true
 	g := newRig(t, set, trio()...)
 	g.reportAll(g.now - 10*ms)
 	g.now += 1500 * ms
@@ -422,11 +422,11 @@
 
 func TestRememberedTokens(t *testing.T) {
 	set := testSettings()
-	set.Carried = false
+	set.RequestsCarrySessionAge = false
 	g := readyRig(t, set)
 	id, _ := g.askFor(unsafe, 5, 0)
 	g.now += 50 * ms
-	g.answer(id, "a", Served, Primary, g.now)
+	g.answer(id, "a", Succeeded, Primary, g.now)
 	if id, acts := g.askFor(session, 5, 0); sentTo(acts, id) != "a" {
 		t.Fatal("a session's read did not follow its write to the primary")
 	}
@@ -441,9 +441,9 @@
 
 func TestColdHostIsPaced(t *testing.T) {
 	set := testSettings()
-	set.Carried = true
+	set.RequestsCarrySessionAge = true
 	g := readyRig(t, set)
-	g.do(Event{Kind: ListEvent, Entries: []Entry{{Host: "b", Phase: Ready, Weight: 1, Born: g.now}}})
+	g.do(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: "b", State: Ready, Weight: 1, StartedAt: g.now}}})
 	sent := map[string]int{}
 	for i := 0; i < 400; i++ { // two seconds, 200 a second, every answer at once
 		g.now += 5 * ms
@@ -451,14 +451,14 @@
 		h := sentTo(acts, id)
 		sent[h]++
 		if h != "" {
-			g.answer(id, h, Served, Replica, 0)
+			g.answer(id, h, Succeeded, Replica, 0)
 		}
 		if i%4 == 0 {
 			g.do(Event{Kind: TimerEvent})
 		}
 	}
 	warm := float64(sent["c"])
-	if most := warm * set.ColdFrom * set.FallMultiple; float64(sent["b"]) > most || sent["b"] == 0 {
+	if most := warm * set.SlowStartInitialShare * set.SlowStartOverloadFactor; float64(sent["b"]) > most || sent["b"] == 0 {
 		t.Fatalf("a cold host took %d while a warm one took %v", sent["b"], warm)
 	}
 }
@@ -468,18 +468,18 @@
 	g.now += 10 * ms
 	id, acts := g.ask(loose)
 	h := sentTo(acts, id)
-	g.answer(id, h, Refused, RoleUnknown, 0)
+	g.answer(id, h, ConnectionRefused, RoleUnknown, 0)
 	for range 2 {
 		if g.r.hosts[h].cond != doubted {
 			t.Fatal("taken for down before a probe has failed twice")
 		}
-		g.do(Event{Kind: ProbedEvent, Host: h, Result: Refused})
+		g.do(Event{Kind: HealthCheckEvent, Host: h, Result: ConnectionRefused})
 	}
 	if g.r.hosts[h].cond != down {
 		t.Fatal("two probes were refused, and the host is not taken for down")
 	}
 	g.now += 1000 * ms
-	g.do(Event{Kind: ProbedEvent, Host: h, Result: Refused})
+	g.do(Event{Kind: HealthCheckEvent, Host: h, Result: ConnectionRefused})
 	g.now += 5000 * ms
 	g.report(h, false, g.now)
 	if !g.r.hosts[h].cold {
@@ -490,15 +490,15 @@
 // Links that break connections now and then say nothing of the host: asked once more it answers, and it is given
 // as much as before, at once.
 func TestOneBrokenProbeIsNotADeath(t *testing.T) {
-	for _, res := range []Result{Refused, Reset} {
+	for _, res := range []Result{ConnectionRefused, ConnectionReset} {
 		g := readyRig(t, testSettings())
 		id, acts := g.ask(loose)
 		h := sentTo(acts, id)
 		before := *g.r.hosts[h]
 		g.now += ms
 		g.answer(id, h, res, RoleUnknown, 0)
-		acts = g.do(Event{Kind: ProbedEvent, Host: h, Result: res})
-		if !slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == ProbeAction && a.Host == h }) {
+		acts = g.do(Event{Kind: HealthCheckEvent, Host: h, Result: res})
+		if !slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == HealthCheckAction && a.Host == h }) {
 			t.Errorf("%v: not asked again: %+v", res, acts)
 		}
 		g.report(h, false, g.now)
@@ -509,7 +509,7 @@
 		g.r.probe(g.r.hosts[h], 0)
 		g.now += ms
 		g.r.hosts[h].probedAt = g.now // later than its last sign of life
-		g.do(Event{Kind: ProbedEvent, Host: h, Result: res})
+		g.do(Event{Kind: HealthCheckEvent, Host: h, Result: res})
 		if g.r.hosts[h].cond != doubted {
 			t.Errorf("%v: after a broken probe of a host that is well: %d", res, g.r.hosts[h].cond)
 		}
@@ -525,10 +525,10 @@
 			id, acts := g.ask(loose)
 			if h := sentTo(acts, id); h == "b" {
 				bad++
-				g.answer(id, h, Errored, Replica, 0)
-				g.do(Event{Kind: GoneEvent, Request: id})
+				g.answer(id, h, Failed, Replica, 0)
+				g.do(Event{Kind: ClientDisconnectedEvent, Request: id})
 			} else {
-				g.answer(id, h, Served, Replica, 0)
+				g.answer(id, h, Succeeded, Replica, 0)
 			}
 		}
 		return bad
@@ -546,8 +546,8 @@
 func TestBrokenConnectionIsNotADeath(t *testing.T) {
 	g := readyRig(t, testSettings())
 	id, _ := g.ask(unsafe)
-	acts := g.answer(id, "a", Reset, RoleUnknown, 0)
-	if find(acts, ProbeAction, -1) == nil {
+	acts := g.answer(id, "a", ConnectionReset, RoleUnknown, 0)
+	if find(acts, HealthCheckAction, -1) == nil {
 		t.Fatal("no probe to tell a broken connection from a death")
 	}
 	id, acts = g.ask(unsafe)
@@ -579,8 +579,8 @@
 func TestRequestThatComesTooLateIsRefusedAtOnce(t *testing.T) {
 	g := readyRig(t, testSettings())
 	for _, left := range []int64{-5 * ms, 0, 10 * ms} {
-		acts := g.do(Event{Kind: RequestEvent, Request: 77, Class: unsafe, Until: g.now + left})
-		if find(acts, RefuseAction, 77) == nil || find(acts, SendAction, 77) != nil {
+		acts := g.do(Event{Kind: RequestEvent, Request: 77, Class: unsafe, Deadline: g.now + left})
+		if find(acts, RejectAction, 77) == nil || find(acts, SendAction, 77) != nil {
 			t.Fatalf("%d us left: %v", left, acts)
 		}
 	}
@@ -594,7 +594,7 @@
 	g.now += 50 * ms
 	newer, _ := g.ask(unsafe)
 	g.now += 50 * ms
-	acts := g.answer(first, "a", Served, Primary, g.now)
+	acts := g.answer(first, "a", Succeeded, Primary, g.now)
 	if a := find(acts, SendAction, -1); a == nil || a.Request != newer {
 		t.Fatalf("want write %d sent before %d: %v", newer, older, acts)
 	}
@@ -602,12 +602,12 @@
 
 func TestSubscribesAgainAfterFailure(t *testing.T) {
 	set := testSettings()
-	set.Subscribe = true
+	set.MustSubscribe = true
 	g := newRig(t, set, trio()...)
 	if find(g.acts, SubscribeAction, -1) == nil {
 		t.Fatal("not subscribed at the start")
 	}
-	g.do(Event{Kind: ListEvent, Failed: true})
+	g.do(Event{Kind: EndpointsEvent, PollFailed: true})
 	if acts := g.wait(10000 * ms); find(acts, SubscribeAction, -1) == nil {
 		t.Fatal("not asked again")
 	}
@@ -617,14 +617,14 @@
 	if _, err := New(Settings{}, 1); err == nil {
 		t.Error("empty settings were taken")
 	}
-	if _, err := New(Settings{Tick: 1, MaxAttempts: 1, Classes: []Class{{}}}, 1); err == nil {
+	if _, err := New(Settings{TickInterval: 1, MaxAttempts: 1, Classes: []Class{{}}}, 1); err == nil {
 		t.Error("a class without aim was taken")
 	}
 	for _, change := range []func(*Settings){
-		func(s *Settings) { s.Probes = false }, func(s *Settings) { s.Cancel = false },
+		func(s *Settings) { s.HealthChecks = false }, func(s *Settings) { s.Cancellation = false },
 		func(s *Settings) { s.MaxRetryAfter = 0 }, func(s *Settings) { s.MaxAttempts = 1 },
-		func(s *Settings) { s.Classes[recent].Bound = 0 }, func(s *Settings) { s.ColdFor = 0 },
-		func(s *Settings) { s.FallFor = 0 },
+		func(s *Settings) { s.Classes[recent].MaxStaleness = 0 }, func(s *Settings) { s.SlowStartDuration = 0 },
+		func(s *Settings) { s.SlowStartOverloadWindow = 0 },
 	} {
 		set := testSettings()
 		change(&set)
@@ -635,8 +635,8 @@
 func TestRules(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		set := testSettings()
-		set.HostsCheck = seed%3 == 0
-		set.Carried = seed%5 != 0
+		set.HostsCheckStaleness = seed%3 == 0
+		set.RequestsCarrySessionAge = seed%5 != 0
 		storm(t, set, seed)
 	}
 }
@@ -690,33 +690,33 @@
 				if q.outs > 0 {
 					t.Fatalf("seed %d: two attempts out", seed)
 				}
-				if q.mayRun && c.Repeat == Unsafe {
+				if q.mayRun && c.RetrySafety == NonIdempotent {
 					t.Fatalf("seed %d: unsafe sent twice", seed)
 				}
-				if q.mayRun && c.Repeat == Keyed && g.now > q.ranAt+c.Window {
+				if q.mayRun && c.RetrySafety == IdempotencyKey && g.now > q.ranAt+c.DeduplicationWindow {
 					t.Fatalf("seed %d: keyed sent past its window", seed)
 				}
 				need := q.need
-				if c.Need == Recent {
-					need = g.now - c.Bound
+				if c.Consistency == BoundedStaleness {
+					need = g.now - c.MaxStaleness
 				}
-				if !set.HostsCheck && c.Need != Loose && c.Need != Update && !wasPrimary[a.Host] && told[a.Host] < need {
+				if !set.HostsCheckStaleness && c.Consistency != Eventual && c.Consistency != Write && !wasPrimary[a.Host] && told[a.Host] < need {
 					t.Fatalf("seed %d: class %d read from %s at %d, needs %d", seed, q.class, a.Host, told[a.Host], need)
 				}
 				outs = append(outs, out{a.Request, q.tries, a.Host, g.now})
 				q.tries++
 				q.outs++
-			case RefuseAction, FailAction:
+			case RejectAction, FailAction:
 				if q.final {
 					t.Fatalf("seed %d: two final answers", seed)
 				}
 				q.final = true
-				r := set.Classes[q.class].Repeat
-				scoped := set.Classes[q.class].Scope == ScopeAll
-				if a.Kind == RefuseAction && (q.mayRun || q.outs > 0) && r != Safe && !(r == Keyed && scoped) {
+				r := set.Classes[q.class].RetrySafety
+				scoped := set.Classes[q.class].DeduplicationScope == ScopeGlobal
+				if a.Kind == RejectAction && (q.mayRun || q.outs > 0) && r != Idempotent && !(r == IdempotencyKey && scoped) {
 					t.Fatalf("seed %d: refused what may have run", seed)
 				}
-			case ProbeAction:
+			case HealthCheckAction:
 				if _, ok := drained[a.Host]; !ok {
 					probes = append(probes, a.Host)
 				}
@@ -728,13 +728,13 @@
 		outs = append(outs[:i], outs[i+1:]...)
 		q := reqs[o.id]
 		q.outs--
-		if !res.ProvesUnrun() {
+		if !res.ProvesNotExecuted() {
 			if !q.mayRun {
 				q.ranAt = o.at
 			}
 			q.mayRun = true
 		}
-		ev := Event{Kind: OutcomeEvent, Request: o.id, Attempt: o.try, Host: o.host, Result: res, Took: g.now - o.at}
+		ev := Event{Kind: OutcomeEvent, Request: o.id, Attempt: o.try, Host: o.host, Result: res, Latency: g.now - o.at}
 		if res.Answered() {
 			ev.Role = Replica
 			if o.host == primary {
@@ -743,7 +743,7 @@
 			if seed%2 == 0 && ev.Role == Replica { // answers tell positions
 				ev.Position = applied[o.host]
 			}
-			if res == Served && set.Classes[q.class].Need == Update {
+			if res == Succeeded && set.Classes[q.class].Consistency == Write {
 				ev.Position = g.now
 				commits[o.id%7+1] = g.now
 			}
@@ -756,9 +756,9 @@
 				wasPrimary[o.host] = true
 			}
 		}
-		if res == Served || q.final {
+		if res == Succeeded || q.final {
 			q.final = true
-			ev.Over = true
+			ev.Finished = true
 		}
 		take(g.do(ev))
 	}
@@ -778,15 +778,15 @@
 			key := g.next%7 + 1
 			until := g.now + set.Classes[class].Deadline
 			q := &state{class: class, until: until}
-			ev := Event{Kind: RequestEvent, Request: g.next, Class: class, Key: key, HasKey: true, Until: until}
-			if set.Classes[class].Need == OwnWrite && commits[key] > 0 {
+			ev := Event{Kind: RequestEvent, Request: g.next, Class: class, Key: key, HasKey: true, Deadline: until}
+			if set.Classes[class].Consistency == ReadYourWrites && commits[key] > 0 {
 				q.need = commits[key]
-				if set.Carried {
-					ev.SinceWrite = max(1, g.now-q.need) // 0 would say that it wrote nothing
-					q.need = g.now - ev.SinceWrite
+				if set.RequestsCarrySessionAge {
+					ev.SessionWriteAge = max(1, g.now-q.need) // 0 would say that it wrote nothing
+					q.need = g.now - ev.SessionWriteAge
 				}
 			}
-			if set.Classes[class].Need == Latest {
+			if set.Classes[class].Consistency == Linearizable {
 				q.need = g.now
 			}
 			reqs[g.next] = q
@@ -794,12 +794,12 @@
 		case 3, 4:
 			if len(outs) > 0 {
 				i := dice.random(len(outs))
-				res := []Result{Served, Served, Served, Errored, Full, TimedOut, Refused, Reset, Missed}[dice.random(9)]
-				isWrite := set.Classes[reqs[outs[i].id].class].Need == Update
-				if isWrite && outs[i].host != primary && res == Served {
-					res = Missed
-				} else if !isWrite && res == Missed {
-					res = Served
+				res := []Result{Succeeded, Succeeded, Succeeded, Failed, Overloaded, TimedOut, ConnectionRefused, ConnectionReset, NotPrimary}[dice.random(9)]
+				isWrite := set.Classes[reqs[outs[i].id].class].Consistency == Write
+				if isWrite && outs[i].host != primary && res == Succeeded {
+					res = NotPrimary
+				} else if !isWrite && res == NotPrimary {
+					res = Succeeded
 				}
 				finish(i, res)
 			}
@@ -808,14 +808,14 @@
 			for len(probes) > 0 {
 				h := probes[0]
 				probes = probes[1:]
-				ev := Event{Kind: ProbedEvent, Host: h, Result: TimedOut, Took: 250 * ms}
+				ev := Event{Kind: HealthCheckEvent, Host: h, Result: TimedOut, Latency: 250 * ms}
 				if dice.random(4) > 0 {
 					told[h] = max(told[h], applied[h])
 					if h == primary {
 						wasPrimary[h] = true
 					}
-					ev.Result, ev.Took = Served, 2*ms
-					ev.Report = Report{HasPosition: true, Position: applied[h], HasRole: true, Primary: h == primary}
+					ev.Result, ev.Latency = Succeeded, 2*ms
+					ev.Report = HostReport{HasPosition: true, Position: applied[h], HasRole: true, Primary: h == primary}
 				}
 				take(g.do(ev))
 			}
@@ -832,7 +832,7 @@
 				} else {
 					drained[h], ph = g.now-1, Draining
 				}
-				take(g.do(Event{Kind: ListEvent, Entries: []Entry{{Host: h, Phase: ph, Weight: 1}}}))
+				take(g.do(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: h, State: ph, Weight: 1}}}))
 			}
 		}
 		for i := 0; i < len(outs); i++ { // the deadline ends what is still out
@@ -871,7 +871,7 @@
 	first, _ := g.ask(unsafe)
 	dear, _ := g.askFor(session, 1, 10*ms)
 	quick, _ := g.ask(latest)
-	acts := g.answer(first, "a", Served, Primary, g.now)
+	acts := g.answer(first, "a", Succeeded, Primary, g.now)
 	if a := find(acts, SendAction, -1); a == nil || a.Request != quick {
 		t.Fatalf("want read %d sent before %d: %v", quick, dear, acts)
 	}
@@ -881,10 +881,10 @@
 	g := readyRig(t, testSettings())
 	id, acts := g.ask(recent)
 	h := sentTo(acts, id)
-	if acts = g.do(Event{Kind: GoneEvent, Request: id}); find(acts, CancelAction, id) == nil {
+	if acts = g.do(Event{Kind: ClientDisconnectedEvent, Request: id}); find(acts, CancelAction, id) == nil {
 		t.Fatal("the attempt runs on for nobody")
 	}
-	g.answer(id, h, Cancelled, RoleUnknown, 0)
+	g.answer(id, h, Canceled, RoleUnknown, 0)
 	if len(g.r.reqs) != 0 || len(g.r.hosts[h].out) != 0 {
 		t.Fatal("the finished request is still kept")
 	}
@@ -898,7 +898,7 @@
 			id, acts := g.ask(loose)
 			if h := sentTo(acts, id); h != "" {
 				sent++
-				g.answer(id, h, Served, Replica, g.now)
+				g.answer(id, h, Succeeded, Replica, g.now)
 			}
 			if i%2 == 0 {
 				g.do(Event{Kind: TimerEvent})
@@ -909,9 +909,9 @@
 	serve(500)
 	e := trio()
 	for i := range e {
-		e[i].Primary, e[i].Born = false, g.now
+		e[i].Primary, e[i].StartedAt = false, g.now
 	}
-	g.do(Event{Kind: ListEvent, Entries: e})
+	g.do(Event{Kind: EndpointsEvent, Endpoints: e})
 	// Warm members took some 33 a second each: a cold one may have a fifth of that, and more as it warms.
 	if sent := serve(300); sent < 30 || sent > 150 {
 		t.Fatalf("%d of 300 requests sent to a group that is cold as a whole", sent)
@@ -926,22 +926,22 @@
 	if sentTo(acts, id) != "b" {
 		t.Fatal("want the replica left")
 	}
-	g.answer(id, "b", Reset, RoleUnknown, 0)
+	g.answer(id, "b", ConnectionReset, RoleUnknown, 0)
 	g.now += 5 * ms
-	g.do(Event{Kind: ProbedEvent, Host: "b", Result: TimedOut, Took: 5 * ms})
+	g.do(Event{Kind: HealthCheckEvent, Host: "b", Result: TimedOut, Latency: 5 * ms})
 	for range 1000 { // twenty seconds in which every probe of b fails, while requests would work
-		if p := find(g.wait(20*ms), ProbeAction, -1); p != nil && p.Host == "b" {
-			g.do(Event{Kind: ProbedEvent, Host: "b", Result: TimedOut, Took: 20 * ms})
+		if p := find(g.wait(20*ms), HealthCheckAction, -1); p != nil && p.Host == "b" {
+			g.do(Event{Kind: HealthCheckEvent, Host: "b", Result: TimedOut, Latency: 20 * ms})
 		}
 		id, acts := g.ask(loose)
-		if find(acts, ProbeAction, -1) != nil {
-			g.do(Event{Kind: ProbedEvent, Host: "b", Result: TimedOut, Took: 20 * ms})
+		if find(acts, HealthCheckAction, -1) != nil {
+			g.do(Event{Kind: HealthCheckEvent, Host: "b", Result: TimedOut, Latency: 20 * ms})
 		}
 		switch sentTo(acts, id) {
 		case "a":
-			g.answer(id, "a", Served, Primary, g.now)
+			g.answer(id, "a", Succeeded, Primary, g.now)
 		case "b":
-			if g.answer(id, "b", Served, Replica, g.now); g.r.hosts["b"].cond != up {
+			if g.answer(id, "b", Succeeded, Replica, g.now); g.r.hosts["b"].cond != up {
 				t.Fatal("a served trial did not restore the host")
 			}
 			return
@@ -953,8 +953,8 @@
 func TestProbeTurnedAwayIsNoDeath(t *testing.T) {
 	g := readyRig(t, testSettings())
 	id, _ := g.ask(keyed)
-	g.answer(id, "a", Reset, RoleUnknown, 0)
-	acts := append(g.do(Event{Kind: ProbedEvent, Host: "a", Result: Full, Took: 1 * ms}), g.wait(40*ms)...)
+	g.answer(id, "a", ConnectionReset, RoleUnknown, 0)
+	acts := append(g.do(Event{Kind: HealthCheckEvent, Host: "a", Result: Overloaded, Latency: 1 * ms}), g.wait(40*ms)...)
 	if sentTo(acts, id) != "a" {
 		t.Errorf("a primary too busy for a probe was not used: %+v", acts)
 	}
@@ -962,11 +962,11 @@
 
 func TestReadWaitsForAPositionAndFollowsIt(t *testing.T) {
 	g := newRig(t, testSettings(), trio()...)
-	if p := find(g.wait(1000*ms), ProbeAction, -1); p != nil {
+	if p := find(g.wait(1000*ms), HealthCheckAction, -1); p != nil {
 		t.Fatalf("%s was probed though nobody asked for anything", p.Host)
 	}
 	id, acts := g.ask(recent)
-	p := find(acts, ProbeAction, -1)
+	p := find(acts, HealthCheckAction, -1)
 	if p == nil || p.Host == "a" || sentTo(acts, id) != "" {
 		t.Fatalf("want a probe of a replica and the read waiting for it: %+v", acts)
 	}
@@ -981,7 +981,7 @@
 	if sentTo(acts, id) != "a" {
 		t.Fatal("want the write at the primary")
 	}
-	if acts := g.answer(id, "a", Full, Primary, 0); sentTo(acts, id) != "" {
+	if acts := g.answer(id, "a", Overloaded, Primary, 0); sentTo(acts, id) != "" {
 		t.Error("a host that had no room was asked again at once")
 	}
 	if acts := g.wait(200 * ms); sentTo(acts, id) != "a" {
@@ -991,7 +991,7 @@
 
 func TestUnknownReplicasShareTriedReads(t *testing.T) {
 	set := testSettings()
-	set.HostsCheck = true
+	set.HostsCheckStaleness = true
 	g := newRig(t, set, trio()...)
 	g.report("a", true, g.now)
 	got := map[string]int{}
@@ -1000,7 +1000,7 @@
 		id, acts := g.ask(recent)
 		h := sentTo(acts, id)
 		got[h]++
-		g.answer(id, h, Served, Replica, g.now-200*ms)
+		g.answer(id, h, Succeeded, Replica, g.now-200*ms)
 	}
 	if got["b"] < 10 || got["c"] < 10 {
 		t.Errorf("reads went to %v, want them spread over b and c", got)
@@ -1013,8 +1013,8 @@
 	groups := len(g.r.groups)
 	for n := int64(99); n < 1099; n++ {
 		id := g.next + n
-		acts := g.do(Event{Kind: RequestEvent, Request: id, Class: recent, Group: n, Until: g.now + 1000*ms})
-		if a := find(acts, RefuseAction, id); a == nil || a.RetryAfter == 0 {
+		acts := g.do(Event{Kind: RequestEvent, Request: id, Class: recent, Group: n, Deadline: g.now + 1000*ms})
+		if a := find(acts, RejectAction, id); a == nil || a.RetryAfter == 0 {
 			t.Fatal("a read of a group without hosts was not refused with a time to come back")
 		}
 	}
@@ -1033,12 +1033,12 @@
 			t.Fatal(err)
 		}
 		g := &rig{t: t, r: r, now: base, try: map[int64]int{}}
-		g.do(Event{Kind: ListEvent, Full: true, Entries: trio()})
+		g.do(Event{Kind: EndpointsEvent, Complete: true, Endpoints: trio()})
 		g.reportAll(g.now)
 		ask := func() (toC int) { // one read of any member, answered at once
 			id, acts := g.ask(loose)
 			h := sentTo(acts, id)
-			g.answer(id, h, Served, RoleUnknown, g.now)
+			g.answer(id, h, Succeeded, RoleUnknown, g.now)
 			if h == "c" {
 				toC++
 			}
@@ -1049,14 +1049,14 @@
 			normal += ask()
 		}
 		e := trio()
-		e[2].Born = g.now
-		g.do(Event{Kind: ListEvent, Full: true, Entries: e})
+		e[2].StartedAt = g.now
+		g.do(Event{Kind: EndpointsEvent, Complete: true, Endpoints: e})
 		g.wait(1000 * ms)
 		sent += ask()
 	}
 	// In these 40 s the warm host had some 10 attempts a router. Cold, it may have no more in two seconds than
 	// the multiple of a cold host's part of that.
-	most := float64(normal) / 40 * 2 * set.FallMultiple * (set.ColdFrom + 0.1)
+	most := float64(normal) / 40 * 2 * set.SlowStartOverloadFactor * (set.SlowStartInitialShare + 0.1)
 	if float64(sent) > most || sent == 0 {
 		t.Errorf("%d routers sent a cold host %d, want some and at most %.0f", routers, sent, most)
 	}
@@ -1071,22 +1071,22 @@
 		open    bool // a connection was there before
 		shorter bool
 	}{
-		{"quick refusal", Refused, quick, false, true},
-		{"slow refusal", Refused, slow, false, false},
-		{"refusal beside an open connection", Refused, quick, true, false},
-		{"reset", Reset, quick, false, false},
+		{"quick refusal", ConnectionRefused, quick, false, true},
+		{"slow refusal", ConnectionRefused, slow, false, false},
+		{"refusal beside an open connection", ConnectionRefused, quick, true, false},
+		{"reset", ConnectionReset, quick, false, false},
 	} {
 		g := readyRig(t, testSettings())
 		if c.open {
 			id, _ := g.ask(keyed)
-			g.answer(id, "a", Served, Primary, g.now)
+			g.answer(id, "a", Succeeded, Primary, g.now)
 		}
 		id, _ := g.ask(keyed)
 		for try := range 2 { // one alone may be a bad link's
 			if g.r.keep < keepIdle {
 				t.Errorf("%s: idle connections kept for %d us after one", c.name, g.r.keep)
 			}
-			g.do(Event{Kind: OutcomeEvent, Request: id, Attempt: try, Host: "a", Result: c.res, Took: c.took})
+			g.do(Event{Kind: OutcomeEvent, Request: id, Attempt: try, Host: "a", Result: c.res, Latency: c.took})
 			g.r.hosts["a"].open = c.open
 			g.report("a", true, g.now)
 		}
@@ -1097,12 +1097,12 @@
 	g := readyRig(t, testSettings())
 	id, acts := g.ask(loose)
 	h := sentTo(acts, id)
-	g.answer(id, h, Served, Replica, g.now)
+	g.answer(id, h, Succeeded, Replica, g.now)
 	g.r.keep = 1000 * ms
-	if a := find(g.wait(900*ms), CloseAction, -1); a != nil {
+	if a := find(g.wait(900*ms), CloseIdleAction, -1); a != nil {
 		t.Error("closed before its time")
 	}
-	if a := find(g.wait(300*ms), CloseAction, -1); a == nil || a.Host != h {
+	if a := find(g.wait(300*ms), CloseIdleAction, -1); a == nil || a.Host != h {
 		t.Error("an idle connection was kept")
 	}
 }
@@ -1111,25 +1111,25 @@
 	twice := append(trio(), trio()...)
 	torn := trio()[:1]
 	moved := trio()
-	moved[1].Group, moved[2].Phase = 7, 99
+	moved[1].Group, moved[2].State = 7, 99
 	negative := trio()
-	negative[0].Weight, negative[0].Born = -1, base*10
+	negative[0].Weight, negative[0].StartedAt = -1, base*10
 	for _, c := range []struct {
 		name string
 		ev   Event
 	}{
-		{"empty list", Event{Kind: ListEvent, Full: true}},
-		{"list with every host twice", Event{Kind: ListEvent, Full: true, Entries: twice}},
-		{"torn list", Event{Kind: ListEvent, Full: true, Entries: torn}},
-		{"contradictory list", Event{Kind: ListEvent, Full: true, Entries: moved}},
-		{"list from the future", Event{Kind: ListEvent, Full: true, Entries: negative}},
-		{"failed list", Event{Kind: ListEvent, Failed: true}},
-		{"garbage from a peer", Event{Kind: PeerEvent, Peer: -5, Data: []byte{0xff, 0, 1}}},
-		{"probe of an unknown host", Event{Kind: ProbedEvent, Host: "nobody", Result: Served}},
-		{"outcome of nothing", Event{Kind: OutcomeEvent, Request: 999, Host: "a", Result: Reset}},
-		{"client of nothing left", Event{Kind: GoneEvent, Request: 999}},
-		{"report from the future", Event{Kind: ProbedEvent, Host: "b", Result: Served,
-			Report: Report{HasRole: true, Primary: true}}},
+		{"empty list", Event{Kind: EndpointsEvent, Complete: true}},
+		{"list with every host twice", Event{Kind: EndpointsEvent, Complete: true, Endpoints: twice}},
+		{"torn list", Event{Kind: EndpointsEvent, Complete: true, Endpoints: torn}},
+		{"contradictory list", Event{Kind: EndpointsEvent, Complete: true, Endpoints: moved}},
+		{"list from the future", Event{Kind: EndpointsEvent, Complete: true, Endpoints: negative}},
+		{"failed list", Event{Kind: EndpointsEvent, PollFailed: true}},
+		{"garbage from a peer", Event{Kind: GossipEvent, Peer: -5, Data: []byte{0xff, 0, 1}}},
+		{"probe of an unknown host", Event{Kind: HealthCheckEvent, Host: "nobody", Result: Succeeded}},
+		{"outcome of nothing", Event{Kind: OutcomeEvent, Request: 999, Host: "a", Result: ConnectionReset}},
+		{"client of nothing left", Event{Kind: ClientDisconnectedEvent, Request: 999}},
+		{"report from the future", Event{Kind: HealthCheckEvent, Host: "b", Result: Succeeded,
+			Report: HostReport{HasRole: true, Primary: true}}},
 		{"unknown event", Event{Kind: 200}},
 	} {
 		g := readyRig(t, testSettings())
@@ -1141,10 +1141,10 @@
 		for _, h := range g.r.order { // all clients have left; what is out ends
 			for len(h.out) > 0 {
 				q := h.out[0]
-				g.do(Event{Kind: OutcomeEvent, Request: q.id, Attempt: q.try, Host: h.id, Result: TimedOut, Over: true})
+				g.do(Event{Kind: OutcomeEvent, Request: q.id, Attempt: q.try, Host: h.id, Result: TimedOut, Finished: true})
 			}
 		}
-		g.do(Event{Kind: ListEvent, Full: true, Entries: trio()})
+		g.do(Event{Kind: EndpointsEvent, Complete: true, Endpoints: trio()})
 		g.wait(20000 * ms) // longer than any cold time
 		g.reportAll(g.now)
 		id, acts := g.ask(unsafe)
@@ -1157,11 +1157,11 @@
 func TestLostProbeDoesNotEndProbing(t *testing.T) {
 	g := readyRig(t, testSettings())
 	id, _ := g.ask(keyed)
-	if find(g.answer(id, "a", Reset, RoleUnknown, 0), ProbeAction, -1) == nil {
+	if find(g.answer(id, "a", ConnectionReset, RoleUnknown, 0), HealthCheckAction, -1) == nil {
 		t.Fatal("want a probe in doubt")
 	}
 	g.wait(10000 * ms) // and its result never comes
-	if _, acts := g.ask(keyed); find(acts, ProbeAction, -1) == nil {
+	if _, acts := g.ask(keyed); find(acts, HealthCheckAction, -1) == nil {
 		t.Error("the host is never probed again")
 	}
 }
@@ -1185,13 +1185,13 @@
 			for _, h := range g.r.order {
 				h.limit = 0
 			}
-			g.answer(id, host, Full, RoleUnknown, 0)
+			g.answer(id, host, Overloaded, RoleUnknown, 0)
 		}
 		half := g.r.set.Classes[c.class].Deadline / 2
-		if a := find(g.wait(half-3*g.r.period()), RefuseAction, id); a != nil {
+		if a := find(g.wait(half-3*g.r.period()), RejectAction, id); a != nil {
 			t.Errorf("class %d: refused before half of its time", c.class)
 		}
-		if a := find(g.wait(2*g.r.period()), RefuseAction, id); (a != nil) != c.refused {
+		if a := find(g.wait(2*g.r.period()), RejectAction, id); (a != nil) != c.refused {
 			t.Errorf("class %d, met %v: refusal at half of its time: %v", c.class, c.met, a)
 		}
 	}
@@ -1204,16 +1204,16 @@
 	g := readyRig(t, set)
 	id, acts := g.ask(recent)
 	host := sentTo(acts, id)
-	bound := g.r.set.Classes[recent].Bound
-	if !g.r.StillFits(g.now+bound, id) || g.r.StillFits(g.now+bound+1, id) {
+	bound := g.r.set.Classes[recent].MaxStaleness
+	if !g.r.AttemptStillValid(g.now+bound, id) || g.r.AttemptStillValid(g.now+bound+1, id) {
 		t.Error("a position older than the bound still fits, or one within it does not")
 	}
-	g.do(Event{Kind: ListEvent, Entries: []Entry{{Host: host, Phase: Draining}}})
-	if g.r.StillFits(g.now, id) {
+	g.do(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: host, State: Draining}}})
+	if g.r.AttemptStillValid(g.now, id) {
 		t.Error("a host that drains still fits")
 	}
 	write, _ := g.ask(unsafe)
-	if g.r.StillFits(g.now+g.r.set.Classes[unsafe].Deadline, write) || !g.r.StillFits(g.now, write) || g.r.StillFits(g.now, 99) {
+	if g.r.AttemptStillValid(g.now+g.r.set.Classes[unsafe].Deadline, write) || !g.r.AttemptStillValid(g.now, write) || g.r.AttemptStillValid(g.now, 99) {
 		t.Error("a write fits after its deadline, or not in time, or one that nobody knows does")
 	}
 }
@@ -1231,13 +1231,13 @@
 	g := readyRig(t, testSettings())
 	id, _ := g.ask(keyed)
 	began := g.now
-	g.answer(id, "a", Reset, RoleUnknown, 0)
+	g.answer(id, "a", ConnectionReset, RoleUnknown, 0)
 	g.wait(1000 * ms)
 	if sentTo(g.report("a", true, g.now), id) == "" && sentTo(g.report("b", true, g.now), id) == "" {
 		t.Fatal("not repeated")
 	}
-	last := began + g.r.set.Classes[keyed].Window - g.r.period()
-	if !g.r.StillFits(last-1, id) || g.r.StillFits(last, id) {
+	last := began + g.r.set.Classes[keyed].DeduplicationWindow - g.r.period()
+	if !g.r.AttemptStillValid(last-1, id) || g.r.AttemptStillValid(last, id) {
 		t.Error("the window does not bind to the microsecond, a period before its end")
 	}
 }
@@ -1248,7 +1248,7 @@
 	g.wait(1000 * ms)
 	g.r.doubt(g.r.hosts["a"])
 	g.now += ms
-	g.do(Event{Kind: ProbedEvent, Host: "a", Result: Skipped})
+	g.do(Event{Kind: HealthCheckEvent, Host: "a", Result: NotSent})
 	if h := g.r.hosts["a"]; h.cond == down || h.group.primary != h {
 		t.Error("found down by a probe that was not sent")
 	}
--- a/balance/decisions_test.go
+++ b/balance/decisions_test.go
@@ -1,101 +1,44 @@
 package balance_test
 
 import (
-	"crypto/sha256"
-	"encoding/binary"
-	"encoding/hex"
-	"flag"
-	"hash"
-	"math"
 	"math/rand/v2"
-	"os"
 	"slices"
 	"strconv"
-	"strings"
 	"testing"
 
 	"cloverrock/balance"
+	"cloverrock/internal/golden"
 )
 
 // This file holds the decisions of the module as they are: a storm of events, always the same one, is played on routers,
 // and a hash of all that they answer is compared with the one in testdata/decisions.txt. A change that is to leave all
 // decisions alone leaves the hashes alone. One that means to change decisions runs the test with -update and says why.
 
-const goldenFile = "testdata/decisions.txt"
+const goldenFile = "decisions.txt"
 
-var update = flag.Bool("update", false, "write the hashes of decisions anew")
+// answers hashes what a module answers. The texts of log lines are left out, since they may be worded anew.
+type answers struct{ *golden.Hash }
 
-// answers hashes what a module answers: by values alone, so that the names of things may change. The texts of log lines
-// are left out, since they may be worded anew.
-type answers struct{ sum hash.Hash }
-
-func newAnswers() *answers { return &answers{sha256.New()} }
-
-func (a *answers) numbers(values ...int64) {
-	for _, value := range values {
-		a.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(value)))
-	}
-}
-
-func (a *answers) real(value float64) { a.numbers(int64(math.Float64bits(value))) }
-
-func (a *answers) text(value string) {
-	a.numbers(int64(len(value)))
-	a.sum.Write([]byte(value))
-}
-
-func (a *answers) truth(value bool) {
-	if value {
-		a.numbers(1)
-	} else {
-		a.numbers(0)
-	}
-}
-
-func (a *answers) action(action balance.Action) {
-	a.numbers(int64(action.Kind), action.Request, action.Timeout, action.RetryAfter, int64(action.Attempt), action.At,
+func (a answers) action(action balance.Action) {
+	a.Numbers(int64(action.Kind), action.Request, action.Timeout, action.RetryAfter, int64(action.Attempt), action.At,
 		action.Token, int64(action.Peer))
-	a.text(action.Host)
-	a.text(string(action.Data))
-	a.truth(action.Text != "")
+	a.Text(action.Host)
+	a.Text(string(action.Data))
+	a.Bool(action.Text != "")
 }
 
-func (a *answers) facts(facts balance.Facts) {
-	a.numbers(facts.Floor, int64(len(facts.Groups)), int64(len(facts.Hosts)))
+func (a answers) facts(facts balance.Snapshot) {
+	a.Numbers(facts.SessionFloor, int64(len(facts.Groups)), int64(len(facts.Hosts)))
 	for _, group := range facts.Groups {
-		a.numbers(group.Group, group.At)
-		a.text(group.Primary)
+		a.Numbers(group.Group, group.ObservedAt)
+		a.Text(group.Primary)
 	}
 	for _, host := range facts.Hosts {
-		a.text(host.Host)
-		a.numbers(host.Group, host.Position, host.PositionAt, host.ColdUntil)
-		a.truth(host.Primary)
-		a.truth(host.Down)
-		a.real(host.Limit)
-	}
-}
-
-// compare holds the hashes of all storms, one line "name hash" each, against the golden file, or writes that.
-func compare(t *testing.T, lines []string) {
-	t.Helper()
-	if *update {
-		if err := os.WriteFile(goldenFile, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	golden, err := os.ReadFile(goldenFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := strings.Split(strings.TrimSuffix(string(golden), "\n"), "\n")
-	if len(want) != len(lines) {
-		t.Fatalf("%d storms were played, %s has %d", len(lines), goldenFile, len(want))
-	}
-	for i := range lines {
-		if lines[i] != want[i] {
-			t.Errorf("decisions changed:\n got %s\nwant %s", lines[i], want[i])
-		}
+		a.Text(host.Host)
+		a.Numbers(host.Group, host.Position, host.PositionAt, host.SlowStartUntil)
+		a.Bool(host.Primary)
+		a.Bool(host.Down)
+		a.Float(host.ConcurrencyLimit)
 	}
 }
 
@@ -114,7 +57,7 @@
 )
 
 type worldHost struct {
-	entry balance.Entry
+	entry balance.Endpoint
 	mood  mood
 }
 
@@ -124,7 +67,7 @@
 	now       int64
 	hosts     []*worldHost
 	primaries map[int64]string
-	answers   *answers
+	answers   answers
 	players   []*player
 	requests  int64
 	classes   []balance.Class
@@ -147,27 +90,27 @@
 	open     []int64
 	probes   []string
 	told     [][]byte
-	facts    balance.Facts
+	facts    balance.Snapshot
 }
 
 // view is what a fleet has agreed on.
 type view struct{ shares []float64 }
 
-func (v view) Share(zone int) float64 { return v.shares[zone] }
+func (v view) ReadShare(zone int) float64 { return v.shares[zone] }
 
 // allClasses has a class for each need with each way of repeating, and dear ones that take long.
 func allClasses() (classes []balance.Class) {
-	repeats := []balance.Class{{Repeat: balance.Safe}, {Repeat: balance.Unsafe}, {Repeat: balance.Keyed, Scope: balance.ScopeAll},
-		{Repeat: balance.Keyed, Scope: balance.ScopeZone}, {Repeat: balance.Keyed, Scope: balance.ScopeGroup}}
-	for _, need := range []balance.Need{balance.Loose, balance.Recent, balance.OwnWrite, balance.Latest, balance.Update} {
+	repeats := []balance.Class{{RetrySafety: balance.Idempotent}, {RetrySafety: balance.NonIdempotent}, {RetrySafety: balance.IdempotencyKey, DeduplicationScope: balance.ScopeGlobal},
+		{RetrySafety: balance.IdempotencyKey, DeduplicationScope: balance.ScopeZone}, {RetrySafety: balance.IdempotencyKey, DeduplicationScope: balance.ScopeGroup}}
+	for _, need := range []balance.Consistency{balance.Eventual, balance.BoundedStaleness, balance.ReadYourWrites, balance.Linearizable, balance.Write} {
 		for i, class := range repeats {
-			class.Need, class.Window, class.Bound = need, 400e3, 300e3
-			class.Aim, class.Deadline, class.Worth = int64(60e3*(1+i%3)), int64(600e3*(1+i%2)), float64(1+i%4)
-			class.AimStretch, class.LateWorth = float64(i%2), 0.3*float64(i%2)
+			class.Consistency, class.DeduplicationWindow, class.MaxStaleness = need, 400e3, 300e3
+			class.LatencyObjective, class.Deadline, class.PriorityWeight = int64(60e3*(1+i%3)), int64(600e3*(1+i%2)), float64(1+i%4)
+			class.ObjectivePerWork, class.LatePriorityWeight = float64(i%2), 0.3*float64(i%2)
 			classes = append(classes, class)
 		}
 	}
-	return append(classes, balance.Class{Aim: 2e6, Deadline: 4e6, Worth: 3, Need: balance.Loose})
+	return append(classes, balance.Class{LatencyObjective: 2e6, Deadline: 4e6, PriorityWeight: 3, Consistency: balance.Eventual})
 }
 
 func (w *world) odds(part float64) bool { return w.random.Float64() < part }
@@ -187,13 +130,13 @@
 	if w.primaries[group] == "" {
 		w.primaries[group] = name
 	}
-	w.hosts = append(w.hosts, &worldHost{entry: balance.Entry{Host: name, Zone: n / 3 % 3, Group: group, Kind: n % 2,
-		Phase: balance.Ready, Primary: n < 3, Weight: 1}})
+	w.hosts = append(w.hosts, &worldHost{entry: balance.Endpoint{Host: name, Zone: n / 3 % 3, Group: group, Kind: n % 2,
+		State: balance.Ready, Primary: n < 3, Weight: 1}})
 }
 
 func newWorld(set balance.Settings, seed uint64, ordinals []int) *world {
 	w := &world{random: rand.New(rand.NewPCG(2024, seed)), now: 1_700_000_000_000_000, primaries: map[int64]string{},
-		answers: newAnswers(), classes: set.Classes}
+		answers: answers{golden.NewHash()}, classes: set.Classes}
 	for range 15 {
 		w.addHost()
 	}
@@ -210,18 +153,18 @@
 
 // take writes down what a router answered and does it.
 func (w *world) take(p *player, actions []balance.Action) {
-	w.answers.numbers(int64(p.ordinal), int64(len(actions)))
+	w.answers.Numbers(int64(p.ordinal), int64(len(actions)))
 	for _, action := range actions {
 		w.answers.action(action)
 		switch action.Kind {
 		case balance.SendAction:
 			p.attempts = append(p.attempts, attempt{action.Request, w.now, p.sends[action.Request], p.classOf[action.Request], action.Host})
 			p.sends[action.Request]++
-		case balance.RefuseAction, balance.FailAction:
+		case balance.RejectAction, balance.FailAction:
 			p.open = slices.DeleteFunc(p.open, func(id int64) bool { return id == action.Request })
-		case balance.ProbeAction:
+		case balance.HealthCheckAction:
 			p.probes = append(p.probes, action.Host)
-		case balance.TellAction:
+		case balance.GossipAction:
 			p.told = append(p.told, slices.Clone(action.Data))
 		}
 	}
@@ -231,10 +174,10 @@
 
 // list tells of all hosts or of some, or that asking failed.
 func (w *world) list(p *player) {
-	event := balance.Event{Kind: balance.ListEvent, Full: w.odds(0.5), Failed: w.odds(0.25)}
+	event := balance.Event{Kind: balance.EndpointsEvent, Complete: w.odds(0.5), PollFailed: w.odds(0.25)}
 	for _, host := range w.hosts {
-		if event.Full && w.odds(0.97) || w.odds(0.3) {
-			event.Entries = append(event.Entries, host.entry)
+		if event.Complete && w.odds(0.97) || w.odds(0.3) {
+			event.Endpoints = append(event.Endpoints, host.entry)
 		}
 	}
 	w.handle(p, event)
@@ -243,14 +186,14 @@
 func (w *world) request(p *player) {
 	w.requests++
 	event := balance.Event{Kind: balance.RequestEvent, Request: w.requests, Class: w.random.IntN(len(w.classes)),
-		Group: int64(w.random.IntN(3) + 1), Key: int64(w.random.IntN(5)), HasKey: w.odds(0.7), Hint: int64(w.random.IntN(2) * 50e3)}
+		Group: int64(w.random.IntN(3) + 1), Key: int64(w.random.IntN(5)), HasKey: w.odds(0.7), WorkHint: int64(w.random.IntN(2) * 50e3)}
 	if w.odds(0.5) {
-		event.SinceWrite = int64(w.random.IntN(400e3)) - 50e3
+		event.SessionWriteAge = int64(w.random.IntN(400e3)) - 50e3
 	}
-	event.Until = w.now + w.classes[event.Class].Deadline
+	event.Deadline = w.now + w.classes[event.Class].Deadline
 	switch w.random.IntN(60) {
 	case 0:
-		event.Until = w.now + 10e3 // its client leaves at once
+		event.Deadline = w.now + 10e3 // its client leaves at once
 	case 1:
 		event.Group = 99
 	case 2:
@@ -268,20 +211,20 @@
 	return w.now - int64(w.random.IntN(80e3))
 }
 
-func (w *world) report(h *worldHost) balance.Report {
-	return balance.Report{HasPosition: w.odds(0.8), HasRole: w.odds(0.6), Position: w.position(h),
+func (w *world) report(h *worldHost) balance.HostReport {
+	return balance.HostReport{HasPosition: w.odds(0.8), HasRole: w.odds(0.6), Position: w.position(h),
 		Primary: w.primaries[h.entry.Group] == h.entry.Host}
 }
 
 // result is how an attempt at a host, or a probe, ends.
 func (w *world) result(h *worldHost) balance.Result {
 	if w.odds(0.02) {
-		return balance.Result(w.random.IntN(int(balance.Missed) + 1))
+		return balance.Result(w.random.IntN(int(balance.NotPrimary) + 1))
 	}
 	choices := map[mood][]balance.Result{
-		well: {balance.Served}, lagging: {balance.Served, balance.Served, balance.Missed}, slow: {balance.Served, balance.TimedOut},
-		failing: {balance.Errored, balance.Errored, balance.Served}, full: {balance.Full, balance.Served},
-		refusing: {balance.Refused, balance.Refused, balance.Served}, dead: {balance.Refused, balance.Reset, balance.TimedOut}}[h.mood]
+		well: {balance.Succeeded}, lagging: {balance.Succeeded, balance.Succeeded, balance.NotPrimary}, slow: {balance.Succeeded, balance.TimedOut},
+		failing: {balance.Failed, balance.Failed, balance.Succeeded}, full: {balance.Overloaded, balance.Succeeded},
+		refusing: {balance.ConnectionRefused, balance.ConnectionRefused, balance.Succeeded}, dead: {balance.ConnectionRefused, balance.ConnectionReset, balance.TimedOut}}[h.mood]
 	return choices[w.random.IntN(len(choices))]
 }
 
@@ -300,13 +243,13 @@
 		p.attempts = slices.Delete(p.attempts, i, i+1)
 	}
 	event := balance.Event{Kind: balance.OutcomeEvent, Request: a.request, Attempt: a.number, Host: a.host, Result: w.result(host),
-		Took: min(w.now-a.sentAt, int64(5e3+w.random.IntN(60e3)))}
+		Latency: min(w.now-a.sentAt, int64(5e3+w.random.IntN(60e3)))}
 	primary := w.primaries[host.entry.Group] == a.host
-	if a.class >= 0 && a.class < len(w.classes) && w.classes[a.class].Need == balance.Update && !primary && event.Result == balance.Served {
-		event.Result = balance.Missed
+	if a.class >= 0 && a.class < len(w.classes) && w.classes[a.class].Consistency == balance.Write && !primary && event.Result == balance.Succeeded {
+		event.Result = balance.NotPrimary
 	}
 	if host.mood == slow {
-		event.Took = w.now - a.sentAt
+		event.Latency = w.now - a.sentAt
 	}
 	if event.Result.Answered() && w.odds(0.8) {
 		event.Position, event.Report, event.Role = w.position(host), w.report(host), balance.Replica
@@ -314,7 +257,7 @@
 			event.Role = balance.Primary
 		}
 	}
-	event.Over = event.Result == balance.Served && w.odds(0.95) || event.Result == balance.Errored && w.odds(0.3) || w.odds(0.02)
+	event.Finished = event.Result == balance.Succeeded && w.odds(0.95) || event.Result == balance.Failed && w.odds(0.3) || w.odds(0.02)
 	if w.odds(0.005) {
 		event.Host = "nobody"
 	}
@@ -323,7 +266,7 @@
 
 func (w *world) gone(p *player) {
 	if len(p.open) > 0 {
-		w.handle(p, balance.Event{Kind: balance.GoneEvent, Request: p.open[max(0, len(p.open)-1-w.random.IntN(20))]})
+		w.handle(p, balance.Event{Kind: balance.ClientDisconnectedEvent, Request: p.open[max(0, len(p.open)-1-w.random.IntN(20))]})
 	}
 }
 
@@ -336,7 +279,7 @@
 		return // lost for good
 	}
 	host := w.hostNamed(name)
-	event := balance.Event{Kind: balance.ProbedEvent, Host: name, Result: w.result(host), Took: int64(1e3 + w.random.IntN(20e3))}
+	event := balance.Event{Kind: balance.HealthCheckEvent, Host: name, Result: w.result(host), Latency: int64(1e3 + w.random.IntN(20e3))}
 	if event.Result.Answered() {
 		event.Report = w.report(host)
 	}
@@ -349,7 +292,7 @@
 // tell passes a message of one router on to another, whole or garbled.
 func (w *world) tell(p *player) {
 	from := w.players[w.random.IntN(len(w.players))]
-	event := balance.Event{Kind: balance.PeerEvent, Peer: from.ordinal, Data: []byte{3, 1, 2}}
+	event := balance.Event{Kind: balance.GossipEvent, Peer: from.ordinal, Data: []byte{3, 1, 2}}
 	if len(from.told) > 0 {
 		event.Data = slices.Clone(from.told[max(0, len(from.told)-1-w.random.IntN(3))])
 	}
@@ -364,20 +307,20 @@
 	switch w.random.IntN(4) {
 	case 0:
 		for _, a := range p.attempts {
-			w.answers.truth(p.router.StillFits(w.now, a.request))
+			w.answers.Bool(p.router.AttemptStillValid(w.now, a.request))
 		}
-		w.answers.truth(p.router.StillFits(w.now, -1))
+		w.answers.Bool(p.router.AttemptStillValid(w.now, -1))
 	case 1:
-		p.facts = p.router.Facts()
+		p.facts = p.router.Snapshot()
 		w.answers.facts(p.facts)
 	case 2:
 		facts := w.players[w.random.IntN(len(w.players))].facts
-		w.take(p, p.router.Believe(w.now, facts, nil))
+		w.take(p, p.router.Restore(w.now, facts, nil))
 	case 3:
 		if w.odds(0.3) {
-			p.router.Follow(nil)
+			p.router.SetZoneShares(nil)
 		} else {
-			p.router.Follow(view{[]float64{w.random.Float64(), 1, float64(w.random.IntN(2))}})
+			p.router.SetZoneShares(view{[]float64{w.random.Float64(), 1, float64(w.random.IntN(2))}})
 		}
 	}
 }
@@ -387,9 +330,9 @@
 	host := w.anyHost()
 	switch w.random.IntN(10) {
 	case 0:
-		host.entry.Phase = balance.Phase(w.random.IntN(3))
+		host.entry.State = balance.EndpointState(w.random.IntN(3))
 	case 1:
-		host.entry.Born, host.mood = w.now-int64(w.random.IntN(2e6))+200e3, well
+		host.entry.StartedAt, host.mood = w.now-int64(w.random.IntN(2e6))+200e3, well
 	case 2:
 		w.primaries[host.entry.Group] = host.entry.Host
 	case 3:
@@ -400,15 +343,15 @@
 		host.mood = mood(w.random.IntN(int(moods)))
 	default:
 		host.mood = well
-		host.entry.Phase = balance.Ready
+		host.entry.State = balance.Ready
 	}
 }
 
 // restart has a fresh router go on in place of a player's, with what the old one knew.
 func (w *world) restart(p *player, set balance.Settings) {
-	facts := p.router.Facts()
+	facts := p.router.Snapshot()
 	for i := range facts.Hosts {
-		facts.Hosts[i].Limit *= 4 // more than is believed at once
+		facts.Hosts[i].ConcurrencyLimit *= 4 // more than is believed at once
 	}
 	set.Ordinal = p.ordinal
 	router, err := balance.New(set, uint64(w.requests))
@@ -416,12 +359,12 @@
 		panic(err)
 	}
 	*p = player{router: router, ordinal: p.ordinal, sends: map[int64]int{}, classOf: map[int64]int{}, facts: facts}
-	event := balance.Event{Kind: balance.ListEvent, Full: true}
+	event := balance.Event{Kind: balance.EndpointsEvent, Complete: true}
 	for _, host := range w.hosts {
-		event.Entries = append(event.Entries, host.entry)
+		event.Endpoints = append(event.Endpoints, host.entry)
 	}
 	w.handle(p, event)
-	w.take(p, p.router.Believe(w.now, facts, nil))
+	w.take(p, p.router.Restore(w.now, facts, nil))
 }
 
 // step plays one event.
@@ -475,13 +418,13 @@
 			}
 		}
 	}
-	return hex.EncodeToString(w.answers.sum.Sum(nil))
+	return w.answers.String()
 }
 
 // The same events always give the same actions, and those that were given when the golden file was written.
 func TestDecisionsStayTheSame(t *testing.T) {
-	base := balance.Settings{Zone: 1, Tick: 5e3, MaxRetryAfter: 2e6, MaxAttempts: 3, DialTimeout: 100e3, TellEarn: 30,
-		ColdFrom: 0.1, ColdFor: 3e6, FallMultiple: 2, FallFor: 2e6}
+	base := balance.Settings{Zone: 1, TickInterval: 5e3, MaxRetryAfter: 2e6, MaxAttempts: 3, DialTimeout: 100e3, GossipBytesPerRequest: 30,
+		SlowStartInitialShare: 0.1, SlowStartDuration: 3e6, SlowStartOverloadFactor: 2, SlowStartOverloadWindow: 2e6}
 	with := func(change func(set *balance.Settings)) balance.Settings {
 		set := base
 		change(&set)
@@ -493,28 +436,36 @@
 		ordinals []int
 	}{
 		{"plain", base, []int{0}},
-		{"probes", with(func(s *balance.Settings) { s.Probes, s.Cancel, s.Subscribe, s.Gateways = true, true, true, 1 }), []int{0}},
-		{"cross", with(func(s *balance.Settings) { s.Probes, s.CrossPrice, s.DrainAlone = true, 0.5, true }), []int{0}},
-		{"checked", with(func(s *balance.Settings) { s.HostsCheck, s.Carried, s.Cancel, s.MaxAttempts = true, true, true, 5 }), []int{0}},
-		{"few", with(func(s *balance.Settings) { s.Gateways, s.Probes, s.Subscribe = 3, true, true }), []int{0, 1, 2}},
-		{"many", with(func(s *balance.Settings) { s.Gateways, s.Probes, s.HostsCheck, s.CrossPrice = 300, true, true, 1 }), []int{7, 288}},
-		{"unknown", with(func(s *balance.Settings) { s.Gateways, s.Carried, s.Tick, s.ColdFor = 300, true, 30e3, 0 }), []int{-1}},
+		{"probes", with(func(s *balance.Settings) {
+			s.HealthChecks, s.Cancellation, s.MustSubscribe, s.Gateways = true, true, true, 1
+		}), []int{0}},
+		{"cross", with(func(s *balance.Settings) { s.HealthChecks, s.CrossZoneCost, s.OnlyDrainingExcludes = true, 0.5, true }), []int{0}},
+		{"checked", with(func(s *balance.Settings) {
+			s.HostsCheckStaleness, s.RequestsCarrySessionAge, s.Cancellation, s.MaxAttempts = true, true, true, 5
+		}), []int{0}},
+		{"few", with(func(s *balance.Settings) { s.Gateways, s.HealthChecks, s.MustSubscribe = 3, true, true }), []int{0, 1, 2}},
+		{"many", with(func(s *balance.Settings) {
+			s.Gateways, s.HealthChecks, s.HostsCheckStaleness, s.CrossZoneCost = 300, true, true, 1
+		}), []int{7, 288}},
+		{"unknown", with(func(s *balance.Settings) {
+			s.Gateways, s.RequestsCarrySessionAge, s.TickInterval, s.SlowStartDuration = 300, true, 30e3, 0
+		}), []int{-1}},
 	}
 	var lines []string
 	for i, s := range storms {
 		lines = append(lines, s.name+" "+storm(s.set, uint64(i), s.ordinals))
 	}
-	compare(t, lines)
+	golden.CheckLines(t, goldenFile, lines)
 }
 
 // Settings that no router can go by are turned away.
 func TestSettingsTurnedAway(t *testing.T) {
-	good := balance.Settings{Tick: 1, MaxAttempts: 1, Classes: []balance.Class{{Aim: 1, Deadline: 1}}}
+	good := balance.Settings{TickInterval: 1, MaxAttempts: 1, Classes: []balance.Class{{LatencyObjective: 1, Deadline: 1}}}
 	for i, bad := range []func(set *balance.Settings){
-		func(set *balance.Settings) { set.Tick = 0 },
+		func(set *balance.Settings) { set.TickInterval = 0 },
 		func(set *balance.Settings) { set.MaxAttempts = 0 },
 		func(set *balance.Settings) { set.Classes = []balance.Class{{Deadline: 1}} },
-		func(set *balance.Settings) { set.Classes = []balance.Class{{Aim: 1}} },
+		func(set *balance.Settings) { set.Classes = []balance.Class{{LatencyObjective: 1}} },
 	} {
 		set := good
 		bad(&set)
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -10,9 +10,9 @@
 func Example() {
 	const ms = 1000
 	router, err := balance.New(balance.Settings{
-		Tick: 5 * ms, MaxAttempts: 4, Probes: true,
+		TickInterval: 5 * ms, MaxAttempts: 4, HealthChecks: true,
 		Classes: []balance.Class{{
-			Aim: 200 * ms, Deadline: 1000 * ms, Worth: 1, Repeat: balance.Unsafe, Need: balance.Update,
+			LatencyObjective: 200 * ms, Deadline: 1000 * ms, PriorityWeight: 1, RetrySafety: balance.NonIdempotent, Consistency: balance.Write,
 		}},
 	}, 1)
 	if err != nil {
@@ -24,20 +24,20 @@
 			switch a.Kind {
 			case balance.SendAction:
 				fmt.Println("send", a.Request, "to", a.Host)
-			case balance.RefuseAction:
+			case balance.RejectAction:
 				fmt.Println("refuse", a.Request)
 			}
 		}
 	}
 	now := int64(1_000_000)
-	show(router.Handle(now, balance.Event{Kind: balance.ListEvent, Full: true, Entries: []balance.Entry{
-		{Host: "a", Phase: balance.Ready, Primary: true}, {Host: "b", Phase: balance.Ready},
+	show(router.Handle(now, balance.Event{Kind: balance.EndpointsEvent, Complete: true, Endpoints: []balance.Endpoint{
+		{Host: "a", State: balance.Ready, Primary: true}, {Host: "b", State: balance.Ready},
 	}}, nil))
-	show(router.Handle(now, balance.Event{Kind: balance.RequestEvent, Request: 1, Until: now + 1000*ms}, nil))
+	show(router.Handle(now, balance.Event{Kind: balance.RequestEvent, Request: 1, Deadline: now + 1000*ms}, nil))
 	// The member has lost its role: the write was turned away untouched and walks down the list.
 	now += 20 * ms
-	show(router.Handle(now, balance.Event{Kind: balance.OutcomeEvent, Request: 1, Host: "a", Took: 20 * ms,
-		Result: balance.Missed, Role: balance.Replica}, nil))
+	show(router.Handle(now, balance.Event{Kind: balance.OutcomeEvent, Request: 1, Host: "a", Latency: 20 * ms,
+		Result: balance.NotPrimary, Role: balance.Replica}, nil))
 	// Output:
 	// send 1 to a
 	// send 1 to b
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -36,13 +36,13 @@
 
 func fleetSettings(routers int) Settings {
 	set := testSettings()
-	set.Tick, set.Gateways, set.TellEarn = 1*ms, routers, 400
+	set.TickInterval, set.Gateways, set.GossipBytesPerRequest = 1*ms, routers, 400
 	return set
 }
 
-func newFleet(t *testing.T, set Settings, list ...Entry) *fleet {
+func newFleet(t *testing.T, set Settings, list ...Endpoint) *fleet {
 	f := &fleet{t: t, now: base, rand: 1, tries: map[[2]int64]int{}, classOf: map[[2]int64]int{}, sent: map[string]int{}, lag: 20 * ms}
-	f.took = func(string, int) (int64, Result) { return 50 * ms, Served }
+	f.took = func(string, int) (int64, Result) { return 50 * ms, Succeeded }
 	f.role = func(h string) Role {
 		if h == list[0].Host {
 			return Primary
@@ -56,7 +56,7 @@
 			t.Fatal(err)
 		}
 		f.routers = append(f.routers, r)
-		f.tell(i, Event{Kind: ListEvent, Full: true, Entries: list})
+		f.tell(i, Event{Kind: EndpointsEvent, Complete: true, Endpoints: list})
 	}
 	return f
 }
@@ -83,17 +83,17 @@
 			f.sent[a.Host]++
 			took, result := f.took(a.Host, f.classOf[key])
 			f.later(f.now+took, i, Event{Kind: OutcomeEvent, Request: a.Request, Attempt: f.tries[key], Host: a.Host,
-				Result: result, Took: took, Over: result == Served})
+				Result: result, Latency: took, Finished: result == Succeeded})
 			f.tries[key]++
-		case ProbeAction:
+		case HealthCheckAction:
 			f.probes++
-			f.later(f.now+ms, i, Event{Kind: ProbedEvent, Host: a.Host, Result: Served, Took: ms})
-		case TellAction:
+			f.later(f.now+ms, i, Event{Kind: HealthCheckEvent, Host: a.Host, Result: Succeeded, Latency: ms})
+		case GossipAction:
 			f.told++
 			for to := range f.routers {
 				if to != i && (a.Peer < 0 || a.Peer == to) {
 					f.bytes += len(a.Data)
-					f.later(f.now+10*ms, to, Event{Kind: PeerEvent, Peer: i, Data: a.Data})
+					f.later(f.now+10*ms, to, Event{Kind: GossipEvent, Peer: i, Data: a.Data})
 				}
 			}
 		}
@@ -101,21 +101,21 @@
 }
 
 // restart puts a new router in the place of one; what was under way there is forgotten.
-func (f *fleet) restart(i int, list []Entry) {
+func (f *fleet) restart(i int, list []Endpoint) {
 	r, err := New(f.routers[i].set, uint64(1000+i))
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	f.routers[i] = r
 	f.events = slices.DeleteFunc(f.events, func(o occurrence) bool { return o.to == i })
-	f.tell(i, Event{Kind: ListEvent, Full: true, Entries: list})
+	f.tell(i, Event{Kind: EndpointsEvent, Complete: true, Endpoints: list})
 }
 
 // ask has a router take a request.
 func (f *fleet) ask(i, class int) {
 	f.next++
 	f.classOf[[2]int64{int64(i), f.next}] = class
-	f.tell(i, Event{Kind: RequestEvent, Request: f.next, Class: class, Group: 1, Until: f.now + f.routers[i].set.Classes[class].Deadline})
+	f.tell(i, Event{Kind: RequestEvent, Request: f.next, Class: class, Group: 1, Deadline: f.now + f.routers[i].set.Classes[class].Deadline})
 }
 
 // run lets time pass; each millisecond, perMs requests of a class come to routers drawn at random.
@@ -126,7 +126,7 @@
 			o := f.events[0]
 			f.events = f.events[1:]
 			f.now = max(f.now, o.at)
-			if o.ev.Kind == OutcomeEvent || o.ev.Kind == ProbedEvent {
+			if o.ev.Kind == OutcomeEvent || o.ev.Kind == HealthCheckEvent {
 				f.answer(&o.ev)
 			}
 			f.tell(o.to, o.ev)
@@ -143,14 +143,14 @@
 	if ev.Result.Answered() {
 		ev.Role = f.role(ev.Host)
 		ev.Position = f.position(ev.Host)
-		ev.Report = Report{HasPosition: true, HasRole: true, Position: ev.Position, Primary: ev.Role == Primary}
+		ev.Report = HostReport{HasPosition: true, HasRole: true, Position: ev.Position, Primary: ev.Role == Primary}
 	}
 }
 
-func entries(n int) []Entry {
-	var es []Entry
+func entries(n int) []Endpoint {
+	var es []Endpoint
 	for i := range n {
-		es = append(es, Entry{Host: fmt.Sprint("h", i), Group: 1, Phase: Ready, Primary: i == 0})
+		es = append(es, Endpoint{Host: fmt.Sprint("h", i), Group: 1, State: Ready, Primary: i == 0})
 	}
 	return es
 }
@@ -159,7 +159,7 @@
 // few probes are needed. Without their messages every read would ask first, or burden the primary.
 func TestManyRoutersShareWhatTheyHear(t *testing.T) {
 	alone := fleetSettings(80)
-	alone.TellEarn = 0
+	alone.GossipBytesPerRequest = 0
 	var probes [2]int
 	for i, set := range []Settings{fleetSettings(80), alone} {
 		f := newFleet(t, set, entries(5)...)
@@ -207,8 +207,8 @@
 		}
 		return Replica
 	}
-	f.tell(7, Event{Kind: ProbedEvent, Host: "h3", Result: Served, Took: ms,
-		Report: Report{HasPosition: true, HasRole: true, Primary: true, Position: f.now}})
+	f.tell(7, Event{Kind: HealthCheckEvent, Host: "h3", Result: Succeeded, Latency: ms,
+		Report: HostReport{HasPosition: true, HasRole: true, Primary: true, Position: f.now}})
 	f.run(100*ms, recent, 50*ms)
 	for i, r := range f.routers {
 		if p := r.groups[0].primary; p == nil || p.id != "h3" {
@@ -223,7 +223,7 @@
 	f.run(300*ms, recent, 5*ms)
 	r := f.routers[0]
 	pos := r.hosts["h1"].pos
-	r.Handle(f.now, Event{Kind: ListEvent, Entries: []Entry{{Host: "h2", Group: 1, Phase: Gone}}}, nil)
+	r.Handle(f.now, Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: "h2", Group: 1, State: Removed}}}, nil)
 	f.run(200*ms, recent, 5*ms) // the other still hears and tells of it
 	if h := r.hosts["h2"]; h != nil && !h.bound {
 		t.Error("a host that is gone came back by hearsay")
@@ -238,10 +238,10 @@
 	var probes [2]int
 	for i, tick := range []int64{1 * ms, 20 * ms} {
 		set := fleetSettings(1)
-		set.Tick = tick
+		set.TickInterval = tick
 		f := newFleet(t, set, entries(5)...)
 		f.role = func(string) Role { return Replica } // nobody leads
-		f.took = func(string, int) (int64, Result) { return ms, Missed }
+		f.took = func(string, int) (int64, Result) { return ms, NotPrimary }
 		f.ask(0, unsafe)
 		f.run(300*ms, unsafe, 500*ms)
 		probes[i] = f.probes
@@ -259,9 +259,9 @@
 	slow := int64(400 * ms)
 	f.took = func(h string, _ int) (int64, Result) {
 		if h == "h1" {
-			return slow, Served
+			return slow, Succeeded
 		}
-		return 10 * ms, Served
+		return 10 * ms, Succeeded
 	}
 	f.run(3000*ms, recent, 2*ms)
 	r := f.routers[0]
@@ -312,12 +312,12 @@
 		m.share = 1
 	}
 	id := int64(1 << 40)
-	acts := r.Handle(f.now, Event{Kind: RequestEvent, Request: id, Class: recent, Group: 1, Until: f.now + 1000*ms}, nil)
+	acts := r.Handle(f.now, Event{Kind: RequestEvent, Request: id, Class: recent, Group: 1, Deadline: f.now + 1000*ms}, nil)
 	if a := find(acts, SendAction, id); a != nil {
 		t.Fatalf("sent to %s, whose answers take all of their aim", a.Host)
 	}
 	for now := f.now; now < f.now+600*ms; now += 20 * ms {
-		if a := find(r.Handle(now, Event{Kind: TimerEvent}, nil), RefuseAction, id); a != nil {
+		if a := find(r.Handle(now, Event{Kind: TimerEvent}, nil), RejectAction, id); a != nil {
 			if a.RetryAfter < r.set.MaxRetryAfter*7/8 {
 				t.Errorf("refused until in %d ms", a.RetryAfter/ms)
 			}
--- a/balance/news.go
+++ b/balance/gossip.go
@@ -11,18 +11,18 @@
 
 // tell notes what a host itself has told, for the other routers.
 func (r *Router) tell(h *host, position int64, role Role) {
-	r.news.Learn(gossip.Fact{Host: h.id, Position: position, Role: gossip.Role(role)})
+	r.news.Record(gossip.HostFact{Host: h.id, Position: position, Role: gossip.Role(role)})
 }
 
 // weigh takes how much of its aim an attempt of ours took, or will take at the least.
 func (r *Router) weigh(h *host, share float64) {
-	r.news.Sample(h.id, share, false)
+	r.news.RecordLatencyShare(h.id, share, false)
 	r.judge(h, share)
 }
 
 // askAround asks hosts of which the fleet is to hear, on behalf of all.
 func (r *Router) askAround() {
-	for _, id := range r.news.Ask(r.now) {
+	for _, id := range r.news.HostsToCheck(r.now) {
 		if h := r.hosts[id]; h.cond == up {
 			r.probe(h, 1)
 		}
@@ -31,15 +31,15 @@
 
 // tellAll sends what is due to the others.
 func (r *Router) tellAll() {
-	for _, m := range r.news.Due(r.now) {
-		r.act(Action{Kind: TellAction, Peer: m.To, Data: m.Data})
+	for _, m := range r.news.PendingMessages(r.now) {
+		r.act(Action{Kind: GossipAction, Peer: m.To, Data: m.Data})
 	}
 }
 
 // hear takes what another router tells. A role is as old as the position that came with it.
 func (r *Router) hear(peer int, data []byte) {
-	facts := r.news.Hear(r.now, peer, data)
-	if n := r.news.Complaint(r.now); n > 0 {
+	facts := r.news.Receive(r.now, peer, data)
+	if n := r.news.TakeMalformedReport(r.now); n > 0 {
 		r.log(strconv.Itoa(n) + " messages of other routers could not be read")
 	}
 	for _, f := range facts {
@@ -56,9 +56,9 @@
 		}
 		if f.Failing {
 			h.errs += smooth * (1 - h.errs)
-		} else if f.Share > 0 {
+		} else if f.LatencyShare > 0 {
 			h.errs -= smooth * h.errs
-			r.judge(h, f.Share)
+			r.judge(h, f.LatencyShare)
 		}
 		r.dispatch(h.group)
 	}
--- a/balance/work_test.go
+++ b/balance/work_test.go
@@ -9,8 +9,8 @@
 // unequal is a deployment whose reads of any age take fifteen times the work of others.
 func unequal() Settings {
 	set := testSettings()
-	set.HostsCheck, set.Gateways = true, 3
-	set.Classes[loose].Aim, set.Classes[loose].Deadline = 6000*ms, 12000*ms
+	set.HostsCheckStaleness, set.Gateways = true, 3
+	set.Classes[loose].LatencyObjective, set.Classes[loose].Deadline = 6000*ms, 12000*ms
 	return set
 }
 
@@ -37,8 +37,8 @@
 					took *= 15
 				}
 				work[q.at.id] += float64(took)
-				acts = append(acts, g.do(Event{Kind: OutcomeEvent, Request: q.id, Attempt: q.try, Host: q.at.id, Result: Served,
-					Role: q.at.role, Position: g.now, Took: took, Over: true})...)
+				acts = append(acts, g.do(Event{Kind: OutcomeEvent, Request: q.id, Attempt: q.try, Host: q.at.id, Result: Succeeded,
+					Role: q.at.role, Position: g.now, Latency: took, Finished: true})...)
 			}
 		}
 	}
@@ -47,12 +47,12 @@
 	clear(work)
 	e := trio()
 	for i := range e {
-		e[i].Primary, e[i].Born = false, g.now
+		e[i].Primary, e[i].StartedAt = false, g.now
 	}
-	g.do(Event{Kind: ListEvent, Entries: e})
+	g.do(Event{Kind: EndpointsEvent, Endpoints: e})
 	serve(1000*ms, 1)
 	for h, w := range work {
-		if most := warm * (g.r.set.ColdFrom + 0.1) * g.r.set.FallMultiple; w > most {
+		if most := warm * (g.r.set.SlowStartInitialShare + 0.1) * g.r.set.SlowStartOverloadFactor; w > most {
 			t.Errorf("cold %s took %.0f ms of work in a second, %.0f at most", h, w/1e3, most/1e3)
 		}
 	}
@@ -72,28 +72,28 @@
 			g.now += 100 * ms
 			for range 9 { // what is long shows beside the others
 				id, acts := g.ask(recent)
-				g.answer(id, sentTo(acts, id), Served, Replica, g.now)
+				g.answer(id, sentTo(acts, id), Succeeded, Replica, g.now)
 			}
 			id, acts := g.ask(loose)
 			if h := sentTo(acts, id); h != "b" {
 				t.Fatalf("a long read went to %q", h)
 			}
-			g.answer(id, "b", Served, Replica, g.now)
+			g.answer(id, "b", Succeeded, Replica, g.now)
 		}
-		g.do(Event{Kind: ListEvent, Entries: []Entry{{Host: "b", Phase: Draining, Weight: 1}}})
+		g.do(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: "b", State: Draining, Weight: 1}}})
 		if id, acts := g.ask(loose); sentTo(acts, id) != "c" {
 			t.Fatal("the next replica does not take the long reads over")
 		}
 	}
 	set := unequal()
-	set.Classes[loose].Aim = 300 * ms
+	set.Classes[loose].LatencyObjective = 300 * ms
 	g := readyRig(t, set)
 	sent := map[string]int{}
 	for range 100 {
 		g.now += 10 * ms
 		id, acts := g.ask(loose)
 		sent[sentTo(acts, id)]++
-		g.answer(id, sentTo(acts, id), Served, Replica, g.now)
+		g.answer(id, sentTo(acts, id), Succeeded, Replica, g.now)
 	}
 	if sent["b"] < 20 || sent["c"] < 20 {
 		t.Errorf("short reads: %v", sent)
@@ -114,7 +114,7 @@
 		if h := sentTo(acts, id); h == "" || (h == "a") != c.primary {
 			t.Fatalf("%v ms later a read went to %q", c.wait/ms, h)
 		}
-		g.do(Event{Kind: GoneEvent, Request: id})
+		g.do(Event{Kind: ClientDisconnectedEvent, Request: id})
 	}
 }
 
@@ -149,10 +149,18 @@
 		cold     func(*Settings)
 		capacity float64 // of a warm host, requests a second
 	}{
-		{"regina", func(s *Settings) { s.ColdFrom, s.ColdFor, s.FallMultiple, s.FallFor = 0.25, 16000*ms, 4, 1500*ms }, 66},
-		{"karbejelentes", func(s *Settings) { s.ColdFrom, s.ColdFor, s.FallMultiple, s.FallFor = 0.17, 14000*ms, 2.5, 1000*ms }, 40},
-		{"cairo", func(s *Settings) { s.ColdFrom, s.ColdFor, s.FallMultiple, s.FallFor = 0.19, 18000*ms, 3, 1500*ms }, 60},
-		{"a low multiple", func(s *Settings) { s.ColdFrom, s.ColdFor, s.FallMultiple, s.FallFor = 0.15, 20000*ms, 1.5, 800*ms }, 30},
+		{"regina", func(s *Settings) {
+			s.SlowStartInitialShare, s.SlowStartDuration, s.SlowStartOverloadFactor, s.SlowStartOverloadWindow = 0.25, 16000*ms, 4, 1500*ms
+		}, 66},
+		{"karbejelentes", func(s *Settings) {
+			s.SlowStartInitialShare, s.SlowStartDuration, s.SlowStartOverloadFactor, s.SlowStartOverloadWindow = 0.17, 14000*ms, 2.5, 1000*ms
+		}, 40},
+		{"cairo", func(s *Settings) {
+			s.SlowStartInitialShare, s.SlowStartDuration, s.SlowStartOverloadFactor, s.SlowStartOverloadWindow = 0.19, 18000*ms, 3, 1500*ms
+		}, 60},
+		{"a low multiple", func(s *Settings) {
+			s.SlowStartInitialShare, s.SlowStartDuration, s.SlowStartOverloadFactor, s.SlowStartOverloadWindow = 0.15, 20000*ms, 1.5, 800*ms
+		}, 30},
 	} {
 		for _, routers := range []int{1, 3, 20, 30, 80, 300} {
 			t.Run(fmt.Sprintf("%s, %d routers", d.name, routers), func(t *testing.T) {
@@ -166,12 +174,12 @@
 				f.run(8000*ms, loose, every)
 				var sent []int64
 				cold := entries(hosts)[hosts-1]
-				cold.Born = f.now
+				cold.StartedAt = f.now
 				f.took = func(h string, _ int) (int64, Result) {
 					if h == cold.Host {
 						sent = append(sent, f.now)
 					}
-					return 50 * ms, Served
+					return 50 * ms, Succeeded
 				}
 				var late, warm int
 				for i := range f.routers {
@@ -179,12 +187,12 @@
 						late++
 						continue
 					}
-					f.tell(i, Event{Kind: ListEvent, Entries: []Entry{cold}})
+					f.tell(i, Event{Kind: EndpointsEvent, Endpoints: []Endpoint{cold}})
 				}
 				f.run(2000*ms, loose, every)
 				unaware := len(sent) // what those sent that had not been told is not the fleet's fault
 				for i := range f.routers {
-					f.tell(i, Event{Kind: ListEvent, Entries: []Entry{cold}})
+					f.tell(i, Event{Kind: EndpointsEvent, Endpoints: []Endpoint{cold}})
 					if routers >= 3 && i%3 == 1 {
 						f.restart(i, append(entries(hosts)[:hosts-1:hosts-1], cold))
 						warm++
@@ -193,15 +201,15 @@
 				if late+warm > 0 {
 					sent = sent[unaware:]
 				}
-				f.run(set.ColdFor-2000*ms, loose, every)
+				f.run(set.SlowStartDuration-2000*ms, loose, every)
 				worst, first := 0.0, 0
 				for i, at := range sent {
-					for at-sent[first] >= set.FallFor {
+					for at-sent[first] >= set.SlowStartOverloadWindow {
 						first++
 					}
-					from := max(at-set.FallFor, cold.Born)
-					ramp := set.ColdFrom + (1-set.ColdFrom)*float64(from-cold.Born)/float64(set.ColdFor)
-					n := set.FallMultiple * ramp * d.capacity * float64(set.FallFor) / 1e6
+					from := max(at-set.SlowStartOverloadWindow, cold.StartedAt)
+					ramp := set.SlowStartInitialShare + (1-set.SlowStartInitialShare)*float64(from-cold.StartedAt)/float64(set.SlowStartDuration)
+					n := set.SlowStartOverloadFactor * ramp * d.capacity * float64(set.SlowStartOverloadWindow) / 1e6
 					worst = max(worst, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 				}
 				if worst > 0.9 || len(sent) == 0 {
--- a/cmd/cloverrock-lab/fleet.go
+++ b/cmd/cloverrock-lab/fleet.go
@@ -5,14 +5,14 @@
 
 	"github.com/spf13/cobra"
 
-	"cloverrock/internal/lab/fleet"
+	"cloverrock/internal/lab/logstats"
 )
 
 func fleetTable() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{Use: "fleet DIR", Short: "Add up what many gateways logged at debug level, by seconds", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			table, err := fleet.Read(os.DirFS(args[0]))
+			table, err := logstats.Read(os.DirFS(args[0]))
 			if err != nil {
 				return err
 			}
--- a/cmd/cloverrock-lab/many.go
+++ b/cmd/cloverrock-lab/many.go
@@ -3,14 +3,14 @@
 import (
 	"github.com/spf13/cobra"
 
-	"cloverrock/internal/lab/vast"
+	"cloverrock/internal/lab/fleetmodel"
 )
 
 func manyGateways() *cobra.Command {
-	o := vast.Options{Groups: 12, Members: 5, Wave: 0.25, Work: 111}
+	o := fleetmodel.Options{Groups: 12, Members: 5, Wave: 0.25, Work: 111}
 	cmd := &cobra.Command{Use: "many", Short: "Play many gateways before many hosts in one process", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			r, err := vast.Run(o)
+			r, err := fleetmodel.Run(o)
 			if err != nil {
 				return err
 			}
--- a/cmd/cloverrock-lab/sim.go
+++ b/cmd/cloverrock-lab/sim.go
@@ -9,12 +9,12 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/spf13/cobra"
 
-	"cloverrock/internal/lab/sim"
+	"cloverrock/internal/lab/storesim"
 )
 
 func storeSim() *cobra.Command {
 	var seeds, first uint64
-	var o sim.Options
+	var o storesim.Options
 	var path string
 	var trace bool
 	cmd := &cobra.Command{Use: "store-sim", Short: "Play clusters under a simulated network, disk and clock", Args: cobra.NoArgs,
@@ -26,15 +26,15 @@
 				Seed uint64   `json:"seed"`
 				What []string `json:"what"`
 			}
-			var sum sim.Result
+			var sum storesim.Result
 			found := []violation{}
 			for seed := first; seed < first+seeds; seed++ {
-				rand.Reader = sim.Seeded(seed) // raft draws its election times from here
+				rand.Reader = storesim.Seeded(seed) // raft draws its election times from here
 				o.Seed = seed
 				if trace {
 					o.Trace = cmd.ErrOrStderr()
 				}
-				r := sim.Run(o)
+				r := storesim.Run(o)
 				var b [8]byte
 				binary.LittleEndian.PutUint64(b[:], r.Hash)
 				_, _ = hash.Write(b[:])
--- a/cmd/cloverrock/main.go
+++ b/cmd/cloverrock/main.go
@@ -11,11 +11,11 @@
 	"os"
 
 	"cloverrock/internal/app"
-	"cloverrock/internal/handover"
+	"cloverrock/internal/launcher"
 )
 
 func main() {
-	larger := handover.To("cloverrockd")
+	larger := launcher.To("cloverrockd")
 	if err := larger.Completes(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "cloverrock:", err)
 		os.Exit(app.ExitFailed)
--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -9,7 +9,7 @@
 	"os"
 
 	"cloverrock/balance"
-	"cloverrock/internal/wire"
+	"cloverrock/internal/simprotocol"
 )
 
 func main() {
@@ -28,7 +28,7 @@
 func run(in io.Reader, out, diag io.Writer) error {
 	rd := bufio.NewReaderSize(in, 1<<20)
 	wr := bufio.NewWriterSize(out, 1<<20)
-	h := host{codec: wire.NewCodec(), instances: map[int]*instance{}, diag: diag}
+	h := host{codec: simprotocol.NewCodec(), instances: map[int]*instance{}, diag: diag}
 	var long []byte
 	for {
 		line, err := rd.ReadSlice('\n')
@@ -66,7 +66,7 @@
 }
 
 type host struct {
-	codec     *wire.Codec
+	codec     *simprotocol.Codec
 	instances map[int]*instance
 	diag      io.Writer
 	now       int64
@@ -79,12 +79,12 @@
 
 // line takes one line and reports whether it ended a batch.
 func (h *host) line(b []byte) bool {
-	f := wire.Split(b)
+	f := simprotocol.Split(b)
 	switch string(f.Word) {
 	case "end":
 		return true
 	case "turn":
-		now, err := wire.Turn(f)
+		now, err := simprotocol.Turn(f)
 		if err != nil {
 			h.complain(err)
 			return false
@@ -102,14 +102,14 @@
 		}
 		return false
 	}
-	who, err := wire.Instance(f)
+	who, err := simprotocol.Instance(f)
 	if err != nil {
 		h.complain(err)
 		return false
 	}
 	switch string(f.Word) {
 	case "start":
-		settings, seed, base, err := wire.Start(f)
+		settings, seed, base, err := simprotocol.Start(f)
 		if err == nil {
 			var r *balance.Router
 			if r, err = balance.New(settings, seed); err == nil {
@@ -130,7 +130,7 @@
 		return false
 	}
 	if err := h.codec.Event(f, inst.base, &h.ev); err != nil {
-		if !errors.Is(err, wire.ErrUnknown) {
+		if !errors.Is(err, simprotocol.ErrUnknown) {
 			h.complain(err)
 		}
 		return false
@@ -144,11 +144,11 @@
 	defer func() {
 		if p := recover(); p != nil {
 			delete(h.instances, who)
-			h.reply = wire.AppendException(h.reply, who, fmt.Sprint("panic: ", p))
+			h.reply = simprotocol.AppendException(h.reply, who, fmt.Sprint("panic: ", p))
 		}
 	}()
 	h.acts = inst.router.Handle(h.now, h.ev, h.acts[:0])
 	for i := range h.acts {
-		h.reply = wire.AppendAction(h.reply, who, &h.acts[i])
+		h.reply = simprotocol.AppendAction(h.reply, who, &h.acts[i])
 	}
 }
--- a/internal/accord/accord.go
+++ b/internal/agreement/agreement.go
@@ -11,7 +11,7 @@
 // the loser's value may have been in force at some for a moment. So it is for what does no harm in either form, such as
 // how much of a zone is used; what must be true of one alone belongs in the store. Nothing here does I/O, reads a clock
 // or starts anything.
-package accord
+package agreement
 
 import (
 	"encoding/binary"
@@ -19,14 +19,14 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cloverrock/internal/replica"
+	"cloverrock/internal/crdt"
 )
 
 // Config describes how a fleet agrees. Times are microseconds.
 type Config struct {
 	Self     string
-	Votes    replica.Kind
-	Decided  replica.Kind
+	Votes    crdt.Kind
+	Decided  crdt.Kind
 	Delay    int64 // from a proposal to its effect: longer than news takes to reach nearly all
 	Turn     int64 // how long the next in rank waits for the one before it to propose
 	Fresh    int64 // how long a vote counts
@@ -65,7 +65,7 @@
 
 var errShort = errors.New("accord: a decision that is too short")
 
-func decode(e *replica.Entry) (Decision, error) {
+func decode(e *crdt.Entry) (Decision, error) {
 	b := e.Value
 	if len(b) == 0 || len(b) < 1+2*int(b[0])+8 {
 		return Decision{}, errShort
@@ -84,7 +84,7 @@
 // Council is a gateway's view of what its fleet agrees on. It is not safe for concurrent use.
 type Council struct {
 	conf   Config
-	state  *replica.State
+	state  *crdt.State
 	wanted map[string]wish
 	late   Lateness
 }
@@ -103,7 +103,7 @@
 }
 
 // New returns a council over a state.
-func New(conf Config, state *replica.State) *Council {
+func New(conf Config, state *crdt.State) *Council {
 	return &Council{conf: conf, state: state, wanted: map[string]wish{}}
 }
 
@@ -111,10 +111,10 @@
 func (c *Council) Lateness() Lateness { return c.late }
 
 // Vote says what this gateway sees, if that is new or was said long ago; the entry is to be told to the others.
-func (c *Council) Vote(now int64, topic string, body []byte) (replica.Entry, bool) {
-	old, ok := c.state.Get(replica.Key{Kind: c.conf.Votes, Name: topic, Origin: c.conf.Self})
+func (c *Council) Vote(now int64, topic string, body []byte) (crdt.Entry, bool) {
+	old, ok := c.state.Get(crdt.Key{Kind: c.conf.Votes, Name: topic, Origin: c.conf.Self})
 	if ok && string(old.Value) == string(body) && now-old.Stamp < c.conf.Fresh/2 {
-		return replica.Entry{}, false
+		return crdt.Entry{}, false
 	}
 	return c.state.Put(now, c.conf.Votes, topic, body), true
 }
@@ -123,7 +123,7 @@
 // time. Else a fleet that is cut in two would, while it finds that out one member at a time, count itself a majority
 // of those that are left, with their votes alone.
 func (c *Council) Votes(now int64, topic string, members Roll) (votes []Vote) {
-	c.state.Each(c.conf.Votes, topic, func(e *replica.Entry) bool {
+	c.state.Each(c.conf.Votes, topic, func(e *crdt.Entry) bool {
 		if alive, ok := members[e.Origin]; ok && (alive || c.conf.Majority) && now-e.Stamp < c.conf.Fresh {
 			votes = append(votes, Vote{e.Origin, e.Value})
 		}
@@ -139,7 +139,7 @@
 
 // Latest is the decision of the highest epoch that is known, in force or not yet.
 func (c *Council) Latest(topic string) (Decision, bool) {
-	e, ok := c.state.Get(replica.Key{Kind: c.conf.Decided, Name: topic})
+	e, ok := c.state.Get(crdt.Key{Kind: c.conf.Decided, Name: topic})
 	if !ok {
 		return Decision{}, false
 	}
@@ -162,10 +162,10 @@
 // Propose is told what this gateway holds to be due, and that it is due no more by calling Settle. It proposes when its turn
 // has come: the first in the rank of the members that are alive at once, the others one after the other, so that mostly one
 // does. The entry is to be told to the others.
-func (c *Council) Propose(now int64, topic string, choice, none []byte, members Roll) (replica.Entry, bool) {
+func (c *Council) Propose(now int64, topic string, choice, none []byte, members Roll) (crdt.Entry, bool) {
 	d, ok := c.Latest(topic)
 	if ok && now < d.From || !c.Majority(members) {
-		return replica.Entry{}, false // one at a time
+		return crdt.Entry{}, false // one at a time
 	}
 	previous, epoch := none, d.Epoch+1
 	if ok {
@@ -177,7 +177,7 @@
 		c.wanted[topic] = w
 	}
 	if now < w.since+int64(c.rank(topic, epoch, members))*c.conf.Turn {
-		return replica.Entry{}, false
+		return crdt.Entry{}, false
 	}
 	delete(c.wanted, topic)
 	next := Decision{Epoch: epoch, Choice: choice, Previous: previous, From: now + c.conf.Delay, By: c.conf.Self}
@@ -203,7 +203,7 @@
 }
 
 // Heard takes note of entries that changed what is known, and returns the decisions among them, each with how late it came.
-func (c *Council) Heard(now int64, changed []replica.Entry) (news []Decision) {
+func (c *Council) Heard(now int64, changed []crdt.Entry) (news []Decision) {
 	for i := range changed {
 		if changed[i].Kind != c.conf.Decided {
 			continue
@@ -223,10 +223,10 @@
 
 // Again says once more what was agreed on, so that it outlives the time for which an entry counts; only while more than
 // half of the members are seen. Without that it holds for Hold and is then forgotten.
-func (c *Council) Again(now int64, topic string, members Roll) (replica.Entry, bool) {
-	e, ok := c.state.Get(replica.Key{Kind: c.conf.Decided, Name: topic})
+func (c *Council) Again(now int64, topic string, members Roll) (crdt.Entry, bool) {
+	e, ok := c.state.Get(crdt.Key{Kind: c.conf.Decided, Name: topic})
 	if !ok || now-e.Stamp < c.conf.Hold/2 || !c.Majority(members) {
-		return replica.Entry{}, false
+		return crdt.Entry{}, false
 	}
 	return c.state.Decide(now, c.conf.Decided, topic, e.Sequence, e.Value), true
 }
--- a/internal/accord/accord_test.go
+++ b/internal/agreement/agreement_test.go
@@ -1,4 +1,4 @@
-package accord
+package agreement
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"cloverrock/internal/replica"
+	"cloverrock/internal/crdt"
 )
 
 const (
@@ -18,9 +18,9 @@
 
 var none = []byte{100, 100}
 
-func council(name string) (*Council, *replica.State) {
-	s := replica.New(replica.Config{Self: name, Incarnation: 1, Ahead: 5 * second, Forms: map[replica.Kind]replica.Form{
-		1: {Name: "votes", Rule: replica.Newest, Keep: 60 * second, Most: 16}, 2: {Name: "decided", Rule: replica.Decided, Keep: 600 * second, Most: 64}}})
+func council(name string) (*Council, *crdt.State) {
+	s := crdt.New(crdt.Config{Self: name, Incarnation: 1, Ahead: 5 * second, Forms: map[crdt.Kind]crdt.Form{
+		1: {Name: "votes", Rule: crdt.Newest, Keep: 60 * second, Most: 16}, 2: {Name: "decided", Rule: crdt.Decided, Keep: 600 * second, Most: 64}}})
 	return New(Config{Self: name, Votes: 1, Decided: 2, Delay: second, Turn: second / 5, Fresh: 30 * second, Hold: 600 * second, Majority: true}, s), s
 }
 
@@ -38,12 +38,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "gateways")
 		var councils []*Council
-		var states []*replica.State
+		var states []*crdt.State
 		for i := range n {
 			c, s := council(fmt.Sprint("n", i))
 			councils, states = append(councils, c), append(states, s)
 		}
-		var said []replica.Entry
+		var said []crdt.Entry
 		made := map[string]bool{}
 		members := roll(n, 0)
 		now := start
--- /dev/null
+++ b/internal/agreement/decisions_test.go
@@ -0,0 +1,171 @@
+package agreement_test
+
+import (
+	"math/rand/v2"
+	"strconv"
+	"testing"
+
+	"cloverrock/internal/agreement"
+	"cloverrock/internal/crdt"
+	"cloverrock/internal/golden"
+)
+
+// This file holds the decisions of the package as they are: a storm of calls, always the same one, is played, and a hash of
+// all that is answered is compared with the one in testdata/decisions.txt. A change that is to leave all decisions alone
+// leaves the hashes alone. One that means to change decisions runs the test with -update and says why.
+
+const goldenFile = "decisions.txt"
+
+const (
+	topic  = "topic"
+	second = int64(1e6)
+)
+
+var (
+	kindVotes   crdt.Kind = 1
+	kindDecided crdt.Kind = 2
+	none                  = []byte{100, 100}
+)
+
+// member is one gateway of the storm.
+type member struct {
+	name    string
+	state   *crdt.State
+	council *agreement.Council
+}
+
+type fleet struct {
+	random  *rand.Rand
+	now     int64
+	members []*member
+	answers *golden.Hash
+}
+
+func newFleet(majority bool, seed uint64) *fleet {
+	f := &fleet{random: rand.New(rand.NewPCG(2026, seed)), now: 1_700_000_000 * second, answers: golden.NewHash()}
+	forms := map[crdt.Kind]crdt.Form{kindVotes: {Name: "votes", Rule: crdt.Newest, Keep: 60 * second, Most: 16},
+		kindDecided: {Name: "decided", Rule: crdt.Decided, Keep: 20 * second, Most: 64}}
+	for i := range 5 {
+		name := "n" + strconv.Itoa(i)
+		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, Ahead: 5 * second, Forms: forms})
+		council := agreement.New(agreement.Config{Self: name, Votes: kindVotes, Decided: kindDecided, Delay: second, Turn: second / 5,
+			Fresh: 5 * second, Hold: 20 * second, Majority: majority}, state)
+		f.members = append(f.members, &member{name, state, council})
+	}
+	return f
+}
+
+func (f *fleet) entry(entry crdt.Entry) {
+	f.answers.Numbers(int64(entry.Kind), int64(entry.Incarnation), int64(entry.Sequence), entry.Stamp)
+	f.answers.Text(entry.Name)
+	f.answers.Text(entry.Origin)
+	f.answers.Bool(entry.Dead)
+	f.answers.Text(string(entry.Value))
+}
+
+func (f *fleet) decision(decision agreement.Decision) {
+	f.answers.Numbers(int64(decision.Epoch), decision.From)
+	f.answers.Text(string(decision.Choice))
+	f.answers.Text(string(decision.Previous))
+	f.answers.Text(decision.By)
+}
+
+// tell writes down an entry that is to be told, and has most others hear it.
+func (f *fleet) tell(from *member, entry crdt.Entry, ok bool) {
+	f.answers.Bool(ok)
+	if !ok {
+		return
+	}
+	f.entry(entry)
+	for _, other := range f.members {
+		if other != from && f.random.IntN(10) < 8 {
+			f.hear(other, entry)
+		}
+	}
+}
+
+func (f *fleet) hear(m *member, entry crdt.Entry) {
+	for _, decision := range m.council.Heard(f.now+int64(f.random.IntN(int(2*second))), m.state.Merge(f.now, entry)) {
+		f.decision(decision)
+	}
+	late := m.council.Lateness()
+	f.answers.Numbers(int64(late.Heard), int64(late.Late), late.Most)
+}
+
+func (f *fleet) roll(m *member) agreement.Roll {
+	roll := agreement.Roll{}
+	for _, other := range f.members {
+		if f.random.IntN(20) > 0 {
+			roll[other.name] = other == m || f.random.IntN(10) < 7
+		}
+	}
+	return roll
+}
+
+// ask writes down what a member says when asked.
+func (f *fleet) ask(m *member, members agreement.Roll) {
+	for _, vote := range m.council.Votes(f.now, topic, members) {
+		f.answers.Text(vote.Name)
+		f.answers.Text(string(vote.Body))
+	}
+	f.answers.Numbers(int64(members.Alive()))
+	f.answers.Bool(m.council.Majority(members))
+	decision, ok := m.council.Latest(topic)
+	f.answers.Bool(ok)
+	f.decision(decision)
+	choice, epoch := m.council.InForce(f.now, topic, none)
+	f.answers.Text(string(choice))
+	f.answers.Numbers(int64(epoch))
+}
+
+func (f *fleet) step() {
+	f.now += int64(f.random.IntN(int(second / 10)))
+	m := f.members[f.random.IntN(len(f.members))]
+	if decision, ok := m.council.Latest(topic); ok && f.now < decision.From && f.random.IntN(20) == 0 {
+		f.now = decision.From // the very moment of its effect
+		f.ask(m, f.roll(m))
+	}
+	members := f.roll(m)
+	choice := []byte{byte(f.now / (3 * second) % 3), byte(f.random.IntN(8) / 7)}
+	switch f.random.IntN(12) {
+	case 0, 1:
+		entry, ok := m.council.Vote(f.now, topic, choice[:1])
+		f.tell(m, entry, ok)
+	case 2, 3, 4, 5:
+		if f.now/(60*second)%2 == 1 {
+			return // a calm minute, in which nothing is due
+		}
+		entry, ok := m.council.Propose(f.now, topic, choice, none, members)
+		f.tell(m, entry, ok)
+	case 6:
+		entry, ok := m.council.Again(f.now, topic, members)
+		f.tell(m, entry, ok)
+	case 7:
+		if f.random.IntN(5) == 0 {
+			m.council.Settle(topic)
+		}
+	case 8:
+		m.state.Upkeep(f.now)
+	case 9: // what is no decision, for a topic of its own
+		broken := crdt.Entry{Kind: kindDecided, Name: "broken", Sequence: uint64(f.random.IntN(9)), Stamp: f.now, Value: []byte{9, 9}}
+		f.hear(m, broken)
+	default:
+		f.ask(m, members)
+	}
+	if f.random.IntN(1000) == 0 {
+		f.now += 15 * second
+	}
+}
+
+// What a fleet agrees on, and who proposes it when, stays as it was when the golden file was written.
+func TestDecisionsStayTheSame(t *testing.T) {
+	var lines []string
+	for i, majority := range []bool{true, false} {
+		f := newFleet(majority, uint64(i))
+		for range 20000 {
+			f.step()
+		}
+		lines = append(lines, []string{"majority ", "any "}[i]+f.answers.String())
+	}
+	golden.CheckLines(t, goldenFile, lines)
+}
--- a/internal/accord/golden_test.go
+++ b/internal/agreement/golden_test.go
@@ -1,4 +1,4 @@
-package accord
+package agreement
 
 import (
 	"encoding/hex"
@@ -7,8 +7,8 @@
 	"reflect"
 	"testing"
 
+	"cloverrock/internal/crdt"
 	"cloverrock/internal/golden"
-	"cloverrock/internal/replica"
 )
 
 // A decision has the same bytes as ever, and they are read as what was agreed on.
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		read, err := decode(&replica.Entry{Sequence: test.made.Epoch, Value: value})
+		read, err := decode(&crdt.Entry{Sequence: test.made.Epoch, Value: value})
 		if err != nil || !reflect.DeepEqual(read, test.made) {
 			t.Errorf("%s is read as %v, %v", test.name, read, err)
 		}
@@ -44,8 +44,8 @@
 func TestGoldenEntriesAndRanks(t *testing.T) {
 	c, _ := council("n0")
 	var cases []golden.Case
-	add := func(name string, entry replica.Entry, told bool) {
-		b, err := replica.Encode(&replica.Message{Entries: []replica.Entry{entry}})
+	add := func(name string, entry crdt.Entry, told bool) {
+		b, err := crdt.Encode(&crdt.Message{Entries: []crdt.Entry{entry}})
 		if err != nil || !told {
 			t.Fatal(name, err, told)
 		}
--- a/internal/app/commands.go
+++ b/internal/app/commands.go
@@ -24,7 +24,7 @@
 const (
 	ExitFailed      = 1
 	ExitUsage       = 2
-	ExitRefused     = 3 // the store does not do it: not allowed, or changed meanwhile
+	ExitRejected    = 3 // the store does not do it: not allowed, or changed meanwhile
 	ExitUnavailable = 4 // no instance of the store answers
 	ExitDamaged     = 5 // a file of the store is damaged
 )
@@ -39,15 +39,15 @@
 type Extension interface {
 	Commands(getenv func(string) string) []*cobra.Command
 	Check(path string) error
-	Open(path string, getenv func(string) string, log zerolog.Logger) (Part, error)
+	Open(path string, getenv func(string) string, log zerolog.Logger) (Component, error)
 	ExitCode(error) int
 }
 
-// Part runs beside the gateway, which never waits for it.
-type Part interface {
-	Configured(*config.Config) *config.Config // puts what it holds over the configuration, before the start
-	Attach(Gateway)                           // the gateway is there
-	Reread() (*config.Config, error)          // reads the configuration again
+// Component runs beside the gateway, which never waits for it.
+type Component interface {
+	OverlayConfig(*config.Config) *config.Config // puts what it holds over the configuration, before the start
+	Attach(Gateway)                              // the gateway is there
+	ReloadConfig() (*config.Config, error)       // reads the configuration again
 	Close()
 }
 
@@ -56,13 +56,13 @@
 	// Reload goes over to a configuration and names the keys that need a restart.
 	Reload(conf *config.Config, err error) (restart []string, ok bool)
 	// Learned is what the gateway knows, and its list of hosts.
-	Learned() (balance.Facts, discovery.List, bool)
+	Snapshot() (balance.Snapshot, discovery.EndpointList, bool)
 	// Believe gives it what another has learned, and a list if that is younger than its own; nil: none.
-	Believe(balance.Facts, *discovery.List)
+	Restore(balance.Snapshot, *discovery.EndpointList)
 	// Watch has f told how each attempt and probe ended, on the gateway's own goroutine: it may not wait.
-	Watch(f func(host string, class int, o gateway.Outcome))
+	ObserveOutcomes(f func(host string, class int, o gateway.Outcome))
 	// Follow has the gateway go by what a fleet agrees on.
-	Follow(balance.View)
+	SetZoneShares(balance.ZoneShares)
 }
 
 // Main carries out a command and returns the exit code.
@@ -160,13 +160,13 @@
 	signals := make(chan os.Signal, 8) // room, so that a SIGTERM behind some SIGHUPs is not dropped
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	var part Part
+	var part Component
 	if path != "" {
 		if part, err = ext.Open(path, getenv, log); err != nil {
 			return err
 		}
 		defer part.Close()
-		conf = part.Configured(conf)
+		conf = part.OverlayConfig(conf)
 	}
 	s, err := newServer(conf, patience{silence, resting, listing}, part != nil, log)
 	if err != nil {
@@ -176,7 +176,7 @@
 	reread := func() (*config.Config, error) { return config.Reload(getenv) }
 	if part != nil {
 		part.Attach(s)
-		reread = part.Reread
+		reread = part.ReloadConfig
 	}
 	go s.signals(signals, reread)
 	log.Info().Str("version", Version()).Str("listen", s.loop.Address()).Msg("serving")
--- a/internal/app/counts.go
+++ b/internal/app/counts.go
@@ -20,8 +20,8 @@
 		return
 	}
 	hosts := map[string]*tally{}
-	s.gateway.Watch(func(host string, class int, o gateway.Outcome) {
-		if class == gateway.ProbeClass {
+	s.gateway.ObserveOutcomes(func(host string, class int, o gateway.Outcome) {
+		if class == gateway.HealthCheckClass {
 			return
 		}
 		if hosts[host] == nil {
@@ -38,9 +38,9 @@
 		for h, n := range hosts {
 			attempts.Ints(h, []int{n.served, n.errored, n.timedOut, n.other, n.ms / max(n.served, 1)})
 		}
-		e := s.log.Debug().Int("requests", c.Requests-last.Requests).Int("refused", c.Refused-last.Refused).Int("failed", c.Failed-last.Failed).
-			Int("again", c.Again-last.Again).Int("probes", c.Probes-last.Probes).Int("probes_failed", c.ProbesFailed-last.ProbesFailed).
-			Int("told", c.Told-last.Told).Int("told_bytes", c.ToldBytes-last.ToldBytes).Int("heard", c.Heard-last.Heard).
+		e := s.log.Debug().Int("requests", c.Requests-last.Requests).Int("refused", c.Rejected-last.Rejected).Int("failed", c.Failed-last.Failed).
+			Int("again", c.Retries-last.Retries).Int("probes", c.HealthChecks-last.HealthChecks).Int("probes_failed", c.HealthChecksFailed-last.HealthChecksFailed).
+			Int("told", c.GossipSent-last.GossipSent).Int("told_bytes", c.GossipBytesSent-last.GossipBytesSent).Int("heard", c.GossipReceived-last.GossipReceived).
 			Int("dials", d-dials).Int("dials_failed", b-broken)
 		for i, name := range results {
 			if n := c.Outcomes[i] - last.Outcomes[i]; n > 0 {
@@ -50,9 +50,9 @@
 		e.Dict("attempts", attempts).Msg(CountsMessage)
 		last, dials, broken = c, d, b
 		clear(hosts)
-		s.loop.At(s.loop.Now()+countEvery, again)
+		s.loop.CallAt(s.loop.Now()+countEvery, again)
 	}
-	s.loop.At(s.loop.Now()+countEvery, again)
+	s.loop.CallAt(s.loop.Now()+countEvery, again)
 }
 
 // tally is what became of a second's attempts at one host.
@@ -60,10 +60,10 @@
 
 func (t *tally) add(o gateway.Outcome) {
 	switch o.Result {
-	case balance.Served:
+	case balance.Succeeded:
 		t.served++
-		t.ms += int(o.Took / 1000)
-	case balance.Errored:
+		t.ms += int(o.Latency / 1000)
+	case balance.Failed:
 		t.errored++
 	case balance.TimedOut:
 		t.timedOut++
--- a/internal/app/serve_test.go
+++ b/internal/app/serve_test.go
@@ -207,7 +207,7 @@
 
 // An empty query is answered as such only once the list is known.
 func TestReadyOnceListed(t *testing.T) {
-	r := start(t, 0, func(c *config.Config) { c.Known = nil })
+	r := start(t, 0, func(c *config.Config) { c.KnownEndpoints = nil })
 	cl := r.connect()
 	cl.query("")
 	cl.want("error " + pgwire.CodeCannotConnectNow)
@@ -383,7 +383,7 @@
 			r.do(func() {
 				if c.first > 0 {
 					cl.write(c.sent[:c.first])
-					for began := time.Now(); r.s.frontend.Quiet() && time.Since(began) < limit; { // until it is there
+					for began := time.Now(); r.s.frontend.InputDrained() && time.Since(began) < limit; { // until it is there
 					}
 				}
 				r.s.shut()
@@ -420,7 +420,7 @@
 func (alone) Commands(func(string) string) []*cobra.Command { return nil }
 func (alone) Check(string) error                            { return nil }
 func (alone) ExitCode(error) int                            { return ExitFailed }
-func (alone) Open(string, func(string) string, zerolog.Logger) (Part, error) {
+func (alone) Open(string, func(string) string, zerolog.Logger) (Component, error) {
 	return nil, errors.New("no such part")
 }
 
@@ -472,13 +472,13 @@
 }
 
 func (r *rig) owed() (owed bool) {
-	r.do(func() { owed = r.s.gateway.Owed() > 0 })
+	r.do(func() { owed = r.s.gateway.InFlight() > 0 })
 	return owed
 }
 
 // unread tells whether a client has left more unread than its next command may find.
 func (r *rig) unread() (unread bool) {
-	r.do(func() { unread = r.s.frontend.Unread() > 64<<10 })
+	r.do(func() { unread = r.s.frontend.UnsentBytes() > 64<<10 })
 	return unread
 }
 
@@ -705,7 +705,7 @@
 	}
 	a.line(`{"generation":9,"reset":true,"instances":[]}`)
 	for known := 2; known > 0; {
-		r.do(func() { known = r.s.pool.Known() })
+		r.do(func() { known = r.s.pool.KnownHosts() })
 	}
 }
 
@@ -829,7 +829,7 @@
 			cl.query(text(writeText, 1))
 			r.hosts[0].next().answer("v")
 			cl.want("value v")
-			r.do(func() { r.s.frontend.End(r.s.loop.Stop) })
+			r.do(func() { r.s.frontend.Shutdown(r.s.loop.Stop) })
 			for id := range 50 { // a reset would fail one of these
 				cl.query(text(writeText, 10+id))
 			}
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -13,9 +13,9 @@
 	"cloverrock/internal/backend"
 	"cloverrock/internal/config"
 	"cloverrock/internal/discovery"
+	"cloverrock/internal/eventloop"
 	"cloverrock/internal/frontend"
 	"cloverrock/internal/gateway"
-	"cloverrock/internal/loop"
 	"cloverrock/internal/peer"
 )
 
@@ -40,21 +40,21 @@
 type server struct {
 	conf     *config.Config
 	log      zerolog.Logger
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	gateway  *gateway.Gateway
 	pool     *backend.Pool
 	frontend *frontend.Server
 	watch    *discovery.Watch
 	overlap  int64
 	draining bool
-	list     discovery.List // all that is listed now
+	list     discovery.EndpointList // all that is listed now
 }
 
 // clock lends the loop's clock to the gateway.
-type clock struct{ *loop.Loop }
+type clock struct{ *eventloop.Loop }
 
-// Call implements gateway.Clock.
-func (c clock) Call(at int64, f func()) { c.At(at, f) }
+// CallAt implements gateway.Clock.
+func (c clock) CallAt(at int64, f func()) { c.Loop.CallAt(at, f) }
 
 // patience is how long clients may be silent, and rest, and how long discovery's own agent may take to tell the list
 // before the known one is gone by; 0: not at all.
@@ -71,47 +71,47 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &server{conf: conf, log: log, loop: loop.New(conf.Sockets, conf.MemoryMB<<20/16, log), overlap: overlap}
+	s := &server{conf: conf, log: log, loop: eventloop.New(conf.Sockets, conf.MemoryMB<<20/16, log), overlap: overlap}
 	s.gateway = gateway.New(router, clock{s.loop}, log)
 	free := conf.Sockets - reserved
 	clients := free * 11 / 20
 	s.frontend = frontend.New(s.loop, s.gateway, conf.Classes, frontend.Limits{
-		Connections: clients, Asked: max(conf.Sockets/4, 1), Bytes: conf.MemoryMB << 20 / 8, Silence: p.silence, Resting: p.resting,
+		Connections: clients, ActiveConnections: max(conf.Sockets/4, 1), Bytes: conf.MemoryMB << 20 / 8, MessageTimeout: p.silence, IdleTimeout: p.resting,
 	}, log)
 	s.pool = backend.New(s.loop, s.gateway, backend.Limits{
 		DialTimeout: conf.Settings.DialTimeout, IdleClose: conf.IdleClose, Connections: free - clients, Bytes: conf.MemoryMB << 20 / 8,
 	}, log.Sample(&zerolog.BurstSampler{Burst: 20, Period: time.Second})) // a host that only fails fills no log
-	generation, known := int64(0), conf.Known != nil
+	generation, known := int64(0), conf.KnownEndpoints != nil
 	if known {
-		generation = conf.Known.Generation
+		generation = conf.KnownEndpoints.Generation
 	}
 	// Where an agent on this machine holds the list, all that it holds counts as told from the first moment: the whole
 	// list is asked for, and the known one, which may be older, is gone by only if no answer comes.
-	asks := known && !conf.Settings.Subscribe && p.list > 0
+	asks := known && !conf.Settings.MustSubscribe && p.list > 0
 	s.watch = discovery.New(s.loop, discovery.Config{
-		Address: conf.Discovery, Names: conf.Names, Generation: generation, Known: known, Whole: asks || !known && !conf.Settings.Subscribe,
-		Retry: discovery.NewRetry(conf.Gateways, conf.Settings.Subscribe, conf.Seed),
-		Told:  s.listed, Failed: func(*discovery.WatchError) { s.gateway.ListFailed() }, Log: log,
+		Address: conf.Discovery, Names: conf.Names, Generation: generation, HasEndpoints: known, PollFirst: asks || !known && !conf.Settings.MustSubscribe,
+		Backoff: discovery.NewBackoff(conf.Gateways, conf.Settings.MustSubscribe, conf.Seed),
+		Updated: s.listed, Failed: func(*discovery.WatchError) { s.gateway.EndpointsPollFailed() }, Log: log,
 	})
 	peers := &peer.Peers{}
 	s.gateway.Connect(s.pool, s.watch, peers)
-	if err := s.loop.Start(conf.Listen, clients+frontend.Surplus, s.frontend.Accept); err != nil {
+	if err := s.loop.Start(conf.Listen, clients+frontend.OverflowConnections, s.frontend.Accept); err != nil {
 		return nil, err
 	}
-	opened, err := peer.Open(s.loop, conf.Peer, s.gateway.Heard, log)
+	opened, err := peer.Open(s.loop, conf.Peer, s.gateway.GossipReceived, log)
 	if err != nil {
 		return nil, err
 	}
 	*peers = *opened
 	if asks {
-		s.loop.At(s.loop.Now()+p.list, func() {
+		s.loop.CallAt(s.loop.Now()+p.list, func() {
 			if !s.gateway.Ready() {
-				log.Warn().Int64("generation", conf.Known.Generation).Msg("discovery does not answer: going on from the known list")
-				s.listed(*conf.Known)
+				log.Warn().Int64("generation", conf.KnownEndpoints.Generation).Msg("discovery does not answer: going on from the known list")
+				s.listed(*conf.KnownEndpoints)
 			}
 		})
 	} else if known {
-		s.listed(*conf.Known)
+		s.listed(*conf.KnownEndpoints)
 	}
 	s.watch.Subscribe()
 	s.count()
@@ -119,23 +119,23 @@
 }
 
 // listed takes a list: addresses first, so that what the module sends at once finds its way.
-func (s *server) listed(l discovery.List) {
+func (s *server) listed(l discovery.EndpointList) {
 	var gone []string
-	for _, e := range l.Entries {
-		if e.Phase == balance.Gone {
+	for _, e := range l.Endpoints {
+		if e.State == balance.Removed {
 			gone = append(gone, e.Host)
 		}
 	}
 	s.list.Merge(l)
-	s.pool.List(l.Addresses, gone, l.Full)
-	s.gateway.Listed(l.Entries, l.Full)
+	s.pool.UpdateEndpoints(l.Addresses, gone, l.Complete)
+	s.gateway.EndpointsUpdated(l.Endpoints, l.Complete)
 }
 
-// Learned implements Gateway.
-func (s *server) Learned() (f balance.Facts, l discovery.List, ok bool) {
+// Snapshot implements Gateway.
+func (s *server) Snapshot() (f balance.Snapshot, l discovery.EndpointList, ok bool) {
 	done := make(chan struct{})
 	s.loop.Post(func() {
-		f, l = s.gateway.Facts(), s.list.Clone()
+		f, l = s.gateway.Snapshot(), s.list.Clone()
 		close(done)
 	})
 	select {
@@ -146,29 +146,31 @@
 	}
 }
 
-// Believe implements Gateway. A list that is older than what discovery has told meanwhile is passed over.
-func (s *server) Believe(f balance.Facts, l *discovery.List) {
+// Restore implements Gateway. A list that is older than what discovery has told meanwhile is passed over.
+func (s *server) Restore(f balance.Snapshot, l *discovery.EndpointList) {
 	s.loop.Post(func() {
-		switch known := s.conf.Known; {
+		switch known := s.conf.KnownEndpoints; {
 		case l == nil:
 		case known != nil && !s.gateway.Ready(): // discovery is being asked, and goes before both
 			if l.Generation > known.Generation {
-				s.conf.Known = l
+				s.conf.KnownEndpoints = l
 			}
 		case l.Generation > s.list.Generation:
 			s.listed(*l)
 		}
-		s.gateway.Believe(f)
+		s.gateway.Restore(f)
 	})
 }
 
-// Watch implements Gateway.
-func (s *server) Watch(f func(host string, class int, o gateway.Outcome)) {
-	s.loop.Post(func() { s.gateway.Watch(f) })
+// ObserveOutcomes implements Gateway.
+func (s *server) ObserveOutcomes(f func(host string, class int, o gateway.Outcome)) {
+	s.loop.Post(func() { s.gateway.ObserveOutcomes(f) })
 }
 
-// Follow implements Gateway.
-func (s *server) Follow(v balance.View) { s.loop.Post(func() { s.gateway.Follow(v) }) }
+// SetZoneShares implements Gateway.
+func (s *server) SetZoneShares(v balance.ZoneShares) {
+	s.loop.Post(func() { s.gateway.SetZoneShares(v) })
+}
 
 // signals follows the operators' signals until the program ends.
 func (s *server) signals(c <-chan os.Signal, reread func() (*config.Config, error)) {
@@ -201,12 +203,12 @@
 		s.log.Error().Err(err).Msg("reload: the running configuration stays")
 		return nil
 	}
-	keys := s.conf.Fixed(conf)
+	keys := s.conf.RestartOnlyChanges(conf)
 	if len(keys) > 0 {
 		s.log.Warn().Strs("keys", keys).Msg("reload: these keys need a restart; they stay as they were")
 	}
 	s.log.Info().Str("discovery", conf.Discovery).Msg("reloaded")
-	s.watch.Move(conf.Discovery)
+	s.watch.SetAddress(conf.Discovery)
 	return keys
 }
 
@@ -216,13 +218,13 @@
 		return
 	}
 	s.draining = true
-	s.log.Info().Int("owed", s.gateway.Owed()).Int64("unread", s.frontend.Unread()).Msg("told to end")
+	s.log.Info().Int("owed", s.gateway.InFlight()).Int64("unread", s.frontend.UnsentBytes()).Msg("told to end")
 	now := s.loop.Now()
-	s.loop.At(now+s.overlap, s.shut)
-	s.loop.At(now+s.overlap+s.conf.LongestDeadline+grace, s.loop.Stop)
+	s.loop.CallAt(now+s.overlap, s.shut)
+	s.loop.CallAt(now+s.overlap+s.conf.LongestDeadline+grace, s.loop.Stop)
 }
 
 // shut ends the overlap: nothing new is taken any more but what the system has accepted already.
 func (s *server) shut() {
-	s.loop.StopListening(func() { s.frontend.End(s.loop.Stop) })
+	s.loop.StopListening(func() { s.frontend.Shutdown(s.loop.Stop) })
 }
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -8,8 +8,8 @@
 	"github.com/rs/zerolog"
 
 	"cloverrock/balance"
+	"cloverrock/internal/eventloop"
 	"cloverrock/internal/gateway"
-	"cloverrock/internal/loop"
 	"cloverrock/internal/pgwire"
 )
 
@@ -20,8 +20,8 @@
 
 // Events is told how attempts and probes end.
 type Events interface {
-	Ended(a gateway.Attempt, o gateway.Outcome)
-	Probed(host string, o gateway.Outcome)
+	AttemptFinished(a gateway.Attempt, o gateway.Outcome)
+	HealthCheckFinished(host string, o gateway.Outcome)
 }
 
 // Limits bound the connections.
@@ -34,7 +34,7 @@
 
 // Pool is the connections to all hosts. It belongs to the loop's goroutine.
 type Pool struct {
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	events Events
 	limits Limits
 	log    zerolog.Logger
@@ -64,13 +64,13 @@
 	host  *host
 	conn  *conn // nil while it waits for one
 	sent  int64
-	timer *loop.Timer
+	timer *eventloop.Timer
 	short bool // it lacks a connection of ours
 	ended bool // its outcome was told
 }
 
 // New returns an empty pool.
-func New(l *loop.Loop, events Events, limits Limits, log zerolog.Logger) *Pool {
+func New(l *eventloop.Loop, events Events, limits Limits, log zerolog.Logger) *Pool {
 	p := &Pool{loop: l, events: events, limits: limits, log: log, hosts: map[string]*host{}, out: map[int64]*attempt{}, conns: map[*conn]struct{}{}}
 	p.sweep()
 	return p
@@ -90,12 +90,12 @@
 			delete(p.hosts, id)
 		}
 	}
-	p.loop.At(now+max(min(p.limits.IdleClose/20, 1e6), 1e4), p.sweep)
+	p.loop.CallAt(now+max(min(p.limits.IdleClose/20, 1e6), 1e4), p.sweep)
 }
 
-// List notes where hosts listen and which are gone; of a whole list, those that it lacks. Connections to another
+// UpdateEndpoints notes where hosts listen and which are gone; of a whole list, those that it lacks. Connections to another
 // address of a host, or to one that is gone, are not used any more.
-func (p *Pool) List(addresses map[string]string, gone []string, whole bool) {
+func (p *Pool) UpdateEndpoints(addresses map[string]string, gone []string, whole bool) {
 	if whole {
 		for id := range p.hosts {
 			if _, listed := addresses[id]; !listed {
@@ -123,7 +123,7 @@
 			p.leave(h)
 			for _, at := range slices.Concat(h.waiting, p.short) {
 				if at.host == h {
-					p.finishLater(at, balance.Skipped)
+					p.finishLater(at, balance.NotSent)
 				}
 			}
 		}
@@ -144,36 +144,36 @@
 // Dials tells how many connections were begun since the start, and how many of these never came up.
 func (p *Pool) Dials() (begun, failed int) { return p.dials, p.broken }
 
-// Known is the number of hosts that the pool remembers.
-func (p *Pool) Known() int { return len(p.hosts) }
+// KnownHosts is the number of hosts that the pool remembers.
+func (p *Pool) KnownHosts() int { return len(p.hosts) }
 
 // Send implements gateway.Hosts.
 func (p *Pool) Send(a gateway.Attempt) {
 	at := &attempt{Attempt: a, host: p.hosts[a.Host], sent: p.loop.Now()}
 	p.out[a.Request] = at
 	if at.host == nil {
-		p.finishLater(at, balance.Refused)
+		p.finishLater(at, balance.ConnectionRefused)
 		return
 	}
-	at.timer = p.loop.At(a.Until, func() { p.abandon(at, balance.TimedOut) })
+	at.timer = p.loop.CallAt(a.Deadline, func() { p.abandon(at, balance.TimedOut) })
 	p.place(at)
 }
 
-// Probe implements gateway.Hosts.
-func (p *Pool) Probe(id string) {
+// CheckHealth implements gateway.Hosts.
+func (p *Pool) CheckHealth(id string) {
 	at := &attempt{Attempt: gateway.Attempt{Host: id}, probe: true, host: p.hosts[id], sent: p.loop.Now()}
 	if at.host == nil {
-		p.finishLater(at, balance.Refused)
+		p.finishLater(at, balance.ConnectionRefused)
 		return
 	}
-	at.timer = p.loop.At(at.sent+p.limits.DialTimeout, func() { p.abandon(at, balance.TimedOut) })
+	at.timer = p.loop.CallAt(at.sent+p.limits.DialTimeout, func() { p.abandon(at, balance.TimedOut) })
 	p.place(at)
 }
 
 // Cancel implements gateway.Hosts.
 func (p *Pool) Cancel(request int64, number int) {
 	if at := p.out[request]; at != nil && at.Number == number {
-		p.loop.Post(func() { p.abandon(at, balance.Cancelled) })
+		p.loop.Post(func() { p.abandon(at, balance.Canceled) })
 	}
 }
 
@@ -191,7 +191,7 @@
 	h := at.host
 	for len(h.idle) > 0 {
 		c := h.idle[len(h.idle)-1]
-		if !c.net.Quiet() { // the host has closed it, or sent what would pass for the answer
+		if !c.net.InputDrained() { // the host has closed it, or sent what would pass for the answer
 			c.close()
 			continue
 		}
@@ -201,9 +201,9 @@
 	}
 	p.short = append(p.short, at)
 	if at.short = true; !p.supply() {
-		p.loop.At(p.loop.Now()+p.limits.DialTimeout, func() {
+		p.loop.CallAt(p.loop.Now()+p.limits.DialTimeout, func() {
 			if at.short {
-				p.abandon(at, balance.Skipped)
+				p.abandon(at, balance.NotSent)
 			}
 		})
 	}
@@ -234,7 +234,7 @@
 	h.dialing++
 	c := &conn{pool: p, host: h, address: h.address, state: dialing}
 	p.conns[c] = struct{}{}
-	c.timer = p.loop.At(p.loop.Now()+p.limits.DialTimeout, func() { c.broken() })
+	c.timer = p.loop.CallAt(p.loop.Now()+p.limits.DialTimeout, func() { c.broken() })
 	c.net = p.loop.Dial(h.address, c)
 	c.net.Write(pgwire.AppendStartup(nil, "user", "worker", "database", "catalog"))
 }
@@ -265,7 +265,7 @@
 		unrun = !at.conn.net.Flushed()
 	}
 	if unrun && (!at.probe || at.short) {
-		result = balance.Skipped
+		result = balance.NotSent
 	}
 	p.finish(at, gateway.Outcome{Result: result})
 }
@@ -288,13 +288,13 @@
 		at.conn.attempt = nil
 		at.conn = nil
 	}
-	o.Took = p.loop.Now() - at.sent
+	o.Latency = p.loop.Now() - at.sent
 	if at.probe {
-		p.events.Probed(at.Host, o)
+		p.events.HealthCheckFinished(at.Host, o)
 		return
 	}
 	delete(p.out, at.Request)
-	p.events.Ended(at.Attempt, o)
+	p.events.AttemptFinished(at.Attempt, o)
 }
 
 // next is the attempt that has waited longest for a connection to a host; nil if none does.
@@ -321,9 +321,9 @@
 func outcome(e pgwire.Error) balance.Result {
 	switch e.Code {
 	case pgwire.CodeReadOnly, pgwire.CodeSnapshotTooOld:
-		return balance.Missed
+		return balance.NotPrimary
 	case pgwire.CodeTooManyConnections, pgwire.CodeCannotConnectNow:
-		return balance.Full
+		return balance.Overloaded
 	}
-	return balance.Errored
+	return balance.Failed
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 
 	"cloverrock/balance"
+	"cloverrock/internal/eventloop"
 	"cloverrock/internal/gateway"
-	"cloverrock/internal/loop"
 	"cloverrock/internal/pgwire"
 )
 
@@ -25,8 +25,8 @@
 
 type ends chan end
 
-func (e ends) Ended(a gateway.Attempt, o gateway.Outcome) { e <- end{a.Request, o.Result} }
-func (e ends) Probed(_ string, o gateway.Outcome)         { e <- end{0, o.Result} }
+func (e ends) AttemptFinished(a gateway.Attempt, o gateway.Outcome) { e <- end{a.Request, o.Result} }
+func (e ends) HealthCheckFinished(_ string, o gateway.Outcome)      { e <- end{0, o.Result} }
 
 type query struct{}
 
@@ -96,14 +96,14 @@
 // rig is a pool with so many connections.
 type rig struct {
 	t    *testing.T
-	loop *loop.Loop
+	loop *eventloop.Loop
 	pool *Pool
 	told ends
 }
 
 func newRig(t *testing.T, connections int, dial time.Duration) *rig {
 	t.Helper()
-	r := &rig{t: t, loop: loop.New(64, 1<<20, zerolog.Nop()), told: make(ends, 16)}
+	r := &rig{t: t, loop: eventloop.New(64, 1<<20, zerolog.Nop()), told: make(ends, 16)}
 	if err := r.loop.Start("", 0, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -123,12 +123,12 @@
 
 // list tells the pool the whole list.
 func (r *rig) list(addresses map[string]string) {
-	r.do(func() { r.pool.List(addresses, nil, true) })
+	r.do(func() { r.pool.UpdateEndpoints(addresses, nil, true) })
 }
 
 func (r *rig) send(id int64, host string) {
 	r.do(func() {
-		r.pool.Send(gateway.Attempt{Request: id, Host: host, Until: r.loop.Now() + limit.Microseconds(), Body: query{}, Aged: func() bool { return false }})
+		r.pool.Send(gateway.Attempt{Request: id, Host: host, Deadline: r.loop.Now() + limit.Microseconds(), Body: query{}, Expired: func() bool { return false }})
 	})
 }
 
@@ -141,14 +141,14 @@
 	c := take(t, h.conns, "the connection")
 	welcome(t, c) // and never answered
 	r.do(func() {
-		r.pool.Probe("h")
-		r.pool.Probe("other")
+		r.pool.CheckHealth("h")
+		r.pool.CheckHealth("other")
 	})
 	r.send(2, "h")
 	r.send(3, "other")
 	for range 4 {
-		if e := take(t, r.told, "an end"); e.request == 1 || e.result != balance.Skipped {
-			t.Errorf("%d ended as %d, want %d", e.request, e.result, balance.Skipped)
+		if e := take(t, r.told, "an end"); e.request == 1 || e.result != balance.NotSent {
+			t.Errorf("%d ended as %d, want %d", e.request, e.result, balance.NotSent)
 		}
 	}
 	r.do(func() {
@@ -169,7 +169,7 @@
 	r.send(2, "other")
 	r.send(3, "h") // it came later, but needs no new connection
 	reply(c)
-	for _, want := range []end{{1, balance.Served}, {3, balance.Served}} {
+	for _, want := range []end{{1, balance.Succeeded}, {3, balance.Succeeded}} {
 		if got := take(t, r.told, "an answer"); got != want {
 			t.Errorf("%v, want %v", got, want)
 		}
@@ -182,7 +182,7 @@
 	welcome(t, d)
 	r.send(4, "h")
 	d.Close()
-	for _, want := range []end{{2, balance.Reset}, {4, balance.Served}} {
+	for _, want := range []end{{2, balance.ConnectionReset}, {4, balance.Succeeded}} {
 		if got := take(t, r.told, "an end"); got != want {
 			t.Errorf("%v, want %v", got, want)
 		}
@@ -213,7 +213,7 @@
 	}
 	for _, c := range conns {
 		reply(c)
-		if e := take(t, r.told, "an answer"); e.result != balance.Served {
+		if e := take(t, r.told, "an answer"); e.result != balance.Succeeded {
 			t.Errorf("%d ended as %d", e.request, e.result)
 		}
 	}
@@ -221,7 +221,7 @@
 	r.send(3, "h")
 	take(t, old.conns, "a dial")
 	r.list(map[string]string{})
-	if got, want := take(t, r.told, "an end"), (end{3, balance.Skipped}); got != want {
+	if got, want := take(t, r.told, "an end"), (end{3, balance.NotSent}); got != want {
 		t.Errorf("%v, want %v", got, want)
 	}
 	r.do(func() {
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"cloverrock/balance"
+	"cloverrock/internal/eventloop"
 	"cloverrock/internal/gateway"
-	"cloverrock/internal/loop"
 	"cloverrock/internal/pgwire"
 )
 
@@ -18,9 +18,9 @@
 	pool    *Pool
 	host    *host
 	address string
-	net     *loop.Conn
+	net     *eventloop.Conn
 	state   state
-	timer   *loop.Timer // ends the wait for a new connection, or for the rest of an answer
+	timer   *eventloop.Timer // ends the wait for a new connection, or for the rest of an answer
 	idleAt  int64
 	attempt *attempt
 	in      []byte // a message that has begun
@@ -89,8 +89,8 @@
 		// A host that has begun its answer goes on with it, or the answer has no end. What has arrived in the
 		// socket meanwhile is read first: it may be us who are late.
 		c.timer.Stop()
-		c.timer = c.pool.loop.At(c.pool.loop.Now()+c.pool.limits.DialTimeout/5, func() {
-			if c.net.Quiet() {
+		c.timer = c.pool.loop.CallAt(c.pool.loop.Now()+c.pool.limits.DialTimeout/5, func() {
+			if c.net.InputDrained() {
 				c.spoilt(errors.New("the answer has begun and does not go on"))
 			}
 		})
@@ -189,7 +189,7 @@
 func (c *conn) ready(more bool) {
 	c.timer.Stop()
 	c.timer = nil
-	more = more || !c.net.Quiet()
+	more = more || !c.net.InputDrained()
 	switch {
 	case c.state == dialing && !more:
 		c.host.dialing--
@@ -229,8 +229,8 @@
 
 // carry writes an attempt, unless the decision to send it has aged while it waited.
 func (c *conn) carry(at *attempt) {
-	if !at.probe && at.Aged() {
-		c.pool.finishLater(at, balance.Skipped)
+	if !at.probe && at.Expired() {
+		c.pool.finishLater(at, balance.NotSent)
 		c.free()
 		return
 	}
@@ -240,7 +240,7 @@
 		c.net.Write(pgwire.AppendQuery(nil, "SHOW vitals"))
 		return
 	}
-	c.net.Write(at.Body.(Query).Append(nil, at.Until-c.pool.loop.Now()))
+	c.net.Write(at.Body.(Query).Append(nil, at.Deadline-c.pool.loop.Now()))
 }
 
 // outcome reads what a whole answer tells.
@@ -248,17 +248,17 @@
 	a, o := &c.answer, gateway.Outcome{}
 	switch {
 	case a.fault != nil:
-		if o.Result = outcome(*a.fault); o.Result == balance.Errored {
+		if o.Result = outcome(*a.fault); o.Result == balance.Failed {
 			c.pool.log.Warn().Str("host", c.host.id).Str("code", a.fault.Code).Str("message", a.fault.Message).Msg("host error")
 			if c.state == dialing {
-				o.Result = balance.Refused // nothing was sent yet
+				o.Result = balance.ConnectionRefused // nothing was sent yet
 			}
 		}
 	case a.stage != 'C':
 		c.pool.log.Warn().Str("host", c.host.id).Msg("answer without a row")
-		o.Result = balance.Errored
+		o.Result = balance.Failed
 	default:
-		o.Result, o.Value = balance.Served, a.raw
+		o.Result, o.Value = balance.Succeeded, a.raw
 	}
 	switch a.rank {
 	case "source":
@@ -272,7 +272,7 @@
 	if position, err := pgwire.Decimal(a.asOf, 3, commit); err == nil && position <= latest {
 		o.Position = position
 	}
-	if c.attempt != nil && c.attempt.probe && o.Result == balance.Served {
+	if c.attempt != nil && c.attempt.probe && o.Result == balance.Succeeded {
 		a.vitals = string(a.value)
 	}
 	o.Report = report(a.vitals, latest)
@@ -285,19 +285,19 @@
 
 // report reads names and values; names that it does not know are left out. One that can't be read in any part, or
 // names a position after latest, tells nothing at all.
-func report(s string, latest int64) (r balance.Report) {
+func report(s string, latest int64) (r balance.HostReport) {
 	for s != "" {
 		var part string
 		part, s, _ = strings.Cut(s, ",")
 		name, value, _ := strings.Cut(part, "=")
 		micro, err := pgwire.Decimal(strings.TrimSpace(value), 6, false)
 		if err != nil {
-			return balance.Report{}
+			return balance.HostReport{}
 		}
 		switch strings.TrimSpace(name) {
 		case "x0":
 			if r.HasPosition, r.Position = true, micro; micro > latest {
-				return balance.Report{}
+				return balance.HostReport{}
 			}
 		case "x1":
 			r.HasRole, r.Primary = true, micro >= 5e5
@@ -308,9 +308,9 @@
 
 // broken takes the end of the connection. What was out on it may have run if its last byte was written.
 func (c *conn) broken() {
-	o := gateway.Outcome{Result: balance.Refused}
+	o := gateway.Outcome{Result: balance.ConnectionRefused}
 	if c.state == busy && c.net.Flushed() {
-		o.Result = balance.Reset
+		o.Result = balance.ConnectionReset
 	}
 	c.end(o)
 }
@@ -322,9 +322,9 @@
 		return
 	}
 	c.pool.log.Warn().Str("host", c.host.id).Err(err).Msg("host sent nonsense")
-	o := gateway.Outcome{Result: balance.Errored}
+	o := gateway.Outcome{Result: balance.Failed}
 	if c.state == dialing {
-		o.Result = balance.Refused
+		o.Result = balance.ConnectionRefused
 	}
 	c.end(o)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,7 +17,7 @@
 	"cloverrock/internal/discovery"
 	"cloverrock/internal/frontend"
 	"cloverrock/internal/peer"
-	"cloverrock/internal/wire"
+	"cloverrock/internal/simprotocol"
 )
 
 // Config is what the program uses of its configuration. Times are microseconds.
@@ -26,7 +26,7 @@
 	Seed                    uint64
 	MemoryMB, Sockets       int
 	Peer                    peer.Config
-	Known                   *discovery.List // nil if none was given
+	KnownEndpoints          *discovery.EndpointList // nil if none was given
 	Names                   discovery.Names
 	Classes                 map[string]frontend.Class
 	LongestDeadline         int64
@@ -111,8 +111,8 @@
 	return b, nil
 }
 
-// Fixed names the keys in which o differs from c and that only a restart can change.
-func (c *Config) Fixed(o *Config) (keys []string) {
+// RestartOnlyChanges names the keys in which o differs from c and that only a restart can change.
+func (c *Config) RestartOnlyChanges(o *Config) (keys []string) {
 	for _, k := range [...]struct {
 		key  string
 		same bool
@@ -196,8 +196,8 @@
 		if err != nil {
 			return nil, &Error{"known", err}
 		}
-		l.Full = true
-		c.Known = &l
+		l.Complete = true
+		c.KnownEndpoints = &l
 	}
 	return c, nil
 }
@@ -268,7 +268,7 @@
 
 // words checks what is told by a word, and the bound that one asks for. One that is misspelt must not pass for the mildest: a write
 // that never may run twice would be repeated, or a read answered from data of any age.
-func words(o *wire.Options) error {
+func words(o *simprotocol.Options) error {
 	type choice struct {
 		key, word string
 		of        []string
@@ -303,7 +303,7 @@
 	if len(raw) == 0 {
 		return fault("settings", "missing")
 	}
-	var o wire.Options
+	var o simprotocol.Options
 	if err := json.Unmarshal(raw, &o); err != nil {
 		return decoding("settings", err)
 	}
@@ -352,7 +352,7 @@
 	}
 	s, _ := o.Settings()
 	if c.Peer.Listen == "" || !c.Peer.All.IsValid() { // nobody would hear it
-		s.Gateways, s.TellEarn = 0, 0
+		s.Gateways, s.GossipBytesPerRequest = 0, 0
 	}
 	c.Settings = s
 	c.Names = discovery.Names{Zones: o.Zones, Kinds: o.HostTypes}
@@ -369,7 +369,7 @@
 		if k.DeadlineMs <= 0 {
 			return fault(key+"deadlineMs", "must be above 0")
 		}
-		c.Classes[k.Name] = frontend.Class{Index: i, Write: s.Classes[i].Need == balance.Update, Deadline: s.Classes[i].Deadline}
+		c.Classes[k.Name] = frontend.Class{Index: i, Write: s.Classes[i].Consistency == balance.Write, Deadline: s.Classes[i].Deadline}
 		c.LongestDeadline = max(c.LongestDeadline, s.Classes[i].Deadline)
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,8 +25,8 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n4" || c.Seed != 0x8c1f30d27a5be964 || c.Settings.DialTimeout != 250e3 || c.IdleClose != 20e6 ||
-		c.LongestDeadline != 3e6 || !c.Classes["change"].Write || c.Classes["lookup"].Write || c.Settings.Classes[0].Bound != 500e3 ||
-		c.Known == nil || !c.Known.Full || c.Known.Entries[0].Zone != 1 || len(c.Peer.Peers) != 1 {
+		c.LongestDeadline != 3e6 || !c.Classes["change"].Write || c.Classes["lookup"].Write || c.Settings.Classes[0].MaxStaleness != 500e3 ||
+		c.KnownEndpoints == nil || !c.KnownEndpoints.Complete || c.KnownEndpoints.Endpoints[0].Zone != 1 || len(c.Peer.Peers) != 1 {
 		t.Errorf("read as %+v", c)
 	}
 }
@@ -92,13 +92,13 @@
 		if err != nil || err2 != nil || a.Discovery != c.loaded || b.Discovery != c.reloaded || b.Name != "n9" {
 			t.Errorf("%q: %+v, %+v, %v, %v", c.new, a, b, err, err2)
 		}
-		if keys := a.Fixed(b); len(keys) > 0 {
+		if keys := a.RestartOnlyChanges(b); len(keys) > 0 {
 			t.Errorf("%q: %v differ", c.new, keys)
 		}
 	}
 	a, _ := Parse([]byte(good), none)
 	b, _ := Parse([]byte(strings.NewReplacer("127.0.0.4:6543", "127.0.0.5:6543", `"aimMs":500`, `"aimMs":501`, "127.3.0.1", "127.3.0.2", "1024", "512").Replace(good)), none)
-	if got := strings.Join(a.Fixed(b), "; "); got != "listen; limits; peer_listen, peers or peers_all; settings" {
+	if got := strings.Join(a.RestartOnlyChanges(b), "; "); got != "listen; limits; peer_listen, peers or peers_all; settings" {
 		t.Errorf("fixed: %s", got)
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -80,32 +80,32 @@
 	set("longest", c.LongestDeadline)
 	set("idle", c.IdleClose)
 	set("gateways", c.Gateways)
-	if c.Known != nil {
-		set("known-full", c.Known.Full)
-		for i, entry := range c.Known.Entries {
-			set(fmt.Sprint("known-", i), []any{entry.Host, entry.Zone, entry.Group, entry.Phase})
+	if c.KnownEndpoints != nil {
+		set("known-full", c.KnownEndpoints.Complete)
+		for i, entry := range c.KnownEndpoints.Endpoints {
+			set(fmt.Sprint("known-", i), []any{entry.Host, entry.Zone, entry.Group, entry.State})
 		}
 	}
 	set("zone", s.Zone)
-	set("tick", s.Tick)
-	set("subscribe", s.Subscribe)
-	set("probes", s.Probes)
-	set("cancel", s.Cancel)
+	set("tick", s.TickInterval)
+	set("subscribe", s.MustSubscribe)
+	set("probes", s.HealthChecks)
+	set("cancel", s.Cancellation)
 	set("retry-after", s.MaxRetryAfter)
 	set("attempts", s.MaxAttempts)
 	set("dial", s.DialTimeout)
-	set("hosts-check", s.HostsCheck)
-	set("carried", s.Carried)
-	set("cross-price", s.CrossPrice)
-	set("drain-alone", s.DrainAlone)
-	set("cold-from", s.ColdFrom)
-	set("cold-for", s.ColdFor)
-	set("fall-multiple", s.FallMultiple)
-	set("fall-for", s.FallFor)
-	set("tell", []any{s.Gateways, s.Ordinal, s.TellEarn})
+	set("hosts-check", s.HostsCheckStaleness)
+	set("carried", s.RequestsCarrySessionAge)
+	set("cross-price", s.CrossZoneCost)
+	set("drain-alone", s.OnlyDrainingExcludes)
+	set("cold-from", s.SlowStartInitialShare)
+	set("cold-for", s.SlowStartDuration)
+	set("fall-multiple", s.SlowStartOverloadFactor)
+	set("fall-for", s.SlowStartOverloadWindow)
+	set("tell", []any{s.Gateways, s.Ordinal, s.GossipBytesPerRequest})
 	for name, class := range c.Classes {
 		k := s.Classes[class.Index]
-		set("class-"+name, []any{class.Index, class.Write, class.Deadline, k.Aim, k.AimStretch, k.Deadline, k.Worth, k.LateWorth, k.Repeat, k.Scope, k.Window, k.Need, k.Bound})
+		set("class-"+name, []any{class.Index, class.Write, class.Deadline, k.LatencyObjective, k.ObjectivePerWork, k.Deadline, k.PriorityWeight, k.LatePriorityWeight, k.RetrySafety, k.DeduplicationScope, k.DeduplicationWindow, k.Consistency, k.MaxStaleness})
 	}
 	return values
 }
--- a/internal/replica/entry.go
+++ b/internal/crdt/entry.go
@@ -5,7 +5,7 @@
 // idempotent whatever the kind (a join); the kinds differ in their order. Entries are worth something for a stated time
 // after the evidence that they rest on and are dropped then, by everybody for itself: so nothing has to be taken back
 // over dead links, and memory is bounded. Nothing here does I/O, reads a clock or starts anything.
-package replica
+package crdt
 
 import (
 	"bytes"
--- a/internal/replica/state.go
+++ b/internal/crdt/state.go
@@ -1,4 +1,4 @@
-package replica
+package crdt
 
 import (
 	"fmt"
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,19 +13,19 @@
 	names := Names{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
 	for name, c := range map[string]struct {
 		in   string
-		want List
+		want EndpointList
 		err  string // part of it
 	}{
 		"change": {
 			in: `{"generation":41,"reset":false,"instances":[
 				{"instanceId":"s-1","hostPort":"10.1.0.18:6543","zone":"b","machineType":"m2","cell":3,"lifecycle":"SERVING","weight":1.5,"startedAtMs":1767225600123,"rank":"source"},
 				{"instanceId":"s-2","lifecycle":"DELETED","cell":3,"rank":"copy"}]}`,
-			want: List{Generation: 41, Addresses: map[string]string{"s-1": "10.1.0.18:6543"}, Entries: []balance.Entry{
-				{Host: "s-1", Zone: 1, Kind: 1, Group: 3, Phase: balance.Ready, Primary: true, Weight: 1.5, Born: 1767225600123e3},
-				{Host: "s-2", Group: 3, Phase: balance.Gone, Weight: 1},
+			want: EndpointList{Generation: 41, Addresses: map[string]string{"s-1": "10.1.0.18:6543"}, Endpoints: []balance.Endpoint{
+				{Host: "s-1", Zone: 1, Kind: 1, Group: 3, State: balance.Ready, Primary: true, Weight: 1.5, StartedAt: 1767225600123e3},
+				{Host: "s-2", Group: 3, State: balance.Removed, Weight: 1},
 			}},
 		},
-		"whole and empty": {in: `{"generation":1,"reset":true}`, want: List{Generation: 1, Full: true, Addresses: map[string]string{}}},
+		"whole and empty": {in: `{"generation":1,"reset":true}`, want: EndpointList{Generation: 1, Complete: true, Addresses: map[string]string{}}},
 		"not JSON":        {in: `{"generation":`, err: "list of hosts"},
 		"wrong type":      {in: `{"generation":"x"}`, err: "generation"},
 		"no id":           {in: `{"instances":[{"lifecycle":"SERVING","hostPort":"a:1"}]}`, err: "instances[0].instanceId"},
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -15,33 +15,33 @@
 // Names are the settings' lists of names; the decision module knows their indexes.
 type Names struct{ Zones, Kinds []string }
 
-// List is a list of hosts, or the changes since another.
-type List struct {
+// EndpointList is a list of hosts, or the changes since another.
+type EndpointList struct {
 	Generation int64
-	Full       bool
-	Entries    []balance.Entry
+	Complete   bool
+	Endpoints  []balance.Endpoint
 	Addresses  map[string]string // by host
 }
 
 // Merge takes a list, or the changes of one, into this one. Hosts that are gone are dropped.
-func (l *List) Merge(next List) {
-	if next.Full || l.Addresses == nil {
-		l.Entries, l.Addresses = nil, map[string]string{}
+func (l *EndpointList) Merge(next EndpointList) {
+	if next.Complete || l.Addresses == nil {
+		l.Endpoints, l.Addresses = nil, map[string]string{}
 	}
-	l.Generation, l.Full = next.Generation, true
-	for _, e := range next.Entries {
-		i := slices.IndexFunc(l.Entries, func(o balance.Entry) bool { return o.Host == e.Host })
+	l.Generation, l.Complete = next.Generation, true
+	for _, e := range next.Endpoints {
+		i := slices.IndexFunc(l.Endpoints, func(o balance.Endpoint) bool { return o.Host == e.Host })
 		switch {
-		case e.Phase == balance.Gone && i >= 0:
-			l.Entries = slices.Delete(l.Entries, i, i+1)
+		case e.State == balance.Removed && i >= 0:
+			l.Endpoints = slices.Delete(l.Endpoints, i, i+1)
 			delete(l.Addresses, e.Host)
 			continue
-		case e.Phase == balance.Gone:
+		case e.State == balance.Removed:
 			continue
 		case i >= 0:
-			l.Entries[i] = e
+			l.Endpoints[i] = e
 		default:
-			l.Entries = append(l.Entries, e)
+			l.Endpoints = append(l.Endpoints, e)
 		}
 		if a := next.Addresses[e.Host]; a != "" {
 			l.Addresses[e.Host] = a
@@ -50,9 +50,9 @@
 }
 
 // Clone returns a list that shares nothing with this one.
-func (l *List) Clone() List {
+func (l *EndpointList) Clone() EndpointList {
 	c := *l
-	c.Entries, c.Addresses = slices.Clone(l.Entries), maps.Clone(l.Addresses)
+	c.Endpoints, c.Addresses = slices.Clone(l.Endpoints), maps.Clone(l.Addresses)
 	return c
 }
 
@@ -92,7 +92,7 @@
 }
 
 // Decode reads a list. One that is wrong in any part is turned down whole.
-func Decode(b []byte, names Names) (List, error) {
+func Decode(b []byte, names Names) (EndpointList, error) {
 	var raw struct {
 		Generation int64 `json:"generation"`
 		Reset      bool  `json:"reset"`
@@ -109,38 +109,38 @@
 		} `json:"instances"`
 	}
 	if err := json.Unmarshal(b, &raw); err != nil {
-		return List{}, decoding(err)
+		return EndpointList{}, decoding(err)
 	}
-	l := List{Generation: raw.Generation, Full: raw.Reset, Addresses: map[string]string{}}
+	l := EndpointList{Generation: raw.Generation, Complete: raw.Reset, Addresses: map[string]string{}}
 	for i, r := range raw.Instances {
-		e := balance.Entry{
+		e := balance.Endpoint{
 			Host: r.InstanceID, Zone: max(slices.Index(names.Zones, r.Zone), 0), Group: r.Cell,
 			Kind: max(slices.Index(names.Kinds, r.MachineType), 0), Primary: r.Rank == "source", Weight: 1,
-			Born: int64(r.StartedAtMs * 1000),
+			StartedAt: int64(r.StartedAtMs * 1000),
 		}
 		if r.Weight != nil {
 			e.Weight = *r.Weight
 		}
 		switch r.Lifecycle {
 		case "SERVING":
-			e.Phase = balance.Ready
+			e.State = balance.Ready
 		case "DRAINING":
-			e.Phase = balance.Draining
+			e.State = balance.Draining
 		case "DELETED":
-			e.Phase = balance.Gone
+			e.State = balance.Removed
 		default:
-			return List{}, fault(i, "lifecycle", fmt.Errorf("unknown state %q", r.Lifecycle))
+			return EndpointList{}, fault(i, "lifecycle", fmt.Errorf("unknown state %q", r.Lifecycle))
 		}
 		if e.Host == "" {
-			return List{}, fault(i, "instanceId", errMissing)
+			return EndpointList{}, fault(i, "instanceId", errMissing)
 		}
-		if r.HostPort == "" && e.Phase != balance.Gone {
-			return List{}, fault(i, "hostPort", errMissing)
+		if r.HostPort == "" && e.State != balance.Removed {
+			return EndpointList{}, fault(i, "hostPort", errMissing)
 		}
 		if r.HostPort != "" {
 			l.Addresses[e.Host] = r.HostPort
 		}
-		l.Entries = append(l.Entries, e)
+		l.Endpoints = append(l.Endpoints, e)
 	}
 	return l, nil
 }
--- a/internal/discovery/retry.go
+++ b/internal/discovery/retry.go
@@ -2,11 +2,11 @@
 
 import "cloverrock/internal/random"
 
-// Retry decides when a gateway asks discovery. Alone it may ask at once and again soon. Where the list has to be asked
+// Backoff decides when a gateway asks discovery. Alone it may ask at once and again soon. Where the list has to be asked
 // for, all gateways meet one service that takes their calls in turn: calls that come faster than it works wait until they
 // fail, and the work on them is lost, so that nobody is served any more. Then each waits for a random part of the time
 // that all of them need, and longer after each failure. It does no I/O and reads no clock; times are microseconds.
-type Retry struct {
+type Backoff struct {
 	first, least, most, next int64
 	brief, answer            int64
 	rand                     random.Source
@@ -27,10 +27,10 @@
 	call = 6e4
 )
 
-// NewRetry returns the times for one of a number of gateways. shared tells that all ask one service; where an agent of
+// NewBackoff returns the times for one of a number of gateways. shared tells that all ask one service; where an agent of
 // each gateway's own holds the list, they need not spare it.
-func NewRetry(gateways int, shared bool, seed uint64) *Retry {
-	r := &Retry{least: minRetry, most: maxRetry, brief: brief, rand: random.Source(seed)}
+func NewBackoff(gateways int, shared bool, seed uint64) *Backoff {
+	r := &Backoff{least: minRetry, most: maxRetry, brief: brief, rand: random.Source(seed)}
 	if shared && gateways > 1 {
 		all := int64(gateways) * call
 		r.first, r.least, r.most = all, max(minRetry, all/4), max(maxRetry, 2*all)
@@ -39,31 +39,31 @@
 			r.first, r.least, r.most = min(r.first, toldWithin/2), min(r.least, inTime), min(r.most, inTime)
 		}
 	}
-	r.Told()
+	r.RecordSuccess()
 	return r
 }
 
-// First is how long to wait before the first call: none without a list to go on with.
-func (r *Retry) First(known bool) int64 {
+// BeforeFirstCall is how long to wait before the first call: none without a list to go on with.
+func (r *Backoff) BeforeFirstCall(known bool) int64 {
 	if !known || r.first == 0 {
 		return 0
 	}
 	return r.rand.Below(r.first)
 }
 
-// Answer is how long the answer to the next call may take to begin.
-func (r *Retry) Answer() int64 { return r.answer }
+// ResponseTimeout is how long the answer to the next call may take to begin.
+func (r *Backoff) ResponseTimeout() int64 { return r.answer }
 
-// Broke is how long to wait after a watch that had told a list and then ended: mostly that one connection's fault, and
+// AfterWatchEnded is how long to wait after a watch that had told a list and then ended: mostly that one connection's fault, and
 // what discovery tells from now on counts as told within toldWithin.
-func (r *Retry) Broke() int64 { return r.rand.Below(min(r.least, maxRetry)) }
+func (r *Backoff) AfterWatchEnded() int64 { return r.rand.Below(min(r.least, maxRetry)) }
 
-// Failed is how long to wait after a call that told nothing.
-func (r *Retry) Failed() int64 {
+// AfterFailure is how long to wait after a call that told nothing.
+func (r *Backoff) AfterFailure() int64 {
 	wait := r.next/2 + r.rand.Below(r.next)
 	r.next, r.answer = min(2*r.next, r.most), min(2*r.answer, patient)
 	return wait
 }
 
-// Told notes that discovery has answered.
-func (r *Retry) Told() { r.next, r.answer = r.least, r.brief }
+// RecordSuccess notes that discovery has answered.
+func (r *Backoff) RecordSuccess() { r.next, r.answer = r.least, r.brief }
--- a/internal/discovery/retry_test.go
+++ b/internal/discovery/retry_test.go
@@ -15,7 +15,7 @@
 // asking is a gateway without the list, and when it calls.
 type asking struct {
 	at    int64
-	retry *Retry
+	retry *Backoff
 }
 
 // serve has all of them ask until they have the list, and returns when the last has it.
@@ -33,7 +33,7 @@
 			last, all = max(last, s.free), all[1:]
 			continue
 		}
-		a.at += 2e6 + a.retry.Failed()
+		a.at += 2e6 + a.retry.AfterFailure()
 	}
 	return last
 }
@@ -44,8 +44,8 @@
 	for _, gateways := range []int{1, 2, 80, 300} {
 		s := &service{perCall: call}
 		for i := range gateways {
-			r := NewRetry(gateways, true, uint64(i)+1)
-			s.calls = append(s.calls, asking{r.First(true), r})
+			r := NewBackoff(gateways, true, uint64(i)+1)
+			s.calls = append(s.calls, asking{r.BeforeFirstCall(true), r})
 		}
 		if last, most := s.serve(t), 3*int64(gateways)*call+1e6; last > most {
 			t.Errorf("%d gateways: the last has the list after %d ms, want %d at most", gateways, last/1000, most/1000)
@@ -56,21 +56,21 @@
 // A gateway that is alone, has an agent of its own or no list at all does not wait for others.
 func TestNobodyWaitsWithoutNeed(t *testing.T) {
 	for what, w := range map[string]int64{
-		"alone": NewRetry(1, true, 1).First(true), "with an agent": NewRetry(80, false, 1).First(true),
-		"without a list": NewRetry(80, true, 1).First(false),
+		"alone": NewBackoff(1, true, 1).BeforeFirstCall(true), "with an agent": NewBackoff(80, false, 1).BeforeFirstCall(true),
+		"without a list": NewBackoff(80, true, 1).BeforeFirstCall(false),
 	} {
 		if w != 0 {
 			t.Errorf("%s: waits %d us", what, w)
 		}
 	}
-	r := NewRetry(80, false, 1)
+	r := NewBackoff(80, false, 1)
 	for range 10 {
-		if w := r.Failed(); w > maxRetry*3/2 {
+		if w := r.AfterFailure(); w > maxRetry*3/2 {
 			t.Errorf("waits %d us after a failure", w)
 		}
 	}
-	r.Told()
-	if w := r.Failed(); w > minRetry*3/2 {
+	r.RecordSuccess()
+	if w := r.AfterFailure(); w > minRetry*3/2 {
 		t.Errorf("waits %d us after the first failure since it was told", w)
 	}
 }
@@ -81,13 +81,13 @@
 func TestClockIsKept(t *testing.T) {
 	for _, gateways := range []int{1, 2, 20, 50, 100} {
 		for _, shared := range []bool{true, false} {
-			r := NewRetry(gateways, shared, 1)
+			r := NewBackoff(gateways, shared, 1)
 			for n := range 200 {
-				if w := r.Answer() + r.Failed(); w > toldWithin-brief {
+				if w := r.ResponseTimeout() + r.AfterFailure(); w > toldWithin-brief {
 					t.Fatalf("%d gateways, failure %d: the next call begins after %d ms", gateways, n, w/1000)
 				}
 			}
-			if w := r.First(true); w > toldWithin/2 {
+			if w := r.BeforeFirstCall(true); w > toldWithin/2 {
 				t.Errorf("%d gateways: the first call begins after %d ms", gateways, w/1000)
 			}
 		}
@@ -96,11 +96,11 @@
 		for outage := int64(0); outage <= 20e6; outage += 5e5 {
 			s := &service{perCall: call}
 			for i := range gateways {
-				r := NewRetry(gateways, true, uint64(i)+1)
-				at := r.First(true)
+				r := NewBackoff(gateways, true, uint64(i)+1)
+				at := r.BeforeFirstCall(true)
 				for at < outage { // nobody answers
-					at += r.Answer()
-					at += r.Failed()
+					at += r.ResponseTimeout()
+					at += r.AfterFailure()
 				}
 				s.calls = append(s.calls, asking{at, r})
 			}
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -18,11 +18,11 @@
 	maxList = 4 << 20 // bytes of one list
 )
 
-// ErrSilent is that discovery has said nothing for longer than it may.
-var ErrSilent = errors.New("nothing heard for too long")
+// ErrWatchSilent is that discovery has said nothing for longer than it may.
+var ErrWatchSilent = errors.New("nothing heard for too long")
 
-// ErrEnded is that discovery has ended an answer in order. A watch ends so only when the service stops.
-var ErrEnded = errors.New("the answer has ended")
+// ErrWatchEnded is that discovery has ended an answer in order. A watch ends so only when the service stops.
+var ErrWatchEnded = errors.New("the answer has ended")
 
 // StatusError is an answer that is no list.
 type StatusError struct{ Status string }
@@ -30,9 +30,9 @@
 func (e *StatusError) Error() string { return "status " + e.Status }
 
 // SizeError is a list of more bytes than are held for one.
-type SizeError struct{ Most int }
+type SizeError struct{ MaxBytes int }
 
-func (e *SizeError) Error() string { return fmt.Sprintf("a list of more than %d bytes", e.Most) }
+func (e *SizeError) Error() string { return fmt.Sprintf("a list of more than %d bytes", e.MaxBytes) }
 
 // WatchError is why a watch ended.
 type WatchError struct {
@@ -51,9 +51,9 @@
 	var list *ListError
 	var size *SizeError
 	switch {
-	case errors.Is(e.Err, ErrSilent):
+	case errors.Is(e.Err, ErrWatchSilent):
 		return "see whether discovery is up behind the agent at this address, and whether packets to it are dropped"
-	case errors.Is(e.Err, ErrEnded):
+	case errors.Is(e.Err, ErrWatchEnded):
 		return "none if discovery is being restarted; else look into its log for why it ends watches"
 	case errors.As(e.Err, &status):
 		return "see that the key discovery names the agent, and that the agent serves /api/targets"
@@ -78,7 +78,7 @@
 	names   Names
 	answer  time.Duration // within which the answer has to begin
 	silence time.Duration // within which a line, a whole list, has to follow
-	told    func(List)
+	told    func(EndpointList)
 	alive   func() // the first sign of life
 }
 
@@ -86,7 +86,7 @@
 func (s *stream) follow(ctx context.Context, t http.RoundTripper, url string) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	alarm := time.AfterFunc(s.answer, func() { cancel(ErrSilent) })
+	alarm := time.AfterFunc(s.answer, func() { cancel(ErrWatchSilent) })
 	defer alarm.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -111,7 +111,7 @@
 	for {
 		var raw json.RawMessage
 		if err := lists.Decode(&raw); errors.Is(err, io.EOF) {
-			return because(ctx, ErrEnded)
+			return because(ctx, ErrWatchEnded)
 		} else if err != nil {
 			return because(ctx, decoding(err))
 		}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"cloverrock/internal/loop"
+	"cloverrock/internal/eventloop"
 )
 
 // toldWithin is the protocol's one clock for silence: what a watch that has fallen silent misses counts as told so long
@@ -23,25 +23,25 @@
 
 // Config says what to follow, and whom to tell.
 type Config struct {
-	Address    string
-	Names      Names
-	Generation int64 // of the list to go on from
-	Known      bool  // there is a list to go on with while the first call waits
+	Address      string
+	Names        Names
+	Generation   int64 // of the list to go on from
+	HasEndpoints bool  // there is a list to go on with while the first call waits
 	// Whole has the whole list asked for by a call of its own before the watch: what a watch tells first are the changes
 	// since a generation, and of the list that they belong to a new process may know nothing, or what is long past.
-	Whole  bool
-	Retry  *Retry
-	Told   func(List) // on the loop's goroutine, like Failed
-	Failed func(*WatchError)
-	Dial   func(ctx context.Context, network, address string) (net.Conn, error) // nil: TCP
-	Log    zerolog.Logger
+	PollFirst bool
+	Backoff   *Backoff
+	Updated   func(EndpointList) // on the loop's goroutine, like Failed
+	Failed    func(*WatchError)
+	Dial      func(ctx context.Context, network, address string) (net.Conn, error) // nil: TCP
+	Log       zerolog.Logger
 }
 
 // Watch follows the list by one call at a time, and calls again when that ends. The last list holds until a new one
 // comes. It belongs to the loop's goroutine; the calls are read beside it.
 type Watch struct {
 	Config
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	transport *http.Transport
 	begun     bool
 	hang      context.CancelCauseFunc // ends the call that is current
@@ -50,7 +50,7 @@
 }
 
 // New returns a watch that has not begun.
-func New(l *loop.Loop, c Config) *Watch {
+func New(l *eventloop.Loop, c Config) *Watch {
 	return &Watch{Config: c, loop: l, transport: newTransport(c.Dial)}
 }
 
@@ -61,12 +61,12 @@
 		return
 	}
 	w.begun = true
-	w.connectIn(w.Retry.First(w.Known))
+	w.connectIn(w.Backoff.BeforeFirstCall(w.HasEndpoints))
 }
 
-// Fetch asks for the whole list anew.
-func (w *Watch) Fetch() {
-	w.Whole = true
+// Poll asks for the whole list anew.
+func (w *Watch) Poll() {
+	w.PollFirst = true
 	w.connect()
 }
 
@@ -81,15 +81,15 @@
 	}
 }
 
-// Move follows the list at another address from now on. What was told stays, and the new watch goes on from
+// SetAddress follows the list at another address from now on. What was told stays, and the new watch goes on from
 // there; the old one is not waited for, since it may close without telling the last changes.
-func (w *Watch) Move(address string) {
+func (w *Watch) SetAddress(address string) {
 	if address == w.Address {
 		return
 	}
 	w.Log.Info().Str("from", w.Address).Str("to", address).Msg("discovery: moving")
 	w.Address = address
-	w.Retry.Told()
+	w.Backoff.RecordSuccess()
 	if w.hang != nil {
 		w.connect()
 	}
@@ -102,7 +102,7 @@
 		return
 	}
 	n := w.call
-	w.loop.At(w.loop.Now()+wait, func() {
+	w.loop.CallAt(w.loop.Now()+wait, func() {
 		if w.call == n {
 			w.connect()
 		}
@@ -118,12 +118,12 @@
 	w.call++
 	n, address := w.call, w.Address
 	s := &stream{
-		names: w.Names, silence: silence * time.Microsecond, answer: time.Duration(w.Retry.Answer()) * time.Microsecond,
-		told:  func(l List) { w.loop.Post(func() { w.told(n, l) }) },
+		names: w.Names, silence: silence * time.Microsecond, answer: time.Duration(w.Backoff.ResponseTimeout()) * time.Microsecond,
+		told:  func(l EndpointList) { w.loop.Post(func() { w.told(n, l) }) },
 		alive: func() { w.loop.Post(func() { w.lives(n) }) },
 	}
 	url := fmt.Sprintf("http://%s/api/targets?stream=1&index=%d", address, w.Generation)
-	if w.Whole {
+	if w.PollFirst {
 		url = fmt.Sprintf("http://%s/api/targets", address)
 	}
 	go func() {
@@ -137,19 +137,19 @@
 func (w *Watch) lives(call int) {
 	if call == w.call {
 		w.heard = true
-		w.Retry.Told()
+		w.Backoff.RecordSuccess()
 	}
 }
 
 // told takes a list of the current call.
-func (w *Watch) told(call int, l List) {
+func (w *Watch) told(call int, l EndpointList) {
 	if call != w.call {
 		return
 	}
-	w.Generation, l.Full = l.Generation, l.Full || w.Whole
-	w.Told(l)
-	if w.Whole {
-		w.Whole = false
+	w.Generation, l.Complete = l.Generation, l.Complete || w.PollFirst
+	w.Updated(l)
+	if w.PollFirst {
+		w.PollFirst = false
 		w.connect()
 	}
 }
@@ -162,8 +162,8 @@
 	w.Log.Warn().Err(err).Str("remedy", err.Remedy()).Msg("discovery: watch ended, connecting again")
 	w.Failed(err)
 	if w.heard {
-		w.connectIn(w.Retry.Broke())
+		w.connectIn(w.Backoff.AfterWatchEnded())
 	} else {
-		w.connectIn(w.Retry.Failed())
+		w.connectIn(w.Backoff.AfterFailure())
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -19,7 +19,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/rs/zerolog"
 
-	"cloverrock/internal/loop"
+	"cloverrock/internal/eventloop"
 )
 
 const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
@@ -45,9 +45,9 @@
 type scene struct {
 	w     *Watch
 	calls chan *answer
-	lists chan List
+	lists chan EndpointList
 	start time.Time
-	loop  *loop.Loop
+	loop  *eventloop.Loop
 	ended error // why the last call did
 	side  sync.WaitGroup
 }
@@ -60,13 +60,13 @@
 	return <-c
 }
 
-func play(t *testing.T, retry *Retry, generation int64, f func(*scene), change ...func(*Watch)) {
+func play(t *testing.T, retry *Backoff, generation int64, f func(*scene), change ...func(*Watch)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &scene{calls: make(chan *answer, 64), lists: make(chan List, 64), start: time.Now(), loop: loop.New(64, 1<<20, zerolog.Nop())}
+		s := &scene{calls: make(chan *answer, 64), lists: make(chan EndpointList, 64), start: time.Now(), loop: eventloop.New(64, 1<<20, zerolog.Nop())}
 		var open []net.Conn
-		s.w = New(s.loop, Config{Address: "192.0.2.1:8500", Generation: generation, Retry: retry, Log: zerolog.Nop(),
-			Told: func(l List) { s.lists <- l }, Failed: func(err *WatchError) { s.ended = err },
+		s.w = New(s.loop, Config{Address: "192.0.2.1:8500", Generation: generation, Backoff: retry, Log: zerolog.Nop(),
+			Updated: func(l EndpointList) { s.lists <- l }, Failed: func(err *WatchError) { s.ended = err },
 			Dial: func(context.Context, string, string) (net.Conn, error) {
 				mine, theirs := net.Pipe()
 				open = append(open, theirs)
@@ -155,7 +155,7 @@
 				if step < len(c.in) && len(c.in) > 1e5 {
 					continue
 				}
-				play(t, NewRetry(1, false, 1), 0, func(s *scene) {
+				play(t, NewBackoff(1, false, 1), 0, func(s *scene) {
 					a := <-s.calls
 					for at := 0; at < len(c.in); at += step {
 						a.say(c.in[at:min(at+step, len(c.in))])
@@ -190,7 +190,7 @@
 		"in a list by a line": func(a *answer) { a.open(); drip(a, strings.SplitAfter(wide, "\n")...) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, NewRetry(300, false, 1), 7, func(s *scene) {
+			play(t, NewBackoff(300, false, 1), 7, func(s *scene) {
 				a := <-s.calls
 				if a.request != "/api/targets?stream=1&index=7" {
 					t.Errorf("asked %s", a.request)
@@ -219,14 +219,14 @@
 					t.Errorf("told %v after the silence began", took)
 				}
 			})
-			play(t, NewRetry(300, false, 1), 7, func(s *scene) { // from the first call on
+			play(t, NewBackoff(300, false, 1), 7, func(s *scene) { // from the first call on
 				a := <-s.calls
 				s.side.Go(func() { silent(a) })
 				b := <-s.calls
 				b.open()
 				b.line(wide)
 				<-s.lists
-				if took := time.Since(s.start); took > toldWithin*time.Microsecond || !errors.Is(s.why(), ErrSilent) {
+				if took := time.Since(s.start); took > toldWithin*time.Microsecond || !errors.Is(s.why(), ErrWatchSilent) {
 					t.Errorf("told after %v, %v", took, s.why())
 				}
 			})
@@ -300,7 +300,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, NewRetry(300, false, 1), 7, func(s *scene) {
+			play(t, NewBackoff(300, false, 1), 7, func(s *scene) {
 				last := s.start
 				f(t, s, func() time.Duration {
 					d := time.Since(last)
@@ -328,7 +328,7 @@
 // Where the whole list is wanted first, it is asked for by itself, and then watched from its generation on; so after a
 // call for it that failed.
 func TestWholeFirst(t *testing.T) {
-	play(t, NewRetry(1, false, 1), 7, func(s *scene) {
+	play(t, NewBackoff(1, false, 1), 7, func(s *scene) {
 		(<-s.calls).say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		a := <-s.calls
 		if a.request != "/api/targets" {
@@ -339,17 +339,17 @@
 		if b := <-s.calls; b.request != "/api/targets?stream=1&index=41" {
 			t.Errorf("asked %s", b.request)
 		}
-	}, func(w *Watch) { w.Whole = true })
+	}, func(w *Watch) { w.PollFirst = true })
 }
 
 // What comes on a call that was given up for one to another address is not told.
 func TestMoves(t *testing.T) {
-	play(t, NewRetry(1, false, 1), 7, func(s *scene) {
+	play(t, NewBackoff(1, false, 1), 7, func(s *scene) {
 		old := <-s.calls
 		old.open()
 		old.line(wide)
 		<-s.lists
-		s.loop.Post(func() { s.w.Move("192.0.2.2:8500") })
+		s.loop.Post(func() { s.w.SetAddress("192.0.2.2:8500") })
 		a := <-s.calls
 		s.side.Go(func() { old.line(short) })
 		a.open()
@@ -370,8 +370,8 @@
 		f.Add([]byte(seed), uint8(3))
 	}
 	f.Fuzz(func(t *testing.T, b []byte, cut uint8) {
-		read := func(in io.Reader) (lists []List, err error) {
-			s := &stream{silence: time.Hour, answer: time.Hour, alive: func() {}, told: func(l List) { lists = append(lists, l) }}
+		read := func(in io.Reader) (lists []EndpointList, err error) {
+			s := &stream{silence: time.Hour, answer: time.Hour, alive: func() {}, told: func(l EndpointList) { lists = append(lists, l) }}
 			return lists, s.follow(t.Context(), trip{in}, "http://192.0.2.1/")
 		}
 		whole, err := read(bytes.NewReader(b))
--- a/internal/loop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"errors"
@@ -163,7 +163,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	waiting := c.Unwritten() > 0
+	waiting := c.UnsentBytes() > 0
 	c.queued += int64(len(b))
 	if c.ended || c.shut {
 		return
@@ -196,12 +196,12 @@
 // was told, is the answer final: until then the engine may go on writing what is left.
 func (c *Conn) Flushed() bool { return c.written.Load() >= c.queued }
 
-// Unwritten is the number of bytes that the kernel has yet to take.
-func (c *Conn) Unwritten() int64 { return c.queued - c.written.Load() }
+// UnsentBytes is the number of bytes that the kernel has yet to take.
+func (c *Conn) UnsentBytes() int64 { return c.queued - c.written.Load() }
 
-// Quiet tells that the peer has sent nothing that the handler was not told, its end included. It looks into the
+// InputDrained tells that the peer has sent nothing that the handler was not told, its end included. It looks into the
 // socket itself: what has arrived there may be some time away from the handler.
-func (c *Conn) Quiet() bool {
+func (c *Conn) InputDrained() bool {
 	if c.closed || c.nb == nil {
 		return false
 	}
@@ -228,9 +228,9 @@
 	}
 }
 
-// Left tells that the peer has ended the connection, or the network has, whether or not the handler was told, and whether
+// PeerClosed tells that the peer has ended the connection, or the network has, whether or not the handler was told, and whether
 // or not bytes that nobody has read yet lie before the end: the state of the connection tells then.
-func (c *Conn) Left() bool {
+func (c *Conn) PeerClosed() bool {
 	if c.closed || c.nb == nil {
 		return true
 	}
@@ -247,13 +247,15 @@
 	return n <= 0 && !errors.Is(err, syscall.EAGAIN)
 }
 
-// Shut ends our sending if the peer has sent nothing that the handler was not told, and tells whether it has. What the
+// CloseWrite ends our sending if the peer has sent nothing that the handler was not told, and tells whether it has. What the
 // peer sends from then on is read and thrown away, so that it resets nothing that is on its way to it; Closed is told once
 // the peer has ended its side, too.
-func (c *Conn) Shut() bool { return c.shutIf((*Conn).quiet) }
+func (c *Conn) CloseWrite() bool { return c.shutIf((*Conn).quiet) }
 
-// ShutAnyway is Shut for a connection on which what comes means nothing.
-func (c *Conn) ShutAnyway() bool { return c.shutIf(func(c *Conn) bool { return !c.ended && !c.shut }) }
+// ForceCloseWrite is Shut for a connection on which what comes means nothing.
+func (c *Conn) ForceCloseWrite() bool {
+	return c.shutIf(func(c *Conn) bool { return !c.ended && !c.shut })
+}
 
 func (c *Conn) shutIf(may func(*Conn) bool) bool {
 	if c.closed || c.nb == nil {
@@ -261,7 +263,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.Unwritten() > 0 || !may(c) || syscall.Shutdown(c.number(), syscall.SHUT_WR) != nil {
+	if c.UnsentBytes() > 0 || !may(c) || syscall.Shutdown(c.number(), syscall.SHUT_WR) != nil {
 		return false
 	}
 	c.shut = true
@@ -286,7 +288,7 @@
 	if c.ended {
 		return
 	}
-	if c.shut = true; c.Unwritten() > 0 { // the engine may be at the same socket, and close it
+	if c.shut = true; c.UnsentBytes() > 0 { // the engine may be at the same socket, and close it
 		c.end(nil)
 		return
 	}
@@ -296,7 +298,7 @@
 
 // endSoon sees to it that the socket is given back, should the engine not come to its end.
 func (c *Conn) endSoon() {
-	c.loop.At(c.loop.Now()+endLater, func() {
+	c.loop.CallAt(c.loop.Now()+endLater, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if !c.ended {
--- a/internal/loop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"errors"
@@ -51,15 +51,15 @@
 	}
 	l.do(func() {
 		_, _ = flood.peer.Write([]byte("xx"))
-		until(t, "the flood", func() bool { return !flood.Quiet() })
+		until(t, "the flood", func() bool { return !flood.InputDrained() })
 		until(t, "the engine", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.bytes == 2 })
 		c.send(t)
-		until(t, "the byte", func() bool { return !c.Quiet() })
+		until(t, "the byte", func() bool { return !c.InputDrained() })
 		until(t, "the read", empty)
-		if c.Quiet() {
+		if c.InputDrained() {
 			t.Error("quiet, although a byte was read")
 		}
-		if c.Shut() {
+		if c.CloseWrite() {
 			t.Error("shut, although a byte was read")
 		}
 	})
@@ -89,13 +89,13 @@
 				other.send(t)
 				until(t, "the engine", func() bool { other.mu.Lock(); defer other.mu.Unlock(); return other.unread == 1 })
 				c.send(t) // not read: the engine waits to tell of the other's
-				until(t, "the byte", func() bool { return !c.Quiet() })
-				if c.Left() {
+				until(t, "the byte", func() bool { return !c.InputDrained() })
+				if c.PeerClosed() {
 					t.Error("left while it is there")
 				}
 				if leave != nil {
 					_ = leave(c.peer.(*net.TCPConn))
-					until(t, "the end", c.Left)
+					until(t, "the end", c.PeerClosed)
 				}
 				if n, _ := c.peek(); n != 1 && name != "is reset" {
 					t.Error("the byte was read meanwhile")
@@ -113,10 +113,10 @@
 	c, peer := accepted(t, l, conns)
 	l.do(func() {
 		c.Write([]byte("answer"))
-		if !c.Shut() {
+		if !c.CloseWrite() {
 			t.Error("not shut")
 		}
-		if c.Shut() || c.Quiet() {
+		if c.CloseWrite() || c.InputDrained() {
 			t.Error("shut twice, or quiet after it")
 		}
 		c.Write([]byte("more"))
@@ -142,19 +142,19 @@
 	l := run(t, func(c *Conn) Handler { conns <- c; return h })
 	c, peer := accepted(t, l, conns)
 	l.do(func() {
-		if c.Left() {
+		if c.PeerClosed() {
 			t.Error("left while it is there")
 		}
 		_, _ = peer.Write([]byte("x"))
-		until(t, "the byte", func() bool { return !c.Quiet() })
-		if c.Shut() {
+		until(t, "the byte", func() bool { return !c.InputDrained() })
+		if c.CloseWrite() {
 			t.Error("shut over unread bytes")
 		}
 	})
 	wait(t, h.data, "the byte")
 	l.do(func() {
 		peer.Close()
-		until(t, "the end", c.Left)
+		until(t, "the end", c.PeerClosed)
 	})
 	wait(t, h.closed, "the end")
 }
--- a/internal/loop/loop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,6 +1,6 @@
 // Package loop runs the network engine, the clock and the timers. Whatever happens on a socket or at a time is
 // handed to one goroutine, which alone owns the state of the program: handlers need no locks.
-package loop
+package eventloop
 
 import (
 	"container/heap"
@@ -320,8 +320,8 @@
 	call  func()
 }
 
-// At calls f on the loop's goroutine at the given time or as soon as possible after it.
-func (l *Loop) At(at int64, f func()) *Timer {
+// CallAt calls f on the loop's goroutine at the given time or as soon as possible after it.
+func (l *Loop) CallAt(at int64, f func()) *Timer {
 	t := &Timer{loop: l, at: at, call: f}
 	heap.Push(&l.timers, t)
 	return t
--- a/internal/loop/loop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"errors"
@@ -97,7 +97,7 @@
 		wait(t, h.closed, name)
 		l.do(func() {
 			if want := c.read || c.size < 1024; conn.Flushed() != want {
-				t.Errorf("%s: Flushed %v, %d unwritten", name, conn.Flushed(), conn.Unwritten())
+				t.Errorf("%s: Flushed %v, %d unwritten", name, conn.Flushed(), conn.UnsentBytes())
 			}
 		})
 	}
@@ -115,11 +115,11 @@
 	c := wait(t, conns, "accept")
 	for _, step := range []func(){func() { _, _ = peer.Write([]byte("x")) }, func() { peer.Close() }} {
 		l.do(func() { // nothing is told while this runs
-			if !c.Quiet() {
+			if !c.InputDrained() {
 				t.Error("not quiet before anything came")
 			}
 			step()
-			for end := time.Now().Add(limit); c.Quiet(); {
+			for end := time.Now().Add(limit); c.InputDrained(); {
 				if time.Now().After(end) {
 					t.Error("quiet although something came")
 					return
@@ -176,7 +176,7 @@
 	done := make(chan struct{})
 	l.do(func() {
 		now := l.Now()
-		add := func(at int64, name string) *Timer { return l.At(at, func() { got = append(got, name) }) }
+		add := func(at int64, name string) *Timer { return l.CallAt(at, func() { got = append(got, name) }) }
 		add(now+3, "third")
 		stopped := add(now+2, "never")
 		add(now-5, "first")
@@ -184,7 +184,7 @@
 		stopped.Stop()
 		stopped.Stop()
 		(*Timer)(nil).Stop()
-		l.At(now+4, func() { close(done) })
+		l.CallAt(now+4, func() { close(done) })
 	})
 	wait(t, done, "timers")
 	if d := cmp.Diff([]string{"first", "second", "third"}, got); d != "" {
--- a/internal/loop/reuse_test.go
+++ b/internal/eventloop/reuse_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"net"
