--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -18,20 +18,20 @@
 	"github.com/rs/zerolog"
 
 	"cloverrock/balance"
-	"cloverrock/internal/accord"
+	"cloverrock/internal/agreement"
 	"cloverrock/internal/app"
 	"cloverrock/internal/config"
+	"cloverrock/internal/crdt"
 	"cloverrock/internal/gateway"
-	"cloverrock/internal/member"
-	"cloverrock/internal/replica"
+	"cloverrock/internal/membership"
 	"cloverrock/internal/settings"
-	"cloverrock/internal/zonal"
+	"cloverrock/internal/zonefailover"
 )
 
 // The kinds of entries, on the wire.
 const (
-	votes   replica.Kind = 1
-	decided replica.Kind = 2
+	votes   crdt.Kind = 1
+	decided crdt.Kind = 2
 )
 
 const (
@@ -109,17 +109,17 @@
 // view is what is in force, for the gateway to read.
 type view struct{ shares atomic.Pointer[[]byte] }
 
-// Share implements balance.View.
-func (v *view) Share(zone int) float64 {
+// ReadShare implements balance.View.
+func (v *view) ReadShare(zone int) float64 {
 	if s := v.shares.Load(); zone < len(*s) {
-		return float64((*s)[zone]) / zonal.Whole
+		return float64((*s)[zone]) / zonefailover.Whole
 	}
 	return 1
 }
 
-// Part is the fleet beside one gateway, round another part.
-type Part struct {
-	app.Part
+// Component is the fleet beside one gateway, round another part.
+type Component struct {
+	app.Component
 	set    *settings.Fleet
 	reread func() (*settings.Settings, error)
 	log    zerolog.Logger
@@ -137,13 +137,13 @@
 	view view
 
 	gateway app.Gateway
-	members *member.Members
+	members *membership.Members
 
 	// What follows belongs to the core's goroutine.
-	state   *replica.State
-	council *accord.Council
-	zonal   *zonal.State
-	sight   *zonal.Sight
+	state   *crdt.State
+	council *agreement.Council
+	zonal   *zonefailover.State
+	sight   *zonefailover.Sight
 	hosts   map[string]place
 	round   uint64
 	behind  bool
@@ -157,21 +157,21 @@
 }
 
 // Join puts the fleet round another part. It starts when the gateway is attached.
-func Join(inner app.Part, set *settings.Fleet, reread func() (*settings.Settings, error), log zerolog.Logger) *Part {
-	p := &Part{Part: inner, set: set, reread: reread, log: log.With().Str("part", "fleet").Logger(), hosts: map[string]place{},
+func Join(inner app.Component, set *settings.Fleet, reread func() (*settings.Settings, error), log zerolog.Logger) *Component {
+	p := &Component{Component: inner, set: set, reread: reread, log: log.With().Str("part", "fleet").Logger(), hosts: map[string]place{},
 		ends: newRing[end](ends), in: newRing[letter](letters), out: newRing[letter](letters), pins: make(chan map[string]string, 1)}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	return p
 }
 
-// Configured implements app.Part.
-func (p *Part) Configured(c *config.Config) *config.Config {
-	p.conf = p.Part.Configured(c)
+// OverlayConfig implements app.Part.
+func (p *Component) OverlayConfig(c *config.Config) *config.Config {
+	p.conf = p.Component.OverlayConfig(c)
 	return p.conf
 }
 
-// Reread implements app.Part: pins are read again with the configuration.
-func (p *Part) Reread() (*config.Config, error) {
+// ReloadConfig implements app.Part: pins are read again with the configuration.
+func (p *Component) ReloadConfig() (*config.Config, error) {
 	if set, err := p.reread(); err != nil {
 		p.log.Error().Err(err).Msg("the settings stay as they were")
 	} else if set.Fleet != nil && set.Fleet.Zones != nil {
@@ -180,12 +180,12 @@
 		default:
 		}
 	}
-	return p.Part.Reread()
+	return p.Component.ReloadConfig()
 }
 
 // Attach implements app.Part.
-func (p *Part) Attach(g app.Gateway) {
-	p.Part.Attach(g)
+func (p *Component) Attach(g app.Gateway) {
+	p.Component.Attach(g)
 	p.gateway = g
 	z := p.set.Zones
 	if z == nil {
@@ -198,7 +198,7 @@
 		return
 	}
 	var err error
-	if p.members, err = member.Open(member.Config{Name: p.conf.Name, Listen: p.set.Listen, Join: p.set.Join, Relay: p.set.Relay, Log: p.log,
+	if p.members, err = membership.Open(membership.Config{Name: p.conf.Name, Listen: p.set.Listen, Join: p.set.Join, Relay: p.set.Relay, Log: p.log,
 		Heard: func(from string, b []byte) { p.in.put(letter{name: from, b: b}) }}); err != nil {
 		log := p.log.Error().Err(err)
 		if r, ok := err.(interface{ Remedy() string }); ok {
@@ -208,11 +208,11 @@
 		return
 	}
 	p.start(z)
-	whole := slices.Repeat([]byte{zonal.Whole}, len(p.unit))
+	whole := slices.Repeat([]byte{zonefailover.Whole}, len(p.unit))
 	p.view.shares.Store(&whole)
-	g.Follow(&p.view)
-	g.Watch(func(host string, class int, o gateway.Outcome) {
-		p.ends.put(end{host, class, o.Result, o.Took, time.Now()})
+	g.SetZoneShares(&p.view)
+	g.ObserveOutcomes(func(host string, class int, o gateway.Outcome) {
+		p.ends.put(end{host, class, o.Result, o.Latency, time.Now()})
 	})
 	p.wg.Go(p.exchange)
 	p.wg.Go(p.core)
@@ -220,7 +220,7 @@
 }
 
 // chart gives each zone its unit: its region, or itself.
-func (p *Part) chart(regions map[string]string) {
+func (p *Component) chart(regions map[string]string) {
 	for _, zone := range p.conf.Names.Zones {
 		name := zone
 		if r := regions[zone]; r != "" {
@@ -234,37 +234,37 @@
 	}
 }
 
-func (p *Part) start(z *settings.Zones) {
+func (p *Component) start(z *settings.Zones) {
 	taken := func(what string) bool { return slices.Contains(z.Without, what) }
 	incarnation := uint64(time.Now().UnixMicro())
 	hold := 10 * 60 * second
-	p.state = replica.New(replica.Config{Self: p.conf.Name, Incarnation: incarnation, Ahead: 5 * second, Forms: map[replica.Kind]replica.Form{
-		votes:   {Name: "votes", Rule: replica.Newest, Keep: 60 * second, Most: 1 + 4*255},
-		decided: {Name: "decided", Rule: replica.Decided, Keep: hold, Most: 1024},
+	p.state = crdt.New(crdt.Config{Self: p.conf.Name, Incarnation: incarnation, Ahead: 5 * second, Forms: map[crdt.Kind]crdt.Form{
+		votes:   {Name: "votes", Rule: crdt.Newest, Keep: 60 * second, Most: 1 + 4*255},
+		decided: {Name: "decided", Rule: crdt.Decided, Keep: hold, Most: 1024},
 	}})
-	p.council = accord.New(accord.Config{Self: p.conf.Name, Votes: votes, Decided: decided, Delay: int64(z.DelayMS) * 1000, Turn: 200_000,
+	p.council = agreement.New(agreement.Config{Self: p.conf.Name, Votes: votes, Decided: decided, Delay: int64(z.DelayMS) * 1000, Turn: 200_000,
 		Fresh: 30 * second, Hold: hold, Majority: !taken("quorum")}, p.state)
 	own := -1
 	if p.conf.Settings.Zone < len(p.unit) {
 		own = p.unit[p.conf.Settings.Zone]
 	}
-	conf := zonal.Config{Zones: p.units, Own: own, AtOnce: z.AtOnce, Bad: 0.6, Views: min(3, max(1, p.conf.Gateways/3)), Bear: 0.6,
-		Steps: []byte{2, 5, 10, 20, 40, 70, zonal.Whole}, Step: int64(z.StepMS) * 1000, Away: int64(z.AwayMS) * 1000, AwayMax: 300 * second, Calm: 600 * second,
+	conf := zonefailover.Config{Zones: p.units, Own: own, AtOnce: z.AtOnce, Bad: 0.6, Views: min(3, max(1, p.conf.Gateways/3)), Bear: 0.6,
+		Steps: []byte{2, 5, 10, 20, 40, 70, zonefailover.Whole}, Step: int64(z.StepMS) * 1000, Away: int64(z.AwayMS) * 1000, AwayMax: 300 * second, Calm: 600 * second,
 		Pace: !taken("pace"), Capacity: !taken("capacity")}
 	if z.StepMS == 0 { // as many steps as a host takes to be warm
-		conf.Step = max(second, p.conf.Settings.ColdFor/int64(len(conf.Steps)))
+		conf.Step = max(second, p.conf.Settings.SlowStartDuration/int64(len(conf.Steps)))
 	}
 	if taken("quorum") {
 		conf.Views = 1
 	}
-	p.zonal = zonal.New(conf, p.council)
-	p.sight = zonal.NewSight(zonal.SightConfig{Zones: len(p.units), Window: 4 * second, Least: 3, Groups: 2, Part: 0.6})
+	p.zonal = zonefailover.New(conf, p.council)
+	p.sight = zonefailover.NewSight(zonefailover.SightConfig{Zones: len(p.units), Window: 4 * second, Least: 3, Groups: 2, Part: 0.6})
 	p.pin(z.Pin)
 }
 
-func (p *Part) pin(pins map[string]string) {
+func (p *Component) pin(pins map[string]string) {
 	for i := range p.units {
-		p.zonal.Pin(i, zonal.Free)
+		p.zonal.Pin(i, zonefailover.Free)
 	}
 	for zone, how := range pins {
 		i := slices.Index(p.units, zone)
@@ -273,23 +273,23 @@
 			p.log.Error().Err(err).Str("remedy", err.Remedy()).Msg("the pin is passed over")
 			continue
 		}
-		p.zonal.Pin(i, map[string]zonal.Pin{"kept": zonal.Kept, "left": zonal.Left}[how])
+		p.zonal.Pin(i, map[string]zonefailover.Pin{"kept": zonefailover.Kept, "left": zonefailover.Left}[how])
 		p.log.Info().Str("zone", zone).Str("pin", how).Msg("pinned")
 	}
 }
 
 // Close implements app.Part.
-func (p *Part) Close() {
+func (p *Component) Close() {
 	p.stop()
 	p.wg.Wait()
 	if p.members != nil {
 		p.members.Close()
 	}
-	p.Part.Close()
+	p.Component.Close()
 }
 
 // exchange sends. A member that does not answer holds up what is for others, so no more than the ring is kept for it.
-func (p *Part) exchange() {
+func (p *Component) exchange() {
 	for {
 		select {
 		case <-p.ctx.Done():
@@ -305,7 +305,7 @@
 }
 
 // core merges, decides and applies. It alone owns the state.
-func (p *Part) core() {
+func (p *Component) core() {
 	tick := time.NewTicker(beat)
 	defer tick.Stop()
 	last, asked, listed := time.Now(), time.Time{}, time.Time{}
@@ -327,7 +327,7 @@
 		if gap := now.Sub(last); gap > stalled { // what it last knew of the others is old, and what it saw was its own stop
 			p.log.Warn().Dur("gap_ms", gap).Msg("this process stood still: it says nothing before it has caught up")
 			p.behind, asked = true, time.Time{}
-			p.sight = zonal.NewSight(zonal.SightConfig{Zones: len(p.units), Window: 4 * second, Least: 3, Groups: 2, Part: 0.6})
+			p.sight = zonefailover.NewSight(zonefailover.SightConfig{Zones: len(p.units), Window: 4 * second, Least: 3, Groups: 2, Part: 0.6})
 		}
 		last = now
 		if now.Sub(listed) > time.Second {
@@ -351,32 +351,32 @@
 }
 
 // list takes over where hosts are.
-func (p *Part) list() {
-	_, l, ok := p.gateway.Learned()
+func (p *Component) list() {
+	_, l, ok := p.gateway.Snapshot()
 	if !ok {
 		return
 	}
 	clear(p.hosts)
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		if e.Zone < len(p.unit) {
 			p.hosts[e.Host] = place{p.unit[e.Zone], e.Group}
 		}
 	}
 }
 
-func (p *Part) see(e end) {
+func (p *Component) see(e end) {
 	at, known := p.hosts[e.host]
 	if !known {
 		return
 	}
-	seen := zonal.End{Host: e.host, Zone: at.unit, Group: at.group, Probe: e.class == gateway.ProbeClass, At: e.at.UnixMicro()}
+	seen := zonefailover.End{Host: e.host, Zone: at.unit, Group: at.group, Probe: e.class == gateway.HealthCheckClass, At: e.at.UnixMicro()}
 	switch e.result {
-	case balance.Served:
+	case balance.Succeeded:
 		if !seen.Probe && e.class < len(p.conf.Settings.Classes) {
-			seen.Used = float64(e.took) / float64(p.conf.Settings.Classes[e.class].Aim)
+			seen.Used = float64(e.took) / float64(p.conf.Settings.Classes[e.class].LatencyObjective)
 		}
-	case balance.Missed, balance.Full: // it is there, and says so
-	case balance.Errored, balance.TimedOut, balance.Refused, balance.Reset:
+	case balance.NotPrimary, balance.Overloaded: // it is there, and says so
+	case balance.Failed, balance.TimedOut, balance.ConnectionRefused, balance.ConnectionReset:
 		seen.Failed = true
 	default: // ended from this side
 		return
@@ -384,8 +384,8 @@
 	p.sight.See(seen)
 }
 
-func (p *Part) hear(l letter) {
-	m, err := replica.Decode(l.name, l.b)
+func (p *Component) hear(l letter) {
+	m, err := crdt.Decode(l.name, l.b)
 	if err != nil {
 		p.log.Debug().Err(err).Msg("a message can't be read")
 		return
@@ -415,22 +415,22 @@
 }
 
 // tell spreads entries to all.
-func (p *Part) tell(entries ...replica.Entry) {
+func (p *Component) tell(entries ...crdt.Entry) {
 	for _, e := range entries {
-		if b, err := replica.Encode(&replica.Message{Entries: []replica.Entry{e}}); err == nil {
+		if b, err := crdt.Encode(&crdt.Message{Entries: []crdt.Entry{e}}); err == nil {
 			p.out.put(letter{key: fmt.Sprint(e.Kind, "/", e.Name, "/", e.Origin), b: b})
 		}
 	}
 }
 
-func (p *Part) send(name string, m *replica.Message) {
-	if b, err := replica.Encode(m); err == nil {
+func (p *Component) send(name string, m *crdt.Message) {
+	if b, err := crdt.Encode(m); err == nil {
 		p.out.put(letter{name: name, b: b})
 	}
 }
 
 // ask begins a round with a member drawn at random.
-func (p *Part) ask(roll accord.Roll) {
+func (p *Component) ask(roll agreement.Roll) {
 	var others []string
 	for name, alive := range roll {
 		if alive && name != p.conf.Name {
@@ -443,7 +443,7 @@
 	}
 }
 
-func (p *Part) decide(now int64, roll accord.Roll) {
+func (p *Component) decide(now int64, roll agreement.Roll) {
 	if e, ok := p.zonal.Vote(now, p.sight.Views(now, p.zonal.Own())); ok {
 		p.tell(e)
 	}
@@ -463,7 +463,7 @@
 }
 
 // apply puts what is in force before the gateway.
-func (p *Part) apply(now int64) {
+func (p *Component) apply(now int64) {
 	shares := make([]byte, len(p.unit))
 	for zone, unit := range p.unit {
 		shares[zone] = p.zonal.Share(now, unit)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -27,7 +27,7 @@
 	v := &view{}
 	v.shares.Store(&[]byte{0, 40})
 	for zone, want := range []float64{0, 0.4, 1} {
-		if got := v.Share(zone); got != want {
+		if got := v.ReadShare(zone); got != want {
 			t.Errorf("zone %d: %v", zone, got)
 		}
 	}
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -4,26 +4,26 @@
 	"encoding/hex"
 	"testing"
 
-	"cloverrock/internal/accord"
+	"cloverrock/internal/agreement"
 	"cloverrock/internal/config"
+	"cloverrock/internal/crdt"
 	"cloverrock/internal/golden"
-	"cloverrock/internal/replica"
 )
 
 // What a gateway tells all, and what it asks one, are the same bytes as ever under the same keys.
 func TestGoldenLetters(t *testing.T) {
-	forms := map[replica.Kind]replica.Form{
-		votes:   {Name: "votes", Rule: replica.Newest, Keep: second, Most: 8},
-		decided: {Name: "decided", Rule: replica.Decided, Keep: second, Most: 8},
+	forms := map[crdt.Kind]crdt.Form{
+		votes:   {Name: "votes", Rule: crdt.Newest, Keep: second, Most: 8},
+		decided: {Name: "decided", Rule: crdt.Decided, Keep: second, Most: 8},
 	}
-	p := &Part{conf: &config.Config{Name: "a"}, out: newRing[letter](8), state: replica.New(replica.Config{Self: "a", Incarnation: 5, Forms: forms})}
+	p := &Component{conf: &config.Config{Name: "a"}, out: newRing[letter](8), state: crdt.New(crdt.Config{Self: "a", Incarnation: 5, Forms: forms})}
 	p.tell(p.state.Put(second, votes, "zones", []byte{1, 2}), p.state.Decide(second, decided, "zones", 3, []byte{4}))
-	p.ask(accord.Roll{"a": true, "b": true, "c": false})
+	p.ask(agreement.Roll{"a": true, "b": true, "c": false})
 	var cases []golden.Case
 	for _, name := range []string{"vote", "decision", "question"} {
 		l := <-p.out.c
 		cases = append(cases, golden.Case{Name: name, Form: "to=" + l.name + " key=" + l.key + " " + hex.EncodeToString(l.b)})
-		if _, err := replica.Decode("a", l.b); err != nil {
+		if _, err := crdt.Decode("a", l.b); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -11,8 +11,8 @@
 
 	"github.com/rs/zerolog"
 
+	"cloverrock/internal/eventloop"
 	"cloverrock/internal/gateway"
-	"cloverrock/internal/loop"
 	"cloverrock/internal/pgwire"
 )
 
@@ -20,8 +20,8 @@
 	maxPipelined = 64       // commands of one client that wait for their turn
 	maxUnread    = 64 << 10 // bytes of answers that a client has not read before its next command waits
 
-	// Surplus is how many connections beyond the limit are let in to be told so, or stand in their lingering close.
-	Surplus = 16
+	// OverflowConnections is how many connections beyond the limit are let in to be told so, or stand in their lingering close.
+	OverflowConnections = 16
 
 	sweep    = 1e5 // pace of the look at all clients
 	settle   = 1e5 // a message that goes on coming is whole by then, and a startup is here
@@ -34,7 +34,7 @@
 // Gateway takes requests.
 type Gateway interface {
 	Accept(q gateway.Request) int64
-	Gone(id int64)
+	ClientDisconnected(id int64)
 	Ready() bool
 }
 
@@ -47,16 +47,16 @@
 
 // Limits bound what the clients together may take.
 type Limits struct {
-	Connections int
-	Asked       int   // of them, clients that have asked; beyond it those between requests are closed
-	Bytes       int   // of requests, of commands that wait for their turn and of messages begun; as much of answers unread
-	Silence     int64 // for a client to say something after it connected, and to end a message that it has begun
-	Resting     int64 // between requests, as long as there is room
+	Connections       int
+	ActiveConnections int   // of them, clients that have asked; beyond it those between requests are closed
+	Bytes             int   // of requests, of commands that wait for their turn and of messages begun; as much of answers unread
+	MessageTimeout    int64 // for a client to say something after it connected, and to end a message that it has begun
+	IdleTimeout       int64 // between requests, as long as there is room
 }
 
 // Server is all client connections. It belongs to the loop's goroutine.
 type Server struct {
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	gateway Gateway
 	classes map[string]Class
 	limits  Limits
@@ -74,7 +74,7 @@
 }
 
 // New returns a server without clients.
-func New(l *loop.Loop, g Gateway, classes map[string]Class, limits Limits, log zerolog.Logger) *Server {
+func New(l *eventloop.Loop, g Gateway, classes map[string]Class, limits Limits, log zerolog.Logger) *Server {
 	s := &Server{loop: l, gateway: g, classes: classes, limits: limits, log: log, clients: map[*client]struct{}{},
 		fresh: list.New(), idle: list.New(), parted: list.New(), keys: map[uint32]*client{}, open: map[string]struct{}{}}
 	s.sweep()
@@ -95,12 +95,12 @@
 		case c.dead && now-c.since > farewell:
 			c.close()
 		case c.waiting || c.resting == nil:
-		case len(c.in) > 0 && now-c.begun > s.limits.Silence,
-			!c.asked && now-c.since > s.limits.Silence, now-c.since > s.limits.Resting:
+		case len(c.in) > 0 && now-c.begun > s.limits.MessageTimeout,
+			!c.asked && now-c.since > s.limits.MessageTimeout, now-c.since > s.limits.IdleTimeout:
 			c.retire()
 		}
-		if n := c.net.Unwritten(); !c.closed && n > 0 {
-			if unread += n; slow == nil || n > slow.net.Unwritten() {
+		if n := c.net.UnsentBytes(); !c.closed && n > 0 {
+			if unread += n; slow == nil || n > slow.net.UnsentBytes() {
 				slow = c
 			}
 		}
@@ -109,7 +109,7 @@
 		slow.close()
 	}
 	s.relax(now)
-	s.loop.At(now+sweep, s.sweep)
+	s.loop.CallAt(now+sweep, s.sweep)
 }
 
 // relax makes room while there are too many: others may wait where nobody accepts them. Those who linger had a moment.
@@ -123,13 +123,13 @@
 
 // Accept takes a new connection. When there are too many, one that lingers is cut off, or one that rests makes room; if
 // all are at work, the new one is let in only to be told.
-func (s *Server) Accept(c *loop.Conn) loop.Handler {
+func (s *Server) Accept(c *eventloop.Conn) eventloop.Handler {
 	cl := &client{server: s, net: c, since: s.loop.Now()}
 	for s.parted.Len() > 0 && len(s.clients) >= s.limits.Connections {
 		s.parted.Front().Value.(*client).close()
 	}
 	if len(s.clients) >= s.limits.Connections && !s.spare() {
-		if len(s.clients) >= s.limits.Connections+Surplus {
+		if len(s.clients) >= s.limits.Connections+OverflowConnections {
 			c.Close()
 			return cl
 		}
@@ -166,27 +166,27 @@
 	return false
 }
 
-// Unread is the number of bytes of answers that clients have yet to read.
-func (s *Server) Unread() (n int64) {
+// UnsentBytes is the number of bytes of answers that clients have yet to read.
+func (s *Server) UnsentBytes() (n int64) {
 	for c := range s.clients {
-		n += c.net.Unwritten()
+		n += c.net.UnsentBytes()
 	}
 	return n
 }
 
-// Quiet tells that no client has sent anything that was not read.
-func (s *Server) Quiet() bool {
+// InputDrained tells that no client has sent anything that was not read.
+func (s *Server) InputDrained() bool {
 	for c := range s.clients {
-		if !c.net.Quiet() {
+		if !c.net.InputDrained() {
 			return false
 		}
 	}
 	return true
 }
 
-// End closes each connection once nothing is owed on it, and calls back when the last is closed. Clients go on asking on
+// Shutdown closes each connection once nothing is owed on it, and calls back when the last is closed. Clients go on asking on
 // those that stay open: one whose next bytes are here already is answered first.
-func (s *Server) End(ended func()) {
+func (s *Server) Shutdown(ended func()) {
 	s.ending, s.ended = true, ended
 	for c := range s.clients {
 		if c.resting != nil && len(c.in) == 0 && !c.parted {
@@ -206,7 +206,7 @@
 // client is one client connection.
 type client struct {
 	server  *Server
-	net     *loop.Conn
+	net     *eventloop.Conn
 	started bool
 	surplus bool
 	closed  bool
@@ -227,7 +227,7 @@
 	asked   bool      // a request of it was taken
 	since   int64     // when it connected, or last came to rest
 	resting *list.Element
-	timer   *loop.Timer
+	timer   *eventloop.Timer
 }
 
 // command is a message that waits for its turn.
@@ -263,12 +263,12 @@
 func (c *client) drop() {
 	if c.waiting {
 		c.over()
-		c.server.gateway.Gone(c.request)
+		c.server.gateway.ClientDisconnected(c.request)
 	}
 }
 
-// Left implements gateway.Client: it looks into the socket, since the end may be some time away from here.
-func (c *client) Left() bool { return c.closed || c.net.Left() }
+// Disconnected implements gateway.Client: it looks into the socket, since the end may be some time away from here.
+func (c *client) Disconnected() bool { return c.closed || c.net.PeerClosed() }
 
 // over notes that the request that was out has its final answer.
 func (c *client) over() {
@@ -287,7 +287,7 @@
 // asked nothing has nothing to lose: its descriptor is free at once.
 func (c *client) retire() bool {
 	asked := c.asked
-	if !c.shut(c.net.Shut) {
+	if !c.shut(c.net.CloseWrite) {
 		return false
 	}
 	if !asked {
@@ -319,7 +319,7 @@
 		return
 	}
 	switch {
-	case c.dead && c.shut(c.net.ShutAnyway):
+	case c.dead && c.shut(c.net.ForceCloseWrite):
 	case !c.dead && (c.asked || c.server.loop.Now()-c.since > settle) && c.retire():
 	default:
 		c.later(c.part)
@@ -329,7 +329,7 @@
 // later calls f once the client has had some time to read; at most one call is under way.
 func (c *client) later(f func()) {
 	c.timer.Stop()
-	c.timer = c.server.loop.At(c.server.loop.Now()+5e3, f)
+	c.timer = c.server.loop.CallAt(c.server.loop.Now()+5e3, f)
 }
 
 // count brings the number of bytes held up to date.
@@ -345,7 +345,7 @@
 // thin retires the clients that have rested longest, beyond the bound for those that have asked. Their side has so many
 // connections at most: clients that ask once and stay would keep all that come later from connecting.
 func (s *Server) thin() {
-	for e := s.idle.Front(); e != nil && s.asked > s.limits.Asked; {
+	for e := s.idle.Front(); e != nil && s.asked > s.limits.ActiveConnections; {
 		c := e.Value.(*client)
 		if e = e.Next(); len(c.in) == 0 {
 			c.retire()
@@ -510,7 +510,7 @@
 // next takes commands in their order, until one is a request that must be answered first.
 func (c *client) next() {
 	for !c.waiting && !c.closed && len(c.queue) > 0 {
-		if c.net.Unwritten() > maxUnread {
+		if c.net.UnsentBytes() > maxUnread {
 			c.later(c.next)
 			return
 		}
@@ -612,8 +612,8 @@
 	}
 	c.waiting, c.asked, c.request, c.id, c.size = true, true, 0, q.ID, len(cmd.text)
 	id := c.server.gateway.Accept(gateway.Request{
-		Class: class.Index, Group: q.Cluster, Key: q.KeyID(), HasKey: q.HasKey, Write: class.Write, After: q.After,
-		Until: cmd.at + q.Wait, Body: q, Client: c,
+		Class: class.Index, Group: q.Cluster, Key: q.KeyID(), HasKey: q.HasKey, Write: class.Write, MinPosition: q.After,
+		Deadline: cmd.at + q.Wait, Body: q, Client: c,
 	})
 	if c.waiting { // else it was answered at once
 		c.request = id
@@ -635,8 +635,8 @@
 // Serve implements gateway.Client.
 func (c *client) Serve(value []byte) { c.done(value) }
 
-// Refuse implements gateway.Client.
-func (c *client) Refuse(after int64) {
+// Reject implements gateway.Client.
+func (c *client) Reject(after int64) {
 	e := pgwire.Error{Severity: "ERROR", Code: pgwire.CodeTooManyConnections, Message: "refused; trying again is harmless"}
 	if after > 0 {
 		e.Detail = fmt.Sprint((after + 999) / 1000)
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/rs/zerolog"
 
+	"cloverrock/internal/eventloop"
 	"cloverrock/internal/gateway"
-	"cloverrock/internal/loop"
 	"cloverrock/internal/pgwire"
 )
 
@@ -21,14 +21,14 @@
 type asked chan gateway.Client
 
 func (a asked) Accept(q gateway.Request) int64 { a <- q.Client; return 1 }
-func (asked) Gone(int64)                       {}
+func (asked) ClientDisconnected(int64)         {}
 func (asked) Ready() bool                      { return true }
 
 // serve starts a server with so many connections and a gateway that a test plays, and returns a client's connection.
-func serve(t *testing.T) (*loop.Loop, *Server, asked, net.Conn) {
+func serve(t *testing.T) (*eventloop.Loop, *Server, asked, net.Conn) {
 	t.Helper()
-	l, requests := loop.New(64, 1<<20, zerolog.Nop()), make(asked, 2)
-	s := New(l, requests, map[string]Class{"look": {Deadline: limit.Microseconds()}}, Limits{Connections: 4, Asked: 4, Bytes: 1 << 20, Silence: 3600e6, Resting: 3600e6}, zerolog.Nop())
+	l, requests := eventloop.New(64, 1<<20, zerolog.Nop()), make(asked, 2)
+	s := New(l, requests, map[string]Class{"look": {Deadline: limit.Microseconds()}}, Limits{Connections: 4, ActiveConnections: 4, Bytes: 1 << 20, MessageTimeout: 3600e6, IdleTimeout: 3600e6}, zerolog.Nop())
 	if err := l.Start("127.0.0.1:0", 4, s.Accept); err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 	}
 	first := requests.next(t)
 	l.Post(func() {
-		s.End(func() {})
+		s.Shutdown(func() {})
 		answer(first, "one")
 		first.part() // as its timer has it, before the next request is taken
 	})
@@ -101,7 +101,7 @@
 		c, done := requests.next(t), make(chan struct{})
 		l.Post(func() {
 			answer(c, value)
-			if unwritten = c.net.Unwritten() > 0; unwritten {
+			if unwritten = c.net.UnsentBytes() > 0; unwritten {
 				c.Data([]byte("X\x00\x00\x00\x04")) // as it comes from the socket
 			}
 			close(done)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,44 +15,44 @@
 // Client is told the one final answer of its request. It may not call back before it returns.
 type Client interface {
 	Serve(value []byte) // the answer as a host gave it
-	Refuse(after int64) // nothing ran, or may run again: come back after so many microseconds; 0: any time
+	Reject(after int64) // nothing ran, or may run again: come back after so many microseconds; 0: any time
 	Fail()              // it may have run
-	Left() bool         // nobody waits for the answer any more, whether or not the gateway was told
+	Disconnected() bool // nobody waits for the answer any more, whether or not the gateway was told
 }
 
 // Request is a request as a frontend read it. Times are microseconds on the loop's clock.
 type Request struct {
-	Class  int
-	Group  int64
-	Key    int64
-	HasKey bool
-	Write  bool
-	After  int64 // position that it must see; 0 if none
-	Until  int64 // when the client gives up
-	Body   Body
-	Client Client
+	Class       int
+	Group       int64
+	Key         int64
+	HasKey      bool
+	Write       bool
+	MinPosition int64 // position that it must see; 0 if none
+	Deadline    int64 // when the client gives up
+	Body        Body
+	Client      Client
 }
 
 // Attempt is one sending of a request to a host.
 type Attempt struct {
-	Request int64
-	Number  int
-	Host    string
-	Write   bool
-	Until   int64 // when to stop waiting
-	Body    Body
+	Request  int64
+	Number   int
+	Host     string
+	Write    bool
+	Deadline int64 // when to stop waiting
+	Body     Body
 	// Aged tells, just before the first byte is written, that the rules no longer allow the sending: the
 	// decision was taken before a connection was there.
-	Aged func() bool
+	Expired func() bool
 }
 
 // Outcome is how an attempt or a probe ended.
 type Outcome struct {
 	Result   balance.Result
-	Took     int64
+	Latency  int64
 	Role     balance.Role
 	Position int64
-	Report   balance.Report
+	Report   balance.HostReport
 	Value    []byte // what a served request is answered with
 }
 
@@ -61,34 +61,34 @@
 type Hosts interface {
 	Send(a Attempt)
 	Cancel(request int64, number int)
-	Probe(host string)
+	CheckHealth(host string)
 	CloseIdle(host string)
 }
 
-// List asks discovery.
-type List interface {
+// Endpoints asks discovery.
+type Endpoints interface {
 	Subscribe()
-	Fetch()
+	Poll()
 }
 
 // Peers sends to other gateways; peer -1 is all of them.
 type Peers interface {
-	Tell(peer int, data []byte)
+	Send(peer int, data []byte)
 }
 
 // Clock gives the time and calls back at one.
 type Clock interface {
 	Now() int64
-	Call(at int64, f func())
+	CallAt(at int64, f func())
 }
 
 // Counts is what a gateway has done since its start.
 type Counts struct {
-	Requests, Refused, Failed int
-	Outcomes                  [balance.Missed + 1]int // of attempts, by result
-	Again                     int                     // attempts of requests that had one before
-	Probes, ProbesFailed      int
-	Told, ToldBytes, Heard    int // messages to and from other gateways
+	Requests, Rejected, Failed                  int
+	Outcomes                                    [balance.NotPrimary + 1]int // of attempts, by result
+	Retries                                     int                         // attempts of requests that had one before
+	HealthChecks, HealthChecksFailed            int
+	GossipSent, GossipBytesSent, GossipReceived int // messages to and from other gateways
 }
 
 // Gateway owns the live requests. All of it belongs to one goroutine.
@@ -96,7 +96,7 @@
 	router *balance.Router
 	clock  Clock
 	hosts  Hosts
-	list   List
+	list   Endpoints
 	peers  Peers
 	log    zerolog.Logger
 
@@ -125,15 +125,15 @@
 }
 
 // Connect gives the gateway what its router's actions go to.
-func (g *Gateway) Connect(hosts Hosts, list List, peers Peers) {
+func (g *Gateway) Connect(hosts Hosts, list Endpoints, peers Peers) {
 	g.hosts, g.list, g.peers = hosts, list, peers
 }
 
 // Ready tells whether a list of hosts is known.
 func (g *Gateway) Ready() bool { return g.known }
 
-// Owed is the number of requests whose final answer is still to come.
-func (g *Gateway) Owed() int {
+// InFlight is the number of requests whose final answer is still to come.
+func (g *Gateway) InFlight() int {
 	n := 0
 	for _, q := range g.live {
 		if !q.over {
@@ -153,38 +153,38 @@
 	g.live[g.last] = &live{Request: q}
 	ev := balance.Event{
 		Kind: balance.RequestEvent, Request: g.last, Class: q.Class, Group: q.Group,
-		Key: q.Key, HasKey: q.HasKey, Until: q.Until,
+		Key: q.Key, HasKey: q.HasKey, Deadline: q.Deadline,
 	}
-	if q.After > 0 {
+	if q.MinPosition > 0 {
 		// A commit is rounded up, so it may lie a little ahead of the clock: the age is negative then. An age
 		// of 0 means that there is none.
-		if ev.SinceWrite = g.clock.Now() - q.After; ev.SinceWrite == 0 {
-			ev.SinceWrite = 1
+		if ev.SessionWriteAge = g.clock.Now() - q.MinPosition; ev.SessionWriteAge == 0 {
+			ev.SessionWriteAge = 1
 		}
 	}
 	g.tell(ev)
 	return g.last
 }
 
-// Gone tells that the client of a request has left.
-func (g *Gateway) Gone(id int64) {
+// ClientDisconnected tells that the client of a request has left.
+func (g *Gateway) ClientDisconnected(id int64) {
 	if q := g.live[id]; q != nil && !q.over {
 		g.finish(id, q)
-		g.tell(balance.Event{Kind: balance.GoneEvent, Request: id})
+		g.tell(balance.Event{Kind: balance.ClientDisconnectedEvent, Request: id})
 	}
 }
 
 // left looks at the client itself, just before the first byte of an attempt: word that it has gone may lie behind much else.
 func (g *Gateway) left(id int64) bool {
 	q := g.live[id]
-	if q != nil && !q.over && q.Client.Left() {
-		g.Gone(id)
+	if q != nil && !q.over && q.Client.Disconnected() {
+		g.ClientDisconnected(id)
 	}
 	return q == nil || q.over
 }
 
-// Ended takes the outcome of an attempt. The first that is served goes to the client.
-func (g *Gateway) Ended(a Attempt, o Outcome) {
+// AttemptFinished takes the outcome of an attempt. The first that is served goes to the client.
+func (g *Gateway) AttemptFinished(a Attempt, o Outcome) {
 	q := g.live[a.Request]
 	if q == nil {
 		return
@@ -194,7 +194,7 @@
 	for _, f := range g.watch {
 		f(a.Host, q.Class, o)
 	}
-	if o.Result == balance.Served && !q.over {
+	if o.Result == balance.Succeeded && !q.over {
 		q.Client.Serve(o.Value)
 		g.finish(a.Request, q)
 	}
@@ -203,52 +203,56 @@
 		delete(g.live, a.Request)
 	}
 	g.tell(balance.Event{
-		Kind: balance.OutcomeEvent, Request: a.Request, Attempt: a.Number, Host: a.Host, Result: o.Result, Over: over,
-		Took: o.Took, Role: o.Role, Position: o.Position, Report: o.Report,
+		Kind: balance.OutcomeEvent, Request: a.Request, Attempt: a.Number, Host: a.Host, Result: o.Result, Finished: over,
+		Latency: o.Latency, Role: o.Role, Position: o.Position, Report: o.Report,
 	})
 }
 
-// Probed takes the outcome of a probe.
-func (g *Gateway) Probed(host string, o Outcome) {
+// HealthCheckFinished takes the outcome of a probe.
+func (g *Gateway) HealthCheckFinished(host string, o Outcome) {
 	if !o.Result.Answered() {
-		g.counts.ProbesFailed++
+		g.counts.HealthChecksFailed++
 	}
 	for _, f := range g.watch {
-		f(host, ProbeClass, o)
+		f(host, HealthCheckClass, o)
 	}
-	g.tell(balance.Event{Kind: balance.ProbedEvent, Host: host, Result: o.Result, Took: o.Took, Report: o.Report})
+	g.tell(balance.Event{Kind: balance.HealthCheckEvent, Host: host, Result: o.Result, Latency: o.Latency, Report: o.Report})
 }
 
-// Listed takes a list of hosts, or the changes of one.
-func (g *Gateway) Listed(entries []balance.Entry, full bool) {
+// EndpointsUpdated takes a list of hosts, or the changes of one.
+func (g *Gateway) EndpointsUpdated(entries []balance.Endpoint, full bool) {
 	g.known = true
-	g.tell(balance.Event{Kind: balance.ListEvent, Entries: entries, Full: full})
+	g.tell(balance.Event{Kind: balance.EndpointsEvent, Endpoints: entries, Complete: full})
 }
 
-// ListFailed tells that asking for the list failed.
-func (g *Gateway) ListFailed() { g.tell(balance.Event{Kind: balance.ListEvent, Failed: true}) }
+// EndpointsPollFailed tells that asking for the list failed.
+func (g *Gateway) EndpointsPollFailed() {
+	g.tell(balance.Event{Kind: balance.EndpointsEvent, PollFailed: true})
+}
 
-// Heard takes a message from another gateway.
-func (g *Gateway) Heard(peer int, data []byte) {
-	g.counts.Heard++
-	g.tell(balance.Event{Kind: balance.PeerEvent, Peer: peer, Data: data})
+// GossipReceived takes a message from another gateway.
+func (g *Gateway) GossipReceived(peer int, data []byte) {
+	g.counts.GossipReceived++
+	g.tell(balance.Event{Kind: balance.GossipEvent, Peer: peer, Data: data})
 }
 
-// ProbeClass stands for a probe where a request's class is told.
-const ProbeClass = -1
+// HealthCheckClass stands for a probe where a request's class is told.
+const HealthCheckClass = -1
 
-// Watch has f told each attempt's and probe's host, class and end. It may not wait.
-func (g *Gateway) Watch(f func(host string, class int, o Outcome)) { g.watch = append(g.watch, f) }
+// ObserveOutcomes has f told each attempt's and probe's host, class and end. It may not wait.
+func (g *Gateway) ObserveOutcomes(f func(host string, class int, o Outcome)) {
+	g.watch = append(g.watch, f)
+}
 
-// Follow has the module go by what a fleet agrees on.
-func (g *Gateway) Follow(v balance.View) { g.router.Follow(v) }
+// SetZoneShares has the module go by what a fleet agrees on.
+func (g *Gateway) SetZoneShares(v balance.ZoneShares) { g.router.SetZoneShares(v) }
 
-// Facts is what the module knows and a fresh one would need.
-func (g *Gateway) Facts() balance.Facts { return g.router.Facts() }
+// Snapshot is what the module knows and a fresh one would need.
+func (g *Gateway) Snapshot() balance.Snapshot { return g.router.Snapshot() }
 
-// Believe gives the module facts that another has learned.
-func (g *Gateway) Believe(f balance.Facts) {
-	for _, a := range g.router.Believe(g.clock.Now(), f, nil) {
+// Restore gives the module facts that another has learned.
+func (g *Gateway) Restore(f balance.Snapshot) {
+	for _, a := range g.router.Restore(g.clock.Now(), f, nil) {
 		g.act(&a)
 	}
 }
@@ -281,25 +285,25 @@
 			g.log.Error().Int64("request", a.Request).Str("host", a.Host).Msg("send for a request that is closed or out")
 			return
 		}
-		id, until := a.Request, q.Until
+		id, until := a.Request, q.Deadline
 		if a.Timeout != 0 {
 			until = min(until, g.clock.Now()+a.Timeout)
 		}
 		at := Attempt{
-			Request: id, Number: q.attempts, Host: a.Host, Write: q.Write, Until: until, Body: q.Body,
-			Aged: func() bool { return g.left(id) || !g.router.StillFits(g.clock.Now(), id) },
+			Request: id, Number: q.attempts, Host: a.Host, Write: q.Write, Deadline: until, Body: q.Body,
+			Expired: func() bool { return g.left(id) || !g.router.AttemptStillValid(g.clock.Now(), id) },
 		}
 		if q.attempts++; q.attempts > 1 {
-			g.counts.Again++
+			g.counts.Retries++
 		}
 		q.out = true
 		g.hosts.Send(at)
 	case balance.CancelAction:
 		g.hosts.Cancel(a.Request, a.Attempt)
-	case balance.RefuseAction:
+	case balance.RejectAction:
 		if q != nil && !q.over {
-			g.counts.Refused++
-			q.Client.Refuse(a.RetryAfter)
+			g.counts.Rejected++
+			q.Client.Reject(a.RetryAfter)
 			g.finish(a.Request, q)
 		}
 	case balance.FailAction:
@@ -310,22 +314,22 @@
 		}
 	case balance.TimerAction:
 		token := a.Token
-		g.clock.Call(a.At, func() { g.tell(balance.Event{Kind: balance.TimerEvent, Token: token}) })
-	case balance.ProbeAction:
-		g.counts.Probes++
-		g.hosts.Probe(a.Host)
-	case balance.CloseAction:
+		g.clock.CallAt(a.At, func() { g.tell(balance.Event{Kind: balance.TimerEvent, Token: token}) })
+	case balance.HealthCheckAction:
+		g.counts.HealthChecks++
+		g.hosts.CheckHealth(a.Host)
+	case balance.CloseIdleAction:
 		g.hosts.CloseIdle(a.Host)
-	case balance.TellAction:
-		g.counts.Told++
-		g.counts.ToldBytes += len(a.Data)
-		g.peers.Tell(a.Peer, a.Data)
+	case balance.GossipAction:
+		g.counts.GossipSent++
+		g.counts.GossipBytesSent += len(a.Data)
+		g.peers.Send(a.Peer, a.Data)
 	case balance.LogAction:
 		g.log.Info().Msg(a.Text)
 	case balance.SubscribeAction:
 		g.list.Subscribe()
-	case balance.FetchAction:
-		g.list.Fetch()
+	case balance.PollEndpointsAction:
+		g.list.Poll()
 	}
 }
 
--- a/internal/gossip/crowd.go
+++ b/internal/gossip/crowd.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// Full tells whether a host has as many attempts out, by all accounts, as it should. Of the gateways that wait for room
+// AtCapacity tells whether a host has as many attempts out, by all accounts, as it should. Of the gateways that wait for room
 // not all go at once: the more of it there is, the more find their draw below it.
-func (s *State) Full(now int64, host string) bool {
+func (s *State) AtCapacity(now int64, host string) bool {
 	b := s.hosts[host]
 	if b == nil || b.crowd.most == 0 {
 		return false
--- a/internal/gossip/decisions_test.go
+++ b/internal/gossip/decisions_test.go
@@ -1,19 +1,12 @@
 package gossip_test
 
 import (
-	"crypto/sha256"
-	"encoding/binary"
-	"encoding/hex"
-	"flag"
-	"hash"
-	"math"
 	"math/rand/v2"
-	"os"
 	"slices"
 	"strconv"
-	"strings"
 	"testing"
 
+	"cloverrock/internal/golden"
 	"cloverrock/internal/gossip"
 )
 
@@ -21,60 +14,7 @@
 // all that is answered is compared with the one in testdata/decisions.txt. A change that is to leave all decisions alone
 // leaves the hashes alone. One that means to change decisions runs the test with -update and says why.
 
-const goldenFile = "testdata/decisions.txt"
-
-var update = flag.Bool("update", false, "write the hashes of decisions anew")
-
-// answers hashes what a module answers: by values alone, so that the names of things may change. The texts of log lines
-// are left out, since they may be worded anew.
-type answers struct{ sum hash.Hash }
-
-func newAnswers() *answers { return &answers{sha256.New()} }
-
-func (a *answers) numbers(values ...int64) {
-	for _, value := range values {
-		a.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(value)))
-	}
-}
-
-func (a *answers) real(value float64) { a.numbers(int64(math.Float64bits(value))) }
-
-func (a *answers) text(value string) {
-	a.numbers(int64(len(value)))
-	a.sum.Write([]byte(value))
-}
-
-func (a *answers) truth(value bool) {
-	if value {
-		a.numbers(1)
-	} else {
-		a.numbers(0)
-	}
-}
-
-// compare holds the hashes of all storms, one line "name hash" each, against the golden file, or writes that.
-func compare(t *testing.T, lines []string) {
-	t.Helper()
-	if *update {
-		if err := os.WriteFile(goldenFile, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	golden, err := os.ReadFile(goldenFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := strings.Split(strings.TrimSuffix(string(golden), "\n"), "\n")
-	if len(want) != len(lines) {
-		t.Fatalf("%d storms were played, %s has %d", len(lines), goldenFile, len(want))
-	}
-	for i := range lines {
-		if lines[i] != want[i] {
-			t.Errorf("decisions changed:\n got %s\nwant %s", lines[i], want[i])
-		}
-	}
-}
+const goldenFile = "decisions.txt"
 
 // gateway is one of the storm's, with what others have told it and not yet reached it.
 type gateway struct {
@@ -94,12 +34,12 @@
 	now      int64
 	hosts    []string
 	gateways []*gateway
-	answers  *answers
+	answers  *golden.Hash
 	sent     []letter
 }
 
 func newFleet(conf gossip.Config, seed uint64, ordinals []int) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(2025, seed)), now: 1_700_000_000_000_000, answers: newAnswers()}
+	f := &fleet{random: rand.New(rand.NewPCG(2025, seed)), now: 1_700_000_000_000_000, answers: golden.NewHash()}
 	for i := range 40 {
 		f.hosts = append(f.hosts, "host"+strconv.Itoa(i))
 	}
@@ -108,7 +48,7 @@
 		conf.Ordinal = ordinal
 		g := &gateway{ordinal: ordinal, state: gossip.New(conf, seed+uint64(ordinal))}
 		for i := range f.hosts {
-			g.state.Add(f.hosts[i], int64(i%4))
+			g.state.AddHost(f.hosts[i], int64(i%4))
 		}
 		f.gateways = append(f.gateways, g)
 	}
@@ -119,14 +59,14 @@
 
 // due writes down what a gateway tells, and puts it on its way to the others; some is lost, repeated or garbled.
 func (f *fleet) due(g *gateway) {
-	messages := g.state.Due(f.now)
-	f.answers.numbers(int64(g.ordinal), int64(len(messages)))
+	messages := g.state.PendingMessages(f.now)
+	f.answers.Numbers(int64(g.ordinal), int64(len(messages)))
 	for _, message := range messages {
-		f.answers.numbers(int64(message.To))
-		f.answers.text(string(message.Data))
+		f.answers.Numbers(int64(message.To))
+		f.answers.Text(string(message.Data))
 		f.sent = append(f.sent, letter{g.ordinal, message.Data})
 		for _, other := range f.gateways {
-			if other != g && (message.To == gossip.Everybody || message.To == other.ordinal || f.odds(0.02)) && f.odds(0.9) {
+			if other != g && (message.To == gossip.Broadcast || message.To == other.ordinal || f.odds(0.02)) && f.odds(0.9) {
 				other.inbox = append(other.inbox, letter{g.ordinal, slices.Clone(message.Data)})
 			}
 		}
@@ -163,13 +103,13 @@
 	if f.odds(0.2) {
 		now -= 40e3 + int64(f.random.IntN(20e3))
 	}
-	facts := g.state.Hear(now, l.from, l.data)
-	f.answers.numbers(int64(len(facts)))
+	facts := g.state.Receive(now, l.from, l.data)
+	f.answers.Numbers(int64(len(facts)))
 	for _, fact := range facts {
-		f.answers.text(fact.Host)
-		f.answers.numbers(fact.Position, int64(fact.Role))
-		f.answers.real(fact.Share)
-		f.answers.truth(fact.Failing)
+		f.answers.Text(fact.Host)
+		f.answers.Numbers(fact.Position, int64(fact.Role))
+		f.answers.Float(fact.LatencyShare)
+		f.answers.Bool(fact.Failing)
 	}
 }
 
@@ -186,19 +126,19 @@
 	if f.odds(0.05) {
 		age = int64(f.random.IntN(80e6)) - 5e6
 	}
-	g.state.Learn(gossip.Fact{Host: f.hosts[i], Position: f.now - age, Role: role})
+	g.state.Record(gossip.HostFact{Host: f.hosts[i], Position: f.now - age, Role: role})
 }
 
 // ask writes down what a gateway says when asked.
 func (f *fleet) ask(g *gateway, i int) {
 	out, coming := g.state.Load(f.now, f.hosts[i])
-	f.answers.real(out)
-	f.answers.real(coming)
-	f.answers.real(g.state.Busy())
-	f.answers.truth(g.state.Full(f.now, f.hosts[i]))
-	f.answers.numbers(g.state.Quiet(f.hosts[i]), int64(g.state.Dropped()), int64(g.state.Complaint(f.now)))
-	for _, host := range g.state.Ask(f.now) {
-		f.answers.text(host)
+	f.answers.Float(out)
+	f.answers.Float(coming)
+	f.answers.Float(g.state.OverloadRatio())
+	f.answers.Bool(g.state.AtCapacity(f.now, f.hosts[i]))
+	f.answers.Numbers(g.state.MaxReportDelay(f.hosts[i]), int64(g.state.MalformedMessages()), int64(g.state.TakeMalformedReport(f.now)))
+	for _, host := range g.state.HostsToCheck(f.now) {
+		f.answers.Text(host)
 	}
 }
 
@@ -214,13 +154,13 @@
 		if trouble {
 			share *= 3
 		}
-		g.state.Sample(f.hosts[i], share, trouble && f.odds(0.4))
+		g.state.RecordLatencyShare(f.hosts[i], share, trouble && f.odds(0.4))
 	case 4, 5:
 		n := f.random.IntN(6)
 		if trouble {
 			n = f.random.IntN(60)
 		}
-		g.state.Out(f.hosts[i], n)
+		g.state.SetInFlight(f.hosts[i], n)
 	case 6, 7:
 		f.due(g)
 	case 8:
@@ -229,13 +169,13 @@
 		f.ask(g, i)
 	}
 	if f.odds(0.002) {
-		g.state.Remove(f.hosts[i])
+		g.state.RemoveHost(f.hosts[i])
 	} else if f.odds(0.01) {
-		g.state.Add(f.hosts[i], int64(i%4))
+		g.state.AddHost(f.hosts[i], int64(i%4))
 	}
 	if f.odds(0.0005) {
 		f.now += int64(f.random.IntN(6e6))
-		g.state.Remove("nobody")
+		g.state.RemoveHost("nobody")
 	}
 }
 
@@ -244,7 +184,7 @@
 	for i := range 20000 {
 		f.step(i/2000%3 == 1)
 	}
-	return hex.EncodeToString(f.answers.sum.Sum(nil))
+	return f.answers.String()
 }
 
 // What gateways tell, believe and answer stays as it was when the golden file was written.
@@ -258,14 +198,14 @@
 		conf     gossip.Config
 		ordinals []int
 	}{
-		{"alone", gossip.Config{Gateways: 1, Earn: 30, Within: 300e3}, []int{0}},
-		{"few", gossip.Config{Gateways: 3, Earn: 30, Within: 300e3}, []int{0, 1, 2}},
-		{"dear", gossip.Config{Gateways: 3, Earn: 0.1, Within: 2e6}, []int{0, 1, 2}},
-		{"many", gossip.Config{Gateways: 300, Earn: 30, Within: 500e3}, everyOne},
+		{"alone", gossip.Config{Gateways: 1, BytesPerRequest: 30, FreshnessWindow: 300e3}, []int{0}},
+		{"few", gossip.Config{Gateways: 3, BytesPerRequest: 30, FreshnessWindow: 300e3}, []int{0, 1, 2}},
+		{"dear", gossip.Config{Gateways: 3, BytesPerRequest: 0.1, FreshnessWindow: 2e6}, []int{0, 1, 2}},
+		{"many", gossip.Config{Gateways: 300, BytesPerRequest: 30, FreshnessWindow: 500e3}, everyOne},
 	}
 	var lines []string
 	for i, s := range storms {
 		lines = append(lines, s.name+" "+storm(s.conf, uint64(i), s.ordinals))
 	}
-	compare(t, lines)
+	golden.CheckLines(t, goldenFile, lines)
 }
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -19,15 +19,15 @@
 		made, read report
 	}{
 		{"nothing known", report{}, report{}},
-		{"now, primary", report{Fact{Position: goldenNow, Role: Primary, Share: 1}, 0x010203, 1, 2}, report{Fact{Position: goldenNow, Role: Primary, Share: 1}, 0x010203, 1, 2}},
-		{"replica, most counts", report{Fact{Position: goldenNow - 300_000, Role: Replica, Share: 2}, 0xffffff, 255, 255}, report{Fact{Position: goldenNow - 300_000, Role: Replica, Share: 2}, 0xffffff, 255, 255}},
+		{"now, primary", report{HostFact{Position: goldenNow, Role: Primary, LatencyShare: 1}, 0x010203, 1, 2}, report{HostFact{Position: goldenNow, Role: Primary, LatencyShare: 1}, 0x010203, 1, 2}},
+		{"replica, most counts", report{HostFact{Position: goldenNow - 300_000, Role: Replica, LatencyShare: 2}, 0xffffff, 255, 255}, report{HostFact{Position: goldenNow - 300_000, Role: Replica, LatencyShare: 2}, 0xffffff, 255, 255}},
 		{"counts over the most", report{code: 1, out: 256, begun: 1000}, report{code: 1, out: 255, begun: 255}},
-		{"failing", report{Fact{Position: goldenNow - 1000, Failing: true}, 7, 0, 0}, report{Fact{Position: goldenNow - 1000, Failing: true}, 7, 0, 0}},
-		{"oldest age", report{Fact: Fact{Position: goldenNow - 65_534_000, Role: Replica}}, report{Fact: Fact{Position: goldenNow - 65_534_000, Role: Replica}}},
-		{"too old", report{Fact: Fact{Position: goldenNow - 65_535_000}}, report{}},
-		{"ahead of the clock", report{Fact: Fact{Position: goldenNow + 1000}}, report{}},
-		{"least share", report{Fact: Fact{Share: 0.0001}}, report{Fact: Fact{Share: math.Exp2(-31.0 / 8)}}},
-		{"most share", report{Fact: Fact{Share: 1000}}, report{Fact: Fact{Share: math.Exp2(30.0 / 8)}}},
+		{"failing", report{HostFact{Position: goldenNow - 1000, Failing: true}, 7, 0, 0}, report{HostFact{Position: goldenNow - 1000, Failing: true}, 7, 0, 0}},
+		{"oldest age", report{HostFact: HostFact{Position: goldenNow - 65_534_000, Role: Replica}}, report{HostFact: HostFact{Position: goldenNow - 65_534_000, Role: Replica}}},
+		{"too old", report{HostFact: HostFact{Position: goldenNow - 65_535_000}}, report{}},
+		{"ahead of the clock", report{HostFact: HostFact{Position: goldenNow + 1000}}, report{}},
+		{"least share", report{HostFact: HostFact{LatencyShare: 0.0001}}, report{HostFact: HostFact{LatencyShare: math.Exp2(-31.0 / 8)}}},
+		{"most share", report{HostFact: HostFact{LatencyShare: 1000}}, report{HostFact: HostFact{LatencyShare: math.Exp2(30.0 / 8)}}},
 	}
 	var cases []golden.Case
 	for _, test := range tests {
@@ -47,7 +47,7 @@
 // A digest has the same bytes as ever, and they say what was told.
 func TestGoldenDigests(t *testing.T) {
 	told := func(position int64, role Role, share float64, failing bool, code uint16, load float64) entry {
-		return entry{Fact{Position: position, Role: role, Share: share, Failing: failing}, code, load}
+		return entry{HostFact{Position: position, Role: role, LatencyShare: share, Failing: failing}, code, load}
 	}
 	var bands []entry
 	for i, share := range []float64{0, 0.08, 0.18, 0.26, 0.36, 0.55, 1} {
@@ -68,7 +68,7 @@
 	for _, test := range tests {
 		b := appendDigestHead(head(goldenNow, digestVersion), test.made.group, test.made.every, test.made.rate, test.leads)
 		for _, e := range test.made.entries {
-			b = appendEntry(b, goldenNow, uint32(e.code), e.Fact, e.load)
+			b = appendEntry(b, goldenNow, uint32(e.code), e.HostFact, e.load)
 		}
 		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(b)})
 	}
@@ -84,7 +84,7 @@
 
 // Gateways name hosts by the same codes and pass a group's keeping on in the same order, though they run other versions.
 func TestGoldenCodesAndOrder(t *testing.T) {
-	cases := []golden.Case{{Name: "bounds", Form: fmt.Sprint(MaxMessage, " ", Everybody)}}
+	cases := []golden.Case{{Name: "bounds", Form: fmt.Sprint(MaxMessage, " ", Broadcast)}}
 	for _, host := range []string{"", "host-a", "10.0.0.1:5432"} {
 		cases = append(cases, golden.Case{Name: "code of " + host, Form: fmt.Sprintf("%06x", code(host))})
 	}
@@ -92,7 +92,7 @@
 		cases = append(cases, golden.Case{Name: fmt.Sprintf("order for %06x", id), Form: fmt.Sprint(order(id, 40))})
 	}
 	for _, group := range []int64{-1, 0, 1 << 31} {
-		circle := New(Config{Gateways: 3, Earn: 1, Within: 1}, 1).circle(group)
+		circle := New(Config{Gateways: 3, BytesPerRequest: 1, FreshnessWindow: 1}, 1).circle(group)
 		cases = append(cases, golden.Case{Name: fmt.Sprint("code of group ", group), Form: fmt.Sprintf("%06x", circle.code)})
 	}
 	golden.Check(t, "codes.golden", cases)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -29,13 +29,13 @@
 	Replica
 )
 
-// Fact is what is known of a host. Times are microseconds since 1970, positions are times of the log.
-type Fact struct {
-	Host     string
-	Position int64   // applied at least up to here; 0 if not known
-	Role     Role    // as of Position
-	Share    float64 // of their aim that answers took of late; 0 if not told
-	Failing  bool    // most answers of late were errors
+// HostFact is what is known of a host. Times are microseconds since 1970, positions are times of the log.
+type HostFact struct {
+	Host         string
+	Position     int64   // applied at least up to here; 0 if not known
+	Role         Role    // as of Position
+	LatencyShare float64 // of their aim that answers took of late; 0 if not told
+	Failing      bool    // most answers of late were errors
 }
 
 // Message is one datagram to send.
@@ -44,20 +44,20 @@
 	Data []byte
 }
 
-// Everybody is the receiver of what goes to all gateways.
-const Everybody = -1
+// Broadcast is the receiver of what goes to all gateways.
+const Broadcast = -1
 
 // Config describes the fleet.
 type Config struct {
-	Gateways int     // of the tier, this one included
-	Ordinal  int     // number of this one among them, from 0
-	Earn     float64 // bytes, each counted once for each receiver, that a request pays for at the most
-	Within   int64   // what is told is wanted by others within this time of its being so
+	Gateways        int     // of the tier, this one included
+	Ordinal         int     // number of this one among them, from 0
+	BytesPerRequest float64 // bytes, each counted once for each receiver, that a request pays for at the most
+	FreshnessWindow int64   // what is told is wanted by others within this time of its being so
 }
 
 // on tells whether there is anybody to tell.
 func (c *Config) on() bool {
-	return c.Gateways > 1 && c.Earn > 0 && c.Within > 0 && c.Ordinal >= 0 && c.Ordinal < c.Gateways
+	return c.Gateways > 1 && c.BytesPerRequest > 0 && c.FreshnessWindow > 0 && c.Ordinal >= 0 && c.Ordinal < c.Gateways
 }
 
 const (
@@ -72,16 +72,16 @@
 	code   uint32
 	circle *circle
 
-	own     Fact // heard from the host itself
+	own     HostFact // heard from the host itself
 	samples samples
 	out     int  // attempts of this gateway
 	said    int  // and as it last reported them
 	begun   int  // attempts since then
 	due     bool // to be reported
 
-	best  Fact  // the latest position that anybody has heard and told, with the role as of it
-	seen  int64 // when it came to be known
-	asked int64 // as its keeper: when Ask named it last
+	best  HostFact // the latest position that anybody has heard and told, with the role as of it
+	seen  int64    // when it came to be known
+	asked int64    // as its keeper: when Ask named it last
 	told  int64
 	all   samples
 	count []count // by gateway
@@ -108,9 +108,9 @@
 }
 
 // put writes what the samples say into a fact.
-func (s *samples) put(f *Fact) {
+func (s *samples) put(f *HostFact) {
 	if s.n > 0 {
-		f.Share, f.Failing = s.sum/float64(s.n), 2*s.errors > s.n
+		f.LatencyShare, f.Failing = s.sum/float64(s.n), 2*s.errors > s.n
 	}
 }
 
@@ -144,8 +144,8 @@
 		groups: map[uint32]*circle{}, dead: map[int]int64{}}
 }
 
-// Add makes a host of a group known, so that what others tell of it is understood.
-func (s *State) Add(host string, group int64) {
+// AddHost makes a host of a group known, so that what others tell of it is understood.
+func (s *State) AddHost(host string, group int64) {
 	if !s.conf.on() || s.hosts[host] != nil {
 		return
 	}
@@ -171,8 +171,8 @@
 	}
 }
 
-// Remove forgets a host: nothing more is said or believed of it.
-func (s *State) Remove(host string) {
+// RemoveHost forgets a host: nothing more is said or believed of it.
+func (s *State) RemoveHost(host string) {
 	b := s.hosts[host]
 	if b == nil {
 		return
@@ -185,12 +185,12 @@
 	s.due = slices.DeleteFunc(s.due, is)
 }
 
-// Dropped is the number of messages that could not be read.
-func (s *State) Dropped() int { return s.dropped }
+// MalformedMessages is the number of messages that could not be read.
+func (s *State) MalformedMessages() int { return s.dropped }
 
-// Complaint tells how many messages could not be read since the last time, at most once in ten seconds: whoever sends
+// TakeMalformedReport tells how many messages could not be read since the last time, at most once in ten seconds: whoever sends
 // them is not to fill a log.
-func (s *State) Complaint(now int64) int {
+func (s *State) TakeMalformedReport(now int64) int {
 	n := s.dropped - s.complained
 	if n == 0 || s.complainedAt != 0 && now-s.complainedAt < complainEvery {
 		return 0
@@ -199,8 +199,8 @@
 	return n
 }
 
-// Learn takes what a host itself has told.
-func (s *State) Learn(f Fact) {
+// Record takes what a host itself has told.
+func (s *State) Record(f HostFact) {
 	if b := s.hosts[f.Host]; b != nil && f.Position > b.own.Position {
 		b.own = f
 		s.mark(b)
@@ -210,13 +210,13 @@
 // busyWeight is what a new answer counts in Busy: some thirty decide, a second or two of a gateway among hundreds.
 const busyWeight = 0.03
 
-// Busy is the part of this gateway's own attempts, at all hosts together, that took all of their aim of late, or were turned
+// OverloadRatio is the part of this gateway's own attempts, at all hosts together, that took all of their aim of late, or were turned
 // away. Of hundreds of gateways each meets a host once in some seconds, and where others can't be heard knows few hosts
 // well. How much of its aim an answer in time takes is not counted: at rest that differs from deployment to deployment.
-func (s *State) Busy() float64 { return s.busy }
+func (s *State) OverloadRatio() float64 { return s.busy }
 
-// Sample takes how much of its aim an answer of a host took, or that it was an error.
-func (s *State) Sample(host string, share float64, failed bool) {
+// RecordLatencyShare takes how much of its aim an answer of a host took, or that it was an error.
+func (s *State) RecordLatencyShare(host string, share float64, failed bool) {
 	if s.busy -= busyWeight * s.busy; share >= 1 {
 		s.busy += busyWeight
 	}
@@ -226,8 +226,8 @@
 	}
 }
 
-// Out takes how many attempts this gateway has out at a host now.
-func (s *State) Out(host string, n int) {
+// SetInFlight takes how many attempts this gateway has out at a host now.
+func (s *State) SetInFlight(host string, n int) {
 	if b := s.hosts[host]; b != nil && b.out != n {
 		b.begun += max(n-b.out, 0)
 		b.out = n
@@ -243,8 +243,8 @@
 	}
 }
 
-// Due returns the messages that are to go now: reports, and digests of the groups that this gateway keeps.
-func (s *State) Due(now int64) []Message {
+// PendingMessages returns the messages that are to go now: reports, and digests of the groups that this gateway keeps.
+func (s *State) PendingMessages(now int64) []Message {
 	var ms []Message
 	if now >= s.next && len(s.due) > 0 {
 		s.next = now + company
@@ -252,7 +252,7 @@
 	}
 	for _, c := range s.circles {
 		if m := s.digest(now, c); m != nil {
-			ms = append(ms, Message{Everybody, m})
+			ms = append(ms, Message{Broadcast, m})
 		}
 		s.giveUp(now, c)
 	}
@@ -262,9 +262,9 @@
 // reports returns what is to be told to keepers, and takes in what this gateway keeps itself.
 func (s *State) reports(now int64) (ms []Message) {
 	for _, b := range s.due {
-		r := report{Fact: b.own, code: b.code, out: b.out, begun: b.begun}
+		r := report{HostFact: b.own, code: b.code, out: b.out, begun: b.begun}
 		r.Host = b.id
-		b.samples.put(&r.Fact)
+		b.samples.put(&r.HostFact)
 		b.due, b.samples, b.said, b.begun = false, samples{}, b.out, 0
 		to := s.keeper(now, b.circle)
 		if to == s.conf.Ordinal {
@@ -282,16 +282,16 @@
 	return ms
 }
 
-// Hear takes a message of another gateway and returns what of it is news and may be believed. A message that can't be
+// Receive takes a message of another gateway and returns what of it is news and may be believed. A message that can't be
 // read in any part tells nothing.
-func (s *State) Hear(now int64, from int, data []byte) []Fact {
+func (s *State) Receive(now int64, from int, data []byte) []HostFact {
 	if !s.conf.on() {
 		return nil
 	}
 	kind, sent, body, err := open(now, data)
 	if err == nil && from >= 0 && from < s.conf.Gateways {
 		s.newest = max(s.newest, sent)
-		var facts []Fact
+		var facts []HostFact
 		if kind == reportVersion {
 			facts, err = s.hearReport(now, sent, from, body)
 		} else {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -16,7 +16,7 @@
 )
 
 func conf(gateways, ordinal int) Config {
-	return Config{Gateways: gateways, Ordinal: ordinal, Earn: 1280, Within: 500 * ms}
+	return Config{Gateways: gateways, Ordinal: ordinal, BytesPerRequest: 1280, FreshnessWindow: 500 * ms}
 }
 
 // fleet is gateways that hear one another after a while, unless a message is lost.
@@ -47,7 +47,7 @@
 	for i := range gateways {
 		s := New(conf(gateways, i), uint64(i)+1)
 		for h := range hosts {
-			s.Add(name(h), int64(h/5))
+			s.AddHost(name(h), int64(h/5))
 		}
 		f.states = append(f.states, s)
 		f.knows = append(f.knows, map[string]int64{})
@@ -64,7 +64,7 @@
 			later = append(later, m)
 			continue
 		}
-		for _, fact := range f.states[m.to].Hear(f.now, m.from, m.data) {
+		for _, fact := range f.states[m.to].Receive(f.now, m.from, m.data) {
 			f.knows[m.to][fact.Host] = max(f.knows[m.to][fact.Host], fact.Position)
 		}
 	}
@@ -73,9 +73,9 @@
 		if f.stopped[i] {
 			continue
 		}
-		for _, m := range s.Due(f.now) {
+		for _, m := range s.PendingMessages(f.now) {
 			to := []int{m.To}
-			if m.To == Everybody {
+			if m.To == Broadcast {
 				f.digests++
 				to = to[:0]
 				for o := range f.states {
@@ -105,8 +105,8 @@
 				continue
 			}
 			s := f.states[i]
-			s.Learn(Fact{Host: name(h), Position: f.now - 3*ms, Role: Replica})
-			s.Out(name(h), 1-s.hosts[name(h)].out)
+			s.Record(HostFact{Host: name(h), Position: f.now - 3*ms, Role: Replica})
+			s.SetInFlight(name(h), 1-s.hosts[name(h)].out)
 		}
 	}
 }
@@ -159,19 +159,19 @@
 		if f.now%(25*ms) == 0 { // 40 in a second
 			requests++
 			s := f.states[requests%gateways]
-			s.Out(name(requests%hosts), s.hosts[name(requests%hosts)].out+1)
+			s.SetInFlight(name(requests%hosts), s.hosts[name(requests%hosts)].out+1)
 		}
 		f.step()
 	}
 	free := 6 * 50 * gateways // of the first second, when the rate is not known
-	if most := int(conf(2, 0).Earn)*requests + free; f.bytes > most {
+	if most := int(conf(2, 0).BytesPerRequest)*requests + free; f.bytes > most {
 		t.Errorf("%d bytes delivered for %d requests", f.bytes, requests)
 	}
-	if alone := New(conf(1, 0), 1); alone.Due(base) != nil || alone.hosts["x"] != nil {
+	if alone := New(conf(1, 0), 1); alone.PendingMessages(base) != nil || alone.hosts["x"] != nil {
 		t.Error("a gateway that is alone talks")
 	}
 	nobody := New(conf(3, -1), 1) // one that does not know its number
-	if nobody.Add("x", 1); len(nobody.hosts) != 0 {
+	if nobody.AddHost("x", 1); len(nobody.hosts) != 0 {
 		t.Error("a gateway without a number takes part")
 	}
 }
@@ -266,19 +266,19 @@
 	asked := map[string]int{}
 	for f.now < base+2000*ms {
 		i := int(f.now/ms/5) % 4
-		f.states[i].Learn(Fact{Host: name(0), Position: f.now - 3*ms, Role: Replica})
-		f.states[i].Out(name(0), 1-f.states[i].hosts[name(0)].out)
+		f.states[i].Record(HostFact{Host: name(0), Position: f.now - 3*ms, Role: Replica})
+		f.states[i].SetInFlight(name(0), 1-f.states[i].hosts[name(0)].out)
 		f.step()
 		for i, s := range f.states {
-			for _, h := range s.Ask(f.now) {
+			for _, h := range s.HostsToCheck(f.now) {
 				if i != f.keepers(i)[0] {
 					t.Fatalf("gateway %d asks", i)
 				}
 				asked[h]++
 				if h == name(1) { // it answers; the others are silent, and one of them is far behind
-					s.Learn(Fact{Host: h, Position: f.now - 20*ms, Role: Replica})
+					s.Record(HostFact{Host: h, Position: f.now - 20*ms, Role: Replica})
 				} else if h == name(2) {
-					s.Learn(Fact{Host: h, Position: f.now - 4000*ms, Role: Replica})
+					s.Record(HostFact{Host: h, Position: f.now - 4000*ms, Role: Replica})
 				}
 			}
 		}
@@ -292,7 +292,7 @@
 	for range 400 {
 		f.step()
 		for _, s := range f.states {
-			for _, h := range s.Ask(f.now) {
+			for _, h := range s.HostsToCheck(f.now) {
 				asked[h]++
 			}
 		}
@@ -309,13 +309,13 @@
 	k := f.keepers(0)[0]
 	a, b, c := (k+1)%gateways, (k+2)%gateways, (k+3)%gateways
 	told := func(i int) (float64, float64) { return f.states[i].Load(f.now, name(1)) }
-	f.states[a].Out(name(1), 2)
-	f.states[b].Out(name(1), 1)
-	f.states[k].Out(name(1), 4)
-	f.states[c].Out(name(2), 40) // more than a digest is exact about
+	f.states[a].SetInFlight(name(1), 2)
+	f.states[b].SetInFlight(name(1), 1)
+	f.states[k].SetInFlight(name(1), 4)
+	f.states[c].SetInFlight(name(2), 40) // more than a digest is exact about
 	for range 60 {
 		for _, m := range f.flying { // everything comes twice
-			f.states[m.to].Hear(f.now, m.from, m.data)
+			f.states[m.to].Receive(f.now, m.from, m.data)
 		}
 		f.step()
 	}
@@ -329,8 +329,8 @@
 	}
 	f.stopped[b] = true // dies with one out
 	for range 400 {
-		f.states[a].Out(name(0), 1-f.states[a].hosts[name(0)].out) // digests go on
-		f.states[k].Out(name(0), 1-f.states[k].hosts[name(0)].out)
+		f.states[a].SetInFlight(name(0), 1-f.states[a].hosts[name(0)].out) // digests go on
+		f.states[k].SetInFlight(name(0), 1-f.states[k].hosts[name(0)].out)
 		f.step()
 	}
 	if n, _ := told(c); n != 4 { // a's are forgotten, too: it has said nothing of them for 2 s
@@ -351,7 +351,7 @@
 	f := newFleet(gateways, 5)
 	full := func() (n int) {
 		for _, s := range f.states {
-			if s.Full(f.now, name(0)) {
+			if s.AtCapacity(f.now, name(0)) {
 				n++
 			}
 		}
@@ -360,12 +360,12 @@
 	run := func(d int64, share float64, out int) {
 		for end := f.now + d; f.now < end; f.step() {
 			for i, s := range f.states {
-				s.Out(name(0), min(1, max(0, out-i))) // so many gateways have one out
-				s.Out(name(1), 1-s.hosts[name(1)].out)
+				s.SetInFlight(name(0), min(1, max(0, out-i))) // so many gateways have one out
+				s.SetInFlight(name(1), 1-s.hosts[name(1)].out)
 			}
 			s := f.states[int(f.now/ms)%gateways]
-			s.Learn(Fact{Host: name(0), Position: f.now - ms, Role: Primary})
-			s.Sample(name(0), share, false)
+			s.Record(HostFact{Host: name(0), Position: f.now - ms, Role: Primary})
+			s.RecordLatencyShare(name(0), share, false)
 		}
 	}
 	run(1000*ms, 0.2, 30)
@@ -394,9 +394,9 @@
 	report := func(at int64, n int) []byte {
 		return appendReport(head(at, reportVersion), at, &report{code: code(name(0)), out: n})
 	}
-	keeper.Hear(base+30*ms, from, report(base+20*ms, 3))
-	keeper.Hear(base+40*ms, from, report(base+10*ms, 9))
-	keeper.Hear(base+2000*ms, from, report(base+50*ms, 9))
+	keeper.Receive(base+30*ms, from, report(base+20*ms, 3))
+	keeper.Receive(base+40*ms, from, report(base+10*ms, 9))
+	keeper.Receive(base+2000*ms, from, report(base+50*ms, 9))
 	if n := keeper.hosts[name(0)].held; n != 3 {
 		t.Errorf("%d out, want 3", n)
 	}
@@ -409,18 +409,18 @@
 	k := f.keepers(0)[0]
 	keeper := f.states[k]
 	tell := func(h int, at int64, r Role) {
-		keeper.Hear(base+ms, 1-k, appendReport(head(base, reportVersion), base, &report{Fact: Fact{Position: at, Role: r}, code: code(name(h))}))
+		keeper.Receive(base+ms, 1-k, appendReport(head(base, reportVersion), base, &report{HostFact: HostFact{Position: at, Role: r}, code: code(name(h))}))
 	}
 	tell(0, base-10*ms, Replica)
 	tell(0, base-900*ms, Primary)
 	tell(1, base-300*ms, Primary)
 	tell(2, base-20*ms, Primary)
-	m := keeper.Due(base + 20*ms)
-	if len(m) != 1 || m[0].To != Everybody {
+	m := keeper.PendingMessages(base + 20*ms)
+	if len(m) != 1 || m[0].To != Broadcast {
 		t.Fatalf("said %v", m)
 	}
-	got := map[string]Fact{}
-	for _, fact := range f.states[1-k].Hear(base+30*ms, k, m[0].Data) {
+	got := map[string]HostFact{}
+	for _, fact := range f.states[1-k].Receive(base+30*ms, k, m[0].Data) {
 		got[fact.Host] = fact
 	}
 	if a, c := got[name(0)], got[name(2)]; a.Role != Replica || a.Position > base-10*ms || a.Position < base-15*ms || c.Role != Primary {
@@ -435,10 +435,10 @@
 func TestTroubleIsTold(t *testing.T) {
 	f := newFleet(2, 5)
 	k := f.keepers(0)[0]
-	said := func(share float64, failed bool) (facts []Fact) {
-		f.states[1-k].Sample(name(0), share, failed)
+	said := func(share float64, failed bool) (facts []HostFact) {
+		f.states[1-k].RecordLatencyShare(name(0), share, failed)
 		for range 100 {
-			f.states[1-k].Out(name(1), 1-f.states[1-k].hosts[name(1)].out) // requests go on, and pay
+			f.states[1-k].SetInFlight(name(1), 1-f.states[1-k].hosts[name(1)].out) // requests go on, and pay
 			for _, m := range f.flying {
 				if m.from == k && m.at <= f.now+5*ms {
 					facts = append(facts, New(conf(2, 1-k), 1).hearAs(f.states[1-k], f.now, k, m.data)...)
@@ -454,25 +454,25 @@
 		want   float64
 	}{{0.25, false, 0.26}, {0.5, false, 0.55}, {3, false, 1}, {0, true, 0}} {
 		got := said(c.share, c.failed)
-		if got = slices.DeleteFunc(got, func(f Fact) bool { return f.Host != name(0) }); len(got) != 1 || got[0].Share != c.want || got[0].Failing != c.failed {
+		if got = slices.DeleteFunc(got, func(f HostFact) bool { return f.Host != name(0) }); len(got) != 1 || got[0].LatencyShare != c.want || got[0].Failing != c.failed {
 			t.Errorf("%v: said %+v", c, got)
 		}
 	}
 }
 
 // hearAs reads a message as another state would, and leaves that one alone.
-func (s *State) hearAs(other *State, now int64, from int, data []byte) []Fact {
+func (s *State) hearAs(other *State, now int64, from int, data []byte) []HostFact {
 	for _, c := range other.circles {
 		for _, b := range c.books {
-			s.Add(b.id, 0)
+			s.AddHost(b.id, 0)
 		}
 	}
-	return s.Hear(now, from, data)
+	return s.Receive(now, from, data)
 }
 
 func bad() map[string][]byte {
-	report := appendReport(head(base, reportVersion), base, &report{Fact{Position: base, Role: Replica}, code(name(0)), 3, 1})
-	digest := appendEntry(appendDigestHead(head(base, digestVersion), 77, 40*ms, 20, true), base, code(name(0)), Fact{Position: base - ms}, 3)
+	report := appendReport(head(base, reportVersion), base, &report{HostFact{Position: base, Role: Replica}, code(name(0)), 3, 1})
+	digest := appendEntry(appendDigestHead(head(base, digestVersion), 77, 40*ms, 20, true), base, code(name(0)), HostFact{Position: base - ms}, 3)
 	with := func(m []byte, i int, b byte) []byte { m = slices.Clone(m); m[i] = b; return m }
 	return map[string][]byte{
 		"empty": {}, "no version": with(report, 0, 0), "a version before": with(report, 0, 1), "a later version": with(report, 0, 9),
@@ -484,21 +484,21 @@
 
 func TestBadMessagesTellNothing(t *testing.T) {
 	s := New(conf(2, 0), 1)
-	s.Add(name(0), 1)
+	s.AddHost(name(0), 1)
 	before := *s.hosts[name(0)]
 	for what, m := range bad() {
-		dropped := s.Dropped()
-		if f := s.Hear(base, 1, m); f != nil || s.Dropped() != dropped+1 || !reflect.DeepEqual(*s.hosts[name(0)], before) {
-			t.Errorf("%s: %+v, %d dropped", what, f, s.Dropped()-dropped)
+		dropped := s.MalformedMessages()
+		if f := s.Receive(base, 1, m); f != nil || s.MalformedMessages() != dropped+1 || !reflect.DeepEqual(*s.hosts[name(0)], before) {
+			t.Errorf("%s: %+v, %d dropped", what, f, s.MalformedMessages()-dropped)
 		}
 	}
-	s.Hear(base, -1, head(base, reportVersion)) // from nobody in the tier
-	s.Hear(base, 2, head(base, reportVersion))
-	if n := s.Complaint(base); n != len(bad())+2 || s.Complaint(base+ms) != 0 {
+	s.Receive(base, -1, head(base, reportVersion)) // from nobody in the tier
+	s.Receive(base, 2, head(base, reportVersion))
+	if n := s.TakeMalformedReport(base); n != len(bad())+2 || s.TakeMalformedReport(base+ms) != 0 {
 		t.Errorf("%d messages were complained of", n)
 	}
-	s.Hear(base, 1, nil)
-	if s.Complaint(base+5000*ms) != 0 || s.Complaint(base+11_000*ms) != 1 {
+	s.Receive(base, 1, nil)
+	if s.TakeMalformedReport(base+5000*ms) != 0 || s.TakeMalformedReport(base+11_000*ms) != 1 {
 		t.Error("complaints do not come once in ten seconds")
 	}
 }
@@ -515,18 +515,18 @@
 		seen[code(id)] = id
 	}
 	s := New(conf(2, 0), 1)
-	s.Add(a, 1)
-	s.Add(b, 1)
-	m := appendReport(head(base, reportVersion), base, &report{Fact{Position: base, Role: Replica}, code(a), 1, 1})
-	if f := s.Hear(base, 1, m); f != nil {
+	s.AddHost(a, 1)
+	s.AddHost(b, 1)
+	m := appendReport(head(base, reportVersion), base, &report{HostFact{Position: base, Role: Replica}, code(a), 1, 1})
+	if f := s.Receive(base, 1, m); f != nil {
 		t.Errorf("believed %+v", f)
 	}
-	s.Learn(Fact{Host: a, Position: base, Role: Primary})
+	s.Record(HostFact{Host: a, Position: base, Role: Primary})
 	if len(s.due) != 0 {
 		t.Error("a host that can't be told apart is told of")
 	}
-	s.Remove(b)
-	s.Remove(a)
+	s.RemoveHost(b)
+	s.RemoveHost(a)
 	if len(s.hosts) != 0 || len(s.circles[0].books) != 0 {
 		t.Error("hosts stay")
 	}
@@ -552,18 +552,18 @@
 	}
 	s := New(conf(80, 0), 1)
 	group := s.circle(1).code
-	f.Add(appendEntry(appendDigestHead(head(base, digestVersion), group, 40*ms, 20, true), base, code(name(0)), Fact{Position: base - ms}, 3))
+	f.Add(appendEntry(appendDigestHead(head(base, digestVersion), group, 40*ms, 20, true), base, code(name(0)), HostFact{Position: base - ms}, 3))
 	f.Fuzz(func(t *testing.T, m []byte) {
 		s := New(conf(80, 0), 1)
-		s.Add(name(0), 1)
-		s.Add(name(1), 1)
-		for _, fact := range s.Hear(base, 1, m) {
-			if fact.Position > base+early || fact.Role > Replica || math.IsNaN(fact.Share) || s.hosts[fact.Host] == nil {
+		s.AddHost(name(0), 1)
+		s.AddHost(name(1), 1)
+		for _, fact := range s.Receive(base, 1, m) {
+			if fact.Position > base+early || fact.Role > Replica || math.IsNaN(fact.LatencyShare) || s.hosts[fact.Host] == nil {
 				t.Errorf("believed %+v", fact)
 			}
 		}
 		for now := base; now < base+200*ms; now += 5 * ms {
-			for _, m := range s.Due(now) {
+			for _, m := range s.PendingMessages(now) {
 				if len(m.Data) > MaxMessage {
 					t.Errorf("a message of %d bytes", len(m.Data))
 				}
--- a/internal/gossip/keeper.go
+++ b/internal/gossip/keeper.go
@@ -107,14 +107,14 @@
 
 // giveUp passes over a keeper that was told and tells nothing.
 func (s *State) giveUp(now int64, c *circle) {
-	if c.asked != 0 && now-c.asked > max(s.conf.Within, c.every)+s.conf.Within/2 {
+	if c.asked != 0 && now-c.asked > max(s.conf.FreshnessWindow, c.every)+s.conf.FreshnessWindow/2 {
 		s.dead[c.of] = now + passOver/2 + s.rand.Below(passOver)
 		c.asked = 0
 	}
 }
 
-// Quiet is how long the fleet may have nothing to tell of a host that answers somebody.
-func (s *State) Quiet(host string) int64 {
+// MaxReportDelay is how long the fleet may have nothing to tell of a host that answers somebody.
+func (s *State) MaxReportDelay(host string) int64 {
 	b := s.hosts[host]
 	if b == nil || b.circle.at == 0 {
 		return 0
@@ -129,9 +129,9 @@
 	if r.Role == Primary && b.best.Role != Primary && r.Position > b.best.Position { // writes wait for it
 		c.nextAt = now
 	}
-	b.improve(now, r.Fact)
-	if r.Share > 0 || r.Failing {
-		b.all.add(r.Share, r.Failing)
+	b.improve(now, r.HostFact)
+	if r.LatencyShare > 0 || r.Failing {
+		b.all.add(r.LatencyShare, r.Failing)
 	}
 	if b.best.Role != Primary { // reads go to one replica or another; what goes to the primary has no choice
 		c.begun += r.begun
@@ -149,17 +149,17 @@
 }
 
 // improve takes what is known later of a host's log.
-func (b *book) improve(now int64, f Fact) {
+func (b *book) improve(now int64, f HostFact) {
 	if f.Position > b.best.Position {
-		b.best, b.seen = Fact{Host: b.id, Position: f.Position, Role: f.Role}, now
+		b.best, b.seen = HostFact{Host: b.id, Position: f.Position, Role: f.Role}, now
 	}
 }
 
-// Ask returns the hosts that this gateway, as their keeper, wants to be asked for their position. One that nobody has
+// HostsToCheck returns the hosts that this gateway, as their keeper, wants to be asked for their position. One that nobody has
 // heard of for a while gets no bounded reads, and without reads nobody hears of it: of a group the first hosts that are
 // known would take all. Those that lag by long are asked seldom, and so is everybody where the group is idle.
-func (s *State) Ask(now int64) (hosts []string) {
-	gap := s.conf.Within / 2
+func (s *State) HostsToCheck(now int64) (hosts []string) {
+	gap := s.conf.FreshnessWindow / 2
 	for _, c := range s.circles {
 		if c.heardAt == 0 || now-c.heardAt > gap || s.keeper(now, c) != s.conf.Ordinal {
 			continue
@@ -196,7 +196,7 @@
 // deaf tells whether this gateway hears nobody, or all too late for what it hears to be used. As a keeper it would tell
 // of what it has seen itself, and be taken for one that knows; silent, it is passed over. Where nobody else has
 // anything to report, nobody misses it.
-func (s *State) deaf(now int64) bool { return now-s.newest > s.conf.Within }
+func (s *State) deaf(now int64) bool { return now-s.newest > s.conf.FreshnessWindow }
 
 // digest returns what the keeper of a group tells all others now, or nil.
 func (s *State) digest(now int64, c *circle) []byte {
@@ -235,7 +235,7 @@
 			b.told = f.Position
 		}
 		if b == primary {
-			b.crowd.learn(f.Share, load, s.chance())
+			b.crowd.learn(f.LatencyShare, load, s.chance())
 		}
 		b.all = samples{}
 		entries = appendEntry(entries, now, b.code, f, load)
@@ -253,9 +253,9 @@
 	cost := float64((digestHead + len(entries)) * (s.conf.Gateways - 1))
 	paid := maxEvery * 2.0
 	if c.rate > 0 {
-		paid = min(paid, cost/(c.rate*s.conf.Earn)*1e6)
+		paid = min(paid, cost/(c.rate*s.conf.BytesPerRequest)*1e6)
 	}
-	pressing := float64(s.conf.Within) * 2 / press
+	pressing := float64(s.conf.FreshnessWindow) * 2 / press
 	if now-c.since >= unsure {
 		pressing = max(pressing, paid)
 	}
@@ -265,7 +265,7 @@
 }
 
 // hearReport takes a report, as a keeper; the gateway itself learns by it, too.
-func (s *State) hearReport(now, sent int64, from int, body []byte) ([]Fact, error) {
+func (s *State) hearReport(now, sent int64, from int, body []byte) ([]HostFact, error) {
 	if len(body)%reportSize != 0 {
 		return nil, errMessage
 	}
@@ -277,12 +277,12 @@
 		}
 		reports = append(reports, r)
 	}
-	var facts []Fact
+	var facts []HostFact
 	for _, r := range reports {
 		if b := s.codes[r.code]; b != nil {
 			r.Host = b.id
 			s.take(now, sent, from, b, &r)
-			facts = append(facts, r.Fact)
+			facts = append(facts, r.HostFact)
 		}
 	}
 	return facts, nil
@@ -290,7 +290,7 @@
 
 // hearDigest takes a digest. Loads are believed of the keeper that this gateway reports to; another, which some others
 // report to while they can't hear the first, knows a part of them only.
-func (s *State) hearDigest(now, sent int64, from int, body []byte) ([]Fact, error) {
+func (s *State) hearDigest(now, sent int64, from int, body []byte) ([]HostFact, error) {
 	d, err := readDigest(sent, body)
 	if err != nil {
 		return nil, err
@@ -309,7 +309,7 @@
 			b.load, b.mine = 0, 0
 		}
 	}
-	var facts []Fact
+	var facts []HostFact
 	for _, e := range d.entries {
 		b := c.short[e.code]
 		if b == nil {
@@ -318,13 +318,13 @@
 		if followed {
 			b.load, b.mine = e.load, b.said
 		}
-		b.improve(now, e.Fact)
+		b.improve(now, e.HostFact)
 		if followed && b.best.Role == Primary { // one that answers nothing more is told of without its role
-			b.crowd.learn(e.Share, e.load, s.chance())
+			b.crowd.learn(e.LatencyShare, e.load, s.chance())
 		}
-		if e.Position > 0 || e.Share > 0 || e.Failing {
+		if e.Position > 0 || e.LatencyShare > 0 || e.Failing {
 			e.Host = b.id
-			facts = append(facts, e.Fact)
+			facts = append(facts, e.HostFact)
 		}
 	}
 	return facts, nil
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -65,7 +65,7 @@
 }
 
 type report struct {
-	Fact
+	HostFact
 	code       uint32
 	out, begun int
 }
@@ -76,7 +76,7 @@
 	if r.Position <= 0 || age < 0 || age > unknown {
 		age = unknown
 	}
-	return append(b, byte(r.code>>16), byte(r.code>>8), byte(r.code), byte(age>>8), byte(age), byte(r.Role)<<6|packShare(r.Fact),
+	return append(b, byte(r.code>>16), byte(r.code>>8), byte(r.code), byte(age>>8), byte(age), byte(r.Role)<<6|packShare(r.HostFact),
 		byte(min(r.out, most)), byte(min(r.begun, most)))
 }
 
@@ -90,7 +90,7 @@
 	case failing:
 		r.Failing = true
 	default:
-		r.Share = math.Exp2((float64(packed) - 32) / 8)
+		r.LatencyShare = math.Exp2((float64(packed) - 32) / 8)
 	}
 	if b[5]>>6 > byte(Replica) || r.Position < 0 {
 		return r, errMessage
@@ -102,18 +102,18 @@
 const failing = 63
 
 // packShare packs a share into 6 bits: 0 if it is not known, else eight steps for each doubling, with 1 in the middle.
-func packShare(f Fact) byte {
+func packShare(f HostFact) byte {
 	if f.Failing {
 		return failing
 	}
-	if f.Share <= 0 || math.IsNaN(f.Share) {
+	if f.LatencyShare <= 0 || math.IsNaN(f.LatencyShare) {
 		return 0
 	}
-	return byte(min(max(math.Round(8*math.Log2(f.Share))+32, 1), failing-1))
+	return byte(min(max(math.Round(8*math.Log2(f.LatencyShare))+32, 1), failing-1))
 }
 
 type entry struct {
-	Fact
+	HostFact
 	code uint16
 	load float64
 }
@@ -142,7 +142,7 @@
 
 const failingBand = 7
 
-func appendEntry(b []byte, now int64, code uint32, f Fact, load float64) []byte {
+func appendEntry(b []byte, now int64, code uint32, f HostFact, load float64) []byte {
 	age := int64(oldest + 1)
 	if f.Position > 0 && f.Position <= now {
 		age = min((now/1000*1000-f.Position+ageStep-1)/ageStep, oldest+1)
@@ -150,9 +150,9 @@
 	share := byte(0)
 	if f.Failing {
 		share = failingBand
-	} else if f.Share > 0 {
+	} else if f.LatencyShare > 0 {
 		share = 1
-		for i := 2; i < len(shares) && f.Share > math.Sqrt(shares[i-1]*shares[i]); i++ {
+		for i := 2; i < len(shares) && f.LatencyShare > math.Sqrt(shares[i-1]*shares[i]); i++ {
 			share = byte(i)
 		}
 	}
@@ -196,7 +196,7 @@
 		case failingBand:
 			e.Failing = true
 		default:
-			e.Share = shares[band]
+			e.LatencyShare = shares[band]
 		}
 		if e.Position < 0 {
 			return digest{}, errMessage
--- a/internal/lab/standin/host.go
+++ b/internal/lab/emulator/host.go
@@ -1,5 +1,5 @@
 // Package standin plays database hosts and clients on loopback addresses, in the words of PostgreSQL's wire protocol.
-package standin
+package emulator
 
 import (
 	"bufio"
--- a/internal/lab/standin/load.go
+++ b/internal/lab/emulator/load.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bufio"
--- a/internal/lab/vast/vast.go
+++ b/internal/lab/fleetmodel/fleetmodel.go
@@ -1,7 +1,7 @@
 // Package vast plays many gateways before many hosts in one process: the decision modules are the real ones, hosts are
 // queues, and clients ask again as clients do. It shows in seconds what routers that are harmless alone do together. The
 // same options give the same result.
-package vast
+package fleetmodel
 
 import (
 	"container/heap"
@@ -66,7 +66,7 @@
 }
 
 type class struct {
-	need          balance.Need
+	need          balance.Consistency
 	share, worth  float64
 	work          float64 // part of Options.Work
 	aim, deadline int64
@@ -75,9 +75,9 @@
 func classes(work float64) []class {
 	unit := int64(work / 85 * float64(ms))
 	return []class{
-		{balance.Recent, 0.58, 1, 1, 300 * unit, 750 * unit},
-		{balance.OwnWrite, 0.32, 1, 0.6, 200 * unit, 800 * unit},
-		{balance.Update, 0.10, 3, 1, 500 * unit, 3000 * unit},
+		{balance.BoundedStaleness, 0.58, 1, 1, 300 * unit, 750 * unit},
+		{balance.ReadYourWrites, 0.32, 1, 0.6, 200 * unit, 800 * unit},
+		{balance.Write, 0.10, 3, 1, 500 * unit, 3000 * unit},
 	}
 }
 
@@ -237,24 +237,24 @@
 }
 
 func (d *day) settings(i int) balance.Settings {
-	set := balance.Settings{Tick: ms, Probes: true, Cancel: true, MaxRetryAfter: sec, MaxAttempts: 10, DialTimeout: 250 * ms,
-		Carried: true, ColdFrom: 0.25, ColdFor: 16 * sec, FallMultiple: 4, FallFor: 1500 * ms, Gateways: d.o.Gateways, Ordinal: i, TellEarn: d.o.TellEarn}
+	set := balance.Settings{TickInterval: ms, HealthChecks: true, Cancellation: true, MaxRetryAfter: sec, MaxAttempts: 10, DialTimeout: 250 * ms,
+		RequestsCarrySessionAge: true, SlowStartInitialShare: 0.25, SlowStartDuration: 16 * sec, SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 1500 * ms, Gateways: d.o.Gateways, Ordinal: i, GossipBytesPerRequest: d.o.TellEarn}
 	for _, c := range d.classes {
-		k := balance.Class{Aim: c.aim, Deadline: c.deadline, Worth: c.worth, Need: c.need, Window: 5 * sec, Bound: 500 * ms}
-		if c.need == balance.Update {
-			k.Repeat, k.LateWorth = balance.Unsafe, 0.7
+		k := balance.Class{LatencyObjective: c.aim, Deadline: c.deadline, PriorityWeight: c.worth, Consistency: c.need, DeduplicationWindow: 5 * sec, MaxStaleness: 500 * ms}
+		if c.need == balance.Write {
+			k.RetrySafety, k.LatePriorityWeight = balance.NonIdempotent, 0.7
 		}
 		set.Classes = append(set.Classes, k)
 	}
 	return set
 }
 
-func (d *day) entries() []balance.Entry {
-	var es []balance.Entry
+func (d *day) entries() []balance.Endpoint {
+	var es []balance.Endpoint
 	for _, h := range d.hosts {
-		e := balance.Entry{Host: h.id, Group: int64(h.group), Phase: balance.Ready, Primary: d.primary[h.group] == h}
+		e := balance.Endpoint{Host: h.id, Group: int64(h.group), State: balance.Ready, Primary: d.primary[h.group] == h}
 		if h.coldAt > zero {
-			e.Born = h.coldAt
+			e.StartedAt = h.coldAt
 		}
 		es = append(es, e)
 	}
@@ -269,7 +269,7 @@
 	}
 	g.router, g.up = r, true
 	g.epoch++
-	d.tell(i, balance.Event{Kind: balance.ListEvent, Full: true, Entries: d.entries()})
+	d.tell(i, balance.Event{Kind: balance.EndpointsEvent, Complete: true, Endpoints: d.entries()})
 	return nil
 }
 
@@ -291,7 +291,7 @@
 			q.group = g
 		}
 	}
-	if d.classes[c].need == balance.OwnWrite && d.r.Float64() < 0.62 {
+	if d.classes[c].need == balance.ReadYourWrites && d.r.Float64() < 0.62 {
 		q.after = d.now - int64(d.r.ExpFloat64()*500*float64(ms)) - ms
 	}
 	d.res.Requests++
@@ -314,16 +314,16 @@
 	q.gateway, q.attempts, q.at = gw, 0, nil
 	q.until = min(q.giveUp, d.now+int64((0.4+0.6*d.r.Float64())*float64(d.classes[q.class].deadline)))
 	d.live[id] = q
-	ev := balance.Event{Kind: balance.RequestEvent, Request: id, Class: q.class, Group: int64(q.group), Until: q.until}
+	ev := balance.Event{Kind: balance.RequestEvent, Request: id, Class: q.class, Group: int64(q.group), Deadline: q.until}
 	if q.after > 0 {
-		ev.SinceWrite = max(d.now-q.after, 1)
+		ev.SessionWriteAge = max(d.now-q.after, 1)
 	}
 	epoch := d.gates[gw].epoch
 	d.later(q.until-d.now, func() {
 		if d.live[id] == q { // never answered, or its gateway is gone
 			d.finish(id, q)
 			if d.gates[gw].epoch == epoch && d.gates[gw].up {
-				d.tell(gw, balance.Event{Kind: balance.GoneEvent, Request: id})
+				d.tell(gw, balance.Event{Kind: balance.ClientDisconnectedEvent, Request: id})
 			}
 			d.again(q, 0)
 		}
@@ -337,7 +337,7 @@
 
 // again is a client that was refused or got nothing.
 func (d *day) again(q *request, after int64) {
-	if q.tries >= 4 || q.done || d.classes[q.class].need == balance.Update && q.attempts > 0 {
+	if q.tries >= 4 || q.done || d.classes[q.class].need == balance.Write && q.attempts > 0 {
 		return
 	}
 	wait := 30 * ms
@@ -379,18 +379,18 @@
 		if q := d.live[a.Request]; q != nil {
 			d.send(i, epoch, a.Request, q, d.byID[a.Host])
 		}
-	case balance.ProbeAction:
+	case balance.HealthCheckAction:
 		d.res.Probes++
 		d.second().Probe++
 		h := d.byID[a.Host]
-		took, result := ms, balance.Served
+		took, result := ms, balance.Succeeded
 		if !h.up {
 			took, result = 250*ms, balance.TimedOut
 		}
 		d.later(took, func() {
 			if alive() {
-				ev := balance.Event{Kind: balance.ProbedEvent, Host: h.id, Result: result, Took: took}
-				if result == balance.Served {
+				ev := balance.Event{Kind: balance.HealthCheckEvent, Host: h.id, Result: result, Latency: took}
+				if result == balance.Succeeded {
 					_, _, ev.Report = d.note(h)
 				}
 				d.tell(i, ev)
@@ -400,7 +400,7 @@
 		if q := d.live[a.Request]; q != nil && q.at != nil {
 			q.at.over = true
 		}
-	case balance.RefuseAction, balance.FailAction:
+	case balance.RejectAction, balance.FailAction:
 		q := d.live[a.Request]
 		if q == nil {
 			return
@@ -413,13 +413,13 @@
 		d.res.Refused++
 		d.second().Refused++
 		d.again(q, a.RetryAfter)
-	case balance.TellAction:
+	case balance.GossipAction:
 		d.res.Told++
 		if a.Peer >= 0 {
 			d.res.TellBytes += float64(len(a.Data))
 			d.later(ms+int64(d.r.ExpFloat64()*10*float64(ms)), func() {
 				if d.gates[a.Peer].up {
-					d.tell(a.Peer, balance.Event{Kind: balance.PeerEvent, Peer: i, Data: a.Data})
+					d.tell(a.Peer, balance.Event{Kind: balance.GossipEvent, Peer: i, Data: a.Data})
 				}
 			})
 			return
@@ -428,7 +428,7 @@
 		d.later(ms+int64(d.r.ExpFloat64()*10*float64(ms)), func() {
 			for to, o := range d.gates {
 				if to != i && o.up {
-					d.tell(to, balance.Event{Kind: balance.PeerEvent, Peer: i, Data: a.Data})
+					d.tell(to, balance.Event{Kind: balance.GossipEvent, Peer: i, Data: a.Data})
 				}
 			}
 		})
@@ -473,19 +473,19 @@
 }
 
 // note is what a host says of itself.
-func (d *day) note(h *host) (balance.Role, int64, balance.Report) {
+func (d *day) note(h *host) (balance.Role, int64, balance.HostReport) {
 	d.advance(h)
 	role, position := balance.Replica, h.applied
 	if d.primary[h.group] == h {
 		role, position = balance.Primary, d.now
 	}
-	return role, position, balance.Report{HasPosition: true, HasRole: true, Position: position, Primary: role == balance.Primary}
+	return role, position, balance.HostReport{HasPosition: true, HasRole: true, Position: position, Primary: role == balance.Primary}
 }
 
 func (d *day) send(gw, epoch int, id int64, q *request, h *host) {
 	c := d.classes[q.class]
 	sigma := math.Sqrt(math.Log(2)) // a coefficient of variation of one
-	at := &attempt{gateway: gw, epoch: epoch, request: id, number: q.attempts, host: h, sent: d.now, write: c.need == balance.Update,
+	at := &attempt{gateway: gw, epoch: epoch, request: id, number: q.attempts, host: h, sent: d.now, write: c.need == balance.Write,
 		work: c.work * d.o.Work * math.Exp(sigma*d.r.NormFloat64()-sigma*sigma/2)}
 	q.attempts++
 	q.at = at
@@ -503,7 +503,7 @@
 		return
 	}
 	if len(h.queue) >= room {
-		d.later(ms, func() { d.end(at, balance.Full) })
+		d.later(ms, func() { d.end(at, balance.Overloaded) })
 		return
 	}
 	d.advance(h)
@@ -543,9 +543,9 @@
 		})
 		for _, at := range done {
 			if at.write && d.primary[h.group] != h {
-				d.end(at, balance.Missed)
+				d.end(at, balance.NotPrimary)
 			} else {
-				d.end(at, balance.Served)
+				d.end(at, balance.Succeeded)
 			}
 		}
 		d.serve(h)
@@ -557,7 +557,7 @@
 		return
 	}
 	at.over = true
-	if result == balance.Served || result == balance.Full {
+	if result == balance.Succeeded || result == balance.Overloaded {
 		at.host.conns[at.gateway]++
 	}
 	q := d.live[at.request]
@@ -565,10 +565,10 @@
 	case balance.TimedOut:
 		d.res.TimedOut++
 		d.second().TimedOut++
-	case balance.Full:
+	case balance.Overloaded:
 		d.res.Full++
 		d.second().Full++
-	case balance.Served:
+	case balance.Succeeded:
 		d.second().Served++
 		if q != nil && !q.done {
 			q.done = true
@@ -589,7 +589,7 @@
 		return
 	}
 	ev := balance.Event{Kind: balance.OutcomeEvent, Request: at.request, Attempt: at.number, Host: at.host.id, Result: result,
-		Over: result == balance.Served || q == nil, Took: d.now - at.sent}
+		Finished: result == balance.Succeeded || q == nil, Latency: d.now - at.sent}
 	if result.Answered() {
 		ev.Role, ev.Position, ev.Report = d.note(at.host)
 	}
@@ -625,7 +625,7 @@
 	d.later(int64(d.o.OutageFor)*sec+1500*ms, func() {
 		for i, g := range d.gates {
 			if g.up {
-				d.tell(i, balance.Event{Kind: balance.ListEvent, Full: true, Entries: d.entries()})
+				d.tell(i, balance.Event{Kind: balance.EndpointsEvent, Complete: true, Endpoints: d.entries()})
 			}
 		}
 	})
--- a/internal/lab/vast/vast_test.go
+++ b/internal/lab/fleetmodel/fleetmodel_test.go
@@ -1,4 +1,4 @@
-package vast
+package fleetmodel
 
 import "testing"
 
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/logstats/logstats.go
@@ -1,6 +1,6 @@
 // Package fleet adds up what many gateways log once a second at debug level, so that one sees what all of them do
 // together to the hosts: what is harmless in one log may not be in eighty.
-package fleet
+package logstats
 
 import (
 	"bufio"
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/logstats/logstats_test.go
@@ -1,4 +1,4 @@
-package fleet
+package logstats
 
 import (
 	"strings"
--- a/internal/lab/tier/plan.go
+++ b/internal/lab/processrig/plan.go
@@ -1,6 +1,6 @@
 // Package tier plays many real processes of the gateway before stand-in hosts, with faults in them and between them, and
 // measures from outside how their load falls on the hosts.
-package tier
+package processrig
 
 import (
 	"cmp"
--- a/internal/lab/tier/post.go
+++ b/internal/lab/processrig/post.go
@@ -1,4 +1,4 @@
-package tier
+package processrig
 
 import (
 	"bufio"
--- a/internal/lab/tier/tier.go
+++ b/internal/lab/processrig/processrig.go
@@ -1,4 +1,4 @@
-package tier
+package processrig
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
+	"cloverrock/internal/lab/emulator"
 	"cloverrock/internal/lab/loopback"
-	"cloverrock/internal/lab/standin"
 )
 
 // Options of a run.
@@ -121,13 +121,13 @@
 	dir      string
 	events   []Event
 	res      *Result
-	hosts    []*standin.Host
+	hosts    []*emulator.Host
 	logs     []hostLog
 	mu       sync.Mutex // of the logs
 	began    time.Time
 	list     string // of all hosts; short lacks the last of each group
 	short    string
-	discos   []*standin.Discovery // by gateway
+	discos   []*emulator.Discovery // by gateway
 	exchange *exchange
 	post     *post // of gateways that decide together
 	cut      func(at time.Duration, from, to int) bool
@@ -155,7 +155,7 @@
 	t.res.Hosts = groups * t.Members
 	t.logs = make([]hostLog, t.res.Hosts)
 	for i := range t.res.Hosts {
-		h, err := standin.NewHost(fmt.Sprintf("s-%d", i), work, 15*time.Millisecond)
+		h, err := emulator.NewHost(fmt.Sprintf("s-%d", i), work, 15*time.Millisecond)
 		if err != nil {
 			return err
 		}
@@ -199,7 +199,7 @@
 		}
 	}
 	for i := range t.Gateways {
-		d, err := standin.NewDiscovery()
+		d, err := emulator.NewDiscovery()
 		if err != nil {
 			return err
 		}
@@ -311,7 +311,7 @@
 	g := t.gates[i]
 	conf := m{"name": fmt.Sprintf("n%d", i), "listen": g.listen, "discovery": t.discos[i].Address(), "seed": fmt.Sprintf("%x", t.Seed*1000+uint64(i)),
 		"limits": m{"memory_mb": 64, "sockets": 512}, "known": json.RawMessage(t.short),
-		"settings": m{"tickMs": 5.0, "classes": standin.ClassSettings(), "balancers": t.Gateways, "ordinal": i, "extra": m{"classRead": []string{"recent", "own_writes", "update"},
+		"settings": m{"tickMs": 5.0, "classes": emulator.ClassSettings(), "balancers": t.Gateways, "ordinal": i, "extra": m{"classRead": []string{"recent", "own_writes", "update"},
 			"stalenessBoundMs": []int{500, 0, 0}, "serverChecks": "none", "tokens": "client"}, "costs": m{"peer": 0.012},
 			"report":      m{"fields": []string{"x0", "x1"}, "source": "answers"},
 			"limits":      m{"cancel": true, "probes": true, "mayTell": true, "dialTimeoutMs": 250, "idleCloseMs": 30000, "maxAttempts": 10, "maxRetryAfterMs": 1000},
@@ -400,7 +400,7 @@
 	}
 	// What a request costs at a host, on the mean, and what the replicas and primaries of all groups can do.
 	rate := t.Use * float64(t.res.Hosts*cores) / work.Seconds()
-	load := &standin.Load{Address: t.gates[0].listen, Groups: t.res.Hosts / t.Members, Rate: rate, Seed: t.Seed, Slack: slack,
+	load := &emulator.Load{Address: t.gates[0].listen, Groups: t.res.Hosts / t.Members, Rate: rate, Seed: t.Seed, Slack: slack,
 		Away: func(gate int) bool { return t.gates[gate].away.Load() }}
 	for _, g := range t.gates[1:] {
 		load.Others = append(load.Others, g.listen)
@@ -490,7 +490,7 @@
 	wait(context.Background(), front)
 	g.away.Store(true)
 	longest := time.Duration(0)
-	for _, c := range standin.Classes {
+	for _, c := range emulator.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	select {
@@ -525,24 +525,24 @@
 	}
 }
 
-func (t *stage) judge(samples []standin.Sample) {
+func (t *stage) judge(samples []emulator.Sample) {
 	r := t.res
 	var earned, asked float64
 	for _, s := range samples {
 		r.Requests++
 		earned += s.Earned()
-		if (s.Err == nil || errors.Is(s.Err, standin.ErrRefused)) && s.Took > standin.Classes[s.Class].Deadline {
+		if (s.Err == nil || errors.Is(s.Err, emulator.ErrRefused)) && s.Took > emulator.Classes[s.Class].Deadline {
 			r.Late++
 		}
 		asked += s.Asked()
 		hurt := slices.ContainsFunc(t.gates[s.Gate].hurt, func(h span) bool { return s.At.Before(h.to) && s.At.Add(s.Took).After(h.from) })
-		closed := errors.Is(s.Err, standin.ErrClosed)
+		closed := errors.Is(s.Err, emulator.ErrClosed)
 		if closed && !hurt {
 			r.ClosedNew++
 		}
 		switch {
 		case s.Err == nil:
-		case errors.Is(s.Err, standin.ErrRefused) && !(closed && hurt):
+		case errors.Is(s.Err, emulator.ErrRefused) && !(closed && hurt):
 			r.Refused++
 		case hurt:
 			r.Disturbed++
--- a/internal/lab/tier/zone.go
+++ b/internal/lab/processrig/zone.go
@@ -1,4 +1,4 @@
-package tier
+package processrig
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"cloverrock/internal/lab/standin"
+	"cloverrock/internal/lab/emulator"
 )
 
 // Zoned is what a run with zones adds: hosts and gateways lie in zones, and the gateways decide together which they use.
@@ -125,7 +125,7 @@
 	if !wait(time.Until(t.began.Add(time.Duration(o.AtMS) * time.Millisecond))) {
 		return
 	}
-	each := func(f func(*standin.Host)) {
+	each := func(f func(*emulator.Host)) {
 		for i, h := range t.hosts {
 			if t.Zoned.Hosts == 0 && i%t.Zoned.Zones == o.Zone || i > 0 && i <= t.Zoned.Hosts {
 				f(h)
@@ -133,21 +133,21 @@
 		}
 	}
 	if t.Zoned.Doors {
-		each(func(h *standin.Host) { h.Shut(true) })
+		each(func(h *emulator.Host) { h.Shut(true) })
 		wait(time.Duration(o.ForMS) * time.Millisecond)
-		each(func(h *standin.Host) { h.Shut(false) })
+		each(func(h *emulator.Host) { h.Shut(false) })
 		return
 	}
-	each(func(h *standin.Host) { h.Hang(true) })
+	each(func(h *emulator.Host) { h.Hang(true) })
 	wait(time.Duration(o.ForMS) * time.Millisecond)
-	each(func(h *standin.Host) {
+	each(func(h *emulator.Host) {
 		h.Chill(coldFor, 0.25, float64(cores)/work.Seconds(), 4, 1500*time.Millisecond)
 		h.Hang(false)
 	})
 }
 
 // judgeZones reads what the gateways did from their lines, and what came of it from the hosts and clients.
-func (t *stage) judgeZones(samples []standin.Sample) (*Left, error) {
+func (t *stage) judgeZones(samples []emulator.Sample) (*Left, error) {
 	l := &Left{Bytes: float64(t.post.bytes.Load()) / float64(len(t.gates)) / t.For.Seconds()}
 	for _, h := range t.hosts {
 		if h.Fell() {
--- a/internal/lab/restart/beside.go
+++ b/internal/lab/restart/beside.go
@@ -13,7 +13,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"cloverrock/internal/lab/standin"
+	"cloverrock/internal/lab/emulator"
 	"cloverrock/internal/settings"
 	"cloverrock/internal/store/client"
 	"cloverrock/internal/store/machine"
@@ -77,7 +77,7 @@
 	defer os.RemoveAll(dir)
 	s := &stage{Options: o, dir: dir, store: kind > 0}
 	defer s.end()
-	discovery, err := standin.NewDiscovery()
+	discovery, err := emulator.NewDiscovery()
 	if err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 			}()
 		}
 	}
-	load := &standin.Load{Address: s.listen, Rate: o.Rate, Seed: o.Seed}
+	load := &emulator.Load{Address: s.listen, Rate: o.Rate, Seed: o.Seed}
 	samples := load.Run(work)
 	wg.Wait()
 	h := hdrhistogram.New(1, 10_000_000, 3)
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
+	"cloverrock/internal/lab/emulator"
 	"cloverrock/internal/lab/loopback"
-	"cloverrock/internal/lab/standin"
 	"cloverrock/internal/settings"
 )
 
@@ -73,7 +73,7 @@
 	Options
 	dir, listen, config, settings string
 	store                         bool
-	hosts                         []*standin.Host
+	hosts                         []*emulator.Host
 	running                       []*exec.Cmd
 }
 
@@ -144,7 +144,7 @@
 	defer os.RemoveAll(dir)
 	s := &stage{Options: o, dir: dir, store: store}
 	defer s.end()
-	discovery, err := standin.NewDiscovery()
+	discovery, err := emulator.NewDiscovery()
 	if err != nil {
 		return nil, err
 	}
@@ -170,10 +170,10 @@
 	if err := s.accepts(ctx); err != nil {
 		return nil, err
 	}
-	load := &standin.Load{Address: s.listen, Rate: o.Rate, Seed: o.Seed}
+	load := &emulator.Load{Address: s.listen, Rate: o.Rate, Seed: o.Seed}
 	work, stop := context.WithCancel(ctx)
 	defer stop()
-	samples := make(chan []standin.Sample, 1)
+	samples := make(chan []emulator.Sample, 1)
 	go func() { samples <- load.Run(work) }()
 	if err := pause(ctx, 2*time.Second); err != nil {
 		return nil, err
@@ -233,9 +233,9 @@
 	return judge(<-samples, back, back.Sub(began)), nil
 }
 
-func judge(all []standin.Sample, back time.Time, ready time.Duration) *Side {
+func judge(all []emulator.Sample, back time.Time, ready time.Duration) *Side {
 	side := &Side{ByClass: map[string]float64{}, ReadyMS: ready.Milliseconds()}
-	var earned, asked [len(standin.Classes)]float64
+	var earned, asked [len(emulator.Classes)]float64
 	var sum, of float64
 	for _, x := range all {
 		if x.At.Before(back) || x.At.After(back.Add(after)) {
@@ -250,7 +250,7 @@
 	if of > 0 {
 		side.Share = sum / of
 	}
-	for i, c := range standin.Classes {
+	for i, c := range emulator.Classes {
 		if asked[i] > 0 {
 			side.ByClass[c.Name] = earned[i] / asked[i]
 		}
@@ -261,7 +261,7 @@
 // add starts so many hosts.
 func (s *stage) add(n int, prefix string) error {
 	for i := range n {
-		h, err := standin.NewHost(fmt.Sprint(prefix, i), 8*time.Millisecond, 20*time.Millisecond)
+		h, err := emulator.NewHost(fmt.Sprint(prefix, i), 8*time.Millisecond, 20*time.Millisecond)
 		if err != nil {
 			return err
 		}
@@ -271,7 +271,7 @@
 }
 
 // list is hosts in discovery's form; the first is said to be the primary.
-func (s *stage) list(hosts []*standin.Host) []map[string]any {
+func (s *stage) list(hosts []*emulator.Host) []map[string]any {
 	var all []map[string]any
 	for i, h := range hosts {
 		rank := "copy"
@@ -293,7 +293,7 @@
 	type m = map[string]any
 	b, err := json.MarshalIndent(m{"name": "a", "listen": s.listen, "discovery": discovery, "seed": fmt.Sprintf("%x", s.Seed),
 		"limits": m{"memory_mb": 192, "sockets": 1024}, "known": m{"generation": 7, "reset": true, "instances": s.list(s.hosts)},
-		"settings": m{"tickMs": 5.0, "classes": standin.ClassSettings(), "extra": m{"classRead": []string{"recent", "own_writes", "update"},
+		"settings": m{"tickMs": 5.0, "classes": emulator.ClassSettings(), "extra": m{"classRead": []string{"recent", "own_writes", "update"},
 			"stalenessBoundMs": []int{500, 0, 0}, "serverChecks": "none", "tokens": "client"},
 			"report":      m{"fields": []string{"x0", "x1"}, "source": "answers"},
 			"limits":      m{"cancel": true, "probes": true, "dialTimeoutMs": 250, "idleCloseMs": 30000, "maxAttempts": 10, "maxRetryAfterMs": 1000},
--- a/internal/lab/sim/world.go
+++ b/internal/lab/storesim/world.go
@@ -1,4 +1,4 @@
-package sim
+package storesim
 
 import (
 	"errors"
--- a/internal/handover/handover.go
+++ b/internal/launcher/launcher.go
@@ -1,7 +1,7 @@
 // Package handover stands for the parts that the lean gateway does not hold: where one is asked for, the process
 // becomes the larger program beside it, under the same id and with the same words. So the store costs nothing where it
 // is off: with it in the one program, an idle gateway took 4.9 MB more.
-package handover
+package launcher
 
 import (
 	"fmt"
@@ -51,7 +51,7 @@
 func (p Program) Check(string) error { return p.become() }
 
 // Open implements app.Extension.
-func (p Program) Open(string, func(string) string, zerolog.Logger) (app.Part, error) {
+func (p Program) Open(string, func(string) string, zerolog.Logger) (app.Component, error) {
 	return nil, p.become()
 }
 
--- a/internal/member/member.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,7 @@
 // Package member keeps track of which gateways of a fleet are there, and carries what they tell one another. The failure
 // detector and the spreading of messages are hashicorp/memberlist's (SWIM with Lifeguard's refinements); this package gives it
 // a transport that can be led through a relay, and remembers those that are gone, since a majority is counted of all.
-package member
+package membership
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"github.com/hashicorp/memberlist"
 	"github.com/rs/zerolog"
 
-	"cloverrock/internal/accord"
+	"cloverrock/internal/agreement"
 )
 
 // Config describes this gateway's part.
@@ -134,8 +134,8 @@
 }
 
 // Roll is who belongs to the fleet. Those that died stay on it for the time after which they are forgotten.
-func (m *Members) Roll() accord.Roll {
-	roll := accord.Roll{}
+func (m *Members) Roll() agreement.Roll {
+	roll := agreement.Roll{}
 	for _, n := range m.list.Members() {
 		roll[n.Name] = true
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"cloverrock/internal/loop"
+	"cloverrock/internal/eventloop"
 )
 
 // MaxMessage is the longest datagram that may be sent.
@@ -18,7 +18,7 @@
 
 // Peers is the socket with the addresses of the other gateways.
 type Peers struct {
-	socket *loop.PacketConn
+	socket *eventloop.PacketConn
 	addrs  []netip.AddrPort
 	all    netip.AddrPort
 	log    zerolog.Logger
@@ -35,7 +35,7 @@
 }
 
 // Open listens, unless the configuration names no address; heard is told each message with its sender's number.
-func Open(l *loop.Loop, c Config, heard func(peer int, data []byte), log zerolog.Logger) (*Peers, error) {
+func Open(l *eventloop.Loop, c Config, heard func(peer int, data []byte), log zerolog.Logger) (*Peers, error) {
 	p := &Peers{addrs: c.Peers, all: c.All, log: log, rare: log.Sample(&zerolog.BurstSampler{Burst: 1, Period: 10 * time.Second})}
 	if c.Listen == "" {
 		return p, nil
@@ -63,8 +63,8 @@
 	return p, nil
 }
 
-// Tell sends to one gateway, or with -1 to all. What is too long, or has nobody to go to, is dropped.
-func (p *Peers) Tell(number int, data []byte) {
+// Send sends to one gateway, or with -1 to all. What is too long, or has nobody to go to, is dropped.
+func (p *Peers) Send(number int, data []byte) {
 	to := p.all
 	if number >= 0 && number < len(p.addrs) {
 		to = p.addrs[number]
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -8,13 +8,13 @@
 
 	"github.com/rs/zerolog"
 
-	"cloverrock/internal/loop"
+	"cloverrock/internal/eventloop"
 )
 
 // A message goes to the gateway of that number or to the address of all; one that comes is told with its sender's
 // number, and one from an address that is no gateway's is not told.
 func TestMessages(t *testing.T) {
-	l := loop.New(1024, 1<<20, zerolog.Nop())
+	l := eventloop.New(1024, 1<<20, zerolog.Nop())
 	if err := l.Start("", 0, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -52,10 +52,10 @@
 		t.Fatal(err)
 	}
 	do(func() {
-		p.Tell(1, make([]byte, MaxMessage+1)) // too long: dropped
-		p.Tell(7, []byte("nobody"))
-		p.Tell(1, []byte("to one"))
-		p.Tell(-1, []byte("to all"))
+		p.Send(1, make([]byte, MaxMessage+1)) // too long: dropped
+		p.Send(7, []byte("nobody"))
+		p.Send(1, []byte("to one"))
+		p.Send(-1, []byte("to all"))
 	})
 	buf := make([]byte, 512)
 	n, from, err := one.ReadFromUDP(buf)
--- a/internal/wire/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"reflect"
@@ -18,17 +18,17 @@
 		{"send", balance.Action{Kind: balance.SendAction, Request: 1 << 62, Host: "h", Timeout: 1001}},
 		{"send, no timeout", balance.Action{Kind: balance.SendAction, Request: 1, Host: "h"}},
 		{"cancel", balance.Action{Kind: balance.CancelAction, Request: -1, Attempt: 2}},
-		{"refuse", balance.Action{Kind: balance.RefuseAction, Request: 3, RetryAfter: 1}},
-		{"refuse for good", balance.Action{Kind: balance.RefuseAction, Request: 3}},
+		{"refuse", balance.Action{Kind: balance.RejectAction, Request: 3, RetryAfter: 1}},
+		{"refuse for good", balance.Action{Kind: balance.RejectAction, Request: 3}},
 		{"fail", balance.Action{Kind: balance.FailAction, Request: 4}},
 		{"timer", balance.Action{Kind: balance.TimerAction, At: -1_000_010, Token: 5}},
-		{"probe", balance.Action{Kind: balance.ProbeAction, Host: "h"}},
-		{"close", balance.Action{Kind: balance.CloseAction, Host: "h"}},
-		{"tell all", balance.Action{Kind: balance.TellAction, Peer: -1, Data: []byte{0, 127, 255}}},
-		{"tell one nothing", balance.Action{Kind: balance.TellAction, Peer: 0}},
+		{"probe", balance.Action{Kind: balance.HealthCheckAction, Host: "h"}},
+		{"close", balance.Action{Kind: balance.CloseIdleAction, Host: "h"}},
+		{"tell all", balance.Action{Kind: balance.GossipAction, Peer: -1, Data: []byte{0, 127, 255}}},
+		{"tell one nothing", balance.Action{Kind: balance.GossipAction, Peer: 0}},
 		{"log", balance.Action{Kind: balance.LogAction, Text: "a\tb\nü"}},
 		{"subscribe", balance.Action{Kind: balance.SubscribeAction}},
-		{"fetch", balance.Action{Kind: balance.FetchAction}},
+		{"fetch", balance.Action{Kind: balance.PollEndpointsAction}},
 	}
 	var cases []golden.Case
 	for _, test := range actions {
@@ -40,33 +40,33 @@
 
 // Each kind of line is read as the same event as ever: what a line says under each of its names, and nothing else.
 func TestGoldenEvents(t *testing.T) {
-	entries := []balance.Entry{{Host: "h", Zone: 1, Group: 2, Kind: 3, Phase: balance.Draining, Primary: true, Weight: 2.5, Born: 1500}}
-	report := balance.Report{HasPosition: true, Position: 1_500_007, HasRole: true, Primary: true}
+	entries := []balance.Endpoint{{Host: "h", Zone: 1, Group: 2, Kind: 3, State: balance.Draining, Primary: true, Weight: 2.5, StartedAt: 1500}}
+	report := balance.HostReport{HasPosition: true, Position: 1_500_007, HasRole: true, Primary: true}
 	tests := []struct {
 		line string
 		want balance.Event
 	}{
-		{"topology who=0 scope=0 buffer=2", balance.Event{Kind: balance.ListEvent, Entries: entries}},
-		{"topology who=0 scope=1 buffer=2", balance.Event{Kind: balance.ListEvent, Entries: entries, Full: true}},
-		{"topology who=0 scope=3", balance.Event{Kind: balance.ListEvent, Failed: true}},
+		{"topology who=0 scope=0 buffer=2", balance.Event{Kind: balance.EndpointsEvent, Endpoints: entries}},
+		{"topology who=0 scope=1 buffer=2", balance.Event{Kind: balance.EndpointsEvent, Endpoints: entries, Complete: true}},
+		{"topology who=0 scope=3", balance.Event{Kind: balance.EndpointsEvent, PollFailed: true}},
 		{"call ticket=9223372036854775807 service=1 shard=2 session=3 lastWriteMs=-4.5 dropDeadMs=5.001 weightHintMs=6", balance.Event{Kind: balance.RequestEvent,
-			Request: 1<<63 - 1, Class: 1, Group: 2, Key: 3, HasKey: true, SinceWrite: -4500, Until: 5001, Hint: 6000}},
+			Request: 1<<63 - 1, Class: 1, Group: 2, Key: 3, HasKey: true, SessionWriteAge: -4500, Deadline: 5001, WorkHint: 6000}},
 		{"call ticket=1", balance.Event{Kind: balance.RequestEvent, Request: 1}},
 		{"completed ticket=1 try=2 over=1 note=9 host=h timeTakenMs=0.5 status=done feedback=x0:1.5,x1:1", balance.Event{Kind: balance.OutcomeEvent,
-			Request: 1, Attempt: 2, Over: true, Role: balance.Primary, Position: 2007, Host: "h", Took: 500, Result: balance.Served, Report: report}},
-		{"completed note=2 status=err", balance.Event{Kind: balance.OutcomeEvent, Role: balance.Replica, Result: balance.Errored}},
-		{"completed status=busy", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Full}},
+			Request: 1, Attempt: 2, Finished: true, Role: balance.Primary, Position: 2007, Host: "h", Latency: 500, Result: balance.Succeeded, Report: report}},
+		{"completed note=2 status=err", balance.Event{Kind: balance.OutcomeEvent, Role: balance.Replica, Result: balance.Failed}},
+		{"completed status=busy", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Overloaded}},
 		{"completed status=etimedout", balance.Event{Kind: balance.OutcomeEvent, Result: balance.TimedOut}},
-		{"completed status=econnrefused", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Refused}},
-		{"completed status=econnreset", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Reset}},
-		{"completed status=ecanceled", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Cancelled}},
-		{"completed status=skipped", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Skipped}},
-		{"completed status=enoent", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Missed}},
-		{"check_result host=h timeTakenMs=1 status=done feedback=x0:1.5,x1:1", balance.Event{Kind: balance.ProbedEvent, Host: "h", Took: 1000, Report: report}},
-		{"left ticket=3", balance.Event{Kind: balance.GoneEvent, Request: 3}},
+		{"completed status=econnrefused", balance.Event{Kind: balance.OutcomeEvent, Result: balance.ConnectionRefused}},
+		{"completed status=econnreset", balance.Event{Kind: balance.OutcomeEvent, Result: balance.ConnectionReset}},
+		{"completed status=ecanceled", balance.Event{Kind: balance.OutcomeEvent, Result: balance.Canceled}},
+		{"completed status=skipped", balance.Event{Kind: balance.OutcomeEvent, Result: balance.NotSent}},
+		{"completed status=enoent", balance.Event{Kind: balance.OutcomeEvent, Result: balance.NotPrimary}},
+		{"check_result host=h timeTakenMs=1 status=done feedback=x0:1.5,x1:1", balance.Event{Kind: balance.HealthCheckEvent, Host: "h", Latency: 1000, Report: report}},
+		{"left ticket=3", balance.Event{Kind: balance.ClientDisconnectedEvent, Request: 3}},
 		{"deadline_hit ref=4", balance.Event{Kind: balance.TimerEvent, Token: 4}},
-		{"message from=5 contents=007fff", balance.Event{Kind: balance.PeerEvent, Peer: 5, Data: []byte{0, 127, 255}}},
-		{"message from=0 contents=-", balance.Event{Kind: balance.PeerEvent}},
+		{"message from=5 contents=007fff", balance.Event{Kind: balance.GossipEvent, Peer: 5, Data: []byte{0, 127, 255}}},
+		{"message from=0 contents=-", balance.Event{Kind: balance.GossipEvent}},
 	}
 	c := NewCodec()
 	if err := c.Roster(Split([]byte("roster buffer=2 records=1"))); err != nil {
@@ -92,11 +92,11 @@
 		`"extra":{"baseTimeMs":9,"classRead":["recent","own_writes","latest","update","any"],"stalenessBoundMs":[10],"serverChecks":"reject","tokens":"client"},` +
 		`"limits":{"cancel":true,"probes":true,"mayTell":true,"dialTimeoutMs":11,"maxRetryAfterMs":12,"idleCloseMs":13,"maxAttempts":14},` +
 		`"obligations":{"coldFrom":15,"coldMs":16,"fallMultiple":17,"overloadForMs":18,"drainBindsAlone":true}}`
-	want := balance.Settings{Zone: 1, Tick: 5000, Subscribe: true, Probes: true, Cancel: true, MaxRetryAfter: 12_000, MaxAttempts: 14, DialTimeout: 11_000,
-		HostsCheck: true, Carried: true, CrossPrice: 7, DrainAlone: true, ColdFrom: 15, ColdFor: 16_000, FallMultiple: 17, FallFor: 18_000,
-		Gateways: 3, Ordinal: 2, TellEarn: 1.92, Classes: []balance.Class{
-			{Aim: 1000, Deadline: 2000, Window: 3000, Worth: 4, LateWorth: 0.5, AimStretch: 6, Repeat: balance.Keyed, Scope: balance.ScopeGroup, Need: balance.Recent, Bound: 10_000},
-			{Repeat: balance.Unsafe, Scope: balance.ScopeZone, Need: balance.OwnWrite}, {Need: balance.Latest}, {Need: balance.Update}, {}}}
+	want := balance.Settings{Zone: 1, TickInterval: 5000, MustSubscribe: true, HealthChecks: true, Cancellation: true, MaxRetryAfter: 12_000, MaxAttempts: 14, DialTimeout: 11_000,
+		HostsCheckStaleness: true, RequestsCarrySessionAge: true, CrossZoneCost: 7, OnlyDrainingExcludes: true, SlowStartInitialShare: 15, SlowStartDuration: 16_000, SlowStartOverloadFactor: 17, SlowStartOverloadWindow: 18_000,
+		Gateways: 3, Ordinal: 2, GossipBytesPerRequest: 1.92, Classes: []balance.Class{
+			{LatencyObjective: 1000, Deadline: 2000, DeduplicationWindow: 3000, PriorityWeight: 4, LatePriorityWeight: 0.5, ObjectivePerWork: 6, RetrySafety: balance.IdempotencyKey, DeduplicationScope: balance.ScopeGroup, Consistency: balance.BoundedStaleness, MaxStaleness: 10_000},
+			{RetrySafety: balance.NonIdempotent, DeduplicationScope: balance.ScopeZone, Consistency: balance.ReadYourWrites}, {Consistency: balance.Linearizable}, {Consistency: balance.Write}, {}}}
 	read, seed, origin, err := Start(Split([]byte(line)))
 	if err != nil || seed != 1<<64-1 || origin != 9000 || !reflect.DeepEqual(read, want) {
 		t.Errorf("read as %v, %d, %d, %v\nwant %v", read, seed, origin, err, want)
--- a/internal/wire/options.go
+++ b/internal/simprotocol/options.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"math"
@@ -53,51 +53,51 @@
 // Settings turns them into the module's, and tells the origin of positions on the simulator's clock.
 func (o *Options) Settings() (balance.Settings, int64) {
 	s := balance.Settings{
-		Zone: o.Zone, Tick: us(o.TickMs), Subscribe: o.Discovery == "subscribe", Probes: o.Limits.Probes,
-		Cancel: o.Limits.Cancel, MaxRetryAfter: us(o.Limits.MaxRetryAfterMs), MaxAttempts: o.Limits.MaxAttempts,
-		DialTimeout: us(o.Limits.DialTimeoutMs), HostsCheck: o.Extra.ServerChecks == "reject" || o.Extra.ServerChecks == "hold",
-		Carried: o.Extra.Tokens == "client", CrossPrice: o.Costs.CrossZone,
-		DrainAlone: o.Obligations.DrainBindsAlone, ColdFrom: o.Obligations.ColdFrom,
-		ColdFor: us(o.Obligations.ColdMs), FallMultiple: o.Obligations.FallMultiple,
-		FallFor: us(o.Obligations.OverloadForMs),
+		Zone: o.Zone, TickInterval: us(o.TickMs), MustSubscribe: o.Discovery == "subscribe", HealthChecks: o.Limits.Probes,
+		Cancellation: o.Limits.Cancel, MaxRetryAfter: us(o.Limits.MaxRetryAfterMs), MaxAttempts: o.Limits.MaxAttempts,
+		DialTimeout: us(o.Limits.DialTimeoutMs), HostsCheckStaleness: o.Extra.ServerChecks == "reject" || o.Extra.ServerChecks == "hold",
+		RequestsCarrySessionAge: o.Extra.Tokens == "client", CrossZoneCost: o.Costs.CrossZone,
+		OnlyDrainingExcludes: o.Obligations.DrainBindsAlone, SlowStartInitialShare: o.Obligations.ColdFrom,
+		SlowStartDuration: us(o.Obligations.ColdMs), SlowStartOverloadFactor: o.Obligations.FallMultiple,
+		SlowStartOverloadWindow: us(o.Obligations.OverloadForMs),
 	}
 	if o.Limits.MayTell {
-		s.Gateways, s.Ordinal, s.TellEarn = o.Balancers, -1, tellEarn(o.Costs.Peer)
+		s.Gateways, s.Ordinal, s.GossipBytesPerRequest = o.Balancers, -1, tellEarn(o.Costs.Peer)
 		if o.Ordinal != nil {
 			s.Ordinal = *o.Ordinal
 		}
 	}
 	for i, c := range o.Classes {
 		k := balance.Class{
-			Aim: us(c.AimMs), Deadline: us(c.DeadlineMs), Window: us(c.WindowMs), Worth: c.Worth,
-			LateWorth: c.LateWorth, AimStretch: c.AimStretch,
+			LatencyObjective: us(c.AimMs), Deadline: us(c.DeadlineMs), DeduplicationWindow: us(c.WindowMs), PriorityWeight: c.Worth,
+			LatePriorityWeight: c.LateWorth, ObjectivePerWork: c.AimStretch,
 		}
 		switch c.Repeat {
 		case "idempotency_key":
-			k.Repeat = balance.Keyed
+			k.RetrySafety = balance.IdempotencyKey
 		case "non_idempotent":
-			k.Repeat = balance.Unsafe
+			k.RetrySafety = balance.NonIdempotent
 		}
 		switch c.Group {
 		case "cell":
-			k.Scope = balance.ScopeGroup
+			k.DeduplicationScope = balance.ScopeGroup
 		case "zone":
-			k.Scope = balance.ScopeZone
+			k.DeduplicationScope = balance.ScopeZone
 		}
 		if i < len(o.Extra.ClassRead) {
 			switch o.Extra.ClassRead[i] {
 			case "recent":
-				k.Need = balance.Recent
+				k.Consistency = balance.BoundedStaleness
 			case "own_writes":
-				k.Need = balance.OwnWrite
+				k.Consistency = balance.ReadYourWrites
 			case "latest":
-				k.Need = balance.Latest
+				k.Consistency = balance.Linearizable
 			case "update":
-				k.Need = balance.Update
+				k.Consistency = balance.Write
 			}
 		}
 		if i < len(o.Extra.StalenessBoundMs) {
-			k.Bound = us(o.Extra.StalenessBoundMs[i])
+			k.MaxStaleness = us(o.Extra.StalenessBoundMs[i])
 		}
 		s.Classes = append(s.Classes, k)
 	}
--- a/internal/wire/wire.go
+++ b/internal/simprotocol/simprotocol.go
@@ -1,5 +1,5 @@
 // Package wire reads and writes the simulator's line protocol. It translates and decides nothing.
-package wire
+package simprotocol
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 // Codec holds what spans lines: interned host names, numbered lists, and scratch space.
 type Codec struct {
 	names   map[string]string
-	lists   [16][]balance.Entry
+	lists   [16][]balance.Endpoint
 	filling int // list that takes the next entry lines; -1 when none
 	left    int
 }
@@ -142,9 +142,9 @@
 }
 
 var results = map[string]balance.Result{
-	"done": balance.Served, "err": balance.Errored, "busy": balance.Full, "etimedout": balance.TimedOut,
-	"econnrefused": balance.Refused, "econnreset": balance.Reset, "ecanceled": balance.Cancelled,
-	"skipped": balance.Skipped, "enoent": balance.Missed,
+	"done": balance.Succeeded, "err": balance.Failed, "busy": balance.Overloaded, "etimedout": balance.TimedOut,
+	"econnrefused": balance.ConnectionRefused, "econnreset": balance.ConnectionReset, "ecanceled": balance.Canceled,
+	"skipped": balance.NotSent, "enoent": balance.NotPrimary,
 }
 
 // ErrUnknown marks a message that the codec does not know; it is to be skipped.
@@ -192,10 +192,10 @@
 	}
 	c.left--
 	r := reader{f: f}
-	e := balance.Entry{
+	e := balance.Endpoint{
 		Host: c.intern(f.Get("host")), Zone: int(r.int("rackZone")), Group: r.int("cluster"),
-		Kind: int(r.int("generationHw")), Phase: balance.Phase(r.int("phase")), Primary: r.bool("isPrimary"),
-		Born: r.ms("bornMs"),
+		Kind: int(r.int("generationHw")), State: balance.EndpointState(r.int("phase")), Primary: r.bool("isPrimary"),
+		StartedAt: r.ms("bornMs"),
 	}
 	if b := f.Get("units"); b != nil {
 		w, ok := float(b)
@@ -207,8 +207,8 @@
 	if r.err != nil {
 		return r.err
 	}
-	if e.Host == "" || e.Phase > balance.Draining {
-		return fmt.Errorf("m: entry without a host or with phase %d", e.Phase)
+	if e.Host == "" || e.State > balance.Draining {
+		return fmt.Errorf("m: entry without a host or with phase %d", e.State)
 	}
 	c.lists[c.filling] = append(c.lists[c.filling], e)
 	return nil
@@ -220,26 +220,26 @@
 	r := reader{f: f}
 	switch string(f.Word) {
 	case "topology":
-		ev.Kind = balance.ListEvent
+		ev.Kind = balance.EndpointsEvent
 		scope, n := r.int("scope"), r.int("buffer")
-		ev.Failed, ev.Full = scope == 3, scope == 1 || scope == 2
-		if !ev.Failed {
+		ev.PollFailed, ev.Complete = scope == 3, scope == 1 || scope == 2
+		if !ev.PollFailed {
 			if n < 0 || n >= int64(len(c.lists)) {
 				return fmt.Errorf("topology: no list %d", n)
 			}
-			ev.Entries = c.lists[n]
+			ev.Endpoints = c.lists[n]
 		}
 	case "call":
 		ev.Kind = balance.RequestEvent
 		ev.Request, ev.Class, ev.Group = r.int("ticket"), int(r.int("service")), r.int("shard")
 		ev.HasKey = f.Get("session") != nil
-		ev.Key, ev.SinceWrite = r.int("session"), r.ms("lastWriteMs")
-		ev.Until, ev.Hint = r.ms("dropDeadMs"), r.ms("weightHintMs")
+		ev.Key, ev.SessionWriteAge = r.int("session"), r.ms("lastWriteMs")
+		ev.Deadline, ev.WorkHint = r.ms("dropDeadMs"), r.ms("weightHintMs")
 	case "completed", "check_result":
-		ev.Kind = balance.ProbedEvent
+		ev.Kind = balance.HealthCheckEvent
 		if string(f.Word) == "completed" {
 			ev.Kind = balance.OutcomeEvent
-			ev.Request, ev.Attempt, ev.Over = r.int("ticket"), int(r.int("try")), r.bool("over")
+			ev.Request, ev.Attempt, ev.Finished = r.int("ticket"), int(r.int("try")), r.bool("over")
 			note := r.int("note")
 			if role := note & 3; role < 3 {
 				ev.Role = balance.Role(role)
@@ -248,7 +248,7 @@
 				ev.Position = base + p*1000
 			}
 		}
-		ev.Host, ev.Took = c.intern(f.Get("host")), r.ms("timeTakenMs")
+		ev.Host, ev.Latency = c.intern(f.Get("host")), r.ms("timeTakenMs")
 		res, ok := results[string(f.Get("status"))]
 		if !ok {
 			return fmt.Errorf("%s: unknown status %q", f.Word, f.Get("status"))
@@ -258,11 +258,11 @@
 			return err
 		}
 	case "left":
-		ev.Kind, ev.Request = balance.GoneEvent, r.int("ticket")
+		ev.Kind, ev.Request = balance.ClientDisconnectedEvent, r.int("ticket")
 	case "deadline_hit":
 		ev.Kind, ev.Token = balance.TimerEvent, r.int("ref")
 	case "message":
-		ev.Kind, ev.Peer = balance.PeerEvent, int(r.int("from"))
+		ev.Kind, ev.Peer = balance.GossipEvent, int(r.int("from"))
 		if b := f.Get("contents"); len(b) > 0 && string(b) != "-" {
 			data := make([]byte, len(b)/2)
 			for i := range data {
@@ -280,7 +280,7 @@
 	return r.err
 }
 
-func report(b []byte, base int64, rep *balance.Report) error {
+func report(b []byte, base int64, rep *balance.HostReport) error {
 	for len(b) > 0 {
 		part := b
 		if i := bytes.IndexByte(b, ','); i >= 0 {
@@ -309,15 +309,15 @@
 // AppendAction writes an action as a line.
 func AppendAction(b []byte, who int, a *balance.Action) []byte {
 	word := [...]string{
-		balance.SendAction: "issue", balance.CancelAction: "recall", balance.RefuseAction: "not_now",
-		balance.FailAction: "finish_error", balance.TimerAction: "set_alarm", balance.ProbeAction: "poll",
-		balance.CloseAction: "release", balance.TellAction: "say", balance.LogAction: "journal_line",
-		balance.SubscribeAction: "stream_changes", balance.FetchAction: "reload",
+		balance.SendAction: "issue", balance.CancelAction: "recall", balance.RejectAction: "not_now",
+		balance.FailAction: "finish_error", balance.TimerAction: "set_alarm", balance.HealthCheckAction: "poll",
+		balance.CloseIdleAction: "release", balance.GossipAction: "say", balance.LogAction: "journal_line",
+		balance.SubscribeAction: "stream_changes", balance.PollEndpointsAction: "reload",
 	}[a.Kind]
 	b = append(append(b, word...), " who="...)
 	b = strconv.AppendInt(b, int64(who), 10)
 	switch a.Kind {
-	case balance.SendAction, balance.CancelAction, balance.RefuseAction, balance.FailAction:
+	case balance.SendAction, balance.CancelAction, balance.RejectAction, balance.FailAction:
 		b = strconv.AppendInt(append(b, " ticket="...), a.Request, 10)
 	}
 	switch a.Kind {
@@ -328,16 +328,16 @@
 		}
 	case balance.CancelAction:
 		b = strconv.AppendInt(append(b, " try="...), int64(a.Attempt), 10)
-	case balance.RefuseAction:
+	case balance.RejectAction:
 		if a.RetryAfter > 0 {
 			b = appendMs(append(b, " waitMs="...), a.RetryAfter)
 		}
 	case balance.TimerAction:
 		b = appendMs(append(b, " whenMs="...), a.At)
 		b = strconv.AppendInt(append(b, " ref="...), a.Token, 10)
-	case balance.ProbeAction, balance.CloseAction:
+	case balance.HealthCheckAction, balance.CloseIdleAction:
 		b = append(append(b, " host="...), a.Host...)
-	case balance.TellAction:
+	case balance.GossipAction:
 		b = append(b, " whom="...)
 		if a.Peer < 0 {
 			b = append(b, "all"...)
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"testing"
@@ -14,16 +14,16 @@
 		{balance.Action{Kind: balance.SendAction, Request: 7, Host: "h-a", Timeout: 80500}, "issue who=3 ticket=7 host=h-a maxWaitMs=80.500"},
 		{balance.Action{Kind: balance.SendAction, Request: 7, Host: "h-a", Timeout: -1}, "issue who=3 ticket=7 host=h-a maxWaitMs=-0.001"},
 		{balance.Action{Kind: balance.CancelAction, Request: 7, Attempt: 2}, "recall who=3 ticket=7 try=2"},
-		{balance.Action{Kind: balance.RefuseAction, Request: 7, RetryAfter: 12000}, "not_now who=3 ticket=7 waitMs=12"},
+		{balance.Action{Kind: balance.RejectAction, Request: 7, RetryAfter: 12000}, "not_now who=3 ticket=7 waitMs=12"},
 		{balance.Action{Kind: balance.FailAction, Request: 7}, "finish_error who=3 ticket=7"},
 		{balance.Action{Kind: balance.TimerAction, At: 8912250, Token: 77}, "set_alarm who=3 whenMs=8912.250 ref=77"},
-		{balance.Action{Kind: balance.ProbeAction, Host: "h-a"}, "poll who=3 host=h-a"},
-		{balance.Action{Kind: balance.CloseAction, Host: "h-a"}, "release who=3 host=h-a"},
-		{balance.Action{Kind: balance.TellAction, Peer: -1, Data: []byte("hi p7")}, "say who=3 whom=all contents=6869207037"},
-		{balance.Action{Kind: balance.TellAction, Peer: 2}, "say who=3 whom=2 contents=-"},
+		{balance.Action{Kind: balance.HealthCheckAction, Host: "h-a"}, "poll who=3 host=h-a"},
+		{balance.Action{Kind: balance.CloseIdleAction, Host: "h-a"}, "release who=3 host=h-a"},
+		{balance.Action{Kind: balance.GossipAction, Peer: -1, Data: []byte("hi p7")}, "say who=3 whom=all contents=6869207037"},
+		{balance.Action{Kind: balance.GossipAction, Peer: 2}, "say who=3 whom=2 contents=-"},
 		{balance.Action{Kind: balance.LogAction, Text: "a\nb"}, "journal_line who=3 reasonText=a b"},
 		{balance.Action{Kind: balance.SubscribeAction}, "stream_changes who=3 enable=1"},
-		{balance.Action{Kind: balance.FetchAction}, "reload who=3"},
+		{balance.Action{Kind: balance.PollEndpointsAction}, "reload who=3"},
 	} {
 		if got := string(AppendAction(nil, 3, &c.a)); got != c.want+"\n" {
 			t.Errorf("got %q, want %q", got, c.want)
@@ -37,11 +37,11 @@
 	if err := c.Event(Split([]byte(line)), 1000, &ev); err != nil {
 		t.Fatal(err)
 	}
-	if ev.Kind != balance.OutcomeEvent || ev.Request != 1564119492 || ev.Attempt != 1 || ev.Host != "host-a" || !ev.Over ||
-		ev.Result != balance.Missed || ev.Took != 18500 || ev.Role != balance.Replica || ev.Position != 1000+6371*1000 {
+	if ev.Kind != balance.OutcomeEvent || ev.Request != 1564119492 || ev.Attempt != 1 || ev.Host != "host-a" || !ev.Finished ||
+		ev.Result != balance.NotPrimary || ev.Latency != 18500 || ev.Role != balance.Replica || ev.Position != 1000+6371*1000 {
 		t.Errorf("outcome read as %+v", ev)
 	}
-	want := balance.Report{HasPosition: true, Position: 1501000, HasRole: true, Primary: true}
+	want := balance.HostReport{HasPosition: true, Position: 1501000, HasRole: true, Primary: true}
 	if ev.Report != want {
 		t.Errorf("report read as %+v", ev.Report)
 	}
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	if ev.Kind != balance.RequestEvent || ev.Class != 2 || ev.Group != 11 || ev.Key != 4569004829183723 || !ev.HasKey ||
-		ev.SinceWrite != 412500 || ev.Until != 8652250 || ev.Request != 9 {
+		ev.SessionWriteAge != 412500 || ev.Deadline != 8652250 || ev.Request != 9 {
 		t.Errorf("call read as %+v", ev)
 	}
 }
@@ -68,13 +68,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if seed != 5 || base != 2500 || !s.Subscribe || !s.HostsCheck || s.Carried ||
-		!s.DrainAlone || s.ColdFrom != 0.25 {
+	if seed != 5 || base != 2500 || !s.MustSubscribe || !s.HostsCheckStaleness || s.RequestsCarrySessionAge ||
+		!s.OnlyDrainingExcludes || s.SlowStartInitialShare != 0.25 {
 		t.Errorf("settings read as %+v", s)
 	}
 	a, b := s.Classes[0], s.Classes[1]
-	if a.Aim != 200500 || a.Repeat != balance.Unsafe || a.Need != balance.OwnWrite ||
-		b.Repeat != balance.Keyed || b.Scope != balance.ScopeZone || b.Need != balance.Recent || b.Bound != 300000 {
+	if a.LatencyObjective != 200500 || a.RetrySafety != balance.NonIdempotent || a.Consistency != balance.ReadYourWrites ||
+		b.RetrySafety != balance.IdempotencyKey || b.DeduplicationScope != balance.ScopeZone || b.Consistency != balance.BoundedStaleness || b.MaxStaleness != 300000 {
 		t.Errorf("classes read as %+v", s.Classes)
 	}
 }
--- a/internal/storecli/daemon.go
+++ b/internal/storecli/daemon.go
@@ -16,7 +16,6 @@
 	"cloverrock/internal/app"
 	"cloverrock/internal/config"
 	"cloverrock/internal/fleet"
-	"cloverrock/internal/learned"
 	"cloverrock/internal/settings"
 	"cloverrock/internal/store/client"
 	"cloverrock/internal/store/disk"
@@ -25,6 +24,7 @@
 	"cloverrock/internal/store/machine"
 	"cloverrock/internal/store/node"
 	"cloverrock/internal/store/transport"
+	"cloverrock/internal/warmstart"
 )
 
 const (
@@ -116,7 +116,7 @@
 	node    atomic.Pointer[node.Node]
 	gateway app.Gateway
 
-	keeper *learned.Keeper // nil: what is learned is not kept
+	keeper *warmstart.Keeper // nil: what is learned is not kept
 
 	mu      sync.Mutex
 	running documents.Running
@@ -125,12 +125,12 @@
 }
 
 // Open implements app.Extension.
-func (Extension) Open(path string, getenv func(string) string, log zerolog.Logger) (app.Part, error) {
+func (Extension) Open(path string, getenv func(string) string, log zerolog.Logger) (app.Component, error) {
 	set, err := settings.Load(path)
 	if err != nil {
 		return nil, err
 	}
-	var part app.Part = nothing{getenv}
+	var part app.Component = nothing{getenv}
 	if set.Store != nil {
 		part = startDaemon(set, getenv, log)
 	}
@@ -143,17 +143,17 @@
 // nothing is a file that turns nothing on.
 type nothing struct{ getenv func(string) string }
 
-func (nothing) Configured(c *config.Config) *config.Config { return c }
-func (nothing) Attach(app.Gateway)                         {}
-func (n nothing) Reread() (*config.Config, error)          { return config.Reload(n.getenv) }
-func (nothing) Close()                                     {}
+func (nothing) OverlayConfig(c *config.Config) *config.Config { return c }
+func (nothing) Attach(app.Gateway)                            {}
+func (n nothing) ReloadConfig() (*config.Config, error)       { return config.Reload(n.getenv) }
+func (nothing) Close()                                        {}
 
 // startDaemon opens the store beside the gateway.
 func startDaemon(set *settings.Settings, getenv func(string) string, log zerolog.Logger) *daemon {
 	d := &daemon{set: set, getenv: getenv, log: log, opened: make(chan struct{}), changed: make(chan struct{}, 1)}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	if l := set.Learned; l != nil {
-		d.keeper = learned.New(learned.Config{Name: set.Store.Name, Every: l.WriteMS * 1000, Believe: l.BelieveMS * 1000})
+		d.keeper = warmstart.New(warmstart.Config{Name: set.Store.Name, Every: l.WriteMS * 1000, Believe: l.BelieveMS * 1000})
 	}
 	// With two threads the p99 of requests went from 10.7 to 19.6 ms under a busy store: the goroutine that owns them
 	// waited for a thread. With eight it stayed.
@@ -205,8 +205,8 @@
 	return err == nil
 }
 
-// Configured implements app.Part: it puts the local copy of the document over the configuration. One that cannot be applied changes nothing.
-func (d *daemon) Configured(conf *config.Config) *config.Config {
+// OverlayConfig implements app.Part: it puts the local copy of the document over the configuration. One that cannot be applied changes nothing.
+func (d *daemon) OverlayConfig(conf *config.Config) *config.Config {
 	var rev *documents.Revision
 	if !d.local(func(m *machine.Machine) { rev, _ = documents.At(m, gatewayDocument, 0) }) || rev == nil {
 		return conf
@@ -336,8 +336,8 @@
 	}
 }
 
-// Reread implements app.Part: the configuration for a reload by signal, with the document over it.
-func (d *daemon) Reread() (*config.Config, error) {
+// ReloadConfig implements app.Part: the configuration for a reload by signal, with the document over it.
+func (d *daemon) ReloadConfig() (*config.Config, error) {
 	if _, doc := d.said(); doc != nil {
 		return config.LoadUnder(d.getenv, doc)
 	}
--- a/internal/storecli/daemon_test.go
+++ b/internal/storecli/daemon_test.go
@@ -20,9 +20,9 @@
 	"cloverrock/internal/discovery"
 	gatewaypkg "cloverrock/internal/gateway"
 	"cloverrock/internal/lab/loopback"
-	"cloverrock/internal/learned"
 	"cloverrock/internal/settings"
 	"cloverrock/internal/store/documents"
+	"cloverrock/internal/warmstart"
 )
 
 const limit = 30 * time.Second
@@ -30,9 +30,9 @@
 // gateway is a gateway as the daemon sees it.
 type gateway struct {
 	mu       sync.Mutex
-	facts    balance.Facts
-	list     discovery.List
-	believed chan balance.Facts
+	facts    balance.Snapshot
+	list     discovery.EndpointList
+	believed chan balance.Snapshot
 	reloads  chan *config.Config
 }
 
@@ -47,16 +47,16 @@
 	return nil, true
 }
 
-func (g *gateway) Learned() (balance.Facts, discovery.List, bool) {
+func (g *gateway) Snapshot() (balance.Snapshot, discovery.EndpointList, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.facts, g.list.Clone(), true
 }
 
-func (g *gateway) Watch(func(string, int, gatewaypkg.Outcome)) {}
-func (g *gateway) Follow(balance.View)                         {}
+func (g *gateway) ObserveOutcomes(func(string, int, gatewaypkg.Outcome)) {}
+func (g *gateway) SetZoneShares(balance.ZoneShares)                      {}
 
-func (g *gateway) Believe(f balance.Facts, l *discovery.List) {
+func (g *gateway) Restore(f balance.Snapshot, l *discovery.EndpointList) {
 	g.mu.Lock()
 	if l != nil {
 		g.list = *l
@@ -66,7 +66,7 @@
 }
 
 func newGateway() *gateway {
-	return &gateway{believed: make(chan balance.Facts, 4), reloads: make(chan *config.Config, 16)}
+	return &gateway{believed: make(chan balance.Snapshot, 4), reloads: make(chan *config.Config, 16)}
 }
 
 // rig is a store of one on this machine, with a gateway's configuration.
@@ -175,7 +175,7 @@
 	if x := r.running(d, 1); x.State != "applied" || x.Applied != 1 || x.Instance != "a" {
 		t.Errorf("%+v", x)
 	}
-	if out := r.put(`{"discovery":"nowhere"}`, app.ExitRefused); !strings.Contains(out, "discovery") {
+	if out := r.put(`{"discovery":"nowhere"}`, app.ExitRejected); !strings.Contains(out, "discovery") {
 		t.Errorf("%s", out)
 	}
 	r.put(`{"limits":{"memory_mb":64},"instances":{"a":{"discovery":"127.0.0.1:8"},"b":{"discovery":"127.0.0.1:9"}}}`, 0)
@@ -197,7 +197,7 @@
 	if c := next(t, g.reloads); c == nil || c.Discovery != "127.0.0.1:8" {
 		t.Errorf("%+v", c)
 	}
-	if c, err := d.Reread(); err != nil || c.Discovery != "127.0.0.1:8" {
+	if c, err := d.ReloadConfig(); err != nil || c.Discovery != "127.0.0.1:8" {
 		t.Errorf("on a signal: %+v, %v", c, err)
 	}
 	// A fresh gateway begins with the local copy.
@@ -207,7 +207,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c := d.Configured(conf); c.Discovery != "127.0.0.1:8" || c.MemoryMB != 64 {
+	if c := d.OverlayConfig(conf); c.Discovery != "127.0.0.1:8" || c.MemoryMB != 64 {
 		t.Errorf("at the start: %+v", c)
 	}
 }
@@ -216,12 +216,12 @@
 	r := newRig(t)
 	now := time.Now().UnixMicro()
 	g := newGateway()
-	g.facts = balance.Facts{Groups: []balance.GroupFacts{{Group: 1, Primary: "h1", At: now}},
-		Hosts: []balance.HostFacts{{Host: "h1", Group: 1, Position: now, PositionAt: now, Primary: true}, {Host: "h2", Group: 1, Position: now - 9, PositionAt: now, Down: true}}}
-	g.list = discovery.List{Generation: 8, Full: true, Entries: []balance.Entry{{Host: "h1", Group: 1, Phase: balance.Ready}}, Addresses: map[string]string{"h1": "127.0.0.1:9"}}
+	g.facts = balance.Snapshot{Groups: []balance.GroupSnapshot{{Group: 1, Primary: "h1", ObservedAt: now}},
+		Hosts: []balance.HostSnapshot{{Host: "h1", Group: 1, Position: now, PositionAt: now, Primary: true}, {Host: "h2", Group: 1, Position: now - 9, PositionAt: now, Down: true}}}
+	g.list = discovery.EndpointList{Generation: 8, Complete: true, Endpoints: []balance.Endpoint{{Host: "h1", Group: 1, State: balance.Ready}}, Addresses: map[string]string{"h1": "127.0.0.1:9"}}
 	d := r.start(g)
 	next(t, g.believed)
-	for !strings.Contains(r.run(0, "store key list "+learned.NS), "host/h2") { // until it is written
+	for !strings.Contains(r.run(0, "store key list "+warmstart.NS), "host/h2") { // until it is written
 	}
 	d.Close()
 	fresh := newGateway()
@@ -251,7 +251,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c := d.Configured(conf); c != conf {
+		if c := d.OverlayConfig(conf); c != conf {
 			t.Error("a damaged store has told something")
 		}
 		d.Close()
--- a/internal/storecli/keep.go
+++ b/internal/storecli/keep.go
@@ -6,9 +6,9 @@
 
 	"cloverrock/balance"
 	"cloverrock/internal/discovery"
-	"cloverrock/internal/learned"
 	"cloverrock/internal/store/machine"
 	"cloverrock/internal/store/node"
+	"cloverrock/internal/warmstart"
 )
 
 // believe gives the gateway what the local copy has, as far as its age allows, before it has seen much itself.
@@ -16,7 +16,7 @@
 	ctx, cancel := context.WithTimeout(d.ctx, time.Second)
 	defer cancel()
 	var kvs []machine.KV
-	age, err := n.Read(ctx, true, func(m *machine.Machine) { kvs = m.List(learned.NS, "", 0) })
+	age, err := n.Read(ctx, true, func(m *machine.Machine) { kvs = m.List(warmstart.NS, "", 0) })
 	if err != nil {
 		d.log.Warn().Err(err).Msg("learned: the local copy cannot be read")
 		return
@@ -24,24 +24,24 @@
 	for i := range kvs {
 		d.keeper.Stored(&kvs[i], false)
 	}
-	_, held, ok := d.gateway.Learned()
+	_, held, ok := d.gateway.Snapshot()
 	if !ok {
 		return
 	}
 	b := d.keeper.Start(time.Now().UnixMicro(), held.Generation)
 	d.log.Info().Int("groups", len(b.Facts.Groups)).Int("hosts", len(b.Facts.Hosts)).Bool("list", b.List != nil).Strs("doubt", b.Doubt).
 		Int("unread", d.keeper.Unread()).Dur("copy_behind_ms", age).Msg("learned: what the store knows is believed")
-	d.gateway.Believe(b.Facts, told(b.List))
+	d.gateway.Restore(b.Facts, told(b.List))
 }
 
 // told is a stored list in the form in which discovery tells one.
-func told(l *learned.List) *discovery.List {
+func told(l *warmstart.List) *discovery.EndpointList {
 	if l == nil {
 		return nil
 	}
-	t := &discovery.List{Generation: l.Generation, Full: true, Addresses: map[string]string{}}
+	t := &discovery.EndpointList{Generation: l.Generation, Complete: true, Addresses: map[string]string{}}
 	for _, e := range l.Entries {
-		t.Entries = append(t.Entries, balance.Entry(e.StoredEndpoint))
+		t.Endpoints = append(t.Endpoints, balance.Endpoint(e.StoredEndpoint))
 		t.Addresses[e.Host] = e.Address
 	}
 	return t
@@ -54,7 +54,7 @@
 	d.wg.Add(1)
 	go func() {
 		defer d.wg.Done()
-		_ = n.Watch(d.ctx, learned.NS, "", 0, func(ev []machine.Event, _ int64, _ bool) error {
+		_ = n.Watch(d.ctx, warmstart.NS, "", 0, func(ev []machine.Event, _ int64, _ bool) error {
 			select {
 			case events <- ev:
 				return nil
@@ -78,7 +78,7 @@
 			continue
 		case <-tick.C:
 		}
-		facts, list, ok := d.gateway.Learned()
+		facts, list, ok := d.gateway.Snapshot()
 		if !ok {
 			return
 		}
@@ -94,11 +94,11 @@
 	}
 }
 
-func kept(l *discovery.List) learned.List {
-	k := learned.List{Generation: l.Generation}
-	for _, e := range l.Entries {
-		if e.Phase != balance.Gone {
-			k.Entries = append(k.Entries, learned.Entry{StoredEndpoint: learned.StoredEndpoint(e), Address: l.Addresses[e.Host]})
+func kept(l *discovery.EndpointList) warmstart.List {
+	k := warmstart.List{Generation: l.Generation}
+	for _, e := range l.Endpoints {
+		if e.State != balance.Removed {
+			k.Entries = append(k.Entries, warmstart.Entry{StoredEndpoint: warmstart.StoredEndpoint(e), Address: l.Addresses[e.Host]})
 		}
 	}
 	return k
--- a/internal/storecli/store.go
+++ b/internal/storecli/store.go
@@ -55,7 +55,7 @@
 	case errors.As(err, &bad):
 		return app.ExitDamaged
 	case errors.As(err, &told) && told.Code == frame.CodeRefused:
-		return app.ExitRefused
+		return app.ExitRejected
 	case errors.Is(err, client.ErrUnavailable), errors.As(err, &told) && told.Code == frame.CodeRetry:
 		return app.ExitUnavailable
 	}
--- a/internal/learned/golden_test.go
+++ b/internal/warmstart/golden_test.go
@@ -1,4 +1,4 @@
-package learned
+package warmstart
 
 import (
 	"encoding/hex"
@@ -14,13 +14,13 @@
 )
 
 // goldenFacts is one of everything that a router may know, and goldenList a list with all that it may say of a host.
-func goldenFacts() (balance.Facts, List) {
-	f := facts("p", base, balance.HostFacts{Host: "p", Group: 1, Position: base, PositionAt: base - 1, Primary: true, Limit: 4.5},
-		balance.HostFacts{Host: "down/ü", Group: 1 << 31, Position: 1, PositionAt: 2, Down: true, ColdUntil: base + sec, Limit: math.MaxFloat64})
-	f.Groups = append(f.Groups, balance.GroupFacts{Group: math.MaxInt64, Primary: "q", At: base})
-	f.Floor = base - sec
+func goldenFacts() (balance.Snapshot, List) {
+	f := facts("p", base, balance.HostSnapshot{Host: "p", Group: 1, Position: base, PositionAt: base - 1, Primary: true, ConcurrencyLimit: 4.5},
+		balance.HostSnapshot{Host: "down/ü", Group: 1 << 31, Position: 1, PositionAt: 2, Down: true, SlowStartUntil: base + sec, ConcurrencyLimit: math.MaxFloat64})
+	f.Groups = append(f.Groups, balance.GroupSnapshot{Group: math.MaxInt64, Primary: "q", ObservedAt: base})
+	f.SessionFloor = base - sec
 	return f, List{Generation: 9, Entries: []Entry{
-		{StoredEndpoint: StoredEndpoint{Host: "p", Zone: 2, Group: 1, Kind: 3, Phase: balance.Draining, Primary: true, Weight: 1.5, Born: base}, Address: "h:5432"}, {}}}
+		{StoredEndpoint: StoredEndpoint{Host: "p", Zone: 2, Group: 1, Kind: 3, State: balance.Draining, Primary: true, Weight: 1.5, StartedAt: base}, Address: "h:5432"}, {}}}
 }
 
 // What is stored has the same keys and bytes as ever, and a fresh gateway believes of it what was known.
--- a/internal/learned/learned.go
+++ b/internal/warmstart/warmstart.go
@@ -2,7 +2,7 @@
 // of what is there a fresh gateway may believe. It does no I/O and reads no clock: it is told what the router knows and
 // what the store holds, and answers with transactions and beliefs. Times are microseconds on the gateways' clocks,
 // which agree to within Skew.
-package learned
+package warmstart
 
 import (
 	"fmt"
@@ -63,14 +63,14 @@
 // StoredEndpoint is an endpoint under the field names of its stored form, which stay as they are whatever the fields of
 // balance are called. The two types convert into one another.
 type StoredEndpoint struct {
-	Host    string        `msgpack:"Host"`
-	Zone    int           `msgpack:"Zone"`
-	Group   int64         `msgpack:"Group"`
-	Kind    int           `msgpack:"Kind"`
-	Phase   balance.Phase `msgpack:"Phase"`
-	Primary bool          `msgpack:"Primary"`
-	Weight  float64       `msgpack:"Weight"`
-	Born    int64         `msgpack:"Born"`
+	Host      string                `msgpack:"Host"`
+	Zone      int                   `msgpack:"Zone"`
+	Group     int64                 `msgpack:"Group"`
+	Kind      int                   `msgpack:"Kind"`
+	State     balance.EndpointState `msgpack:"Phase"`
+	Primary   bool                  `msgpack:"Primary"`
+	Weight    float64               `msgpack:"Weight"`
+	StartedAt int64                 `msgpack:"Born"`
 }
 
 // Entry is a host of the list.
@@ -166,7 +166,7 @@
 
 // Plan is told what the router knows and which list it has, and returns the transactions that are worth their write:
 // at most one on primaries, which takes effect only if nobody was faster, and one on the rest.
-func (k *Keeper) Plan(now int64, f balance.Facts, l List) []machine.Command {
+func (k *Keeper) Plan(now int64, f balance.Snapshot, l List) []machine.Command {
 	if now-k.wroteAt < k.conf.Every {
 		return nil
 	}
@@ -184,15 +184,15 @@
 }
 
 // primaries writes who is primary where this router has younger evidence than the store.
-func (k *Keeper) primaries(now int64, f balance.Facts) *machine.Command {
+func (k *Keeper) primaries(now int64, f balance.Snapshot) *machine.Command {
 	c := &machine.Command{Kind: machine.TxnKind}
 	for _, g := range f.Groups {
 		was, known := k.groups[g.Group]
-		next := Primary{Host: g.Primary, Term: was.Term, At: min(g.At, now), By: k.conf.Name}
+		next := Primary{Host: g.Primary, Term: was.Term, At: min(g.ObservedAt, now), By: k.conf.Name}
 		switch {
 		case !known:
 			next.Term = 1
-		case was.Host != g.Primary && g.At > was.At+Skew:
+		case was.Host != g.Primary && g.ObservedAt > was.At+Skew:
 			next.Term++
 		case was.Host == g.Primary && now-was.At > refreshEvery:
 			next.At = now // it has answered as primary up to now, or the router would not be sure
@@ -221,7 +221,7 @@
 
 // rest writes hosts, the list and the floor. Two gateways that write the same host at once do no harm: a position is
 // a lower bound in either case, and the rest is said again when it changes.
-func (k *Keeper) rest(now int64, f balance.Facts, l List) *machine.Command {
+func (k *Keeper) rest(now int64, f balance.Snapshot, l List) *machine.Command {
 	c := &machine.Command{Kind: machine.TxnKind}
 	put := func(key string, v any) {
 		if b, err := msgpack.Marshal(v); err == nil {
@@ -231,8 +231,8 @@
 	if l.Generation > k.list.Generation && len(l.Entries) > 0 && len(l.Entries) <= maxHosts {
 		put(listKey, &l)
 	}
-	if f.Floor > k.floor+positionEvery {
-		put(floorKey, &Floor{f.Floor})
+	if f.SessionFloor > k.floor+positionEvery {
+		put(floorKey, &Floor{f.SessionFloor})
 	}
 	var changes []change
 	here := map[string]bool{}
@@ -276,20 +276,20 @@
 }
 
 // worth tells whether a host's word is worth a write, and whether it is grave: a change of what it may be sent.
-func (k *Keeper) worth(now int64, f *balance.HostFacts) (next Host, grave, worth bool) {
+func (k *Keeper) worth(now int64, f *balance.HostSnapshot) (next Host, grave, worth bool) {
 	was, known := k.hosts[f.Host]
-	next = Host{f.Group, f.Position, f.PositionAt, f.Primary, f.Down, f.ColdUntil, f.Limit, now, k.conf.Name}
+	next = Host{f.Group, f.Position, f.PositionAt, f.Primary, f.Down, f.SlowStartUntil, f.ConcurrencyLimit, now, k.conf.Name}
 	if f.Position < was.Position && f.Primary == was.Primary {
 		next.Position, next.PositionAt = was.Position, was.PositionAt // a position never goes back
 	}
-	if f.Position == 0 && !f.Down && f.ColdUntil == 0 && f.Limit == 0 {
+	if f.Position == 0 && !f.Down && f.SlowStartUntil == 0 && f.ConcurrencyLimit == 0 {
 		return next, false, false // nothing was learned of it yet
 	}
-	grave = f.Down != was.Down || f.Primary != was.Primary || (f.ColdUntil > now) != (was.ColdUntil > now)
+	grave = f.Down != was.Down || f.Primary != was.Primary || (f.SlowStartUntil > now) != (was.ColdUntil > now)
 	if was.At > now-Skew && was.By != k.conf.Name {
 		return next, grave, false // another gateway has just spoken of it
 	}
-	moved := was.Limit > 0 && f.Limit > 0 && (f.Limit > was.Limit*(1+limitChange) || f.Limit < was.Limit*(1-limitChange))
+	moved := was.Limit > 0 && f.ConcurrencyLimit > 0 && (f.ConcurrencyLimit > was.Limit*(1+limitChange) || f.ConcurrencyLimit < was.Limit*(1-limitChange))
 	worth = !known || grave || next.Position-was.Position > positionEvery ||
 		now-was.At > refreshEvery || moved && now-was.At > positionEvery
 	return next, grave, worth
@@ -297,7 +297,7 @@
 
 // Belief is what a fresh gateway may take from the store.
 type Belief struct {
-	Facts balance.Facts
+	Facts balance.Snapshot
 	List  *List // nil: none, or no younger than the one given
 	Doubt []string
 }
@@ -308,7 +308,7 @@
 // ahead of what the others ever had: it is believed only while the host is the stored primary. Who is down, cold or
 // primary, and how much a host may be given, is believed up to an age. A time from the future is no evidence.
 func (k *Keeper) Start(now, generation int64) Belief {
-	b := Belief{Facts: balance.Facts{Floor: k.floor}}
+	b := Belief{Facts: balance.Snapshot{SessionFloor: k.floor}}
 	if k.list.Generation > generation {
 		l := k.list
 		b.List = &l
@@ -317,23 +317,23 @@
 	for _, id := range slices.Sorted(maps.Keys(k.groups)) {
 		p := k.groups[id]
 		if young(p.At) {
-			b.Facts.Groups = append(b.Facts.Groups, balance.GroupFacts{Group: id, Primary: p.Host, At: min(p.At, now)})
+			b.Facts.Groups = append(b.Facts.Groups, balance.GroupSnapshot{Group: id, Primary: p.Host, ObservedAt: min(p.At, now)})
 		} else {
 			b.Doubt = append(b.Doubt, fmt.Sprintf("group %d: primary %s is %d s old", id, p.Host, (now-p.At)/1e6))
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(k.hosts)) {
 		h := k.hosts[id]
-		f := balance.HostFacts{Host: id, Group: h.Group, Position: h.Position, PositionAt: min(h.PositionAt, now)}
+		f := balance.HostSnapshot{Host: id, Group: h.Group, Position: h.Position, PositionAt: min(h.PositionAt, now)}
 		if h.Position > now+ahead || h.Primary && k.groups[h.Group].Host != id {
 			f.Position, f.PositionAt = 0, 0
 			b.Doubt = append(b.Doubt, fmt.Sprintf("host %s: its position is from a primary that is none any more, or from the future", id))
 		}
 		if young(h.At) {
-			f.Down, f.Limit = h.Down, h.Limit
+			f.Down, f.ConcurrencyLimit = h.Down, h.Limit
 		}
 		if h.ColdUntil > now && h.ColdUntil < now+3600e6 {
-			f.ColdUntil = h.ColdUntil
+			f.SlowStartUntil = h.ColdUntil
 		}
 		b.Facts.Hosts = append(b.Facts.Hosts, f)
 	}
--- a/internal/learned/learned_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -1,4 +1,4 @@
-package learned
+package warmstart
 
 import (
 	"fmt"
@@ -54,8 +54,8 @@
 	return ops
 }
 
-func facts(primary string, at int64, hosts ...balance.HostFacts) balance.Facts {
-	return balance.Facts{Groups: []balance.GroupFacts{{Group: 1, Primary: primary, At: at}}, Hosts: hosts}
+func facts(primary string, at int64, hosts ...balance.HostSnapshot) balance.Snapshot {
+	return balance.Snapshot{Groups: []balance.GroupSnapshot{{Group: 1, Primary: primary, ObservedAt: at}}, Hosts: hosts}
 }
 
 func (r *rig) primary() Primary { return r.keepers[0].groups[1] }
@@ -93,7 +93,7 @@
 		now := base + ms*1000
 		f := facts("h0", now)
 		for i := range 100 {
-			f.Hosts = append(f.Hosts, balance.HostFacts{Host: fmt.Sprint("h", i), Group: 1, Position: now - 5000, PositionAt: now, Limit: 4})
+			f.Hosts = append(f.Hosts, balance.HostSnapshot{Host: fmt.Sprint("h", i), Group: 1, Position: now - 5000, PositionAt: now, ConcurrencyLimit: 4})
 		}
 		cmds := k.Plan(now, f, List{Generation: 1, Entries: []Entry{{Address: "x"}}})
 		for _, c := range cmds {
@@ -122,9 +122,9 @@
 func TestGraveChangesGoFirst(t *testing.T) {
 	r := newRig(t, "a")
 	k := r.keepers[0]
-	f := balance.Facts{}
+	f := balance.Snapshot{}
 	for i := range 200 {
-		f.Hosts = append(f.Hosts, balance.HostFacts{Host: fmt.Sprintf("h%03d", i), Group: 1, Position: base, PositionAt: base})
+		f.Hosts = append(f.Hosts, balance.HostSnapshot{Host: fmt.Sprintf("h%03d", i), Group: 1, Position: base, PositionAt: base})
 	}
 	f.Hosts[199].Down = true
 	r.apply(k.Plan(base, f, List{}))
@@ -136,12 +136,12 @@
 func TestBeliefGoesAsFarAsAge(t *testing.T) {
 	r := newRig(t, "a")
 	k := r.keepers[0]
-	f := facts("p", base, balance.HostFacts{Host: "p", Group: 1, Position: base, PositionAt: base, Primary: true},
-		balance.HostFacts{Host: "d", Group: 1, Position: base - sec, PositionAt: base, Down: true, Limit: 9},
-		balance.HostFacts{Host: "c", Group: 1, Position: base - 2*sec, PositionAt: base, ColdUntil: base + 16*sec})
+	f := facts("p", base, balance.HostSnapshot{Host: "p", Group: 1, Position: base, PositionAt: base, Primary: true},
+		balance.HostSnapshot{Host: "d", Group: 1, Position: base - sec, PositionAt: base, Down: true, ConcurrencyLimit: 9},
+		balance.HostSnapshot{Host: "c", Group: 1, Position: base - 2*sec, PositionAt: base, SlowStartUntil: base + 16*sec})
 	r.apply(k.Plan(base, f, List{Generation: 9, Entries: []Entry{{Address: "1:1"}}}))
-	by := func(b Belief) map[string]balance.HostFacts {
-		m := map[string]balance.HostFacts{}
+	by := func(b Belief) map[string]balance.HostSnapshot {
+		m := map[string]balance.HostSnapshot{}
 		for _, h := range b.Facts.Hosts {
 			m[h.Host] = h
 		}
@@ -152,10 +152,10 @@
 		fresh.Stored(&kv, false)
 	}
 	soon, later := fresh.Start(base+5*sec, 7), fresh.Start(base+100*sec, 9)
-	if h := by(soon); len(soon.Facts.Groups) != 1 || soon.List == nil || !h["d"].Down || h["d"].Limit != 9 || h["c"].ColdUntil == 0 || h["p"].Position != base {
+	if h := by(soon); len(soon.Facts.Groups) != 1 || soon.List == nil || !h["d"].Down || h["d"].ConcurrencyLimit != 9 || h["c"].SlowStartUntil == 0 || h["p"].Position != base {
 		t.Errorf("after 5 s: %+v", soon)
 	}
-	if h := by(later); len(later.Facts.Groups) != 0 || later.List != nil || h["d"].Down || h["d"].Limit != 0 || h["c"].ColdUntil != 0 || h["d"].Position != base-sec {
+	if h := by(later); len(later.Facts.Groups) != 0 || later.List != nil || h["d"].Down || h["d"].ConcurrencyLimit != 0 || h["c"].SlowStartUntil != 0 || h["d"].Position != base-sec {
 		t.Errorf("after 100 s: %+v", later)
 	}
 	// p was primary when its position was heard, and q is by now: what p had may be ahead of what the others ever had.
--- a/internal/zonal/golden_test.go
+++ b/internal/zonefailover/golden_test.go
@@ -1,13 +1,13 @@
-package zonal
+package zonefailover
 
 import (
 	"encoding/hex"
 	"fmt"
 	"testing"
 
-	"cloverrock/internal/accord"
+	"cloverrock/internal/agreement"
+	"cloverrock/internal/crdt"
 	"cloverrock/internal/golden"
-	"cloverrock/internal/replica"
 )
 
 // A vote's body has the same bytes as ever, and they say of each zone what was found.
@@ -42,17 +42,17 @@
 // What is proposed, and the vote before it, have the same bytes as ever: a share for each zone, in the order of the zones.
 func TestGoldenProposal(t *testing.T) {
 	const start = 1_000_000_000
-	state := replica.New(replica.Config{Self: "a", Incarnation: 1, Forms: map[replica.Kind]replica.Form{
-		1: {Name: "votes", Rule: replica.Newest, Keep: start, Most: 64}, 2: {Name: "decided", Rule: replica.Decided, Keep: start, Most: 64}}})
-	council := accord.New(accord.Config{Self: "a", Votes: 1, Decided: 2, Delay: 1, Fresh: start, Hold: start, Majority: true}, state)
+	state := crdt.New(crdt.Config{Self: "a", Incarnation: 1, Forms: map[crdt.Kind]crdt.Form{
+		1: {Name: "votes", Rule: crdt.Newest, Keep: start, Most: 64}, 2: {Name: "decided", Rule: crdt.Decided, Keep: start, Most: 64}}})
+	council := agreement.New(agreement.Config{Self: "a", Votes: 1, Decided: 2, Delay: 1, Fresh: start, Hold: start, Majority: true}, state)
 	s := New(Config{Zones: []string{"x", "y", "z"}, Own: 0, AtOnce: 1, Bad: 0.6, Views: 1, Bear: 0.6, Steps: []byte{50, Whole}, Step: 1, Away: 1}, council)
 	vote, voted := s.Vote(start, []View{{Good, 20, 5}, {Bad, 200, 5}, {Good, 20, 5}})
-	told := s.Decide(start, accord.Roll{"a": true})
+	told := s.Decide(start, agreement.Roll{"a": true})
 	if !voted || len(told) != 1 {
 		t.Fatalf("%d entries are told", len(told))
 	}
 	told = append(told, vote)
-	b, err := replica.Encode(&replica.Message{Entries: told})
+	b, err := crdt.Encode(&crdt.Message{Entries: told})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/zonal/sight.go
+++ b/internal/zonefailover/sight.go
@@ -1,4 +1,4 @@
-package zonal
+package zonefailover
 
 // Sight is what one gateway sees of each zone: how attempts and probes ended there, host by host, over some seconds.
 //
--- a/internal/zonal/world_test.go
+++ b/internal/zonefailover/world_test.go
@@ -1,4 +1,4 @@
-package zonal
+package zonefailover
 
 import (
 	"fmt"
@@ -7,15 +7,15 @@
 	"slices"
 	"testing"
 
-	"cloverrock/internal/accord"
-	"cloverrock/internal/replica"
+	"cloverrock/internal/agreement"
+	"cloverrock/internal/crdt"
 )
 
 const (
 	ms        = int64(1000)
 	second    = 1000 * ms
-	votes     = replica.Kind(1)
-	decided   = replica.Kind(2)
+	votes     = crdt.Kind(1)
+	decided   = crdt.Kind(2)
 	tick      = 100 * ms
 	beginning = 1000 * second
 )
@@ -24,8 +24,8 @@
 type node struct {
 	name    string
 	zone    int
-	state   *replica.State
-	council *accord.Council
+	state   *crdt.State
+	council *agreement.Council
 	zonal   *State
 	queue   []push
 	stopped bool
@@ -66,37 +66,37 @@
 		Step: 2 * second, Away: 4 * second, AwayMax: 120 * second, Calm: 300 * second, Pace: true, Capacity: true}
 }
 
-func newWorld(t *testing.T, n int, change func(*Config, *accord.Config)) *world {
+func newWorld(t *testing.T, n int, change func(*Config, *agreement.Config)) *world {
 	w := &world{t: t, rand: rand.New(rand.NewPCG(1, uint64(n))), now: beginning, packets: map[int64][]packet{}}
 	w.sees = func(*node, int) View { return View{Verdict: Good, Used: 20, Load: 100} }
 	w.dead = func(*node, *node) bool { return false }
 	for i := range n {
 		conf := testConfig()
 		conf.Own = i % len(conf.Zones)
-		agree := accord.Config{Self: fmt.Sprint("n", i), Votes: votes, Decided: decided, Delay: 800 * ms, Turn: 200 * ms, Fresh: 30 * second,
+		agree := agreement.Config{Self: fmt.Sprint("n", i), Votes: votes, Decided: decided, Delay: 800 * ms, Turn: 200 * ms, Fresh: 30 * second,
 			Hold: 60 * second, Majority: true}
 		if change != nil {
 			change(&conf, &agree)
 		}
-		state := replica.New(replica.Config{Self: agree.Self, Incarnation: 1, Ahead: 5 * second, Forms: map[replica.Kind]replica.Form{
-			votes: {Name: "votes", Rule: replica.Newest, Keep: 60 * second, Most: 64}, decided: {Name: "decided", Rule: replica.Decided, Keep: agree.Hold, Most: 80}}})
-		council := accord.New(agree, state)
+		state := crdt.New(crdt.Config{Self: agree.Self, Incarnation: 1, Ahead: 5 * second, Forms: map[crdt.Kind]crdt.Form{
+			votes: {Name: "votes", Rule: crdt.Newest, Keep: 60 * second, Most: 64}, decided: {Name: "decided", Rule: crdt.Decided, Keep: agree.Hold, Most: 80}}})
+		council := agreement.New(agree, state)
 		w.nodes = append(w.nodes, &node{name: agree.Self, zone: conf.Own, state: state, council: council, zonal: New(conf, council), left: map[uint64]int64{}})
 	}
 	return w
 }
 
-func (w *world) members(n *node) accord.Roll {
-	all := accord.Roll{}
+func (w *world) members(n *node) agreement.Roll {
+	all := agreement.Roll{}
 	for _, o := range w.nodes {
 		all[o.name] = o == n || !o.stopped && o.side == n.side && !w.dead(n, o)
 	}
 	return all
 }
 
-func (w *world) tell(n *node, entries ...replica.Entry) {
+func (w *world) tell(n *node, entries ...crdt.Entry) {
 	for _, e := range entries {
-		b, err := replica.Encode(&replica.Message{Entries: []replica.Entry{e}})
+		b, err := crdt.Encode(&crdt.Message{Entries: []crdt.Entry{e}})
 		if err != nil {
 			w.t.Fatal(err)
 		}
@@ -119,7 +119,7 @@
 	if n.stopped {
 		return
 	}
-	m, err := replica.Decode(w.nodes[p.from].name, p.data)
+	m, err := crdt.Decode(w.nodes[p.from].name, p.data)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 		w.tell(n, changed...)
 	}
 	for _, a := range answers {
-		if b, err := replica.Encode(a); err == nil {
+		if b, err := crdt.Encode(a); err == nil {
 			w.send(p.to, p.from, b)
 		}
 	}
@@ -190,7 +190,7 @@
 	slices.SortStableFunc(n.queue, func(a, b push) int { return b.more - a.more }) // what was sent least goes first
 	if (w.now/tick+int64(i))%25 == 0 {
 		n.rounds++
-		if b, err := replica.Encode(n.state.Ask(n.rounds)); err == nil {
+		if b, err := crdt.Encode(n.state.Ask(n.rounds)); err == nil {
 			w.send(i, other(), b)
 		}
 	}
--- a/internal/zonal/zonal.go
+++ b/internal/zonefailover/zonefailover.go
@@ -6,15 +6,15 @@
 // bear its load; it is returned to by steps of share, each agreed on like the leaving, at a pace that hosts which
 // have started cold bear, and taken back when answers worsen. Agreement is accord's: one epoch, one moment for all.
 // Nothing here does I/O, reads a clock or starts anything.
-package zonal
+package zonefailover
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"cloverrock/internal/accord"
-	"cloverrock/internal/replica"
+	"cloverrock/internal/agreement"
+	"cloverrock/internal/crdt"
 )
 
 // Whole is the share of a zone that is used in full, in hundredths.
@@ -109,14 +109,14 @@
 // State is what a gateway holds of all zones.
 type State struct {
 	conf    Config
-	council *accord.Council
+	council *agreement.Council
 	zones   []zone
 	epoch   uint64 // as last noted
 	whole   []byte // all zones in full use
 	lines   []Line
 	said    []View
-	calm    []float64     // the least that answers of a zone took of their aim, on the mean
-	votes   []accord.Vote // of the round that is being decided
+	calm    []float64        // the least that answers of a zone took of their aim, on the mean
+	votes   []agreement.Vote // of the round that is being decided
 }
 
 type zone struct {
@@ -127,7 +127,7 @@
 }
 
 // New returns a state in which all zones are whole.
-func New(conf Config, council *accord.Council) *State {
+func New(conf Config, council *agreement.Council) *State {
 	s := &State{conf: conf, council: council, zones: make([]zone, len(conf.Zones)), calm: make([]float64, len(conf.Zones)), whole: slices.Repeat([]byte{Whole}, len(conf.Zones))}
 	for i := range s.zones {
 		s.zones[i] = zone{share: Whole, away: conf.Away}
@@ -140,7 +140,7 @@
 const topic = "zones"
 
 // Vote says what this gateway sees, if that is new or was said long ago; the entry is to be told to the others.
-func (s *State) Vote(now int64, views []View) (replica.Entry, bool) {
+func (s *State) Vote(now int64, views []View) (crdt.Entry, bool) {
 	if !changed(s.said, views) {
 		views = s.said
 	}
@@ -235,7 +235,7 @@
 }
 
 // Decide looks at all zones, and returns what is to be told to the others: a proposal whose turn has come.
-func (s *State) Decide(now int64, members accord.Roll) (told []replica.Entry) {
+func (s *State) Decide(now int64, members agreement.Roll) (told []crdt.Entry) {
 	s.votes = s.council.Votes(now, topic, members)
 	s.note(now)
 	s.measure()
--- a/internal/zonal/zonal_test.go
+++ b/internal/zonefailover/zonefailover_test.go
@@ -1,11 +1,11 @@
-package zonal
+package zonefailover
 
 import (
 	"fmt"
 	"slices"
 	"testing"
 
-	"cloverrock/internal/accord"
+	"cloverrock/internal/agreement"
 )
 
 // A zone that fails is left by all at one moment, and returned to step by step, each step by all at one moment, no faster
@@ -202,7 +202,7 @@
 
 // Without a majority, or without what it bears, the tests above would fail: what an experiment takes away is missed.
 func TestWhatIsTakenAwayIsMissed(t *testing.T) {
-	w := newWorld(t, 30, func(_ *Config, a *accord.Config) { a.Majority = false })
+	w := newWorld(t, 30, func(_ *Config, a *agreement.Config) { a.Majority = false })
 	w.fails(all)
 	for i, n := range w.nodes {
 		n.side = min(i%5, 1)
@@ -211,7 +211,7 @@
 	if s := w.share(); s[0] != 0 {
 		t.Error("a part of six leaves nothing without a majority")
 	}
-	w = newWorld(t, 30, func(c *Config, _ *accord.Config) { c.Pace = false })
+	w = newWorld(t, 30, func(c *Config, _ *agreement.Config) { c.Pace = false })
 	w.fails(all)
 	w.run(5 * second)
 	w.fails(none)
