--- a/cmd/cloverrock-lab/sim.go
+++ b/cmd/cloverrock-lab/sim.go
@@ -47,7 +47,7 @@
 				sum.Corrupt += r.Corrupt
 				if len(r.Violations) > 0 {
 					found = append(found, violation{seed, r.Violations})
-					fmt.Fprintf(cmd.ErrOrStderr(), "seed %d: %s\n  replay: cloverrock-lab store-sim --first %d --seeds 1 --trace\n", seed, r.Violations[0], seed)
+					cmd.PrintErrf("seed %d: %s\n  replay: cloverrock-lab store-sim --first %d --seeds 1 --trace\n", seed, r.Violations[0], seed)
 				}
 			}
 			err := report(path, cmd.OutOrStdout(), map[string]any{
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -66,7 +66,7 @@
 	g.primary = id
 	g.generation++
 	g.changed.Broadcast()
-	fmt.Fprintln(w, id, "is the primary now")
+	_, _ = fmt.Fprintln(w, id, "is the primary now") // the client may be gone
 }
 
 // list is the hosts in discovery's form.
@@ -126,7 +126,7 @@
 
 // serve speaks as much of PostgreSQL's protocol as the gateway uses.
 func (g *group) serve(id string, c net.Conn) {
-	defer c.Close()
+	defer func() { _ = c.Close() }() // the connection is over either way
 	rd := bufio.NewReader(c)
 	var in []byte
 	more := func() bool {
--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	if !o.Keep {
-		defer os.RemoveAll(dir)
+		defer func() { _ = os.RemoveAll(dir) }() // a directory that is left behind does no harm
 	}
 	r := &run{Options: o, acked: map[string]int{}, res: Result{Seed: o.Seed, Instances: o.Instances}}
 	if o.Keep {
--- a/internal/lab/chaos/cluster.go
+++ b/internal/lab/chaos/cluster.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	defer dir.Close()
+	defer func() { _ = dir.Close() }() // opened for reading only
 	return disk.Forget(dir)
 }
 
@@ -145,7 +145,7 @@
 	for _, p := range c.all {
 		_ = p.kill(false)
 		if p.log != nil {
-			p.log.Close()
+			_ = p.log.Close() // the process has written its log itself
 		}
 	}
 	for _, r := range c.lines {
--- a/internal/lab/emulator/host.go
+++ b/internal/lab/emulator/host.go
@@ -143,7 +143,7 @@
 		h.mu.Unlock()
 		h.wg.Go(func() {
 			defer func() {
-				c.Close()
+				_ = c.Close() // the connection is over either way
 				h.mu.Lock()
 				delete(h.conns, c)
 				h.mu.Unlock()
@@ -164,13 +164,13 @@
 
 // Close ends the host.
 func (h *Host) Close() {
-	h.ln.Close()
+	_ = h.ln.Close() // the listener is over either way
 	if h.door != nil {
-		h.door.Close()
+		_ = h.door.Close() // the listener is over either way
 	}
 	h.mu.Lock()
 	for c := range h.conns {
-		c.Close()
+		_ = c.Close() // the connection is over either way
 	}
 	h.mu.Unlock()
 	h.wg.Wait()
@@ -276,7 +276,7 @@
 			d.mu.Lock()
 			d.cs = append(d.cs, c)
 			if !d.mute {
-				fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+				_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // the peer may be gone; it learns of it by the connection
 				d.say(c)
 			}
 			d.mu.Unlock()
@@ -287,7 +287,7 @@
 
 func (d *Discovery) say(c net.Conn) {
 	if d.line != "" {
-		fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(d.line)+1, d.line)
+		_, _ = fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(d.line)+1, d.line) // the peer may be gone; it learns of it by the connection
 	}
 }
 
@@ -313,9 +313,9 @@
 
 // Close ends it.
 func (d *Discovery) Close() {
-	d.ln.Close()
+	_ = d.ln.Close() // the listener is over either way
 	d.wg.Wait()
 	for _, c := range d.cs {
-		c.Close()
+		_ = c.Close() // the connection is over either way
 	}
 }
--- a/internal/lab/emulator/load.go
+++ b/internal/lab/emulator/load.go
@@ -117,7 +117,7 @@
 	wg.Wait()
 	for _, cs := range l.idle {
 		for _, c := range cs {
-			c.Close()
+			_ = c.Close() // the connection is over either way
 		}
 	}
 	return l.samples
@@ -172,7 +172,7 @@
 		_ = conn.SetReadDeadline(time.Now().Add(time.Microsecond))
 		var one [1]byte
 		if _, err := conn.Read(one[:]); err != nil && !isTimeout(err) {
-			conn.Close()
+			_ = conn.Close() // the connection is over either way
 			conn = nil
 		}
 	}
@@ -188,7 +188,7 @@
 			err = ready(bufio.NewReaderSize(conn, 512))
 		}
 		if err != nil {
-			conn.Close()
+			_ = conn.Close() // the connection is over either way
 			return gate, false, unheard(err)
 		}
 	}
@@ -207,7 +207,7 @@
 		err = ready(bufio.NewReader(conn))
 	}
 	if err != nil && !errors.Is(err, ErrRefused) {
-		conn.Close()
+		_ = conn.Close() // the connection is over either way
 		if rested {
 			return gate, !isTimeout(err) && time.Since(asked) < crossing, err
 		}
--- a/internal/lab/linkage/linkage.go
+++ b/internal/lab/linkage/linkage.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // opened for reading only
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
 		return fmt.Errorf("%s is linked statically: no loader is named in it", path)
 	}
--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -118,12 +118,12 @@
 
 // Print writes the table, one line a second: the sums, and the host that got most.
 func (t Table) Print(w io.Writer) error {
-	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', tabwriter.AlignRight)
-	fmt.Fprint(tw, "s\tgateways\t", strings.Join(columns, "\t"), "\thosts\tmost\tprimaries\t\n")
+	var text strings.Builder
+	fmt.Fprint(&text, "s\tgateways\t", strings.Join(columns, "\t"), "\thosts\tmost\tprimaries\t\n")
 	for _, s := range t {
-		fmt.Fprintf(tw, "%d\t%d\t", s.At, s.Gateways)
+		fmt.Fprintf(&text, "%d\t%d\t", s.At, s.Gateways)
 		for _, c := range columns {
-			fmt.Fprintf(tw, "%d\t", s.Sums[c])
+			fmt.Fprintf(&text, "%d\t", s.Sums[c])
 		}
 		most, learned := 0, 0
 		for _, n := range s.Hosts {
@@ -132,7 +132,11 @@
 		for _, n := range s.Changes {
 			learned += n
 		}
-		fmt.Fprintf(tw, "%d\t%d\t%d\t\n", len(s.Hosts), most, learned)
+		fmt.Fprintf(&text, "%d\t%d\t%d\t\n", len(s.Hosts), most, learned)
+	}
+	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', tabwriter.AlignRight)
+	if _, err := io.WriteString(tw, text.String()); err != nil {
+		return err
 	}
 	return tw.Flush()
 }
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -24,7 +24,7 @@
 			}
 			continue
 		}
-		ln.Close()
+		_ = ln.Close() // the listener is over either way
 		all = append(all, address)
 	}
 	return all, nil
--- a/internal/lab/processrig/net.go
+++ b/internal/lab/processrig/net.go
@@ -70,7 +70,7 @@
 func (x *exchange) close() {
 	for _, c := range append(x.socks, x.all) {
 		if c != nil {
-			c.Close()
+			_ = c.Close() // the connection is over either way
 		}
 	}
 	x.wg.Wait()
--- a/internal/lab/processrig/processrig.go
+++ b/internal/lab/processrig/processrig.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // a directory that is left behind does no harm
 	t := &stage{Options: o, dir: dir, events: events, res: res, cut: cut}
 	defer t.end()
 	if err := t.open(); err != nil {
@@ -345,7 +345,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }() // the process has written its log itself
 	args := []string{"serve"}
 	if g.settings != "" {
 		args = append(args, "--settings", g.settings)
@@ -373,7 +373,7 @@
 		for g := t.gates[i]; ; {
 			c, err := net.DialTimeout("tcp4", g.listen, time.Second)
 			if err == nil {
-				c.Close()
+				_ = c.Close() // the connection is over either way
 				break
 			}
 			select {
@@ -542,7 +542,7 @@
 		}
 		switch {
 		case s.Err == nil:
-		case errors.Is(s.Err, emulator.ErrRefused) && !(closed && hurt):
+		case errors.Is(s.Err, emulator.ErrRefused) && (!closed || !hurt):
 			r.Refused++
 		case hurt:
 			r.Disturbed++
--- a/internal/lab/processrig/processrig_test.go
+++ b/internal/lab/processrig/processrig_test.go
@@ -29,7 +29,8 @@
 			}
 			return h
 		}
-		if hash(1) != hash(1) || name != "none" && name != "loss" && hash(1) == hash(2) {
+		first, again := hash(1), hash(1)
+		if first != again || name != "none" && name != "loss" && first == hash(2) {
 			t.Errorf("plan %s does not follow its seed", name)
 		}
 	}
--- a/internal/lab/processrig/zone.go
+++ b/internal/lab/processrig/zone.go
@@ -158,7 +158,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // opened for reading only
 	lines := map[string][]inForce{}
 	for sc := bufio.NewScanner(f); sc.Scan(); {
 		var line inForce
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -62,7 +62,7 @@
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
 		}
-		c.Close()
+		_ = c.Close() // the connection is over either way
 	}
 }
 
@@ -72,7 +72,7 @@
 	r.ended = true
 	r.mu.Unlock()
 	r.cond.Broadcast()
-	r.ln.Close()
+	_ = r.ln.Close() // the listener is over either way
 	r.Reset()
 	r.wg.Wait()
 }
@@ -86,7 +86,7 @@
 		}
 		b, err := net.Dial("tcp", r.to)
 		if err != nil {
-			a.Close()
+			_ = a.Close() // the connection is over either way
 			continue
 		}
 		r.mu.Lock()
@@ -94,8 +94,8 @@
 		ended := r.ended
 		r.mu.Unlock()
 		if ended {
-			a.Close()
-			b.Close()
+			_ = a.Close() // the connection is over either way
+			_ = b.Close() // the connection is over either way
 		}
 		r.wg.Add(2)
 		go r.pass(a, b)
@@ -106,8 +106,8 @@
 func (r *Relay) pass(from, to net.Conn) {
 	defer r.wg.Done()
 	defer func() {
-		from.Close()
-		to.Close()
+		_ = from.Close() // the connection is over either way
+		_ = to.Close()   // the connection is over either way
 		r.mu.Lock()
 		delete(r.conns, from)
 		r.mu.Unlock()
--- a/internal/lab/restart/beside.go
+++ b/internal/lab/restart/beside.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // a directory that is left behind does no harm
 	s := &stage{Options: o, dir: dir, store: kind > 0}
 	defer s.end()
 	discovery, err := emulator.NewDiscovery()
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }() // the process has written its log itself
 	cmd.Env, cmd.Stderr = append(os.Environ(), env...), log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
@@ -118,7 +118,7 @@
 	defer cancel()
 	for ctx.Err() == nil {
 		if c, err := net.DialTimeout("tcp4", s.listen, time.Second); err == nil {
-			c.Close()
+			_ = c.Close() // the connection is over either way
 			return nil
 		}
 		time.Sleep(2 * time.Millisecond)
@@ -141,7 +141,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // a directory that is left behind does no harm
 	s := &stage{Options: o, dir: dir, store: store}
 	defer s.end()
 	discovery, err := emulator.NewDiscovery()
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -122,8 +122,8 @@
 
 func (w *world) say(format string, a ...any) {
 	if w.Trace != nil {
-		fmt.Fprintf(w.Trace, "%9.3f ", float64(w.now)/1e6)
-		fmt.Fprintf(w.Trace, format+"\n", a...)
+		_, _ = fmt.Fprintf(w.Trace, "%9.3f ", float64(w.now)/1e6) // a trace for a reader; it decides nothing
+		_, _ = fmt.Fprintf(w.Trace, format+"\n", a...)            // a trace for a reader; it decides nothing
 	}
 }
 
