--- a/cmd/cloverrock-lab/fleet.go
+++ b/cmd/cloverrock-lab/logstats.go
@@ -8,19 +8,23 @@
 	"cloverrock/internal/lab/logstats"
 )
 
-func fleetTable() *cobra.Command {
+func logStatsCommand() *cobra.Command {
 	var asJSON bool
-	cmd := &cobra.Command{Use: "fleet DIR", Short: "Add up what many gateways logged at debug level, by seconds", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{
+		Use: "log-stats DIR", Aliases: []string{"fleet"},
+		Short: "Add up what many gateways logged at debug level, by seconds",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			table, err := logstats.Read(os.DirFS(args[0]))
 			if err != nil {
 				return err
 			}
 			if asJSON {
-				return report("-", cmd.OutOrStdout(), table)
+				return writeReport("-", cmd.OutOrStdout(), table)
 			}
 			return table.Print(cmd.OutOrStdout())
-		}}
+		},
+	}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "one JSON object with the hosts of each second, too")
 	return cmd
 }
--- a/cmd/cloverrock-lab/main.go
+++ b/cmd/cloverrock-lab/main.go
@@ -1,4 +1,5 @@
-// Command cloverrock-lab rehearses failures of the store and the gateway on this machine, on loopback addresses only.
+// Command cloverrock-lab plays models of the gateway and the store, and rehearses failures of real processes, on this
+// machine's loopback addresses only.
 package main
 
 import (
@@ -17,48 +18,87 @@
 	"cloverrock/internal/lab/chaos"
 )
 
-// errFound says that an experiment ran and found what must not be.
-var errFound = errors.New("the experiment found a fault")
+// Exit codes.
+const (
+	exitFaultFound = 1 // the experiment ran and found a fault
+	exitFailed     = 2 // the experiment could not be run
+)
+
+// errFaultFound is returned by an experiment that ran to its end and found a violated rule.
+var errFaultFound = errors.New("the experiment found a fault")
 
 func main() {
-	root := &cobra.Command{Use: "cloverrock-lab", Short: "Rehearse failures on this machine", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(storeSim(), storeChaos(), restartGateway(), besideGateway(), linked(), fleetTable(), manyGateways(), tierCmd())
-	if err := root.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "cloverrock-lab:", err)
-		if errors.Is(err, errFound) {
-			os.Exit(1)
-		}
-		os.Exit(2)
+	err := rootCommand().Execute()
+	if err == nil {
+		return
+	}
+	fmt.Fprintln(os.Stderr, "cloverrock-lab:", err)
+	if errors.Is(err, errFaultFound) {
+		os.Exit(exitFaultFound)
 	}
+	os.Exit(exitFailed)
 }
 
-// report writes a result as one JSON object to a file, or to standard output for "-".
-func report(path string, out io.Writer, v any) error {
-	b, err := json.Marshal(v)
+func rootCommand() *cobra.Command {
+	root := &cobra.Command{
+		Use: "cloverrock-lab", Short: "Play models and rehearse failures on this machine",
+		SilenceUsage: true, SilenceErrors: true,
+	}
+	root.AddCommand(
+		storeSimCommand(), storeChaosCommand(), storeCostCommand(), restartCommand(),
+		modelCommand(), processesCommand(), logStatsCommand(), linkedCommand(),
+	)
+	return root
+}
+
+// writeReport writes a result as one JSON object to a file, or to out for the path "-".
+func writeReport(path string, out io.Writer, result any) error {
+	text, err := json.Marshal(result)
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	b = append(b, '\n')
+	text = append(text, '\n')
 	if path == "-" {
-		_, err = out.Write(b)
+		_, err = out.Write(text)
 		return err
 	}
-	return os.WriteFile(path, b, 0o644)
+	return os.WriteFile(path, text, 0o644)
+}
+
+// addReportFlag adds the flag that names the file of the result.
+func addReportFlag(cmd *cobra.Command, path *string) {
+	cmd.Flags().StringVar(path, "json", "-", "where the result goes; - is standard output")
+}
+
+// addProgramFlag adds the flag that names the gateway's program.
+func addProgramFlag(cmd *cobra.Command, program *string) {
+	cmd.Flags().StringVar(program, "program", "", "the gateway's program; beside this one if not given")
+}
+
+// logToStderr writes what an experiment does to standard error, a line each.
+func logToStderr(format string, args ...any) {
+	fmt.Fprintf(os.Stderr, format+"\n", args...)
 }
 
-// rehearsal is the context of a run with real processes, bounded in time, and the program that they run: the one beside
-// this, if none was named.
-func rehearsal(bound time.Duration, program *string) (context.Context, context.CancelFunc, error) {
-	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	ctx, stop := context.WithTimeout(ctx, bound)
-	end := func() { stop(); cancel() }
-	if *program != "" {
-		return ctx, end, nil
+// processContext returns the context of a run with real processes, which ends after the bound or at a signal. Where no
+// program is named it fills in the gateway's program beside this one.
+func processContext(bound time.Duration, program *string) (context.Context, context.CancelFunc, error) {
+	if *program == "" {
+		var err error
+		if *program, err = chaos.Beside(); err != nil {
+			return nil, nil, err
+		}
 	}
-	var err error
-	if *program, err = chaos.Beside(); err != nil {
-		end()
-		return nil, nil, err
+	ctx, cancel := signalContext(bound)
+	return ctx, cancel, nil
+}
+
+// signalContext returns a context that ends after the bound or at SIGINT or SIGTERM.
+func signalContext(bound time.Duration) (context.Context, context.CancelFunc) {
+	signals, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	ctx, stopTimer := context.WithTimeout(signals, bound)
+	return ctx, func() {
+		stopTimer()
+		stopSignals()
 	}
-	return ctx, end, nil
 }
--- /dev/null
+++ b/cmd/cloverrock-lab/storecost.go
@@ -0,0 +1,42 @@
+package main
+
+import (
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"cloverrock/internal/lab/restart"
+)
+
+func storeCostCommand() *cobra.Command {
+	var options restart.Options
+	var path string
+	var rounds int
+	var each time.Duration
+	cmd := &cobra.Command{
+		Use: "store-cost", Aliases: []string{"beside"},
+		Short: "Measure what the store costs the requests of the gateway that it runs beside",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			bound := time.Duration(rounds) * 2 * (each + time.Minute)
+			ctx, cancel, err := processContext(bound, &options.Program)
+			if err != nil {
+				return err
+			}
+			defer cancel()
+			result, err := restart.RunBeside(ctx, options, rounds, each)
+			if err != nil {
+				return err
+			}
+			return writeReport(path, cmd.OutOrStdout(), result)
+		},
+	}
+	flags := cmd.Flags()
+	flags.Uint64Var(&options.Seed, "seed", 1, "decides the load")
+	flags.Float64Var(&options.Rate, "rate", 300, "requests a second")
+	flags.IntVar(&rounds, "rounds", 3, "rounds of each way, in turn")
+	flags.DurationVar(&each, "for", 5*time.Second, "how long each lasts")
+	addProgramFlag(cmd, &options.Program)
+	addReportFlag(cmd, &path)
+	return cmd
+}
--- /dev/null
+++ b/cmd/cloverrock-lab/storesim.go
@@ -0,0 +1,113 @@
+package main
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"fmt"
+	"hash"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/spf13/cobra"
+
+	"cloverrock/internal/lab/storesim"
+)
+
+// settleSeconds is how long, in simulated time, a cluster runs without faults after those of a seed.
+const settleSeconds = 40
+
+// storeSimRun plays clusters of consecutive seeds and adds their results up.
+type storeSimRun struct {
+	first, seeds uint64
+	options      storesim.Options
+	total        storesim.Result
+	violations   []seedViolations
+	hash         hash.Hash64
+}
+
+// seedViolations is what the checks found with one seed.
+type seedViolations struct {
+	Seed uint64   `json:"seed"`
+	What []string `json:"what"`
+}
+
+func storeSimCommand() *cobra.Command {
+	run := storeSimRun{violations: []seedViolations{}, hash: xxhash.New()}
+	var path string
+	var trace bool
+	cmd := &cobra.Command{
+		Use: "store-sim", Short: "Play clusters under a simulated network, disk and clock", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if trace {
+				run.options.Trace = cmd.ErrOrStderr()
+			}
+			start := time.Now()
+			run.play(cmd)
+			if err := writeReport(path, cmd.OutOrStdout(), run.report(time.Since(start))); err != nil {
+				return err
+			}
+			if len(run.violations) > 0 {
+				return fmt.Errorf("%w: %d of %d seeds", errFaultFound, len(run.violations), run.seeds)
+			}
+			return nil
+		},
+	}
+	flags := cmd.Flags()
+	flags.Uint64Var(&run.seeds, "seeds", 100, "how many seeds to play")
+	flags.Uint64Var(&run.first, "first", 1, "the first seed")
+	flags.IntVar(&run.options.Instances, "instances", 3, "instances of each cluster")
+	flags.IntVar(&run.options.Seconds, "for", 20, "simulated seconds under faults")
+	flags.BoolVar(&run.options.LoseSyncs, "break-fsync", false, "syncs do nothing: the checks must find it")
+	flags.BoolVar(&run.options.Twice, "break-sessions", false, "retries come as new commands: the checks must find it")
+	flags.BoolVar(&trace, "trace", false, "tell on standard error what happens")
+	addReportFlag(cmd, &path)
+	return cmd
+}
+
+// play plays each seed. raft draws its election timeouts from crypto/rand, which is replaced meanwhile.
+func (r *storeSimRun) play(cmd *cobra.Command) {
+	systemRandom := rand.Reader
+	defer func() { rand.Reader = systemRandom }()
+	for seed := r.first; seed < r.first+r.seeds; seed++ {
+		rand.Reader = storesim.Seeded(seed)
+		r.options.Seed = seed
+		result := storesim.Run(r.options)
+		r.add(&result)
+		if len(result.Violations) == 0 {
+			continue
+		}
+		r.violations = append(r.violations, seedViolations{seed, result.Violations})
+		cmd.PrintErrf("seed %d: %s\n  replay: cloverrock-lab store-sim --first %d --seeds 1 --trace\n",
+			seed, result.Violations[0], seed)
+	}
+}
+
+func (r *storeSimRun) add(result *storesim.Result) {
+	_, _ = r.hash.Write(binary.LittleEndian.AppendUint64(nil, result.Hash)) // a hash never fails
+	r.total.Steps += result.Steps
+	r.total.Acknowledged += result.Acknowledged
+	r.total.Elections += result.Elections
+	r.total.Installs += result.Installs
+	r.total.Replaced += result.Replaced
+	r.total.Crashes += result.Crashes
+	r.total.Corrupt += result.Corrupt
+}
+
+func (r *storeSimRun) report(wall time.Duration) map[string]any {
+	return map[string]any{
+		"seeds":               r.seeds,
+		"first":               r.first,
+		"steps":               r.total.Steps,
+		"violations":          len(r.violations),
+		"trace_hash":          fmt.Sprintf("%016x", r.hash.Sum64()),
+		"acknowledged":        r.total.Acknowledged,
+		"elections":           r.total.Elections,
+		"snapshots_installed": r.total.Installs,
+		"crashes":             r.total.Crashes,
+		"corrupt_disks_found": r.total.Corrupt,
+		"replaced":            r.total.Replaced,
+		"failed":              r.violations,
+		"simulated_s":         float64(r.seeds) * float64(r.options.Seconds+settleSeconds),
+		"wall_s":              wall.Seconds(),
+	}
+}
