--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -3,14 +3,13 @@
 package main
 
 import (
-	"bufio"
 	"encoding/json"
 	"fmt"
-	"io"
 	"log"
 	"net"
 	"net/http"
 	"regexp"
+	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -124,43 +123,68 @@
 	}
 }
 
+// connection is one of the gateway's, with what was read and not yet handled.
+type connection struct {
+	net.Conn
+	unread []byte
+}
+
+// readMore adds what the gateway sends next; it returns false at the end of the connection.
+func (c *connection) readMore() bool {
+	chunk := make([]byte, 4096)
+	n, err := c.Read(chunk)
+	c.unread = append(c.unread, chunk[:n]...)
+	return err == nil
+}
+
 // serve speaks as much of PostgreSQL's protocol as the gateway uses.
-func (g *group) serve(id string, c net.Conn) {
+func (g *group) serve(id string, accepted net.Conn) {
+	c := &connection{Conn: accepted}
 	defer func() { _ = c.Close() }() // the connection is over either way
-	rd := bufio.NewReader(c)
-	var in []byte
-	more := func() bool {
-		buf := make([]byte, 4096)
-		n, err := rd.Read(buf)
-		in = append(in, buf[:n]...)
-		return err == nil
+	if !c.start() {
+		return
 	}
-	started := false
 	for {
-		if !started {
-			s, rest, ok, err := pgwire.NextStartup(in)
-			if err != nil || !ok && !more() {
+		message, rest, complete, err := pgwire.Next(c.unread)
+		if err != nil {
+			return
+		}
+		if !complete {
+			if !c.readMore() {
 				return
 			}
-			if ok {
-				in, started = rest, s.Code == pgwire.ProtocolVersion
-				b := []byte{'N'} // to a request for TLS
-				if started {
-					b = pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil))
-				}
-				_, _ = c.Write(b)
-			}
 			continue
 		}
-		m, rest, ok, err := pgwire.Next(in)
-		if err != nil || ok && m.Type != 'Q' || !ok && !more() {
+		c.unread = rest
+		if message.Type != 'Q' {
 			return
 		}
-		if ok {
-			in = rest
-			if _, err := c.Write(g.query(id, strings.TrimSuffix(string(m.Body), "\x00"))); err != nil && err != io.EOF {
-				return
+		if _, err := c.Write(g.query(id, strings.TrimSuffix(string(message.Body), "\x00"))); err != nil {
+			return
+		}
+	}
+}
+
+// start answers startup messages, declining TLS, until one asks for the protocol's version.
+func (c *connection) start() bool {
+	for {
+		startup, rest, complete, err := pgwire.NextStartup(c.unread)
+		if err != nil {
+			return false
+		}
+		if !complete {
+			if !c.readMore() {
+				return false
 			}
+			continue
+		}
+		c.unread = rest
+		if startup.Code == pgwire.ProtocolVersion {
+			_, err = c.Write(pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil)))
+			return err == nil
+		}
+		if _, err := c.Write([]byte{'N'}); err != nil {
+			return false
 		}
 	}
 }
@@ -169,31 +193,42 @@
 func (g *group) query(id, text string) []byte {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now, rank, role := time.Now().UnixMilli(), "copy", 0
+	now := time.Now().UnixMilli()
+	rank := "copy"
+	role := 0
 	if id == g.primary {
-		rank, role = "source", 1
+		rank = "source"
+		role = 1
 	}
 	vitals := fmt.Sprintf("x0=%d.%03d,x1=%d", now/1000, now%1000, role)
 	row := func(value string) []byte {
 		return pgwire.AppendCommandComplete(pgwire.AppendRow(nil, "body", value), "SELECT 1")
 	}
 	var b []byte
-	if text == "SHOW vitals" {
+	insert := g.insert.FindStringSubmatch(text)
+	lookup := g.lookup.FindStringSubmatch(text)
+	switch {
+	case text == "SHOW vitals":
 		b = row(vitals)
-	} else if v := g.insert.FindStringSubmatch(text); v != nil && rank == "copy" {
-		b = pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: pgwire.CodeReadOnly, Message: "not the primary"})
-	} else if v != nil {
-		g.objects[v[1]] = v[2]
-		b = row(v[2])
-		log.Printf("%s wrote %s", id, v[1])
-	} else if v := g.lookup.FindStringSubmatch(text); v != nil {
-		b = row(g.objects[v[1]])
-		log.Printf("%s read %s", id, v[1])
-	} else {
-		b = pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: pgwire.CodeSyntaxError, Message: "the toy knows two statements"})
+	case insert != nil && id != g.primary:
+		b = queryError(pgwire.CodeReadOnly, "not the primary")
+	case insert != nil:
+		oid, body := insert[1], insert[2]
+		g.objects[oid] = body
+		b = row(body)
+		log.Printf("%s wrote %s", id, oid)
+	case lookup != nil:
+		b = row(g.objects[lookup[1]])
+		log.Printf("%s read %s", id, lookup[1])
+	default:
+		b = queryError(pgwire.CodeSyntaxError, "the toy knows two statements")
 	}
-	for _, p := range [...][2]string{{"rank", rank}, {"as_of", fmt.Sprint(now)}, {"vitals", vitals}} {
+	for _, p := range [...][2]string{{"rank", rank}, {"as_of", strconv.FormatInt(now, 10)}, {"vitals", vitals}} {
 		b = pgwire.AppendParameterStatus(b, p[0], p[1])
 	}
 	return pgwire.AppendReadyForQuery(b)
 }
+
+func queryError(code, message string) []byte {
+	return pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: code, Message: message})
+}
--- a/internal/lab/emulator/host.go
+++ b/internal/lab/emulator/host.go
@@ -1,4 +1,4 @@
-// Package standin plays database hosts and clients on loopback addresses, in the words of PostgreSQL's wire protocol.
+// Package emulator plays database hosts and clients on loopback addresses, in the words of PostgreSQL's wire protocol.
 package emulator
 
 import (
--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -1,11 +1,12 @@
-// Package fleet adds up what many gateways log once a second at debug level, so that one sees what all of them do
-// together to the hosts: what is harmless in one log may not be in eighty.
+// Package logstats adds up what many gateways log once a second at debug level, to show what all of them do together to
+// the hosts: what is harmless in one log may not be in eighty.
 package logstats
 
 import (
 	"bufio"
 	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"io/fs"
@@ -36,103 +37,143 @@
 // Table is the fleet's day, by seconds.
 type Table []*Second
 
-// Read adds up the files of a directory whose names end in .log. A line may begin with the seconds since the start of
-// the day; else its time counts, from the first line of all. What is no line of a gateway is passed over.
+// ErrNoLogs is returned for a directory without log files.
+var ErrNoLogs = errors.New("no file of the directory ends in .log")
+
+const (
+	maxLine = 1 << 20 // bytes
+
+	countsMessage = "counts"     // marks the lines that are added up
+	primaryNamed  = ": primary " // between group and host, in the line on a new primary
+	tallySize     = 5            // numbers of each host: succeeded, failed, timed out, others, mean milliseconds
+)
+
+// Read adds up the files of a directory whose names end in .log. A line may begin with the seconds since the start of the
+// run; else the time that it logs counts. Lines that no gateway wrote are ignored.
 func Read(dir fs.FS) (Table, error) {
 	names, err := fs.Glob(dir, "*.log")
 	if err != nil {
 		return nil, err
 	}
 	if len(names) == 0 {
-		return nil, fmt.Errorf("no file of the directory ends in .log")
+		return nil, ErrNoLogs
 	}
 	seconds := map[int]*Second{}
 	for _, name := range names {
-		f, err := dir.Open(name)
-		if err != nil {
-			return nil, fmt.Errorf("%s: %w", name, err)
-		}
-		err = read(f, seconds)
-		_ = f.Close()
-		if err != nil {
+		if err := readFile(dir, name, seconds); err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	return slices.SortedFunc(maps.Values(seconds), func(a, b *Second) int { return cmp.Compare(a.At, b.At) }), nil
+	byTime := func(a, b *Second) int { return cmp.Compare(a.At, b.At) }
+	return slices.SortedFunc(maps.Values(seconds), byTime), nil
 }
 
-func read(r io.Reader, seconds map[int]*Second) error {
-	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, 1<<20)
-	for sc.Scan() {
-		head, text, stamped := strings.Cut(sc.Text(), " ")
-		at, err := strconv.ParseFloat(head, 64)
-		if !stamped || err != nil {
-			text = sc.Text()
-		}
-		var line map[string]any
-		if json.Unmarshal([]byte(text), &line) != nil {
-			continue
-		}
-		if ms, ok := line["time"].(float64); ok && (!stamped || err != nil) {
-			at = ms / 1000
-		}
-		s := seconds[int(at)]
-		if s == nil {
-			s = &Second{At: int(at), Sums: map[string]int{}, Hosts: map[string]Host{}, Changes: map[string]int{}}
-			seconds[s.At] = s
-		}
-		message, _ := line["message"].(string)
-		if group, host, ok := strings.Cut(message, ": primary "); ok && !strings.Contains(host, " ") {
-			s.Changes[group+" "+host]++
-		}
-		if message != "counts" {
-			continue
-		}
-		s.Gateways++
-		for k, v := range line {
-			if n, ok := v.(float64); ok && k != "time" {
-				s.Sums[k] += int(n)
-			}
+func readFile(dir fs.FS, name string, seconds map[int]*Second) error {
+	file, err := dir.Open(name)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = file.Close() }() // opened for reading only
+	scanner := bufio.NewScanner(file)
+	scanner.Buffer(nil, maxLine)
+	for scanner.Scan() {
+		if at, fields, ok := parseLine(scanner.Text()); ok {
+			secondAt(seconds, at).add(fields)
 		}
-		if hosts, ok := line["attempts"].(map[string]any); ok {
-			for h, v := range hosts {
-				var n [5]int
-				if parts, ok := v.([]any); ok && len(parts) == len(n) {
-					for i, p := range parts {
-						f, _ := p.(float64)
-						n[i] = int(f)
-					}
-				}
-				sum := s.Hosts[h]
-				s.Hosts[h] = Host{sum.Served + n[0], sum.Errored + n[1], sum.TimedOut + n[2], sum.Other + n[3], sum.Took + n[0]*n[4]}
-			}
+	}
+	return scanner.Err()
+}
+
+// parseLine returns the second and the fields of a log line.
+func parseLine(line string) (at int, fields map[string]any, ok bool) {
+	text := line
+	prefix, rest, hasPrefix := strings.Cut(line, " ")
+	seconds, err := strconv.ParseFloat(prefix, 64)
+	hasPrefix = hasPrefix && err == nil
+	if hasPrefix {
+		text = rest
+	}
+	if json.Unmarshal([]byte(text), &fields) != nil {
+		return 0, nil, false
+	}
+	if milliseconds, isNumber := fields["time"].(float64); isNumber && !hasPrefix {
+		seconds = milliseconds / 1000
+	}
+	return int(seconds), fields, true
+}
+
+func secondAt(seconds map[int]*Second, at int) *Second {
+	if seconds[at] == nil {
+		seconds[at] = &Second{At: at, Sums: map[string]int{}, Hosts: map[string]Host{}, Changes: map[string]int{}}
+	}
+	return seconds[at]
+}
+
+// add adds one line's fields up.
+func (s *Second) add(fields map[string]any) {
+	message, _ := fields["message"].(string)
+	if group, host, ok := strings.Cut(message, primaryNamed); ok && !strings.Contains(host, " ") {
+		s.Changes[group+" "+host]++
+	}
+	if message != countsMessage {
+		return
+	}
+	s.Gateways++
+	for name, value := range fields {
+		if number, ok := value.(float64); ok && name != "time" {
+			s.Sums[name] += int(number)
 		}
 	}
-	return sc.Err()
+	hosts, _ := fields["attempts"].(map[string]any)
+	for host, value := range hosts {
+		sum := s.Hosts[host]
+		sum.add(value)
+		s.Hosts[host] = sum
+	}
+}
+
+// add adds one gateway's numbers of the host up. A value of another form adds nothing.
+func (h *Host) add(value any) {
+	parts, _ := value.([]any)
+	if len(parts) != tallySize {
+		return
+	}
+	var numbers [tallySize]int
+	for i, part := range parts {
+		number, _ := part.(float64)
+		numbers[i] = int(number)
+	}
+	h.Served += numbers[0]
+	h.Errored += numbers[1]
+	h.TimedOut += numbers[2]
+	h.Other += numbers[3]
+	h.Took += numbers[0] * numbers[4]
 }
 
 // columns are the sums that are printed, in their order.
-var columns = []string{"requests", "served", "refused", "failed", "again", "errored", "full", "timed_out", "refused_dial", "reset",
-	"skipped", "missed", "probes", "probes_failed", "dials", "dials_failed", "told", "told_bytes", "heard"}
+var columns = []string{
+	"requests", "served", "refused", "failed", "again", "errored", "full", "timed_out", "refused_dial", "reset",
+	"skipped", "missed", "probes", "probes_failed", "dials", "dials_failed", "told", "told_bytes", "heard",
+}
 
 // Print writes the table, one line a second: the sums, and the host that got most.
 func (t Table) Print(w io.Writer) error {
 	var text strings.Builder
 	fmt.Fprint(&text, "s\tgateways\t", strings.Join(columns, "\t"), "\thosts\tmost\tprimaries\t\n")
-	for _, s := range t {
-		fmt.Fprintf(&text, "%d\t%d\t", s.At, s.Gateways)
-		for _, c := range columns {
-			fmt.Fprintf(&text, "%d\t", s.Sums[c])
+	for _, second := range t {
+		fmt.Fprintf(&text, "%d\t%d\t", second.At, second.Gateways)
+		for _, column := range columns {
+			fmt.Fprintf(&text, "%d\t", second.Sums[column])
 		}
-		most, learned := 0, 0
-		for _, n := range s.Hosts {
-			most = max(most, n.all())
+		most := 0
+		for _, host := range second.Hosts {
+			most = max(most, host.all())
 		}
-		for _, n := range s.Changes {
-			learned += n
+		primaries := 0
+		for _, gateways := range second.Changes {
+			primaries += gateways
 		}
-		fmt.Fprintf(&text, "%d\t%d\t%d\t\n", len(s.Hosts), most, learned)
+		fmt.Fprintf(&text, "%d\t%d\t%d\t\n", len(second.Hosts), most, primaries)
 	}
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', tabwriter.AlignRight)
 	if _, err := io.WriteString(tw, text.String()); err != nil {
--- a/internal/lab/processrig/plan.go
+++ b/internal/lab/processrig/plan.go
@@ -1,4 +1,4 @@
-// Package tier plays many real processes of the gateway before stand-in hosts, with faults in them and between them, and
+// Package processrig plays many real processes of the gateway before stand-in hosts, with faults in them and between them, and
 // measures from outside how their load falls on the hosts.
 package processrig
 
--- a/internal/lab/storesim/disk.go
+++ b/internal/lab/storesim/disk.go
@@ -1,4 +1,4 @@
-// Package sim plays whole clusters of the store in one thread, with a network, disks and a clock of its own: the
+// Package storesim plays whole clusters of the store in one thread, with a network, disks and a clock of its own: the
 // same code as a daemon's, thousands of times faster, and the same run for the same seed.
 package storesim
 
