--- /dev/null
+++ b/internal/lab/emulator/classes.go
@@ -0,0 +1,53 @@
+package emulator
+
+import "time"
+
+// Class is a class of requests.
+type Class struct {
+	Name             string
+	Share            float64 // of all requests
+	LatencyObjective time.Duration
+	Deadline         time.Duration
+	PriorityWeight   float64
+	LatePart         float64 // of the weight, for an answer after the objective
+	Write            bool
+	Session          bool // a read that must see its session's writes
+}
+
+// Classes are those of the deployment.
+var Classes = [...]Class{
+	{
+		Name: "zone-lookup", Share: 0.58, PriorityWeight: 1,
+		LatencyObjective: 300 * time.Millisecond, Deadline: 750 * time.Millisecond,
+	},
+	{
+		Name: "own-zone-read", Share: 0.32, PriorityWeight: 1, Session: true,
+		LatencyObjective: 200 * time.Millisecond, Deadline: 800 * time.Millisecond,
+	},
+	{
+		Name: "zone-change", Share: 0.10, PriorityWeight: 3, LatePart: 0.7, Write: true,
+		LatencyObjective: 500 * time.Millisecond, Deadline: 3 * time.Second,
+	},
+}
+
+// ClassSettings are the classes in the form of a gateway's configuration.
+func ClassSettings() []map[string]any {
+	var settings []map[string]any
+	for _, class := range Classes {
+		repeat := "read_like"
+		if class.Write {
+			repeat = "non_idempotent"
+		}
+		settings = append(settings, map[string]any{
+			"name":       class.Name,
+			"aimMs":      class.LatencyObjective.Milliseconds(),
+			"deadlineMs": class.Deadline.Milliseconds(),
+			"worth":      class.PriorityWeight,
+			"lateWorth":  class.LatePart,
+			"repeat":     repeat,
+			"group":      "all",
+			"windowMs":   5000,
+		})
+	}
+	return settings
+}
--- /dev/null
+++ b/internal/lab/emulator/client.go
@@ -0,0 +1,121 @@
+package emulator
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"cloverrock/internal/pgwire"
+)
+
+// ErrConnectionClosed is a new connection that was closed before its first answer. It counts as rejected.
+var ErrConnectionClosed = fmt.Errorf("%w: its new connection was closed", ErrRejected)
+
+// closeCrossing is how long after a request was written the close of an idle connection may have crossed it. A close that
+// comes later took a request that the gateway had read.
+const closeCrossing = 100 * time.Millisecond
+
+// sessionWriteAge is how long ago the writes of a session were that its reads must see.
+const sessionWriteAge = 300 * time.Millisecond
+
+// clientConnection is one of a client's to a gateway.
+type clientConnection struct {
+	net.Conn
+	gateway int
+	sentAt  time.Time // of the last request
+}
+
+// dial opens a connection and waits until the gateway is ready for queries.
+func dial(address string, gateway int, deadline time.Time) (*clientConnection, error) {
+	connection, err := net.DialTimeout("tcp4", address, time.Until(deadline))
+	if err != nil {
+		return nil, err
+	}
+	c := &clientConnection{Conn: connection, gateway: gateway}
+	_ = c.SetDeadline(deadline) // fails only on a closed connection, which the write then tells
+	if _, err = c.Write(pgwire.AppendStartup(nil, "user", "lab", "database", "lab")); err == nil {
+		err = readUntilReady(bufio.NewReaderSize(c, 512))
+	}
+	if err != nil {
+		c.close()
+		return nil, err
+	}
+	return c, nil
+}
+
+func (c *clientConnection) close() {
+	_ = c.Close() // the connection is over either way
+}
+
+// open reports whether an idle connection is still open; one that the gateway has closed is closed here, too.
+func (c *clientConnection) open() bool {
+	_ = c.SetReadDeadline(time.Now().Add(time.Microsecond)) // as in dial
+	var one [1]byte
+	if _, err := c.Read(one[:]); err != nil && !isTimeout(err) {
+		c.close()
+		return false
+	}
+	return true
+}
+
+// closedUnread reports whether the error of a request on an idle connection means that the gateway had closed the
+// connection before it read the request.
+func (c *clientConnection) closedUnread(err error) bool {
+	return !isTimeout(err) && time.Since(c.sentAt) < closeCrossing
+}
+
+// query sends a request and waits for its answer until the slack after its deadline.
+func (c *clientConnection) query(req request, slack time.Duration) error {
+	_ = c.SetDeadline(req.deadline.Add(slack)) // as in dial
+	text := req.text()
+	c.sentAt = time.Now()
+	if _, err := c.Write(pgwire.AppendQuery(nil, text)); err != nil {
+		return err
+	}
+	return readUntilReady(bufio.NewReader(c))
+}
+
+// text is the statement, with the comment that describes the request.
+func (r request) text() string {
+	comment := fmt.Sprintf("id=%d,c=%s,d=%d,cluster=%d",
+		r.id, r.class.Name, time.Until(r.deadline).Milliseconds(), r.group)
+	if r.class.Session {
+		comment += fmt.Sprintf(",after=%d", time.Now().Add(-sessionWriteAge).UnixMilli())
+	}
+	statement := "SELECT body FROM objects WHERE oid = 'k'"
+	if r.class.Write {
+		statement = "INSERT INTO objects (oid, body) VALUES ('k', 'v') RETURNING body"
+	}
+	return "/* " + comment + " */ " + statement
+}
+
+// newConnectionError is the error of a new connection that brought no answer.
+func newConnectionError(err error) error {
+	if isTimeout(err) {
+		return err
+	}
+	return fmt.Errorf("%w: %w", ErrConnectionClosed, err)
+}
+
+func isTimeout(err error) bool {
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
+}
+
+// readUntilReady reads up to the next ReadyForQuery. It returns ErrRejected if an error came before it.
+func readUntilReady(reader *bufio.Reader) error {
+	var rejected error
+	for {
+		message, err := ReadMessage(reader)
+		switch {
+		case err != nil:
+			return err
+		case message.Type == 'E':
+			rejected = ErrRejected
+		case message.Type == 'Z':
+			return rejected
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/emulator/discovery.go
@@ -0,0 +1,87 @@
+package emulator
+
+import (
+	"fmt"
+	"net"
+	"sync"
+)
+
+// Discovery answers watches. Each new one gets the endpoint list that was published last, and then each later one.
+type Discovery struct {
+	listener net.Listener
+	wait     sync.WaitGroup
+
+	mu      sync.Mutex
+	watches []net.Conn
+	list    string // in the form of the wire; empty: none yet
+	silent  bool
+}
+
+// NewDiscovery listens on a loopback address.
+func NewDiscovery() (*Discovery, error) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	d := &Discovery{listener: listener}
+	d.wait.Go(d.accept)
+	return d, nil
+}
+
+func (d *Discovery) accept() {
+	for {
+		watch, err := d.listener.Accept()
+		if err != nil {
+			return
+		}
+		d.begin(watch)
+	}
+}
+
+func (d *Discovery) begin(watch net.Conn) {
+	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watches = append(d.watches, watch)
+	if d.silent {
+		return
+	}
+	_, _ = fmt.Fprint(watch, head) // a client that is gone learns of it by the connection
+	d.send(watch)
+}
+
+func (d *Discovery) send(watch net.Conn) {
+	if d.list == "" {
+		return
+	}
+	_, _ = fmt.Fprintf(watch, "%x\r\n%s\n\r\n", len(d.list)+1, d.list) // as in begin
+}
+
+// Publish sends a list to those that watch, and to those that come.
+func (d *Discovery) Publish(list string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.list = list
+	for _, watch := range d.watches {
+		d.send(watch)
+	}
+}
+
+// Silence has it accept connections and answer none of them any more.
+func (d *Discovery) Silence() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.silent = true
+}
+
+// Address is where it listens.
+func (d *Discovery) Address() string { return d.listener.Addr().String() }
+
+// Close ends it and its connections.
+func (d *Discovery) Close() {
+	_ = d.listener.Close() // the listener is over either way
+	d.wait.Wait()
+	for _, watch := range d.watches {
+		_ = watch.Close() // the connection is over either way
+	}
+}
--- /dev/null
+++ b/internal/lab/emulator/protocol.go
@@ -0,0 +1,114 @@
+package emulator
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"cloverrock/internal/pgwire"
+)
+
+const (
+	messageHead = 5       // type and length
+	maxMessage  = 1 << 20 // bytes
+)
+
+// errMessageSize is a message whose length cannot be right.
+var errMessageSize = errors.New("emulator: message length out of range")
+
+// ReadMessage reads one message of the protocol from a stream.
+func ReadMessage(reader *bufio.Reader) (pgwire.Message, error) {
+	head, err := reader.Peek(messageHead)
+	if err != nil {
+		return pgwire.Message{}, err
+	}
+	size := 1 + int(head[1])<<24 + int(head[2])<<16 + int(head[3])<<8 + int(head[4])
+	if size < messageHead || size > maxMessage {
+		return pgwire.Message{}, fmt.Errorf("%w: %d bytes", errMessageSize, size)
+	}
+	text := make([]byte, size)
+	if _, err := io.ReadFull(reader, text); err != nil {
+		return pgwire.Message{}, err
+	}
+	message, _, _, err := pgwire.Next(text)
+	return message, err
+}
+
+// serve answers the queries of one connection. A host that hangs, or a silent listener, takes them and answers none.
+func (h *Host) serve(connection net.Conn, silent *atomic.Bool) {
+	reader := bufio.NewReader(connection)
+	if err := skipStartup(reader); err != nil {
+		return
+	}
+	greeting := pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil))
+	if _, err := connection.Write(greeting); err != nil {
+		return
+	}
+	for {
+		message, err := ReadMessage(reader)
+		if err != nil || message.Type != 'Q' {
+			return
+		}
+		if h.hanging.Load() || silent.Load() {
+			continue
+		}
+		if _, err := connection.Write(h.answerQuery(string(message.Body))); err != nil {
+			return
+		}
+	}
+}
+
+// skipStartup reads the startup message, which has no type.
+func skipStartup(reader *bufio.Reader) error {
+	head, err := reader.Peek(4)
+	if err != nil {
+		return err
+	}
+	_, err = io.ReadFull(reader, make([]byte, int(head[2])<<8+int(head[3])))
+	return err
+}
+
+// answerQuery executes a statement and returns the answer, with the host's role and position behind it.
+func (h *Host) answerQuery(text string) []byte {
+	answer := h.execute(text)
+	role, position := h.status()
+	answer = pgwire.AppendParameterStatus(answer, "rank", [...]string{"copy", "source"}[role])
+	answer = pgwire.AppendParameterStatus(answer, "as_of", strconv.FormatInt(position, 10))
+	return pgwire.AppendReadyForQuery(answer)
+}
+
+func (h *Host) execute(text string) []byte {
+	if strings.HasPrefix(text, "SHOW vitals") {
+		role, position := h.status()
+		return singleRow(fmt.Sprintf("x0=%d.%03d,x1=%d", position/1000, position%1000, role))
+	}
+	write := strings.Contains(text, "INSERT")
+	if write && !h.primary.Load() {
+		return pgwire.AppendError(nil, pgwire.Error{
+			Severity: "ERROR", Code: pgwire.CodeReadOnly, Message: "not the primary",
+		})
+	}
+	h.work()
+	if write {
+		h.Writes.Add(1)
+	}
+	return singleRow("ok")
+}
+
+func singleRow(value string) []byte {
+	return pgwire.AppendCommandComplete(pgwire.AppendRow(nil, "body", value), "SELECT 1")
+}
+
+// status is the host's own report: its role (1: primary), and its log position in milliseconds.
+func (h *Host) status() (role int, position int64) {
+	if h.primary.Load() {
+		return 1, time.Now().UnixMilli()
+	}
+	return 0, time.Now().Add(-h.lag).UnixMilli()
+}
--- a/internal/lab/processrig/processrig.go
+++ b/internal/lab/processrig/processrig.go
@@ -161,8 +161,8 @@
 		}
 		t.hosts = append(t.hosts, h)
 		t.logs[i].group = i / t.Members
-		h.Primary(i%t.Members == 0)
-		h.Limit(cores, func(before int) {
+		h.SetPrimary(i%t.Members == 0)
+		h.LimitCores(cores, func(before int) {
 			t.mu.Lock()
 			t.logs[i].all = append(t.logs[i].all, arrival{time.Since(t.began), before})
 			t.mu.Unlock()
@@ -190,7 +190,7 @@
 	doors := t.short
 	if t.Zoned != nil && t.Zoned.Doors {
 		for i, h := range t.hosts {
-			if all[i]["hostPort"], err = h.Door(); err != nil {
+			if all[i]["hostPort"], err = h.ListenSecond(); err != nil {
 				return err
 			}
 		}
@@ -203,8 +203,8 @@
 		if err != nil {
 			return err
 		}
-		if d.Tell(t.short); i%2 == 1 {
-			d.Tell(doors)
+		if d.Publish(t.short); i%2 == 1 {
+			d.Publish(doors)
 		}
 		t.discos = append(t.discos, d)
 	}
@@ -400,8 +400,8 @@
 	}
 	// What a request costs at a host, on the mean, and what the replicas and primaries of all groups can do.
 	rate := t.Use * float64(t.res.Hosts*cores) / work.Seconds()
-	load := &emulator.Load{Address: t.gates[0].listen, Groups: t.res.Hosts / t.Members, Rate: rate, Seed: t.Seed, Slack: slack,
-		Away: func(gate int) bool { return t.gates[gate].away.Load() }}
+	load := &emulator.Load{Address: t.gates[0].listen, Groups: t.res.Hosts / t.Members, Rate: rate, Seed: t.Seed, AnswerSlack: slack,
+		Draining: func(gate int) bool { return t.gates[gate].away.Load() }}
 	for _, g := range t.gates[1:] {
 		load.Others = append(load.Others, g.listen)
 	}
@@ -429,7 +429,7 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	t.res.SentAgain = load.SentAgain()
+	t.res.SentAgain = load.Resent()
 	t.judge(samples)
 	if t.Zoned != nil {
 		var err error
@@ -465,7 +465,7 @@
 		t.restart(e.Gate, g, stay)
 		return // what it has taken is to be answered
 	case Join:
-		t.discos[e.Gate].Tell(t.list)
+		t.discos[e.Gate].Publish(t.list)
 		return
 	case Cut, Late, Lossy:
 		t.exchange.set(e.Gate, func(l *link) {
@@ -530,25 +530,25 @@
 	var earned, asked float64
 	for _, s := range samples {
 		r.Requests++
-		earned += s.Earned()
-		if (s.Err == nil || errors.Is(s.Err, emulator.ErrRefused)) && s.Took > emulator.Classes[s.Class].Deadline {
+		earned += s.EarnedWeight()
+		if (s.Err == nil || errors.Is(s.Err, emulator.ErrRejected)) && s.Latency > emulator.Classes[s.Class].Deadline {
 			r.Late++
 		}
-		asked += s.Asked()
-		hurt := slices.ContainsFunc(t.gates[s.Gate].hurt, func(h span) bool { return s.At.Before(h.to) && s.At.Add(s.Took).After(h.from) })
-		closed := errors.Is(s.Err, emulator.ErrClosed)
+		asked += s.Weight()
+		hurt := slices.ContainsFunc(t.gates[s.Gateway].hurt, func(h span) bool { return s.At.Before(h.to) && s.At.Add(s.Latency).After(h.from) })
+		closed := errors.Is(s.Err, emulator.ErrConnectionClosed)
 		if closed && !hurt {
 			r.ClosedNew++
 		}
 		switch {
 		case s.Err == nil:
-		case errors.Is(s.Err, emulator.ErrRefused) && (!closed || !hurt):
+		case errors.Is(s.Err, emulator.ErrRejected) && (!closed || !hurt):
 			r.Refused++
 		case hurt:
 			r.Disturbed++
 		default:
 			r.Lost++
-			t.Log("lost at gateway %d, sent at %v: %v after %v", s.Gate, s.At.Sub(t.began), s.Err, s.Took)
+			t.Log("lost at gateway %d, sent at %v: %v after %v", s.Gateway, s.At.Sub(t.began), s.Err, s.Latency)
 		}
 	}
 	r.InTime = earned / max(asked, 1)
--- a/internal/lab/processrig/zone.go
+++ b/internal/lab/processrig/zone.go
@@ -133,16 +133,16 @@
 		}
 	}
 	if t.Zoned.Doors {
-		each(func(h *emulator.Host) { h.Shut(true) })
+		each(func(h *emulator.Host) { h.SilenceSecond(true) })
 		wait(time.Duration(o.ForMS) * time.Millisecond)
-		each(func(h *emulator.Host) { h.Shut(false) })
+		each(func(h *emulator.Host) { h.SilenceSecond(false) })
 		return
 	}
-	each(func(h *emulator.Host) { h.Hang(true) })
+	each(func(h *emulator.Host) { h.SetHanging(true) })
 	wait(time.Duration(o.ForMS) * time.Millisecond)
 	each(func(h *emulator.Host) {
-		h.Chill(coldFor, 0.25, float64(cores)/work.Seconds(), 4, 1500*time.Millisecond)
-		h.Hang(false)
+		h.StartCold(coldFor, 0.25, float64(cores)/work.Seconds(), 4, 1500*time.Millisecond)
+		h.SetHanging(false)
 	})
 }
 
@@ -150,7 +150,7 @@
 func (t *stage) judgeZones(samples []emulator.Sample) (*Left, error) {
 	l := &Left{Bytes: float64(t.post.bytes.Load()) / float64(len(t.gates)) / t.For.Seconds()}
 	for _, h := range t.hosts {
-		if h.Fell() {
+		if h.PushedOver() {
 			l.ColdFalls++
 		}
 	}
@@ -214,7 +214,7 @@
 		var earned, asked float64
 		for _, s := range samples {
 			if s.At.Sub(t.began).Milliseconds() > o.AtMS {
-				earned, asked = earned+s.Earned(), asked+s.Asked()
+				earned, asked = earned+s.EarnedWeight(), asked+s.Weight()
 			}
 		}
 		l.InTime = earned / max(asked, 1)
--- a/internal/lab/restart/beside.go
+++ b/internal/lab/restart/beside.go
@@ -85,7 +85,7 @@
 	if err := s.add(hosts, "s-"); err != nil {
 		return nil, err
 	}
-	s.hosts[0].Primary(true)
+	s.hosts[0].SetPrimary(true)
 	if err := s.configure(discovery.Address()); err != nil {
 		return nil, err
 	}
@@ -122,9 +122,9 @@
 	h := hdrhistogram.New(1, 10_000_000, 3)
 	served := 0
 	for _, x := range samples {
-		if x.Served {
+		if x.Succeeded {
 			served++
-			_ = h.RecordValue(x.Took.Microseconds())
+			_ = h.RecordValue(x.Latency.Microseconds())
 		}
 	}
 	return &Latency{h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.ValueAtQuantile(99.9), float64(served) / float64(max(len(samples), 1)), writes.Load()}, nil
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -155,7 +155,7 @@
 	if err := s.add(hosts, "s-"); err != nil {
 		return nil, err
 	}
-	s.hosts[0].Primary(true)
+	s.hosts[0].SetPrimary(true)
 	if err := s.configure(discovery.Address()); err != nil {
 		return nil, err
 	}
@@ -190,24 +190,24 @@
 		if err != nil {
 			return nil, err
 		}
-		discovery.Tell(string(line))
+		discovery.Publish(string(line))
 	}
 	if err := pause(ctx, time.Second); err != nil {
 		return nil, err
 	}
-	discovery.Mute()
+	discovery.Silence()
 	// The primary hangs, and another takes over: everybody but discovery and the list on file comes to know.
 	next := s.hosts[1+rng.IntN(hosts-1)]
 	if o.Replace > 0 {
 		next = s.hosts[hosts+rng.IntN(o.Replace)]
 	}
 	o.Log("s-0 hangs, %s takes over", next.ID)
-	s.hosts[0].Hang(true)
+	s.hosts[0].SetHanging(true)
 	if err := pause(ctx, 800*time.Millisecond); err != nil {
 		return nil, err
 	}
-	s.hosts[0].Primary(false)
-	next.Primary(true)
+	s.hosts[0].SetPrimary(false)
+	next.SetPrimary(true)
 	if err := pause(ctx, time.Duration(2500+rng.IntN(1000))*time.Millisecond); err != nil {
 		return nil, err
 	}
@@ -242,10 +242,10 @@
 			continue
 		}
 		side.Requests++
-		earned[x.Class] += x.Earned()
-		asked[x.Class] += x.Asked()
-		sum += x.Earned()
-		of += x.Asked()
+		earned[x.Class] += x.EarnedWeight()
+		asked[x.Class] += x.Weight()
+		sum += x.EarnedWeight()
+		of += x.Weight()
 	}
 	if of > 0 {
 		side.Share = sum / of
