--- /dev/null
+++ b/internal/lab/processrig/configuration.go
@@ -0,0 +1,176 @@
+package processrig
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+
+	"cloverrock/internal/lab/emulator"
+)
+
+// object is a JSON object.
+type object = map[string]any
+
+// Generations of the endpoint lists.
+const (
+	initialGeneration = 6
+	fullGeneration    = 7
+)
+
+// endpointLists are the lists that discovery publishes, in the form of the wire.
+type endpointLists struct {
+	full          string
+	initial       string // lacks the last host of each group, where the run wants that
+	ofOddGateways string // published after initial to gateways of odd numbers
+}
+
+func (r *rig) makeLists() (endpointLists, error) {
+	endpoints := r.endpoints()
+	var withoutLast []object
+	for i, endpoint := range endpoints {
+		if !r.isLastOfGroup(i) {
+			withoutLast = append(withoutLast, endpoint)
+		}
+	}
+	var lists endpointLists
+	var err error
+	if lists.full, err = encodeList(fullGeneration, endpoints); err != nil {
+		return lists, err
+	}
+	lists.initial = lists.full
+	if r.Plan == "join" || r.Break == BreakSubsetFixed {
+		if lists.initial, err = encodeList(initialGeneration, withoutLast); err != nil {
+			return lists, err
+		}
+	}
+	lists.ofOddGateways = lists.initial
+	if r.Zoned != nil && r.Zoned.SecondAddresses {
+		lists.ofOddGateways, err = r.listOfSecondAddresses(endpoints)
+	}
+	return lists, err
+}
+
+func (r *rig) endpoints() []object {
+	var endpoints []object
+	for i, host := range r.hosts {
+		rank := "copy"
+		if r.isPrimary(i) {
+			rank = "source"
+		}
+		endpoints = append(endpoints, object{
+			"instanceId": host.ID, "hostPort": host.Address(), "cell": 1 + i/r.Members,
+			"lifecycle": "SERVING", "rank": rank, "zone": r.zoneName(i),
+		})
+	}
+	return endpoints
+}
+
+func (r *rig) listOfSecondAddresses(endpoints []object) (string, error) {
+	for i, host := range r.hosts {
+		address, err := host.ListenSecond()
+		if err != nil {
+			return "", err
+		}
+		endpoints[i]["hostPort"] = address
+	}
+	return encodeList(fullGeneration, endpoints)
+}
+
+func encodeList(generation int, endpoints []object) (string, error) {
+	text, err := json.Marshal(object{"generation": generation, "reset": true, "instances": endpoints})
+	return string(text), err
+}
+
+// zoneName is the zone of a host or gateway.
+func (r *rig) zoneName(i int) string {
+	if r.Zoned == nil {
+		return ""
+	}
+	return "z" + strconv.Itoa(i%r.Zoned.Zones)
+}
+
+// writeFiles writes the files that gateway i starts with.
+func (r *rig) writeFiles(i int) error {
+	if r.Zoned != nil && !r.Zoned.Alone {
+		r.gateways[i].settingsFile = filepath.Join(r.directory, fmt.Sprintf("%d-settings.json", i))
+		if err := writeJSON(r.gateways[i].settingsFile, r.fleetSettings(i)); err != nil {
+			return err
+		}
+	}
+	return writeJSON(r.gateways[i].configFile, r.configuration(i))
+}
+
+func writeJSON(path string, value any) error {
+	text, err := json.Marshal(value)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(path, text, 0o600)
+}
+
+func (r *rig) configuration(i int) object {
+	gateway := r.gateways[i]
+	configuration := object{
+		"name":      fmt.Sprintf("n%d", i),
+		"listen":    gateway.listen,
+		"discovery": r.discoveries[i].Address(),
+		"seed":      strconv.FormatUint(r.Seed*1000+uint64(i), 16),
+		"limits":    object{"memory_mb": 64, "sockets": 512},
+		"known":     json.RawMessage(r.lists.initial),
+		"settings":  r.platformSettings(i),
+	}
+	if r.Policy != PolicyRandom {
+		configuration["peer_listen"] = gateway.peer
+		configuration["peers"] = r.datagrams.addresses()
+		configuration["peers_all"] = r.datagrams.broadcastAddress()
+	}
+	return configuration
+}
+
+func (r *rig) platformSettings(i int) object {
+	obligations := object{
+		"coldFrom": 0.25, "coldMs": 16000, "drainGraceMs": 1000, "fallMultiple": 4, "overloadForMs": 1500,
+	}
+	settings := object{
+		"tickMs": 5.0, "classes": emulator.ClassSettings(), "balancers": r.Gateways, "ordinal": i,
+		"extra": object{
+			"classRead":        []string{"recent", "own_writes", "update"},
+			"stalenessBoundMs": []int{500, 0, 0}, "serverChecks": "none", "tokens": "client",
+		},
+		"costs":  object{"peer": 0.012},
+		"report": object{"fields": []string{"x0", "x1"}, "source": "answers"},
+		"limits": object{
+			"cancel": true, "probes": true, "mayTell": true, "dialTimeoutMs": 250, "idleCloseMs": 30000,
+			"maxAttempts": 10, "maxRetryAfterMs": 1000,
+		},
+		"obligations": obligations,
+	}
+	if r.Zoned != nil {
+		var names []string
+		for zone := range r.Zoned.Zones {
+			names = append(names, r.zoneName(zone))
+		}
+		settings["zones"] = names
+		settings["zone"] = i % r.Zoned.Zones
+		obligations["coldMs"] = warmingTime.Milliseconds()
+	}
+	return settings
+}
+
+// fleetSettings turn on the decisions that gateways take together.
+func (r *rig) fleetSettings(i int) object {
+	const joinAtMost = 3
+	zones := object{"away_ms": 3000, "step_ms": r.Zoned.StepMS, "delay_ms": 500}
+	if r.Zoned.Break != "" {
+		zones["without"] = []string{r.Zoned.Break}
+	}
+	var join []string
+	for other := range min(joinAtMost, len(r.gateways)) {
+		join = append(join, r.gateways[other].fleet)
+	}
+	return object{"fleet": object{
+		"listen": r.gateways[i].fleet, "join": join, "relay": r.fleetRelay.address(i), "zones": zones,
+	}}
+}
--- /dev/null
+++ b/internal/lab/processrig/evaluate.go
@@ -0,0 +1,121 @@
+package processrig
+
+import (
+	"errors"
+	"slices"
+	"time"
+
+	"cloverrock/internal/lab/emulator"
+)
+
+// killTimeout is how long a killed process may take to end.
+const killTimeout = 5 * time.Second
+
+// evaluate fills in the result of a run from the clients' samples, the hosts' logs and the processes.
+func (r *rig) evaluate(samples []emulator.Sample) {
+	r.evaluateSamples(samples)
+	delivered, bytes, lost := r.datagrams.counts()
+	connections := r.countConnections()
+	r.endGateways()
+	requests := float64(max(r.result.Requests, 1))
+	r.result.PeerMessages = delivered
+	r.result.PeerLost = lost
+	r.result.PeerBytes = float64(bytes) / requests
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.result.CPU = float64(r.endedCPU.Milliseconds()) / requests
+	r.result.Spread = measureSpread(r.replicaLogs(), settlingTime, r.For)
+	r.result.Spread.ConnectionsP50 = connections[len(connections)/2]
+	r.result.Spread.ConnectionsMax = connections[len(connections)-1]
+	r.result.HerdsAtMost = int(1.5*r.result.Spread.FairHerds) + 20
+	r.result.CVAtMost = 2 * r.result.Spread.Fair1s
+}
+
+func (r *rig) evaluateSamples(samples []emulator.Sample) {
+	var earned, possible float64
+	for _, sample := range samples {
+		r.result.Requests++
+		earned += sample.EarnedWeight()
+		possible += sample.Weight()
+		r.evaluateSample(sample)
+	}
+	r.result.InTime = earned / max(possible, 1)
+}
+
+func (r *rig) evaluateSample(sample emulator.Sample) {
+	rejected := errors.Is(sample.Err, emulator.ErrRejected)
+	closed := errors.Is(sample.Err, emulator.ErrConnectionClosed)
+	disturbed := r.wasDisturbed(sample)
+	answered := sample.Err == nil || rejected
+	if answered && sample.Latency > emulator.Classes[sample.Class].Deadline {
+		r.result.LateAnswers++
+	}
+	if closed && !disturbed {
+		r.result.ClosedNewConnections++
+	}
+	switch {
+	case sample.Err == nil:
+	case rejected && (!closed || !disturbed):
+		r.result.Rejected++
+	case disturbed:
+		r.result.Disturbed++
+	default:
+		r.result.Lost++
+		r.Log("lost at gateway %d, sent at %v: %v after %v",
+			sample.Gateway, sample.At.Sub(r.start), sample.Err, sample.Latency)
+	}
+}
+
+// wasDisturbed reports whether the gateway was stopped or dead while the request was with it.
+func (r *rig) wasDisturbed(sample emulator.Sample) bool {
+	request := interval{sample.At, sample.At.Add(sample.Latency)}
+	return slices.ContainsFunc(r.gateways[sample.Gateway].disturbed, request.overlaps)
+}
+
+// countConnections returns the numbers of open connections at the hosts, sorted.
+func (r *rig) countConnections() []int {
+	var connections []int
+	for _, host := range r.hosts {
+		connections = append(connections, host.Connections())
+	}
+	slices.Sort(connections)
+	return connections
+}
+
+// endGateways kills all gateways, and counts those that had ended before or don't end.
+func (r *rig) endGateways() {
+	for _, gateway := range r.gateways {
+		if gateway.hasEnded() {
+			r.result.EndedByThemselves++
+		}
+		_ = gateway.command.Process.Kill() // it may have ended already
+		select {
+		case <-gateway.ended:
+		case <-time.After(killTimeout):
+			r.result.StillRunning++
+		}
+	}
+}
+
+// replicaLogs returns the logs of all replicas, sorted by time. Hosts that join are compared once all gateways have
+// known them for the settling time.
+func (r *rig) replicaLogs() []hostLog {
+	joined := time.Duration(0)
+	for _, event := range r.events {
+		if event.Fault == Join {
+			joined = max(joined, time.Duration(event.AtMS)*time.Millisecond+settlingTime)
+		}
+	}
+	var replicas []hostLog
+	for i, log := range r.logs {
+		if r.isPrimary(i) {
+			continue
+		}
+		if r.isLastOfGroup(i) {
+			log.comparableFrom = joined
+		}
+		slices.SortFunc(log.arrivals, func(a, b arrival) int { return int(a.at - b.at) })
+		replicas = append(replicas, log)
+	}
+	return replicas
+}
--- /dev/null
+++ b/internal/lab/processrig/faults.go
@@ -0,0 +1,136 @@
+package processrig
+
+import (
+	"context"
+	"sync"
+	"syscall"
+	"time"
+
+	"cloverrock/internal/lab/emulator"
+)
+
+const (
+	reconnectTime     = 100 * time.Millisecond // until a gateway that was stopped or killed accepts connections
+	restartReadyLimit = 10 * time.Second
+	shutdownMargin    = 700 * time.Millisecond // beyond the longest deadline, for a graceful shutdown
+)
+
+// beginFaults schedules the faults of the run.
+func (r *rig) beginFaults(ctx context.Context, wait *sync.WaitGroup) {
+	for _, event := range r.events {
+		wait.Go(func() { r.carryOut(ctx, event) })
+	}
+	if r.Zoned == nil {
+		return
+	}
+	for _, outage := range r.hostOutages() {
+		wait.Go(func() { r.playOutage(ctx, outage) })
+	}
+}
+
+// carryOut has a fault of a gateway come and go.
+func (r *rig) carryOut(ctx context.Context, event Event) {
+	if !r.sleepUntil(ctx, event.AtMS) {
+		return
+	}
+	gateway := r.gateways[event.Gateway]
+	from := time.Now()
+	duration := time.Duration(event.ForMS) * time.Millisecond
+	switch event.Fault {
+	case Stop:
+		gateway.signal(syscall.SIGSTOP)
+		sleep(ctx, duration)
+		gateway.signal(syscall.SIGCONT)
+		r.noteDisturbed(gateway, from)
+	case Kill:
+		gateway.kill()
+		sleep(ctx, duration)
+		if err := r.startGateway(event.Gateway); err != nil {
+			r.Log("%v", err)
+		}
+		r.noteDisturbed(gateway, from)
+	case Restart: // no disturbance: what the gateway has accepted is to be answered
+		r.restart(ctx, event.Gateway, duration)
+	case Join:
+		r.discoveries[event.Gateway].Publish(r.lists.full)
+	case Cut, Late, Lossy: // no disturbance, either
+		r.datagrams.setLink(event.Gateway, linkOf(event))
+		sleep(ctx, duration)
+		r.datagrams.setLink(event.Gateway, link{})
+	}
+}
+
+func linkOf(event Event) link {
+	return link{
+		cutFrom: event.From, cutTo: event.To, lossy: event.Fault == Lossy,
+		delay: time.Duration(event.Delay) * time.Millisecond,
+	}
+}
+
+func (r *rig) noteDisturbed(gateway *gatewayProcess, from time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	gateway.disturbed = append(gateway.disturbed, interval{from, time.Now().Add(reconnectTime)})
+}
+
+// restart ends a gateway as planned and starts it again. The front sends it new connections for a while after the signal;
+// clients send on connections that stay open until it has ended. The end of the run does not cut it short.
+func (r *rig) restart(ctx context.Context, i int, frontDelay time.Duration) {
+	ctx = context.WithoutCancel(ctx)
+	gateway := r.gateways[i]
+	signaled := time.Now()
+	if r.Break == BreakAbrupt {
+		gateway.signal(syscall.SIGKILL)
+	} else {
+		gateway.signal(syscall.SIGTERM)
+	}
+	sleep(ctx, frontDelay)
+	gateway.draining.Store(true)
+	r.waitShutdown(gateway, signaled.Add(longestDeadline()+shutdownMargin))
+	if err := r.startGateway(i); err != nil {
+		r.Log("%v", err)
+		return
+	}
+	up, cancel := context.WithTimeout(ctx, restartReadyLimit)
+	defer cancel()
+	if err := r.waitReady(up, i); err != nil {
+		r.Log("%v", err)
+		return
+	}
+	gateway.draining.Store(false)
+}
+
+// waitShutdown waits until the gateway has ended, and kills it if it has not by the limit.
+func (r *rig) waitShutdown(gateway *gatewayProcess, limit time.Time) {
+	select {
+	case <-gateway.ended:
+	case <-time.After(time.Until(limit)):
+		r.mu.Lock()
+		r.result.Killed++
+		r.mu.Unlock()
+		gateway.kill()
+	}
+}
+
+func longestDeadline() time.Duration {
+	longest := time.Duration(0)
+	for _, class := range emulator.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	return longest
+}
+
+// sleepUntil waits for a time since the start, and reports whether the run still goes on.
+func (r *rig) sleepUntil(ctx context.Context, milliseconds int64) bool {
+	return sleep(ctx, time.Until(r.start.Add(time.Duration(milliseconds)*time.Millisecond)))
+}
+
+// sleep waits, and reports whether the run still goes on.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(duration):
+		return true
+	}
+}
--- /dev/null
+++ b/internal/lab/processrig/fleetrelay.go
@@ -0,0 +1,156 @@
+package processrig
+
+import (
+	"bufio"
+	"io"
+	"math/rand/v2"
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+)
+
+const maxFleetDatagram = 64 << 10
+
+// fleetRelay carries what gateways tell one another of their decisions. Each gateway sends everything to an address of its
+// own here, with the receiver's address before it: in a datagram a length byte and the address, on a stream a line. It is
+// carried on unless the two are cut off from each other.
+type fleetRelay struct {
+	numbers   map[string]int // by the address at which a gateway listens
+	cut       func(from, to int) bool
+	lossy     bool // one datagram in five is lost
+	bytes     atomic.Int64
+	sockets   []*net.UDPConn
+	listeners []net.Listener
+	wait      sync.WaitGroup
+
+	mu   sync.Mutex
+	open map[net.Conn]struct{}
+}
+
+// newFleetRelay takes the addresses at which the gateways listen.
+func newFleetRelay(listen []string, lossy bool, cut func(from, to int) bool) (*fleetRelay, error) {
+	p := &fleetRelay{numbers: map[string]int{}, cut: cut, lossy: lossy, open: map[net.Conn]struct{}{}}
+	for i, address := range listen {
+		p.numbers[address] = i
+	}
+	for i := range listen {
+		if err := p.listen(i); err != nil {
+			p.close()
+			return nil, err
+		}
+	}
+	return p, nil
+}
+
+// listen opens a gateway's address, for datagrams and streams alike.
+func (p *fleetRelay) listen(from int) error {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	p.listeners = append(p.listeners, listener)
+	port := listener.Addr().(*net.TCPAddr).Port
+	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: port})
+	if err != nil {
+		return err
+	}
+	p.sockets = append(p.sockets, socket)
+	p.wait.Go(func() { p.carryDatagrams(from, socket) })
+	p.wait.Go(func() { p.acceptStreams(from, listener) })
+	return nil
+}
+
+// address is where a gateway sends to.
+func (p *fleetRelay) address(gateway int) string { return p.listeners[gateway].Addr().String() }
+
+func (p *fleetRelay) carryDatagrams(from int, socket *net.UDPConn) {
+	buffer := make([]byte, maxFleetDatagram)
+	for {
+		n, _, err := socket.ReadFromUDP(buffer)
+		if err != nil {
+			return
+		}
+		if n == 0 || n < 1+int(buffer[0]) {
+			continue
+		}
+		body := 1 + int(buffer[0])
+		receiver := string(buffer[1:body])
+		address, err := net.ResolveUDPAddr("udp4", receiver)
+		if err != nil || !p.connected(from, receiver) || p.lossy && rand.IntN(loseOneOf) == 0 {
+			continue
+		}
+		p.bytes.Add(int64(n))
+		_, _ = socket.WriteToUDP(buffer[body:n], address) // a datagram may be lost
+	}
+}
+
+// connected reports whether the gateway at an address can be reached from another.
+func (p *fleetRelay) connected(from int, address string) bool {
+	to, known := p.numbers[address]
+	return known && !p.cut(from, to)
+}
+
+func (p *fleetRelay) acceptStreams(from int, listener net.Listener) {
+	for {
+		accepted, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		p.wait.Go(func() { p.carryStream(from, accepted) })
+	}
+}
+
+func (p *fleetRelay) carryStream(from int, accepted net.Conn) {
+	defer p.track(accepted)()
+	reader := bufio.NewReader(accepted)
+	line, err := reader.ReadString('\n')
+	receiver := strings.TrimSpace(line)
+	if err != nil || !p.connected(from, receiver) {
+		return
+	}
+	dialed, err := net.Dial("tcp4", receiver)
+	if err != nil {
+		return
+	}
+	defer p.track(dialed)()
+	sent := make(chan struct{})
+	go func() {
+		defer close(sent)
+		n, _ := io.Copy(dialed, reader) // either side may end the stream
+		p.bytes.Add(n)
+		_ = dialed.(*net.TCPConn).CloseWrite() // as above
+	}()
+	n, _ := io.Copy(accepted, dialed) // as above
+	p.bytes.Add(n)
+	_ = accepted.Close() // ends the copy above
+	<-sent
+}
+
+// track has the connection closed at the end of the run, and returns a function that closes it now.
+func (p *fleetRelay) track(connection net.Conn) func() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.open[connection] = struct{}{}
+	return func() {
+		_ = connection.Close() // the stream is over
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		delete(p.open, connection)
+	}
+}
+
+func (p *fleetRelay) close() {
+	for _, socket := range p.sockets {
+		_ = socket.Close() // the run is over
+	}
+	for _, listener := range p.listeners {
+		_ = listener.Close() // the run is over
+	}
+	p.mu.Lock()
+	for connection := range p.open {
+		_ = connection.Close() // the run is over
+	}
+	p.mu.Unlock()
+	p.wait.Wait()
+}
--- /dev/null
+++ b/internal/lab/processrig/gateway.go
@@ -0,0 +1,116 @@
+package processrig
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync/atomic"
+	"syscall"
+	"time"
+)
+
+// gatewayProcess is one process of the gateway.
+type gatewayProcess struct {
+	listen, peer string
+	fleet        string // where it hears those with which it decides
+	configFile   string
+	settingsFile string // empty: it decides alone
+	command      *exec.Cmd
+	ended        chan struct{}
+	draining     atomic.Bool // the front sends no new connections
+	disturbed    []interval  // when it was stopped or dead
+}
+
+type interval struct{ from, to time.Time }
+
+// overlaps reports whether the interval shares a moment with another.
+func (i interval) overlaps(other interval) bool {
+	return i.from.Before(other.to) && i.to.After(other.from)
+}
+
+// errEndedAtStart is a gateway that ended before it accepted connections.
+var errEndedAtStart = errors.New("ended at its start")
+
+// logName is the file in the rig's directory to which all gateways log.
+const logName = "log"
+
+// readyPoll is the pause between tries to connect to a gateway that starts.
+const readyPoll = 5 * time.Millisecond
+
+// kill ends the process, if it was started, and waits for its end.
+func (g *gatewayProcess) kill() {
+	if g.command == nil {
+		return
+	}
+	_ = g.command.Process.Kill() // it may have ended already
+	<-g.ended
+}
+
+// signal sends a signal to the process.
+func (g *gatewayProcess) signal(signal syscall.Signal) {
+	_ = g.command.Process.Signal(signal) // it may have ended already
+}
+
+// hasEnded reports whether the process has ended.
+func (g *gatewayProcess) hasEnded() bool {
+	select {
+	case <-g.ended:
+		return true
+	default:
+		return false
+	}
+}
+
+func (r *rig) startGateway(i int) error {
+	gateway := r.gateways[i]
+	log, err := os.OpenFile(filepath.Join(r.directory, logName), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	args := []string{"serve"}
+	if gateway.settingsFile != "" {
+		args = append(args, "--settings", gateway.settingsFile)
+	}
+	command := exec.Command(r.Program, args...)
+	command.Env = append(os.Environ(), "EDGE_CONFIG="+gateway.configFile)
+	command.Stderr = log
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the run
+	if err := command.Start(); err != nil {
+		return fmt.Errorf("gateway %d: %w", i, err)
+	}
+	ended := make(chan struct{})
+	gateway.command = command
+	gateway.ended = ended
+	go func() {
+		defer close(ended)
+		_ = command.Wait() // how it ended is seen from outside
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.endedCPU += command.ProcessState.UserTime() + command.ProcessState.SystemTime()
+	}()
+	return nil
+}
+
+// waitReady waits until a gateway accepts connections.
+func (r *rig) waitReady(ctx context.Context, i int) error {
+	gateway := r.gateways[i]
+	for {
+		connection, err := net.DialTimeout("tcp4", gateway.listen, time.Second)
+		if err == nil {
+			_ = connection.Close() // it has served its purpose
+			return nil
+		}
+		select {
+		case <-ctx.Done():
+			return fmt.Errorf("gateway %d does not come up: %w", i, ctx.Err())
+		case <-gateway.ended:
+			return fmt.Errorf("gateway %d: %w", i, errEndedAtStart)
+		case <-time.After(readyPoll):
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/processrig/plan_test.go
@@ -0,0 +1,45 @@
+package processrig
+
+import (
+	"testing"
+	"time"
+)
+
+// The same name and seed give the same faults; another seed gives others.
+func TestPlansFollowTheirSeed(t *testing.T) {
+	for _, name := range Plans {
+		first := hashOfPlan(t, name, 1)
+		again := hashOfPlan(t, name, 1)
+		other := hashOfPlan(t, name, 2)
+		random := name != "none" && name != "loss"
+		if first != again || random && first == other {
+			t.Errorf("plan %s does not follow its seed", name)
+		}
+	}
+	if _, err := MakePlan("storm", 1, 3, time.Second); err == nil {
+		t.Error("a plan that is none was taken")
+	}
+}
+
+// hashOfPlan makes a plan, checks that its events lie within the run, and returns its hash.
+func hashOfPlan(t *testing.T, name string, seed uint64) string {
+	t.Helper()
+	const gateways, run = 30, 20 * time.Second
+	events, err := MakePlan(name, seed, gateways, run)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, event := range events {
+		known := event.Gateway >= 0 && event.Gateway < gateways
+		inTime := event.AtMS >= 0 && event.ForMS > 0 && event.AtMS+event.ForMS <= run.Milliseconds()
+		effective := event.Fault != Cut || event.From || event.To
+		if !known || !inTime || !effective {
+			t.Errorf("%s: %+v", name, event)
+		}
+	}
+	hash, err := Hash(events)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return hash
+}
--- /dev/null
+++ b/internal/lab/processrig/result.go
@@ -0,0 +1,81 @@
+package processrig
+
+import "slices"
+
+// Result of a run.
+type Result struct {
+	Gateways int    `json:"gateways"`
+	Hosts    int    `json:"hosts"`
+	Seed     uint64 `json:"seed"`
+	Plan     string `json:"plan"`
+	PlanHash string `json:"plan_hash"`
+	Policy   string `json:"policy"`
+	Requests int    `json:"requests"`
+	// Lost requests had no answer from a gateway that was neither stopped nor killed meanwhile; Disturbed ones had none
+	// from one that was.
+	Lost        int `json:"lost"`
+	Disturbed   int `json:"disturbed"`
+	LateAnswers int `json:"late"` // after their deadline
+	// ClosedNewConnections were closed before their first answer; their requests count as rejected.
+	ClosedNewConnections int     `json:"closed_new"`
+	Resent               int     `json:"sent_again"` // requests that met the end of an idle connection
+	Killed               int     `json:"killed"`     // gateways that had not ended by themselves when they had to
+	InTime               float64 `json:"in_time"`    // of all, by weight
+	Rejected             int     `json:"refused"`
+	Spread               Spread  `json:"spread"`
+	PeerBytes            float64 `json:"peer_bytes_per_request"`
+	PeerMessages         int     `json:"peer_messages"`
+	PeerLost             int     `json:"peer_lost"`
+	CPU                  float64 `json:"cpu_ms_per_request"`
+	StillRunning         int     `json:"gateways_left"` // after they were killed
+	EndedByThemselves    int     `json:"gateways_died"`
+	Events               []Event `json:"events"`
+	SettlingMS           int64   `json:"settling_ms"`
+
+	Zone        *ZoneResult `json:"zone,omitempty"`
+	HerdsAtMost int         `json:"herd_windows_at_most"`
+	CVAtMost    float64     `json:"cv_1s_at_most"`
+}
+
+// newConnectionsPerClose is how many requests there must be for each new connection that got no answer.
+const newConnectionsPerClose = 200
+
+// Found returns the faults of a run, in order.
+func (r *Result) Found() []string {
+	return faultsOf(map[string]bool{
+		"requests were lost":                         r.Lost > 0,
+		"hosts were idle":                            r.Spread.IdleSeconds > 0,
+		"more herds than chance and half as many":    r.Spread.HerdWindows > r.HerdsAtMost,
+		"twice as uneven over a second as by chance": r.Spread.CV1s > r.CVAtMost,
+		"gateways ended by themselves or were left":  r.EndedByThemselves > 0 || r.StillRunning > 0,
+		"gateways told to end did not in time":       r.Killed > 0,
+		"one new connection in 200 got no answer":    r.ClosedNewConnections*newConnectionsPerClose > r.Requests,
+	})
+}
+
+// FoundInZones returns the faults of a run with zones, in order. Gateways that decide alone have no duty together.
+func (r *Result) FoundInZones(alone bool) []string {
+	var faults []string
+	if r.Lost > 0 {
+		faults = append(faults, "requests were lost")
+	}
+	if r.EndedByThemselves > 0 || r.StillRunning > 0 {
+		faults = append(faults, "gateways ended by themselves or were left")
+	}
+	if alone {
+		return faults
+	}
+	return append(faults, r.Zone.faults(r.Plan, r.Gateways)...)
+}
+
+// faultsOf returns the names of the checks that are true.
+func faultsOf(checks map[string]bool) []string {
+	var faults []string
+	for name, found := range checks {
+		if found {
+			faults = append(faults, name)
+		}
+	}
+	slices.Sort(faults)
+	return faults
+}
--- /dev/null
+++ b/internal/lab/processrig/spread.go
@@ -0,0 +1,197 @@
+package processrig
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// Spread is how evenly requests fell on the hosts that are compared: the replicas of each group.
+type Spread struct {
+	CV100          float64 `json:"cv_100ms"` // coefficient of variation over the hosts of a group, mean of all windows
+	CV1s           float64 `json:"cv_1s"`
+	Fair100        float64 `json:"fair_cv_100ms"` // the same of random draws with the same means
+	Fair1s         float64 `json:"fair_cv_1s"`
+	MaxOverMean    float64 `json:"max_over_mean_1s"` // of a second's counts in a group, median of windows
+	P99OverMedian  float64 `json:"p99_over_median_queue"`
+	IdleSeconds    int     `json:"idle_host_seconds"`
+	HerdWindows    int     `json:"herd_windows"`
+	FairHerds      float64 `json:"fair_herd_windows"` // number expected by chance
+	Windows        int     `json:"windows"`
+	ConnectionsP50 int     `json:"connections_p50"`
+	ConnectionsMax int     `json:"connections_max"`
+}
+
+const (
+	shortWindow = 100 * time.Millisecond
+	longWindow  = time.Second
+
+	herdFactor = 3.0     // a window with more than so many times its group's mean is a herd
+	idlePart   = 1.0 / 4 // a host with less than this part of the mean may be idle
+	// rareChance is the probability below which it is: random draws would leave none of a run's thousands of windows so.
+	rareChance = 1e-5
+)
+
+// arrival is one request at a host, as the host saw it.
+type arrival struct {
+	at    time.Duration // since the start
+	queue int           // requests there before it
+}
+
+// hostLog is what one host saw.
+type hostLog struct {
+	group          int
+	comparableFrom time.Duration // from when on it should get its share
+	arrivals       []arrival     // sorted by time once the run is over
+}
+
+// count returns the number of arrivals in a window.
+func (l *hostLog) count(from, to time.Duration) int {
+	byTime := func(a arrival, at time.Duration) int { return cmp.Compare(a.at, at) }
+	first, _ := slices.BinarySearchFunc(l.arrivals, from, byTime)
+	end, _ := slices.BinarySearchFunc(l.arrivals, to, byTime)
+	return end - first
+}
+
+// groupWindow is what the hosts of one group got in one window.
+type groupWindow struct {
+	counts []int
+	mean   float64
+}
+
+// measureSpread compares the replicas of each group within a span of time.
+func measureSpread(hosts []hostLog, from, to time.Duration) Spread {
+	var spread Spread
+	groups := map[int][]hostLog{}
+	for _, host := range hosts {
+		groups[host.group] = append(groups[host.group], host)
+	}
+	spread.addShortWindows(windowsOf(groups, shortWindow, from, to))
+	spread.addLongWindows(windowsOf(groups, longWindow, from, to))
+	spread.P99OverMedian = queueRatio(hosts, from, to)
+	return spread
+}
+
+// windowsOf returns the windows of a length in which a group got any request.
+func windowsOf(groups map[int][]hostLog, length, from, to time.Duration) []groupWindow {
+	var windows []groupWindow
+	for _, members := range groups {
+		for at := from; at+length <= to; at += length {
+			if window, ok := windowOf(members, at, at+length); ok {
+				windows = append(windows, window)
+			}
+		}
+	}
+	return windows
+}
+
+func windowOf(members []hostLog, from, to time.Duration) (groupWindow, bool) {
+	var window groupWindow
+	sum := 0
+	for i := range members {
+		if members[i].comparableFrom > from {
+			continue
+		}
+		count := members[i].count(from, to)
+		window.counts = append(window.counts, count)
+		sum += count
+	}
+	if sum == 0 {
+		return window, false
+	}
+	window.mean = float64(sum) / float64(len(window.counts))
+	return window, true
+}
+
+func (s *Spread) addShortWindows(windows []groupWindow) {
+	for _, window := range windows {
+		s.CV100 += window.variation()
+		s.Fair100 += window.fairVariation()
+		for _, count := range window.counts {
+			s.Windows++
+			if float64(count) > herdFactor*window.mean {
+				s.HerdWindows++
+			}
+			s.FairHerds += window.chanceOfMoreThan(int(math.Floor(herdFactor * window.mean)))
+		}
+	}
+	n := float64(max(len(windows), 1))
+	s.CV100 /= n
+	s.Fair100 /= n
+}
+
+func (s *Spread) addLongWindows(windows []groupWindow) {
+	var peaks []float64
+	for _, window := range windows {
+		s.CV1s += window.variation()
+		s.Fair1s += window.fairVariation()
+		peaks = append(peaks, float64(slices.Max(window.counts))/window.mean)
+		for _, count := range window.counts {
+			if float64(count) < idlePart*window.mean && 1-window.chanceOfMoreThan(count) < rareChance {
+				s.IdleSeconds++
+			}
+		}
+	}
+	n := float64(max(len(windows), 1))
+	s.CV1s /= n
+	s.Fair1s /= n
+	if len(peaks) > 0 {
+		slices.Sort(peaks)
+		s.MaxOverMean = peaks[len(peaks)/2]
+	}
+}
+
+// queueRatio compares the longest queues that requests met with the median one; 0 without requests.
+func queueRatio(hosts []hostLog, from, to time.Duration) float64 {
+	var queues []int
+	for _, host := range hosts {
+		for _, arrived := range host.arrivals {
+			if arrived.at >= from && arrived.at < to {
+				queues = append(queues, arrived.queue)
+			}
+		}
+	}
+	if len(queues) == 0 {
+		return 0
+	}
+	slices.Sort(queues)
+	return float64(queues[len(queues)*99/100]+1) / float64(queues[len(queues)/2]+1)
+}
+
+// variation is the coefficient of variation of the counts.
+func (w groupWindow) variation() float64 {
+	sum := 0.0
+	for _, count := range w.counts {
+		difference := float64(count) - w.mean
+		sum += difference * difference
+	}
+	return math.Sqrt(sum/float64(len(w.counts))) / w.mean
+}
+
+// fairVariation is the coefficient of variation of requests that are each drawn for a host at random: their number is
+// given, so each count is binomial with the variance mean x (1 - 1/n).
+func (w groupWindow) fairVariation() float64 {
+	return math.Sqrt(w.mean*(1-1/float64(len(w.counts)))) / w.mean
+}
+
+// chanceOfMoreThan is the probability that a host gets more than k of the window's requests, were they drawn at random.
+func (w groupWindow) chanceOfMoreThan(k int) float64 {
+	hosts := float64(len(w.counts))
+	return binomialTail(w.mean*hosts, 1/hosts, k)
+}
+
+// binomialTail is the probability that a binomial count of so many draws, each with probability p, exceeds k.
+func binomialTail(draws, p float64, k int) float64 {
+	if p >= 1 {
+		return 0
+	}
+	n := int(math.Round(draws))
+	term := math.Pow(1-p, float64(n))
+	sum := 0.0
+	for i := 0; i <= min(k, n); i++ {
+		sum += term
+		term *= float64(n-i) / float64(i+1) * p / (1 - p)
+	}
+	return max(0, 1-sum)
+}
--- /dev/null
+++ b/internal/lab/processrig/zoneresult.go
@@ -0,0 +1,214 @@
+package processrig
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+
+	"cloverrock/internal/lab/emulator"
+)
+
+// ZoneResult is what the gateways did about a zone that failed. Times are milliseconds after the outage began.
+type ZoneResult struct {
+	FirstMS   int64   `json:"first"`
+	P99MS     int64   `json:"p99"`
+	LastMS    int64   `json:"last"`
+	Gateways  int     `json:"gateways"` // that left it
+	Steps     []int   `json:"steps"`    // of the return, as the first gateway took them
+	ReturnMS  int64   `json:"return_ms"`
+	InTime    float64 `json:"in_time"` // of the requests from the outage to the end
+	Reads     int     `json:"reads_while_left"`
+	Agreed    int     `json:"epochs"`
+	LateAtMS  int64   `json:"late_at_most_ms"`
+	Kept      int     `json:"kept"` // the share that was kept when it was left
+	ColdFalls int     `json:"cold_falls"`
+	// FalseLeaves are of zones that did not fail, or by gateways that see less than half of the others.
+	FalseLeaves int     `json:"false_leaves"`
+	Bytes       float64 `json:"fleet_bytes_per_gateway_s"`
+
+	leftAt []int64 // when each gateway left the zone, sorted at the end
+}
+
+// inForceLine is the log line of a gateway on the zone shares that are in force.
+type inForceLine struct {
+	Gateway string `json:"gateway"`
+	Time    int64  `json:"time"` // Unix milliseconds
+	Message string `json:"message"`
+	Shares  []int  `json:"shares"` // by zone, in hundredths
+	Epoch   int    `json:"epoch"`
+	LateMS  int64  `json:"late_ms"`
+}
+
+const (
+	inForceMessage = "in force"
+	wholeShare     = 100
+	firstGateway   = "n0"
+	settledMS      = 1000 // after the last gateway has left a zone, until which reads may still be on their way
+)
+
+// evaluateZones reads what the gateways did from their log lines, and what came of it from the hosts and clients.
+func (r *rig) evaluateZones(samples []emulator.Sample) (*ZoneResult, error) {
+	lines, err := readInForceLines(filepath.Join(r.directory, logName))
+	if err != nil {
+		return nil, err
+	}
+	result := &ZoneResult{
+		Bytes: float64(r.fleetRelay.bytes.Load()) / float64(len(r.gateways)) / r.For.Seconds(),
+	}
+	for _, host := range r.hosts {
+		if host.PushedOver() {
+			result.ColdFalls++
+		}
+	}
+	for _, ofGateway := range lines {
+		r.evaluateGateway(result, ofGateway)
+	}
+	result.summarizeLeaving()
+	if len(r.Zoned.Outages) > 0 {
+		result.InTime = r.inTimeSince(r.Zoned.Outages[0], samples)
+		result.Reads = r.readsWhileLeft(result, r.Zoned.Outages[0])
+	}
+	return result, nil
+}
+
+// readInForceLines returns the lines of each gateway, in order.
+func readInForceLines(path string) (map[string][]inForceLine, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = file.Close() }() // opened for reading only
+	lines := map[string][]inForceLine{}
+	scanner := bufio.NewScanner(file)
+	for scanner.Scan() {
+		var line inForceLine
+		if json.Unmarshal(scanner.Bytes(), &line) == nil && strings.HasPrefix(line.Message, inForceMessage) {
+			lines[line.Gateway] = append(lines[line.Gateway], line)
+		}
+	}
+	return lines, scanner.Err()
+}
+
+// evaluateGateway adds what one gateway did.
+func (r *rig) evaluateGateway(result *ZoneResult, lines []inForceLine) {
+	left := false
+	lastShare := -1
+	for _, line := range lines {
+		result.Agreed = max(result.Agreed, line.Epoch)
+		result.FalseLeaves += r.falseLeaves(line)
+		if len(r.Zoned.Outages) == 0 {
+			continue
+		}
+		outage := r.Zoned.Outages[0]
+		at := line.Time - r.start.UnixMilli() - outage.AtMS
+		if r.Plan == "split" && at < outage.ForMS-cutBeforeMS {
+			result.FalseLeaves++ // neither half is a majority
+		}
+		share := line.Shares[outage.Zone]
+		if share < wholeShare && !left {
+			left = true
+			result.Kept = max(result.Kept, share)
+			result.leftAt = append(result.leftAt, at)
+			result.LateAtMS = max(result.LateAtMS, line.LateMS)
+		}
+		if left && share != lastShare {
+			result.addStep(line.Gateway, share, at)
+			lastShare = share
+		}
+	}
+}
+
+// falseLeaves counts the zones that a line leaves though they don't fail in this run.
+func (r *rig) falseLeaves(line inForceLine) int {
+	count := 0
+	for zone, share := range line.Shares {
+		fails := slices.ContainsFunc(r.Zoned.Outages, func(outage Outage) bool { return outage.Zone == zone })
+		if share < wholeShare && !fails {
+			count++
+		}
+	}
+	return count
+}
+
+func (z *ZoneResult) addStep(gateway string, share int, at int64) {
+	if gateway == firstGateway {
+		z.Steps = append(z.Steps, share)
+	}
+	if share == wholeShare {
+		z.ReturnMS = max(z.ReturnMS, at)
+	}
+}
+
+func (z *ZoneResult) summarizeLeaving() {
+	slices.Sort(z.leftAt)
+	z.Gateways = len(z.leftAt)
+	if z.Gateways == 0 {
+		return
+	}
+	z.FirstMS = z.leftAt[0]
+	z.P99MS = z.leftAt[int(math.Ceil(float64(z.Gateways)*0.99))-1]
+	z.LastMS = z.leftAt[z.Gateways-1]
+}
+
+// inTimeSince is the part of the weight that was earned from the outage to the end of the run.
+func (r *rig) inTimeSince(outage Outage, samples []emulator.Sample) float64 {
+	var earned, possible float64
+	for _, sample := range samples {
+		if sample.At.Sub(r.start).Milliseconds() > outage.AtMS {
+			earned += sample.EarnedWeight()
+			possible += sample.Weight()
+		}
+	}
+	return earned / max(possible, 1)
+}
+
+// readsWhileLeft counts the requests at the zone's replicas from a while after the last gateway has left it to the end of
+// the outage.
+func (r *rig) readsWhileLeft(result *ZoneResult, outage Outage) int {
+	if result.Gateways == 0 {
+		return 0
+	}
+	reads := 0
+	for i, log := range r.logs {
+		if i%r.Zoned.Zones != outage.Zone || r.isPrimary(i) {
+			continue
+		}
+		for _, arrived := range log.arrivals {
+			at := arrived.at.Milliseconds() - outage.AtMS
+			if at > result.LastMS+settledMS && at < outage.ForMS {
+				reads++
+			}
+		}
+	}
+	return reads
+}
+
+// FaultFarApart is the one fault that depends on how fast the machine is.
+const FaultFarApart = "gateways left the zone far apart"
+
+// farApartMS is how far apart the gateways may leave a zone.
+const farApartMS = 500
+
+// faults returns what the gateways of a run by the plan did wrong.
+func (z *ZoneResult) faults(plan string, gateways int) []string {
+	// After a split has healed, the halves may find that the outage is over.
+	leaves := !slices.Contains([]string{"none", "host", "group", "partial", "split"}, plan)
+	inStep := slices.Contains([]string{"lost", "flap", "two"}, plan)
+	returned := len(z.Steps) > 0 && z.Steps[len(z.Steps)-1] == wholeShare
+	steps := fmt.Sprint(z.Steps)
+	return faultsOf(map[string]bool{
+		"cold hosts were pushed over":                            z.ColdFalls > 0,
+		"zones were left that did not fail, or without a quorum": z.FalseLeaves > 0,
+		"not all gateways left the zone":                         leaves && z.Gateways < gateways,
+		FaultFarApart:                                            inStep && z.P99MS-z.FirstMS > farApartMS,
+		"reads went on to a zone that was left":                  z.Kept == 0 && z.Reads > gateways,
+		"left whole, though the others do not bear it":           plan == "full" && z.Kept == 0,
+		"the zone was not returned to":                           leaves && plan != "flap" && !returned,
+		"the return was not by its steps":                        plan == "lost" && steps != "[0 2 5 10 20 40 70 100]",
+	})
+}
