--- a/internal/lab/processrig/configuration.go
+++ b/internal/lab/processrig/configuration.go
@@ -55,14 +55,10 @@
 func (r *rig) endpoints() []object {
 	var endpoints []object
 	for i, host := range r.hosts {
-		rank := "copy"
-		if r.isPrimary(i) {
-			rank = "source"
-		}
-		endpoints = append(endpoints, object{
-			"instanceId": host.ID, "hostPort": host.Address(), "cell": 1 + i/r.Members,
-			"lifecycle": "SERVING", "rank": rank, "zone": r.zoneName(i),
-		})
+		endpoint := emulator.Endpoint(host, r.isPrimary(i))
+		endpoint["cell"] = 1 + i/r.Members
+		endpoint["zone"] = r.zoneName(i)
+		endpoints = append(endpoints, endpoint)
 	}
 	return endpoints
 }
@@ -130,23 +126,11 @@
 }
 
 func (r *rig) platformSettings(i int) object {
-	obligations := object{
-		"coldFrom": 0.25, "coldMs": 16000, "drainGraceMs": 1000, "fallMultiple": 4, "overloadForMs": 1500,
-	}
-	settings := object{
-		"tickMs": 5.0, "classes": emulator.ClassSettings(), "balancers": r.Gateways, "ordinal": i,
-		"extra": object{
-			"classRead":        []string{"recent", "own_writes", "update"},
-			"stalenessBoundMs": []int{500, 0, 0}, "serverChecks": "none", "tokens": "client",
-		},
-		"costs":  object{"peer": 0.012},
-		"report": object{"fields": []string{"x0", "x1"}, "source": "answers"},
-		"limits": object{
-			"cancel": true, "probes": true, "mayTell": true, "dialTimeoutMs": 250, "idleCloseMs": 30000,
-			"maxAttempts": 10, "maxRetryAfterMs": 1000,
-		},
-		"obligations": obligations,
-	}
+	settings := emulator.PlatformSettings()
+	settings["balancers"] = r.Gateways
+	settings["ordinal"] = i
+	settings["costs"] = object{"peer": 0.012}
+	settings["limits"].(object)["mayTell"] = true
 	if r.Zoned != nil {
 		var names []string
 		for zone := range r.Zoned.Zones {
@@ -154,7 +138,7 @@
 		}
 		settings["zones"] = names
 		settings["zone"] = i % r.Zoned.Zones
-		obligations["coldMs"] = warmingTime.Milliseconds()
+		settings["obligations"].(object)["coldMs"] = warmingTime.Milliseconds()
 	}
 	return settings
 }
--- /dev/null
+++ b/internal/lab/restart/rig.go
@@ -0,0 +1,240 @@
+package restart
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"syscall"
+	"time"
+
+	"cloverrock/internal/lab/emulator"
+	"cloverrock/internal/lab/loopback"
+	"cloverrock/internal/settings"
+)
+
+// ErrNotReady is a gateway that does not accept connections in time.
+var ErrNotReady = errors.New("the gateway does not come up")
+
+const (
+	readyTimeout    = 10 * time.Second
+	readyPoll       = 2 * time.Millisecond
+	hostWork        = 8 * time.Millisecond // of a request
+	replicaLag      = 20 * time.Millisecond
+	knownGeneration = 7
+)
+
+// members are the names of the store's instances; the gateway runs the first.
+var members = []string{"a", "b", "c"}
+
+// rig is the processes and emulated parts of one play.
+type rig struct {
+	options      Options
+	directory    string
+	listen       string // of the gateway
+	configFile   string
+	settingsFile string // empty: without the store
+	discovery    *emulator.Discovery
+	hosts        []*emulator.Host
+	gateway      *exec.Cmd
+	instances    []*exec.Cmd // of the store, beside the gateway's own
+}
+
+// openRig starts the hosts, discovery and, if wanted, the store, and writes the gateway's files.
+func openRig(options Options, withStore bool) (*rig, error) {
+	directory, err := os.MkdirTemp("", "restart-")
+	if err != nil {
+		return nil, err
+	}
+	r := &rig{options: options, directory: directory}
+	if err := r.open(withStore); err != nil {
+		r.close()
+		return nil, err
+	}
+	return r, nil
+}
+
+func (r *rig) open(withStore bool) error {
+	var err error
+	if r.discovery, err = emulator.NewDiscovery(); err != nil {
+		return err
+	}
+	if err := r.addHosts(hostCount, "s-"); err != nil {
+		return err
+	}
+	r.hosts[0].SetPrimary(true)
+	if err := r.writeConfiguration(); err != nil {
+		return err
+	}
+	if withStore {
+		return r.startStore()
+	}
+	return nil
+}
+
+// close ends all that was started.
+func (r *rig) close() {
+	r.killGateway()
+	for _, instance := range r.instances {
+		kill(instance)
+	}
+	for _, host := range r.hosts {
+		host.Close()
+	}
+	if r.discovery != nil {
+		r.discovery.Close()
+	}
+	_ = os.RemoveAll(r.directory) // a directory that is left behind does no harm
+}
+
+func (r *rig) startProcess(env []string, args ...string) (*exec.Cmd, error) {
+	log, err := os.OpenFile(filepath.Join(r.directory, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	command := exec.Command(r.options.Program, args...)
+	command.Env = append(os.Environ(), env...)
+	command.Stderr = log
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the run
+	return command, command.Start()
+}
+
+func kill(process *exec.Cmd) {
+	_ = process.Process.Kill() // it may have ended already
+	_ = process.Wait()         // how it ended does not matter
+}
+
+// startGateway starts the gateway and waits until it accepts connections.
+func (r *rig) startGateway(ctx context.Context) error {
+	args := []string{"serve"}
+	if r.settingsFile != "" {
+		args = append(args, "--settings", r.settingsFile)
+	}
+	gateway, err := r.startProcess([]string{"EDGE_CONFIG=" + r.configFile}, args...)
+	if err != nil {
+		return err
+	}
+	r.gateway = gateway
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
+	defer cancel()
+	for ctx.Err() == nil {
+		if connection, err := net.DialTimeout("tcp4", r.listen, time.Second); err == nil {
+			_ = connection.Close() // it has served its purpose
+			return nil
+		}
+		time.Sleep(readyPoll)
+	}
+	return ErrNotReady
+}
+
+func (r *rig) killGateway() {
+	if r.gateway != nil {
+		kill(r.gateway)
+		r.gateway = nil
+	}
+}
+
+func pause(ctx context.Context, duration time.Duration) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(duration):
+		return nil
+	}
+}
+
+func (r *rig) addHosts(number int, prefix string) error {
+	for i := range number {
+		host, err := emulator.NewHost(prefix+strconv.Itoa(i), hostWork, replicaLag)
+		if err != nil {
+			return err
+		}
+		r.hosts = append(r.hosts, host)
+	}
+	return nil
+}
+
+// endpointList is a list in the form of the wire. The first host is said to be the primary.
+func endpointList(generation int, hosts []*emulator.Host) map[string]any {
+	var endpoints []map[string]any
+	for i, host := range hosts {
+		endpoints = append(endpoints, emulator.Endpoint(host, i == 0))
+	}
+	return map[string]any{"generation": generation, "reset": true, "instances": endpoints}
+}
+
+// writeConfiguration writes the gateway's configuration, with a list that names s-0 as the primary.
+func (r *rig) writeConfiguration() error {
+	free, err := loopback.Reserve(1)
+	if err != nil {
+		return err
+	}
+	r.listen = free[0]
+	text, err := json.MarshalIndent(map[string]any{
+		"name":      members[0],
+		"listen":    r.listen,
+		"discovery": r.discovery.Address(),
+		"seed":      strconv.FormatUint(r.options.Seed, 16),
+		"limits":    map[string]any{"memory_mb": 192, "sockets": 1024},
+		"known":     endpointList(knownGeneration, r.hosts),
+		"settings":  emulator.PlatformSettings(),
+	}, "", "  ")
+	if err != nil {
+		return err
+	}
+	r.configFile = filepath.Join(r.directory, "config.json")
+	return os.WriteFile(r.configFile, text, 0o600)
+}
+
+// startStore founds a store, and starts the instances beside the gateway's own.
+func (r *rig) startStore() error {
+	args := []string{"store", "init", "--dir", r.directory, "--local"}
+	free, err := loopback.Reserve(len(members))
+	if err != nil {
+		return err
+	}
+	for i, name := range members {
+		args = append(args, "--member", name+"="+free[i])
+	}
+	if output, err := exec.Command(r.options.Program, args...).CombinedOutput(); err != nil {
+		return fmt.Errorf("store init: %w: %s", err, output)
+	}
+	r.settingsFile = filepath.Join(r.directory, members[0]+".json")
+	err = r.editSettings(func(edited *settings.Settings) {
+		if !r.options.Forget {
+			edited.Learned = &settings.Learned{}
+		}
+	})
+	if err != nil {
+		return err
+	}
+	for _, name := range members[1:] {
+		file := filepath.Join(r.directory, name+".json")
+		instance, err := r.startProcess(nil, "store", "serve", "--settings", file)
+		if err != nil {
+			return err
+		}
+		r.instances = append(r.instances, instance)
+	}
+	return nil
+}
+
+// editSettings changes the settings file of the gateway.
+func (r *rig) editSettings(edit func(*settings.Settings)) error {
+	edited, err := settings.Load(r.settingsFile)
+	if err != nil {
+		return err
+	}
+	edit(edited)
+	text, err := json.Marshal(edited)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(r.settingsFile, text, 0o600)
+}
--- /dev/null
+++ b/internal/lab/restart/storecost.go
@@ -0,0 +1,177 @@
+package restart
+
+import (
+	"context"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"cloverrock/internal/lab/emulator"
+	"cloverrock/internal/settings"
+	"cloverrock/internal/store/client"
+	"cloverrock/internal/store/machine"
+	"cloverrock/internal/store/pki"
+)
+
+// Latency of requests through a gateway, from the time for which they were scheduled, in microseconds.
+type Latency struct {
+	Median int64   `json:"p50_us"`
+	P99    int64   `json:"p99_us"`
+	P999   int64   `json:"p999_us"`
+	Served float64 `json:"served"`
+	Writes int64   `json:"store_writes"` // that the store took meanwhile
+}
+
+// StoreCost is what the store costs the requests of the gateway that it runs beside: each figure is the median of the
+// rounds, but for Served, which is the least.
+type StoreCost struct {
+	Seed   uint64  `json:"seed"`
+	Rounds int     `json:"rounds"`
+	Off    Latency `json:"off"`
+	Idle   Latency `json:"idle"`
+	Busy   Latency `json:"busy"` // the store takes all the writes that its clients can send, and saves snapshots
+}
+
+const (
+	storeClients    = 16
+	storeKeys       = 5000
+	valueBytes      = 256
+	snapshotEntries = 2000 // entries between snapshots, so that a short run has many
+
+	maxLatencyUS = 10_000_000
+	digits       = 3 // of the histogram's values
+)
+
+// storeLoad is what the store has to do in a round.
+type storeLoad int
+
+const (
+	storeOff storeLoad = iota
+	storeIdle
+	storeBusy
+	storeLoads // their number
+)
+
+// RunBeside plays rounds of the three loads in turn, so that a noisy machine meets all alike.
+func RunBeside(ctx context.Context, options Options, rounds int, each time.Duration) (*StoreCost, error) {
+	var measured [storeLoads][]Latency
+	for range rounds {
+		for load := range storeLoads {
+			latency, err := playStoreCost(ctx, options, load, each)
+			if err != nil {
+				return nil, err
+			}
+			measured[load] = append(measured[load], *latency)
+		}
+	}
+	cost := &StoreCost{
+		Seed: options.Seed, Rounds: rounds,
+		Off:  summarize(measured[storeOff]),
+		Idle: summarize(measured[storeIdle]),
+		Busy: summarize(measured[storeBusy]),
+	}
+	return cost, nil
+}
+
+// summarize takes the median of each figure, and the least share that was served.
+func summarize(rounds []Latency) Latency {
+	median := func(figure func(Latency) int64) int64 {
+		var values []int64
+		for _, round := range rounds {
+			values = append(values, figure(round))
+		}
+		slices.Sort(values)
+		return values[len(values)/2]
+	}
+	served := 1.0
+	for _, round := range rounds {
+		served = min(served, round.Served)
+	}
+	return Latency{
+		Median: median(func(l Latency) int64 { return l.Median }),
+		P99:    median(func(l Latency) int64 { return l.P99 }),
+		P999:   median(func(l Latency) int64 { return l.P999 }),
+		Served: served,
+		Writes: median(func(l Latency) int64 { return l.Writes }),
+	}
+}
+
+func playStoreCost(ctx context.Context, options Options, load storeLoad, each time.Duration) (*Latency, error) {
+	r, err := openRig(options, load != storeOff)
+	if err != nil {
+		return nil, err
+	}
+	defer r.close()
+	if load != storeOff {
+		saveOften := func(edited *settings.Settings) { edited.Store.SnapshotEntries = snapshotEntries }
+		if err := r.editSettings(saveOften); err != nil {
+			return nil, err
+		}
+	}
+	if err := r.startGateway(ctx); err != nil {
+		return nil, err
+	}
+	ctx, stop := context.WithTimeout(ctx, each)
+	defer stop()
+	var writes atomic.Int64
+	var clients sync.WaitGroup
+	if load == storeBusy {
+		for range storeClients {
+			clients.Go(func() { r.writeToStore(ctx, &writes) })
+		}
+	}
+	requests := &emulator.Load{Address: r.listen, Rate: options.Rate, Seed: options.Seed}
+	samples := requests.Run(ctx)
+	clients.Wait()
+	latency := latencyOf(samples)
+	latency.Writes = writes.Load()
+	return latency, nil
+}
+
+func latencyOf(samples []emulator.Sample) *Latency {
+	histogram := hdrhistogram.New(1, maxLatencyUS, digits)
+	succeeded := 0
+	for _, sample := range samples {
+		if sample.Succeeded {
+			succeeded++
+			_ = histogram.RecordValue(sample.Latency.Microseconds()) // deadlines are shorter than its range
+		}
+	}
+	return &Latency{
+		Median: histogram.ValueAtQuantile(50),
+		P99:    histogram.ValueAtQuantile(99),
+		P999:   histogram.ValueAtQuantile(99.9),
+		Served: float64(succeeded) / float64(max(len(samples), 1)),
+	}
+}
+
+// writeToStore writes as fast as the store takes it. A client that cannot begin shows in the number of writes.
+func (r *rig) writeToStore(ctx context.Context, writes *atomic.Int64) {
+	credentials, err := pki.Load(pki.Files{
+		Certificate: filepath.Join(r.directory, "operator.pem"),
+		Key:         filepath.Join(r.directory, "operator-key.pem"),
+		Authority:   filepath.Join(r.directory, "authority.pem"),
+	})
+	if err != nil {
+		return
+	}
+	set, err := settings.Load(r.settingsFile)
+	if err != nil {
+		return
+	}
+	store := client.New(client.Config{Endpoints: []string{set.Store.Listen}, TLS: credentials})
+	defer store.Close()
+	for i := 0; ctx.Err() == nil; i++ {
+		key := strconv.Itoa(i % storeKeys)
+		put := machine.Op{Kind: machine.Put, NS: "load", Key: key, Value: make([]byte, valueBytes)}
+		_, err := store.Txn(ctx, machine.Command{Kind: machine.TxnKind, Then: []machine.Op{put}})
+		if err == nil {
+			writes.Add(1)
+		}
+	}
+}
