--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -31,22 +31,22 @@
 
 // Snapshot returns what the router knows. Hosts and groups come in the order of their ids.
 func (r *Router) Snapshot() Snapshot {
-	f := Snapshot{SessionFloor: r.floor}
-	for _, g := range r.groups {
-		if g.sure && g.primary != nil {
-			f.Groups = append(f.Groups, GroupSnapshot{g.id, g.primary.id, g.primary.roleAt})
+	f := Snapshot{SessionFloor: r.sessionFloor}
+	for _, group := range r.groups {
+		if group.confirmed && group.primary != nil {
+			f.Groups = append(f.Groups, GroupSnapshot{group.id, group.primary.id, group.primary.roleAsOf})
 		}
 	}
-	for _, h := range r.order {
-		if h.phase == Removed {
+	for _, host := range r.hostsByID {
+		if host.state == Removed {
 			continue
 		}
-		known := HostSnapshot{Host: h.id, Group: h.group.id, Position: h.pos, PositionAt: h.posAt, Primary: h.role == Primary, Down: h.cond == down}
-		if h.cold {
-			known.SlowStartUntil = h.coldAt + r.set.SlowStartDuration
+		known := HostSnapshot{Host: host.id, Group: host.group.id, Position: host.position, PositionAt: host.positionHeardAt, Primary: host.role == Primary, Down: host.health == unhealthy}
+		if host.warmingUp {
+			known.SlowStartUntil = host.slowStartAt + r.settings.SlowStartDuration
 		}
-		if h.lat != 0 { // a limit that nothing was learned from says nothing
-			known.ConcurrencyLimit = h.limit
+		if host.latency != 0 { // a limit that nothing was learned from says nothing
+			known.ConcurrencyLimit = host.concurrencyLimit
 		}
 		f.Hosts = append(f.Hosts, known)
 	}
@@ -54,47 +54,47 @@
 }
 
 // Restore gives a router facts that another has learned. What it has seen itself goes before them.
-func (r *Router) Restore(now int64, f Snapshot, acts []Action) []Action {
-	r.now, r.acts = now, acts
-	r.floor = max(r.floor, f.SessionFloor)
+func (r *Router) Restore(now int64, f Snapshot, actions []Action) []Action {
+	r.now, r.actions = now, actions
+	r.sessionFloor = max(r.sessionFloor, f.SessionFloor)
 	for _, k := range f.Hosts {
-		h := r.hosts[k.Host]
-		if h == nil || h.group.id != k.Group {
+		host := r.hosts[k.Host]
+		if host == nil || host.group.id != k.Group {
 			continue
 		}
-		if k.Position > h.pos {
-			h.pos, h.posAt = k.Position, max(h.posAt, k.PositionAt)
+		if k.Position > host.position {
+			host.position, host.positionHeardAt = k.Position, max(host.positionHeardAt, k.PositionAt)
 		}
-		if h.heard != 0 {
+		if host.lastHeardAt != 0 {
 			continue
 		}
 		if k.ConcurrencyLimit > 0 {
-			h.limit = min(k.ConcurrencyLimit, 2*firstLimit) // it was earned in another hour
+			host.concurrencyLimit = min(k.ConcurrencyLimit, 2*initialConcurrencyLimit) // it was earned in another hour
 		}
-		if k.SlowStartUntil > now && !h.cold {
-			r.chill(h, k.SlowStartUntil-r.set.SlowStartDuration)
+		if k.SlowStartUntil > now && !host.warmingUp {
+			r.beginSlowStart(host, k.SlowStartUntil-r.settings.SlowStartDuration)
 		}
-		if k.Down && h.cond == up {
-			r.fell(h, false)
+		if k.Down && host.health == healthy {
+			r.markUnhealthy(host, false)
 		}
 	}
 	for _, k := range f.Groups {
-		h := r.hosts[k.Primary]
+		host := r.hosts[k.Primary]
 		i, known := r.findGroup(k.Group)
-		if h == nil || !known || h.group != r.groups[i] || h.group.sure || h.bound || h.cond != up || h.roleAt > k.ObservedAt {
+		if host == nil || !known || host.group != r.groups[i] || host.group.confirmed || host.excluded || host.health != healthy || host.roleAsOf > k.ObservedAt {
 			continue
 		}
 		// A guess, like the list's: the first answer decides. Who was named before is no longer taken for a primary by
 		// reads that need one.
-		g := h.group
-		if old := g.primary; old != nil && old != h {
-			old.been = false
+		group := host.group
+		if old := group.primary; old != nil && old != host {
+			old.wasPrimary = false
 		}
-		g.primary, h.been, h.walked = h, true, g.round
-		r.dispatch(g)
+		group.primary, host.wasPrimary, host.triedInRound = host, true, group.round
+		r.dispatch(group)
 	}
-	return r.acts
+	return r.actions
 }
 
 // SetZoneShares has the router go by what a fleet agrees on from now on; nil: by nothing.
-func (r *Router) SetZoneShares(v ZoneShares) { r.view = v }
+func (r *Router) SetZoneShares(v ZoneShares) { r.zoneShares = v }
--- a/balance/work_test.go
+++ b/balance/work_test.go
@@ -6,53 +6,53 @@
 	"testing"
 )
 
-// unequal is a deployment whose reads of any age take fifteen times the work of others.
-func unequal() Settings {
-	set := testSettings()
-	set.HostsCheckStaleness, set.Gateways = true, 3
-	set.Classes[loose].LatencyObjective, set.Classes[loose].Deadline = 6000*ms, 12000*ms
-	return set
+// unequalSettings is a deployment whose reads of any age take fifteen times the work of others.
+func unequalSettings() Settings {
+	settings := testSettings()
+	settings.HostsCheckStaleness, settings.Gateways = true, 3
+	settings.Classes[eventualRead].LatencyObjective, settings.Classes[eventualRead].Deadline = 6000*ms, 12000*ms
+	return settings
 }
 
 // A cold host's budget is of work: long reads, each a request like any other, pushed hosts over while it counted requests.
 func TestColdHostIsPacedByWork(t *testing.T) {
-	g := readyRig(t, unequal())
+	rig := readyRig(t, unequalSettings())
 	work := map[string]float64{}
 	serve := func(d int64, every int64) { // 200 requests a second, one of so many a long one, all answered at once
-		for end := g.now + d; g.now < end; {
-			g.now += 5 * ms
-			acts := g.do(Event{Kind: TimerEvent})
-			class := recent
-			if g.next%every == 0 {
-				class = loose
+		for end := rig.now + d; rig.now < end; {
+			rig.now += 5 * ms
+			actions := rig.handle(Event{Kind: TimerEvent})
+			class := boundedRead
+			if rig.lastRequest%every == 0 {
+				class = eventualRead
 			}
-			_, more := g.ask(class)
-			for acts = append(acts, more...); len(acts) > 0; acts = acts[1:] {
-				q := g.r.reqs[acts[0].Request]
-				if acts[0].Kind != SendAction || q == nil || q.at == nil {
+			_, more := rig.request(class)
+			for actions = append(actions, more...); len(actions) > 0; actions = actions[1:] {
+				req := rig.router.requests[actions[0].Request]
+				if actions[0].Kind != SendAction || req == nil || req.host == nil {
 					continue
 				}
 				took := 20 * ms
-				if q.kind == loose {
+				if req.classIndex == eventualRead {
 					took *= 15
 				}
-				work[q.at.id] += float64(took)
-				acts = append(acts, g.do(Event{Kind: OutcomeEvent, Request: q.id, Attempt: q.try, Host: q.at.id, Result: Succeeded,
-					Role: q.at.role, Position: g.now, Latency: took, Finished: true})...)
+				work[req.host.id] += float64(took)
+				actions = append(actions, rig.handle(Event{Kind: OutcomeEvent, Request: req.id, Attempt: req.attempt, Host: req.host.id, Result: Succeeded,
+					Role: req.host.role, Position: rig.now, Latency: took, Finished: true})...)
 			}
 		}
 	}
 	serve(3000*ms, 10)
 	warm := (work["a"] + work["b"] + work["c"]) / 3 / 3 // a host and second
 	clear(work)
-	e := trio()
-	for i := range e {
-		e[i].Primary, e[i].StartedAt = false, g.now
+	endpoints := threeHosts()
+	for i := range endpoints {
+		endpoints[i].Primary, endpoints[i].StartedAt = false, rig.now
 	}
-	g.do(Event{Kind: EndpointsEvent, Endpoints: e})
+	rig.handle(Event{Kind: EndpointsEvent, Endpoints: endpoints})
 	serve(1000*ms, 1)
 	for h, w := range work {
-		if most := warm * (g.r.set.SlowStartInitialShare + 0.1) * g.r.set.SlowStartOverloadFactor; w > most {
+		if most := warm * (rig.router.settings.SlowStartInitialShare + 0.1) * rig.router.settings.SlowStartOverloadFactor; w > most {
 			t.Errorf("cold %s took %.0f ms of work in a second, %.0f at most", h, w/1e3, most/1e3)
 		}
 	}
@@ -65,35 +65,35 @@
 // Short ones of any age, and long ones where that replica is gone, go where there is room.
 func TestLongReadsKeepToOneReplica(t *testing.T) {
 	for seed := range uint64(8) {
-		set := unequal()
-		g := readyRig(t, set)
-		g.r.rand.Below(int64(seed + 1))
+		settings := unequalSettings()
+		rig := readyRig(t, settings)
+		rig.router.rand.Below(int64(seed + 1))
 		for range 20 {
-			g.now += 100 * ms
+			rig.now += 100 * ms
 			for range 9 { // what is long shows beside the others
-				id, acts := g.ask(recent)
-				g.answer(id, sentTo(acts, id), Succeeded, Replica, g.now)
+				id, actions := rig.request(boundedRead)
+				rig.answer(id, sentTo(actions, id), Succeeded, Replica, rig.now)
 			}
-			id, acts := g.ask(loose)
-			if h := sentTo(acts, id); h != "b" {
+			id, actions := rig.request(eventualRead)
+			if h := sentTo(actions, id); h != "b" {
 				t.Fatalf("a long read went to %q", h)
 			}
-			g.answer(id, "b", Succeeded, Replica, g.now)
+			rig.answer(id, "b", Succeeded, Replica, rig.now)
 		}
-		g.do(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: "b", State: Draining, Weight: 1}}})
-		if id, acts := g.ask(loose); sentTo(acts, id) != "c" {
+		rig.handle(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: "b", State: Draining, Weight: 1}}})
+		if id, actions := rig.request(eventualRead); sentTo(actions, id) != "c" {
 			t.Fatal("the next replica does not take the long reads over")
 		}
 	}
-	set := unequal()
-	set.Classes[loose].LatencyObjective = 300 * ms
-	g := readyRig(t, set)
+	settings := unequalSettings()
+	settings.Classes[eventualRead].LatencyObjective = 300 * ms
+	rig := readyRig(t, settings)
 	sent := map[string]int{}
 	for range 100 {
-		g.now += 10 * ms
-		id, acts := g.ask(loose)
-		sent[sentTo(acts, id)]++
-		g.answer(id, sentTo(acts, id), Succeeded, Replica, g.now)
+		rig.now += 10 * ms
+		id, actions := rig.request(eventualRead)
+		sent[sentTo(actions, id)]++
+		rig.answer(id, sentTo(actions, id), Succeeded, Replica, rig.now)
 	}
 	if sent["b"] < 20 || sent["c"] < 20 {
 		t.Errorf("short reads: %v", sent)
@@ -103,18 +103,18 @@
 // Where hosts check reads, a replica that lagged when it was last heard is tried again, once it may have caught up: else
 // nothing would tell that it has, and it stands idle. One that lagged much is left alone for longer.
 func TestReplicaThatLaggedIsTriedAgain(t *testing.T) {
-	g := newRig(t, unequal(), trio()...)
-	g.reportAll(g.now - 5000*ms)
+	rig := newRig(t, unequalSettings(), threeHosts()...)
+	rig.reportAll(rig.now - 5000*ms)
 	for _, c := range []struct {
 		wait    int64
 		primary bool
 	}{{0, true}, {4000 * ms, true}, {1500 * ms, false}} {
-		g.now += c.wait
-		id, acts := g.ask(recent)
-		if h := sentTo(acts, id); h == "" || (h == "a") != c.primary {
+		rig.now += c.wait
+		id, actions := rig.request(boundedRead)
+		if h := sentTo(actions, id); h == "" || (h == "a") != c.primary {
 			t.Fatalf("%v ms later a read went to %q", c.wait/ms, h)
 		}
-		g.do(Event{Kind: ClientDisconnectedEvent, Request: id})
+		rig.handle(Event{Kind: ClientDisconnectedEvent, Request: id})
 	}
 }
 
@@ -122,17 +122,17 @@
 // not known, one each is enough.
 func TestLeastLimitGoesByTheNumberOfRouters(t *testing.T) {
 	for routers, want := range map[int]int{0: 1, 1: 4, 2: 3, 3: 2, 80: 1, 1000: 1} {
-		set := testSettings()
-		set.Gateways = routers
-		g := readyRig(t, set)
-		h := g.r.hosts["a"]
+		settings := testSettings()
+		settings.Gateways = routers
+		rig := readyRig(t, settings)
+		host := rig.router.hosts["a"]
 		for range 100 {
-			g.r.now += 1000 * ms
-			g.r.judge(h, 1)
+			rig.router.now += 1000 * ms
+			rig.router.adjustLimit(host, 1)
 		}
 		may := 0
-		for q := (&request{class: &set.Classes[unsafe]}); g.r.room(q, h); may++ {
-			h.out = append(h.out, q)
+		for req := (&pendingRequest{class: &settings.Classes[unsafeWrite]}); rig.router.admits(req, host); may++ {
+			host.inFlight = append(host.inFlight, req)
 		}
 		if may != want {
 			t.Errorf("%d routers: %d attempts of each at a crowded host, want %d", routers, may, want)
@@ -166,16 +166,16 @@
 			t.Run(fmt.Sprintf("%s, %d routers", d.name, routers), func(t *testing.T) {
 				t.Parallel()
 				const use = 1.2
-				set := fleetSettings(routers)
-				d.cold(&set)
+				settings := fleetSettings(routers)
+				d.cold(&settings)
 				const hosts = 5
-				f := newFleet(t, set, entries(hosts)...)
+				f := newFleet(t, settings, hostList(hosts)...)
 				every := int64(1e6 / (use * d.capacity * hosts))
-				f.run(8000*ms, loose, every)
+				f.run(8000*ms, eventualRead, every)
 				var sent []int64
-				cold := entries(hosts)[hosts-1]
+				cold := hostList(hosts)[hosts-1]
 				cold.StartedAt = f.now
-				f.took = func(h string, _ int) (int64, Result) {
+				f.serviceTime = func(h string, _ int) (int64, Result) {
 					if h == cold.Host {
 						sent = append(sent, f.now)
 					}
@@ -187,29 +187,29 @@
 						late++
 						continue
 					}
-					f.tell(i, Event{Kind: EndpointsEvent, Endpoints: []Endpoint{cold}})
+					f.handle(i, Event{Kind: EndpointsEvent, Endpoints: []Endpoint{cold}})
 				}
-				f.run(2000*ms, loose, every)
+				f.run(2000*ms, eventualRead, every)
 				unaware := len(sent) // what those sent that had not been told is not the fleet's fault
 				for i := range f.routers {
-					f.tell(i, Event{Kind: EndpointsEvent, Endpoints: []Endpoint{cold}})
+					f.handle(i, Event{Kind: EndpointsEvent, Endpoints: []Endpoint{cold}})
 					if routers >= 3 && i%3 == 1 {
-						f.restart(i, append(entries(hosts)[:hosts-1:hosts-1], cold))
+						f.restart(i, append(hostList(hosts)[:hosts-1:hosts-1], cold))
 						warm++
 					}
 				}
 				if late+warm > 0 {
 					sent = sent[unaware:]
 				}
-				f.run(set.SlowStartDuration-2000*ms, loose, every)
+				f.run(settings.SlowStartDuration-2000*ms, eventualRead, every)
 				worst, first := 0.0, 0
 				for i, at := range sent {
-					for at-sent[first] >= set.SlowStartOverloadWindow {
+					for at-sent[first] >= settings.SlowStartOverloadWindow {
 						first++
 					}
-					from := max(at-set.SlowStartOverloadWindow, cold.StartedAt)
-					ramp := set.SlowStartInitialShare + (1-set.SlowStartInitialShare)*float64(from-cold.StartedAt)/float64(set.SlowStartDuration)
-					n := set.SlowStartOverloadFactor * ramp * d.capacity * float64(set.SlowStartOverloadWindow) / 1e6
+					from := max(at-settings.SlowStartOverloadWindow, cold.StartedAt)
+					ramp := settings.SlowStartInitialShare + (1-settings.SlowStartInitialShare)*float64(from-cold.StartedAt)/float64(settings.SlowStartDuration)
+					n := settings.SlowStartOverloadFactor * ramp * d.capacity * float64(settings.SlowStartOverloadWindow) / 1e6
 					worst = max(worst, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 				}
 				if worst > 0.9 || len(sent) == 0 {
