--- /dev/null
+++ b/balance/admission.go
@@ -0,0 +1,126 @@
+package balance
+
+const (
+	initialConcurrencyLimit = 4.0  // attempts in flight granted to a host of which nothing is known
+	minFleetConcurrency     = 5.5  // attempts of all gateways that a host needs, or some of its cores are idle
+	limitGrowShare          = 0.28 // latency share below which the limit grows
+	limitCutShare           = 0.4  // latency share above which the limit is cut
+	limitCutFactor          = 0.8  // part of the limit that a cut leaves: several gateways cut at once
+	latencyShareWeight      = 0.15 // of a new value in the latency share: queues grow within a few answers
+
+	shedStartShare    = 0.3 // latency share above which a part of the reads is shed, all of them at 1
+	sparseRequestRate = 1.0 // requests per host and second; with fewer, load is judged by all hosts
+)
+
+// hostLoad is what a host is given and how it copes. The limit is an AIMD limit: it grows while answers take
+// little of their latency objective (limitGrowShare) and is cut when they take much of it (limitCutShare).
+type hostLoad struct {
+	inFlight         []*pendingRequest // attempts of this gateway
+	latency          latencyEstimate   // of successful answers
+	latencyShare     float64           // part of their latency objective that attempts take, moving average
+	concurrencyLimit float64           // attempts of this gateway allowed in flight
+	limitCutAt       int64
+
+	pauseLength int64 // µs; doubles while the host turns attempts away
+	pausedUntil int64 // nothing is sent before
+}
+
+// admits reports whether a host may be sent a request now: it is not excluded, it is healthy, this gateway
+// and the fleet are within their limits of attempts in flight, its slow start allows it, and it need not shed
+// the request.
+func (r *Router) admits(req *pendingRequest, host *hostState) bool {
+	if host.excluded || r.now < host.pausedUntil {
+		return false
+	}
+	if float64(len(host.inFlight)) >= host.concurrencyLimit || r.gossip.AtCapacity(r.now, host.id) {
+		return false
+	}
+	return r.healthAdmits(host) && r.slowStartAdmits(req, host) && !r.shouldShed(req, host)
+}
+
+// healthAdmits reports whether the health of a host allows an attempt. An unhealthy host gets a single one as
+// a trial when its backoff is half over; where there are health checks, only if they have failed for long,
+// since they may fail where requests would succeed.
+func (r *Router) healthAdmits(host *hostState) bool {
+	if host.health == healthy {
+		return true
+	}
+	if host.health == suspect || len(host.inFlight) > 0 {
+		return false
+	}
+	if r.now+host.backoff/2 < host.nextTryAt {
+		return false
+	}
+	return !r.settings.HealthChecks || host.backoff >= r.maxBackoff()
+}
+
+// shouldShed reports whether a host is to be spared a read. Each gateway of a large fleet has too few
+// attempts in flight for a limit to bind, so each sheds a part of its reads that grows with the host's
+// latency share.
+func (r *Router) shouldShed(req *pendingRequest, host *hostState) bool {
+	overload := host.latencyShare
+	if r.traffic.requestRatePerHost < sparseRequestRate {
+		overload = max(overload, r.gossip.OverloadRatio())
+	}
+	if req.isWrite() || req.shedRank*(1-shedStartShare) <= 1-overload {
+		return false
+	}
+	req.shed = true
+	return true
+}
+
+// recordLatency takes how long an attempt took, in µs, and adjusts the limit. One that timed out counts as
+// having taken all of its objective: else a host would be judged by its quick answers alone.
+func (r *Router) recordLatency(host *hostState, req *pendingRequest, latency int64, succeeded bool) {
+	host.pauseLength /= 2
+	share := float64(latency) / float64(req.class.LatencyObjective)
+	if succeeded {
+		host.latency.add(float64(latency))
+		r.traffic.classCost[req.classIndex].add(float64(latency), slowEWMAWeight)
+		host.group.latency.add(float64(latency), ewmaWeight)
+	} else {
+		share = max(share, 1)
+	}
+	r.recordLatencyShare(host, share)
+}
+
+// recordLatencyShare takes the part of its objective that an attempt of this gateway took, or will take at
+// least.
+func (r *Router) recordLatencyShare(host *hostState, share float64) {
+	r.gossip.RecordLatencyShare(host.id, share, false)
+	r.adjustLimit(host, share)
+}
+
+// recordOverdueAttempts takes attempts that take long while they are still in flight: after half of their
+// objective and after all of it. No answer says as much as a late one does, and sooner.
+func (r *Router) recordOverdueAttempts(host *hostState) {
+	for _, req := range host.inFlight {
+		share := float64(req.overdueHalves+1) / 2
+		elapsed := r.now - req.sentAt
+		if share <= 1 && elapsed > int64(share*float64(req.class.LatencyObjective)) {
+			req.overdueHalves++
+			r.recordLatencyShare(host, share)
+		}
+	}
+}
+
+// adjustLimit adjusts a host's limit to the part of its objective that an answer took, here or at another
+// gateway. The limit is cut once in the time of an answer at most.
+func (r *Router) adjustLimit(host *hostState, share float64) {
+	host.latencyShare += latencyShareWeight * (min(share, 1) - host.latencyShare)
+	cutIsDue := r.now-host.limitCutAt > int64(host.latency.mean)
+	limitIsUsed := float64(len(host.inFlight)+1) >= host.concurrencyLimit
+	switch {
+	case host.latencyShare > limitCutShare && cutIsDue:
+		host.concurrencyLimit = max(r.minConcurrencyLimit, host.concurrencyLimit*limitCutFactor)
+		host.limitCutAt = r.now
+	case host.latencyShare < limitGrowShare && limitIsUsed:
+		host.concurrencyLimit += 1 / host.concurrencyLimit
+	}
+}
+
+// pauseHost leaves a host alone for a random time that doubles with each call.
+func (r *Router) pauseHost(host *hostState) {
+	host.pauseLength = min(max(2*host.pauseLength, r.maintenanceInterval()), r.searchInterval())
+	host.pausedUntil = r.now + host.pauseLength/2 + r.rand.Below(host.pauseLength)
+}
--- a/balance/api.go
+++ b/balance/api.go
@@ -1,122 +1,128 @@
 package balance
 
-// This file is the interface of the module: what an embedding router tells it and what it answers.
-// All times are microseconds on one clock that only advances; log positions are times on that clock.
+// This file is the interface between the router and the program that embeds it. The package comment tells the
+// units.
 
-// RetrySafety says what may happen when a request is run more than once.
+// RetrySafety tells what happens when a request is executed more than once.
 type RetrySafety uint8
 
+// The kinds of retry safety.
 const (
-	Idempotent     RetrySafety = iota // may be repeated freely
-	IdempotencyKey                    // repeats are dropped within a scope and a window
-	NonIdempotent                     // must never run twice
+	Idempotent     RetrySafety = iota // executing it again changes nothing
+	IdempotencyKey                    // repeats are dropped by its key, within a scope and a window
+	NonIdempotent                     // it must not be executed twice
 )
 
-// DeduplicationScope says where the repeats of a keyed request are dropped.
+// DeduplicationScope tells where the repeats of a request with an idempotency key are dropped.
 type DeduplicationScope uint8
 
+// The scopes of deduplication.
 const (
-	ScopeGlobal DeduplicationScope = iota
-	ScopeZone
-	ScopeGroup
+	ScopeGlobal DeduplicationScope = iota // wherever they are executed
+	ScopeZone                             // in the zone of the first execution
+	ScopeGroup                            // in its group
 )
 
-// Consistency says how recent the data behind an answer must be.
+// Consistency tells how recent the data behind an answer must be.
 type Consistency uint8
 
+// The levels of consistency.
 const (
-	Eventual         Consistency = iota // any member will do
-	BoundedStaleness                    // no older than the class's staleness bound when sent
-	ReadYourWrites                      // all that the session has written
-	Linearizable                        // all that was written before the request arrived
-	Write                               // a write: the primary alone takes it
+	Eventual         Consistency = iota // of any age
+	BoundedStaleness                    // no older than Class.MaxStaleness when the request is sent
+	ReadYourWrites                      // with all that its session has written
+	Linearizable                        // with all that was written before the request arrived
+	Write                               // not a read: the primary alone takes it
 )
 
-// Class is one class of request.
+// Class describes one class of requests.
 type Class struct {
-	LatencyObjective    int64   // answers within this earn the full worth
-	ObjectivePerWork    float64 // the aim grows by this multiple of the request's own work
-	Deadline            int64
-	PriorityWeight      float64
-	LatePriorityWeight  float64 // share of the worth that a late answer still earns
+	LatencyObjective    int64   // µs within which an answer is worth its full weight
+	ObjectivePerWork    float64 // the objective grows by this multiple of Event.WorkHint
+	Deadline            int64   // µs after which clients of the class give up
+	PriorityWeight      float64 // worth of an answer, relative to other classes
+	LatePriorityWeight  float64 // share of that worth that an answer after the objective still has
 	RetrySafety         RetrySafety
-	DeduplicationScope  DeduplicationScope
-	DeduplicationWindow int64 // for Keyed: how long repeats are dropped
+	DeduplicationScope  DeduplicationScope // with IdempotencyKey
+	DeduplicationWindow int64              // with IdempotencyKey: µs for which repeats are dropped
 	Consistency         Consistency
-	MaxStaleness        int64 // for Recent
+	MaxStaleness        int64 // with BoundedStaleness, µs
 }
 
-// Settings describe one deployment; they are given once, at the start.
+// Settings describe one deployment. They hold for the life of a router.
 type Settings struct {
-	Zone         int
-	Classes      []Class
-	TickInterval int64 // least time between two batches of events
-
-	MustSubscribe bool // the list is told only when asked for
-	HealthChecks  bool
-	Cancellation  bool
-	MaxRetryAfter int64
-	MaxAttempts   int
-	DialTimeout   int64
-
-	HostsCheckStaleness     bool // hosts turn away a read for which they lag
-	RequestsCarrySessionAge bool // session reads carry the age of the session's last write
-	CrossZoneCost           float64
-
-	OnlyDrainingExcludes    bool // only a host seen draining is bound; gone is no proof
-	SlowStartInitialShare   float64
-	SlowStartDuration       int64
-	SlowStartOverloadFactor float64
-	SlowStartOverloadWindow int64
-
-	Gateways              int     // routers of the tier, this one included; 0 or 1: there is nobody to tell anything
-	Ordinal               int     // number of this one among them, from 0; -1: not known, and nothing is told
-	GossipBytesPerRequest float64 // bytes to other routers, counted for each of them, that a request pays for
+	Zone         int     // zone of this gateway
+	Classes      []Class // Event.Class is an index into it
+	TickInterval int64   // shortest time between two batches of events, µs
+
+	MustSubscribe bool  // the endpoint list comes only after a SubscribeAction
+	HealthChecks  bool  // hosts answer health checks
+	Cancellation  bool  // attempts can be cancelled
+	MaxRetryAfter int64 // longest time that a rejected client is told to wait, µs
+	MaxAttempts   int   // attempts of one request, the first one included
+	DialTimeout   int64 // µs
+
+	HostsCheckStaleness     bool    // hosts turn away reads for which they lag too far behind
+	RequestsCarrySessionAge bool    // Event.SessionWriteAge is given; else commits are remembered
+	CrossZoneCost           float64 // above 0: of equally busy hosts, the one in this zone is preferred
+
+	OnlyDrainingExcludes    bool    // a host that vanished from the list without draining may still serve
+	SlowStartInitialShare   float64 // part of its capacity that a host has when it starts
+	SlowStartDuration       int64   // µs until a host that started has all of its capacity
+	SlowStartOverloadFactor float64 // multiple of its capacity by then that overloads a starting host
+	SlowStartOverloadWindow int64   // µs over which that multiple counts
+
+	Gateways              int     // gateways of the fleet, this one included; 0 or 1: no gossip
+	Ordinal               int     // number of this gateway in the fleet, from 0; -1: not known, no gossip
+	GossipBytesPerRequest float64 // gossip bytes that each request pays for, counted for each receiver
 }
 
-// ZoneShares is what a fleet has agreed on. It is asked while a decision is taken, so it answers at once, and nothing that it
-// says loosens a rule: it only takes hosts out of a choice that has others.
+// ZoneShares is what a fleet has agreed on about its zones. It is asked during decisions, so it must answer
+// at once. It only takes hosts out of a choice that has others.
 type ZoneShares interface {
-	ReadShare(zone int) float64 // part of reads that a zone's replicas may get, from 0 to 1
+	// ReadShare returns the part of reads, from 0 to 1, that the replicas of a zone may get.
+	ReadShare(zone int) float64
 }
 
-// EndpointState is what the list says of a host.
+// EndpointState is the state of a host in the endpoint list.
 type EndpointState uint8
 
+// The states of a host in the endpoint list.
 const (
-	Removed EndpointState = iota
-	Ready
-	Draining
+	Removed  EndpointState = iota // gone
+	Ready                         // serving
+	Draining                      // to get no new requests
 )
 
-// Endpoint is one host as the list shows it.
+// Endpoint is one host in the endpoint list.
 type Endpoint struct {
-	Host      string
+	Host      string // id of the host
 	Zone      int
 	Group     int64
-	Kind      int
+	Kind      int // not used by decisions
 	State     EndpointState
-	Primary   bool
-	Weight    float64
-	StartedAt int64 // when it last started; 0 if long ago
+	Primary   bool    // the host is, or was, the primary of its group
+	Weight    float64 // not used by decisions
+	StartedAt int64   // when it last started; 0 if long ago
 }
 
-// Result is how an attempt or a probe ended.
+// Result tells how an attempt or a health check ended.
 type Result uint8
 
+// The results of attempts and health checks.
 const (
-	Succeeded Result = iota
-	Failed
-	Overloaded
-	TimedOut
-	ConnectionRefused
-	ConnectionReset
-	Canceled
-	NotSent
-	NotPrimary
+	Succeeded         Result = iota
+	Failed                   // the host answered with an error
+	Overloaded               // the host turned it away for lack of capacity
+	TimedOut                 // no answer in time
+	ConnectionRefused        // no connection could be opened
+	ConnectionReset          // the connection broke
+	Canceled                 // ended by this side
+	NotSent                  // nothing was sent, for a reason on this side
+	NotPrimary               // the host turned a write away since it is not the primary
 )
 
-// ProvesNotExecuted reports whether the result proves that the attempt never ran.
+// ProvesNotExecuted reports whether the result proves that the attempt was not executed.
 func (r Result) ProvesNotExecuted() bool {
 	return r == Overloaded || r == ConnectionRefused || r == NotSent || r == NotPrimary
 }
@@ -126,95 +132,99 @@
 	return r == Succeeded || r == Failed || r == Overloaded || r == NotPrimary
 }
 
-// Role is the part a host plays in its group.
+// Role is the role of a host in its group.
 type Role uint8
 
+// The roles of hosts.
 const (
 	RoleUnknown Role = iota
 	Primary
 	Replica
 )
 
-// HostReport is a host's own account of itself, somewhat dated.
+// HostReport is a host's own account of itself. It may be somewhat old.
 type HostReport struct {
-	HasPosition, HasRole bool
+	HasPosition bool // Position is given
+	HasRole     bool // Primary is given
 
-	Position int64
-	Primary  bool
+	Position int64 // the host has applied its log up to here
+	Primary  bool  // the host is the primary of its group
 }
 
-// EventKind names what happened.
+// EventKind tells what happened.
 type EventKind uint8
 
+// The kinds of events, with the fields of Event that count.
 const (
-	EndpointsEvent          EventKind = iota // Entries, Full, Failed
-	RequestEvent                             // Request, Class, Group, Key, SinceWrite, Until
-	OutcomeEvent                             // Request, Attempt, Host, Result, Over, Took, Role, Position, Report
-	ClientDisconnectedEvent                  // the client left: Request
-	TimerEvent                               // Token
-	HealthCheckEvent                         // Host, Result, Took, Report
-	GossipEvent                              // Peer, Data: what another router told
+	EndpointsEvent          EventKind = iota // Endpoints, Complete, or PollFailed alone
+	RequestEvent                             // Request, Class, Group, Key to WorkHint
+	OutcomeEvent                             // Request, Attempt to Report: an attempt has ended
+	ClientDisconnectedEvent                  // Request: its client has left
+	TimerEvent                               // the time of a TimerAction has come
+	HealthCheckEvent                         // Host, Result, Latency, Report
+	GossipEvent                              // Peer, Data: a message of another gateway
 )
 
-// Event is one thing the router saw; Kind says which fields count.
+// Event is one thing that happened. Kind tells which of the other fields count.
 type Event struct {
 	Kind EventKind
 
 	Endpoints  []Endpoint
-	Complete   bool // the entries are the whole list; hosts not in it are gone
-	PollFailed bool // asking for the list failed
+	Complete   bool // the endpoints are the whole list: hosts that it lacks are removed
+	PollFailed bool // the list could not be had
 
-	Request         int64
-	Class           int
+	Request         int64 // id of the request, unique among those that have no final answer yet
+	Class           int   // index into Settings.Classes
 	Group           int64
-	Key             int64
+	Key             int64 // of the session
 	HasKey          bool
-	SessionWriteAge int64 // age of the session's last write; 0 if it has none, negative if it lies ahead of the clock
-	Deadline        int64 // when the client gives up
-	WorkHint        int64 // work expected; 0 if not told
+	SessionWriteAge int64 // age of the session's last write; 0: none; negative if it is ahead of the clock
+	Deadline        int64 // time at which the client gives up
+	WorkHint        int64 // expected work, µs; 0 if not known
 
-	Attempt  int
+	Attempt  int // number of the attempt among those of its request, from 0
 	Host     string
 	Result   Result
-	Finished bool
-	Latency  int64
-	Role     Role
-	Position int64 // 0 if not told
+	Finished bool  // the client has been answered: there is nothing left to decide
+	Latency  int64 // of the attempt or health check, µs
+	Role     Role  // of the host, as its answer tells
+	Position int64 // log position that the answer tells; 0 if none
 	Report   HostReport
 
-	Token int64
-	Peer  int
+	Token int64 // not used by decisions
+	Peer  int   // ordinal of the gateway that sent Data
 	Data  []byte
 }
 
-// ActionKind names what the router is to do.
+// ActionKind tells what the embedding program is to do.
 type ActionKind uint8
 
+// The kinds of actions, with the fields of Action that count.
 const (
-	SendAction          ActionKind = iota // Request, Host, Timeout (0: until the client gives up)
-	CancelAction                          // Request, Attempt
-	RejectAction                          // Request, RetryAfter
-	FailAction                            // Request
-	TimerAction                           // At, Token
-	HealthCheckAction                     // Host
-	CloseIdleAction                       // Host: close idle connections
-	GossipAction                          // Peer (-1: all), Data
-	LogAction                             // Text
-	SubscribeAction                       // follow the list's changes
-	PollEndpointsAction                   // ask for the whole list once
+	SendAction          ActionKind = iota // Request, Host: send it there; Timeout, 0: until the deadline
+	CancelAction                          // Request, Attempt: end the attempt
+	RejectAction                          // Request, RetryAfter: final answer, trying again is harmless
+	FailAction                            // Request: final answer, the request may have been executed
+	TimerAction                           // At, Token: pass a TimerEvent then
+	HealthCheckAction                     // Host: check it
+	CloseIdleAction                       // Host: close its idle connections
+	GossipAction                          // Peer (-1: all), Data: send it to other gateways
+	LogAction                             // Text: write a log line
+	SubscribeAction                       // follow the changes of the endpoint list
+	PollEndpointsAction                   // ask for the whole endpoint list once
 )
 
-// Action is one thing for the router to do; Kind says which fields count.
+// Action is one thing to do. Kind tells which of the other fields count.
 type Action struct {
 	Kind       ActionKind
 	Request    int64
 	Host       string
-	Timeout    int64
-	RetryAfter int64
+	Timeout    int64 // µs; 0: until the request's deadline
+	RetryAfter int64 // µs that the client should wait before it tries again
 	Attempt    int
 	At         int64
 	Token      int64
-	Peer       int
+	Peer       int // ordinal of a gateway; -1: all
 	Data       []byte
 	Text       string
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -250,8 +250,9 @@
 	}
 }
 
-// A router that never was sure of a primary goes on asking at its pace: with the start of time as the start of
-// the search, the second probe would come after an eighth of all time, and the write would be held to its end.
+// A router that never was sure of a primary goes on asking at its pace: with the start of time as the start
+// of the search, the second probe would come after an eighth of all time, and the write would be held to its
+// end.
 func TestSearchFromTheStartGoesOn(t *testing.T) {
 	rig := newRig(t, testSettings(), threeHosts()...)
 	id, actions := rig.request(unsafeWrite)
@@ -434,7 +435,7 @@
 		t.Fatal("another session's read went to the primary")
 	}
 	rig.advance(3 * int64(commitRetention))
-	if len(rig.router.sessionCommits[0])+len(rig.router.sessionCommits[1]) != 0 || max(rig.router.sessionFloor, rig.router.sessionCommits[0][5], rig.router.sessionCommits[1][5]) == 0 {
+	if len(rig.router.sessions.recent)+len(rig.router.sessions.older) != 0 || max(rig.router.sessions.floor, rig.router.sessions.recent[5], rig.router.sessions.older[5]) == 0 {
 		t.Fatal("old commits must leave the memory and stay covered by the floor")
 	}
 }
@@ -487,8 +488,8 @@
 	}
 }
 
-// Links that break connections now and then say nothing of the host: asked once more it answers, and it is given
-// as much as before, at once.
+// Links that break connections now and then say nothing of the host: asked once more it answers, and it is
+// given as much as before, at once.
 func TestOneBrokenProbeIsNotADeath(t *testing.T) {
 	for _, res := range []Result{ConnectionRefused, ConnectionReset} {
 		rig := readyRig(t, testSettings())
@@ -867,7 +868,7 @@
 		host.concurrencyLimit = 1
 	}
 	rig.router.hosts["b"].excluded, rig.router.hosts["c"].excluded = true, true
-	rig.router.classCost[linearizableRead], rig.router.classCost[sessionRead] = 20e3, 200e3 // worth 1 in 20 ms against 3 in 200 ms
+	rig.router.traffic.classCost[linearizableRead], rig.router.traffic.classCost[sessionRead] = 20e3, 200e3 // worth 1 in 20 ms against 3 in 200 ms
 	first, _ := rig.request(unsafeWrite)
 	dear, _ := rig.requestAs(sessionRead, 1, 10*ms)
 	quick, _ := rig.request(linearizableRead)
@@ -1054,8 +1055,8 @@
 		rig.advance(1000 * ms)
 		sent += ask()
 	}
-	// In these 40 s the warm host had some 10 attempts a router. Cold, it may have no more in two seconds than
-	// the multiple of a cold host's part of that.
+	// In these 40 s the warm host had some 10 attempts a router. Cold, it may have no more in two seconds
+	// than the multiple of a cold host's part of that.
 	most := float64(normal) / 40 * 2 * settings.SlowStartOverloadFactor * (settings.SlowStartInitialShare + 0.1)
 	if float64(sent) > most || sent == 0 {
 		t.Errorf("%d routers sent a cold host %d, want some and at most %.0f", routers, sent, most)
@@ -1166,7 +1167,8 @@
 	}
 }
 
-// A read that no host has had by half of its time is refused; a write, or a read that a host turned away, stays.
+// A read that no host has had by half of its time is refused; a write, or a read that a host turned away,
+// stays.
 func TestReadThatNoHostHadIsRefusedAtHalfItsTime(t *testing.T) {
 	for _, c := range []struct {
 		class   int
@@ -1226,7 +1228,8 @@
 	}
 }
 
-// A repeat that was decided on within the window may wait for its connection: past the window it is not written any more.
+// A repeat that was decided on within the window may wait for its connection: past the window it is not
+// written any more.
 func TestKeyedRepeatIsNotWrittenPastItsWindow(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(keyedWrite)
@@ -1254,8 +1257,9 @@
 	}
 }
 
-// A router of hundreds meets a host once in some seconds, and knows few well. If all its attempts together take all of their
-// aim, most reads are kept from each host; a write is not, and once they fare well again nothing is.
+// A router of hundreds meets a host once in some seconds, and knows few well. If all its attempts together
+// take all of their aim, most reads are kept from each host; a write is not, and once they fare well again
+// nothing is.
 func TestReadsAreSparedByHowAllAttemptsFare(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	rig.router.now = rig.now
@@ -1271,10 +1275,10 @@
 	if room() || !read.shed {
 		t.Error("not spared, although all attempts take their aim")
 	}
-	if rig.router.requestRatePerHost = 2; !room() {
+	if rig.router.traffic.requestRatePerHost = 2; !room() {
 		t.Error("spared by a router that meets each host often")
 	}
-	rig.router.requestRatePerHost = 0.5
+	rig.router.traffic.requestRatePerHost = 0.5
 	if write := (&pendingRequest{class: &rig.router.settings.Classes[unsafeWrite], shedRank: 0.9}); !rig.router.admits(write, a) {
 		t.Error("a write is kept from its primary")
 	}
--- a/balance/decisions_test.go
+++ b/balance/decisions_test.go
@@ -10,9 +10,10 @@
 	"cloverrock/internal/golden"
 )
 
-// This file holds the decisions of the module as they are: a storm of events, always the same one, is played on routers,
-// and a hash of all that they answer is compared with the one in testdata/decisions.txt. A change that is to leave all
-// decisions alone leaves the hashes alone. One that means to change decisions runs the test with -update and says why.
+// This file holds the decisions of the module as they are: a storm of events, always the same one, is played
+// on routers, and a hash of all that they answer is compared with the one in testdata/decisions.txt. A change
+// that is to leave all decisions alone leaves the hashes alone. One that means to change decisions runs the
+// test with -update and says why.
 
 const goldenFile = "decisions.txt"
 
--- /dev/null
+++ b/balance/endpoints.go
@@ -0,0 +1,172 @@
+package balance
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+)
+
+const (
+	minSubscribeBackoff = 20  // maintenance intervals
+	maxSubscribeBackoff = 200 // maintenance intervals
+)
+
+// hostListing is what the endpoint list says of a host.
+type hostListing struct {
+	state     EndpointState
+	excluded  bool  // draining or removed: no new attempt may go there
+	startedAt int64 // latest start that the list has shown; 0 if long ago
+}
+
+// subscription is the state of following the endpoint list.
+type subscription struct {
+	retryAt int64 // when to subscribe again after a failure; 0 while it holds
+	backoff int64 // µs
+}
+
+// subscriptionFailed schedules the next try; its wait doubles with each failure.
+func (r *Router) subscriptionFailed() {
+	s := &r.subscription
+	shortest := minSubscribeBackoff * r.maintenanceInterval()
+	longest := maxSubscribeBackoff * r.maintenanceInterval()
+	s.backoff = min(max(2*s.backoff, shortest), longest)
+	s.retryAt = r.now + s.backoff/2 + r.rand.Below(s.backoff)
+}
+
+// renewSubscription subscribes again once the backoff after a failure is over.
+func (r *Router) renewSubscription() {
+	failed := r.subscription.retryAt != 0
+	if r.settings.MustSubscribe && failed && r.now >= r.subscription.retryAt {
+		r.subscription.retryAt = 0
+		r.emit(Action{Kind: SubscribeAction})
+	}
+}
+
+// handleEndpoints applies the endpoint list or a part of it.
+func (r *Router) handleEndpoints(event *Event) {
+	if event.PollFailed {
+		r.subscriptionFailed()
+		return
+	}
+	r.subscription = subscription{}
+	listed := map[string]bool{}
+	for i := range event.Endpoints {
+		endpoint := &event.Endpoints[i]
+		listed[endpoint.Host] = true
+		r.updateEndpoint(endpoint)
+	}
+	if event.Complete {
+		r.removeUnlisted(listed)
+	}
+	for _, group := range r.groups {
+		if group.primary == nil && group.round == 0 {
+			group.round = 1
+			r.tryNextMember(group, nil)
+		}
+		r.dispatch(group)
+	}
+}
+
+// updateEndpoint applies one entry of the list. A new start of a host begins its slow start.
+func (r *Router) updateEndpoint(endpoint *Endpoint) {
+	host := r.hosts[endpoint.Host]
+	if host == nil {
+		if endpoint.State == Removed {
+			return
+		}
+		host = r.addHost(endpoint)
+	}
+	host.zone = endpoint.Zone
+	host.state = endpoint.State
+	startedAt := min(endpoint.StartedAt, r.now) // a start in the future is no reason to wait for it
+	if startedAt > host.startedAt {
+		host.startedAt = startedAt
+		host.crashed = false
+		if r.now-startedAt < r.settings.SlowStartDuration {
+			r.beginSlowStart(host, startedAt)
+		}
+	}
+	r.updateExclusion(host)
+}
+
+// removeUnlisted takes hosts that a complete list does not name as removed.
+func (r *Router) removeUnlisted(listed map[string]bool) {
+	for _, host := range r.hostsByID {
+		if !listed[host.id] && host.state != Removed {
+			host.state = Removed
+			r.updateExclusion(host)
+		}
+	}
+}
+
+// updateExclusion excludes draining and removed hosts at once, without a grace period. Where the settings let
+// only draining exclude, a host that merely vanished from the list may still serve.
+func (r *Router) updateExclusion(host *hostState) {
+	switch host.state {
+	case Draining:
+		host.excluded = true
+	case Removed:
+		host.excluded = host.excluded || !r.settings.OnlyDrainingExcludes
+	default:
+		host.excluded = false
+	}
+	if host.excluded && host.group.primary == host {
+		r.demotePrimary(host.group, "excluded")
+	}
+}
+
+// addHost adds a host that the list names for the first time.
+func (r *Router) addHost(endpoint *Endpoint) *hostState {
+	group := r.groupOf(endpoint.Group)
+	host := &hostState{id: endpoint.Host, group: group}
+	host.concurrencyLimit = initialConcurrencyLimit
+	r.hosts[host.id] = host
+	r.gossip.AddHost(host.id, endpoint.Group)
+	r.hostsByID = insertByID(r.hostsByID, host)
+	group.members = insertByID(group.members, host)
+	// The list marks only what is or has been primary.
+	if endpoint.Primary && group.primary == nil && group.round == 0 {
+		group.primary = host
+		group.round = 1
+		host.wasPrimary = true
+		host.triedInRound = 1
+	}
+	return host
+}
+
+// insertByID adds a host to a list that is sorted by id.
+func insertByID(hosts []*hostState, host *hostState) []*hostState {
+	byID := func(a, b *hostState) int { return strings.Compare(a.id, b.id) }
+	i, _ := slices.BinarySearchFunc(hosts, host, byID)
+	return slices.Insert(hosts, i, host)
+}
+
+// groupOf returns the group with an id, which it adds where there is none.
+func (r *Router) groupOf(id int64) *groupState {
+	i, known := r.findGroup(id)
+	if !known {
+		r.groups = slices.Insert(r.groups, i, &groupState{id: id})
+	}
+	return r.groups[i]
+}
+
+// findGroup returns the index of a group in r.groups, which is sorted by id, and whether it is there.
+func (r *Router) findGroup(id int64) (index int, known bool) {
+	byID := func(group *groupState, id int64) int { return cmp.Compare(group.id, id) }
+	return slices.BinarySearchFunc(r.groups, id, byID)
+}
+
+// removeGoneHosts drops removed hosts of which nothing is awaited any more.
+func (r *Router) removeGoneHosts() {
+	r.hostsByID = slices.DeleteFunc(r.hostsByID, func(host *hostState) bool {
+		gone := host.state == Removed && host.excluded
+		if !gone || len(host.inFlight) > 0 || host.checkPending {
+			return false
+		}
+		delete(r.hosts, host.id)
+		r.gossip.RemoveHost(host.id)
+		members := host.group.members
+		host.group.members = slices.DeleteFunc(members, func(m *hostState) bool { return m == host })
+		return true
+	})
+}
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -155,8 +155,9 @@
 	return es
 }
 
-// Eighty routers that each see a host once in seconds know its position from one another: reads go to replicas, and
-// few probes are needed. Without their messages every read would ask first, or burden the primary.
+// Eighty routers that each see a host once in seconds know its position from one another: reads go to
+// replicas, and few probes are needed. Without their messages every read would ask first, or burden the
+// primary.
 func TestManyRoutersShareWhatTheyHear(t *testing.T) {
 	alone := fleetSettings(80)
 	alone.GossipBytesPerRequest = 0
@@ -179,8 +180,8 @@
 	}
 }
 
-// The replicas that are heard first do not keep the others out: who is not heard gets no bounded reads, and would not be
-// heard for want of them.
+// The replicas that are heard first do not keep the others out: who is not heard gets no bounded reads, and
+// would not be heard for want of them.
 func TestNoReplicaIsLeftOut(t *testing.T) {
 	f := newFleet(t, fleetSettings(20), hostList(5)...)
 	for i := range f.routers { // one replica is known, as after a calm time in which few reads came
@@ -217,7 +218,8 @@
 	}
 }
 
-// A message can't name a host that no list has, revive one that the list has dropped, or move a position back.
+// A message can't name a host that no list has, revive one that the list has dropped, or move a position
+// back.
 func TestMessagesDoNotOverruleTheList(t *testing.T) {
 	f := newFleet(t, fleetSettings(2), hostList(3)...)
 	f.run(300*ms, boundedRead, 5*ms)
@@ -251,8 +253,8 @@
 	}
 }
 
-// Of two replicas, the one goes first that has less out by all accounts, but not for all routers at once: what they move
-// together evens out the difference. What is old counts nothing.
+// Of two replicas, the one goes first that has less out by all accounts, but not for all routers at once:
+// what they move together evens out the difference. What is old counts nothing.
 func TestOthersLoadsCount(t *testing.T) {
 	const routers = 20
 	f := newFleet(t, fleetSettings(routers), hostList(3)...)
@@ -283,7 +285,8 @@
 	}
 }
 
-// New connections of all routers together cost hosts much: reads stay with those that a router is connected to.
+// New connections of all routers together cost hosts much: reads stay with those that a router is connected
+// to.
 func TestReadsStayWithOpenConnections(t *testing.T) {
 	f := newFleet(t, fleetSettings(1), hostList(3)...)
 	f.run(300*ms, boundedRead, 5*ms)
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -6,60 +6,79 @@
 	"cloverrock/internal/gossip"
 )
 
-// This file passes on to other routers what hosts have told this one, and takes in what they pass on. What is worth
-// telling, and to whom, is decided in internal/gossip; a fact that others heard counts as one that this router heard.
+// This file passes on to the other gateways of the fleet what hosts have told this one, and takes in what
+// they pass on. Package gossip decides what is worth telling, to whom and when.
 
-// publishFact notes what a host itself has told, for the other routers.
-func (r *Router) publishFact(host *hostState, position int64, role Role) {
-	r.gossip.Record(gossip.HostFact{Host: host.id, Position: position, Role: gossip.Role(role)})
+// gossipConfig derives the configuration of gossip from the router's.
+func gossipConfig(settings *Settings) gossip.Config {
+	config := gossip.Config{
+		Gateways:        settings.Gateways,
+		Ordinal:         settings.Ordinal,
+		BytesPerRequest: settings.GossipBytesPerRequest,
+	}
+	for i := range settings.Classes {
+		class := &settings.Classes[i]
+		if class.Consistency == BoundedStaleness {
+			config.FreshnessWindow = max(config.FreshnessWindow, class.MaxStaleness)
+		}
+	}
+	return config
 }
 
-// recordLatencyShare takes how much of its aim an attempt of ours took, or will take at the least.
-func (r *Router) recordLatencyShare(host *hostState, share float64) {
-	r.gossip.RecordLatencyShare(host.id, share, false)
-	r.adjustLimit(host, share)
+// publishFact notes, for the other gateways, what a host itself has told.
+func (r *Router) publishFact(host *hostState, position int64, role Role) {
+	r.gossip.Record(gossip.HostFact{Host: host.id, Position: position, Role: gossip.Role(role)})
 }
 
-// checkForFleet asks hosts of which the fleet is to hear, on behalf of all.
+// checkForFleet checks the hosts of which this gateway is to tell the others.
 func (r *Router) checkForFleet() {
 	for _, id := range r.gossip.HostsToCheck(r.now) {
-		if host := r.hosts[id]; host.health == healthy {
-			r.startHealthCheck(host, 1)
+		host := r.hosts[id]
+		if host.health == healthy {
+			r.startHealthCheck(host, optionalCheck)
 		}
 	}
 }
 
-// sendGossip sends what is due to the others.
+// sendGossip sends the messages that are due.
 func (r *Router) sendGossip() {
-	for _, m := range r.gossip.PendingMessages(r.now) {
-		r.emit(Action{Kind: GossipAction, Peer: m.To, Data: m.Data})
+	for _, message := range r.gossip.PendingMessages(r.now) {
+		r.emit(Action{Kind: GossipAction, Peer: message.To, Data: message.Data})
 	}
 }
 
-// handleGossip takes what another router tells. A role is as old as the position that came with it.
+// handleGossip takes a message of another gateway.
 func (r *Router) handleGossip(peer int, data []byte) {
 	facts := r.gossip.Receive(r.now, peer, data)
-	if n := r.gossip.TakeMalformedReport(r.now); n > 0 {
-		r.log(strconv.Itoa(n) + " messages of other routers could not be read")
+	if malformed := r.gossip.TakeMalformedReport(r.now); malformed > 0 {
+		r.log("balance: malformed gossip messages dropped count=" + strconv.Itoa(malformed))
 	}
-	for _, f := range facts {
-		host := r.hosts[f.Host]
-		if f.Position > host.position {
-			host.position, host.positionHeardAt = f.Position, r.now
-			host.lastHeardAt, host.silentSince = max(host.lastHeardAt, f.Position), max(host.silentSince, f.Position)
-			if host.health == unhealthy && f.Position > host.unhealthyAt { // no host moves on while it is down
-				r.markHealthy(host)
-			}
-		}
-		if f.Role != gossip.Unknown {
-			r.recordRole(host, Role(f.Role), f.Position)
-		}
-		if f.Failing {
-			host.errorShare += ewmaWeight * (1 - host.errorShare)
-		} else if f.LatencyShare > 0 {
-			host.errorShare -= ewmaWeight * host.errorShare
-			r.adjustLimit(host, f.LatencyShare)
+	for i := range facts {
+		r.applyFact(&facts[i])
+	}
+}
+
+// applyFact takes what another gateway has heard of a host as if this one had heard it. A role is as old as
+// the position that came with it.
+func (r *Router) applyFact(fact *gossip.HostFact) {
+	host := r.hosts[fact.Host]
+	if fact.Position > host.position {
+		r.recordPosition(host, fact.Position)
+		host.lastHeardAt = max(host.lastHeardAt, fact.Position)
+		host.silentSince = max(host.silentSince, fact.Position)
+		// A host that is down does not advance, so it has come back.
+		if host.health == unhealthy && fact.Position > host.unhealthyAt {
+			r.markHealthy(host)
 		}
-		r.dispatch(host.group)
 	}
+	if fact.Role != gossip.Unknown {
+		r.recordRole(host, Role(fact.Role), fact.Position)
+	}
+	if fact.Failing {
+		host.recordError()
+	} else if fact.LatencyShare > 0 {
+		host.recordSuccess()
+		r.adjustLimit(host, fact.LatencyShare)
+	}
+	r.dispatch(host.group)
 }
--- /dev/null
+++ b/balance/outcome.go
@@ -0,0 +1,91 @@
+package balance
+
+import "slices"
+
+// handleOutcome takes the end of an attempt: what it tells of the host, and what becomes of the request.
+func (r *Router) handleOutcome(event *Event) {
+	host := r.hosts[event.Host]
+	req := r.requests[event.Request] // nil if it was forgotten
+	if host == nil {
+		return
+	}
+	r.recordOutcome(host, req, event)
+	if req != nil {
+		r.endAttempt(req, event.Attempt)
+		switch {
+		case event.Finished || req.finished:
+			r.finish(req)
+		case req.host == nil:
+			r.handleFailedAttempt(req, event.Result)
+		}
+	}
+	r.dispatch(host.group)
+}
+
+// endAttempt takes an attempt out of those in flight, if it is the current one of its request.
+func (r *Router) endAttempt(req *pendingRequest, attempt int) {
+	host := req.host
+	if host == nil || req.attempt != attempt {
+		return
+	}
+	host.inFlight = slices.DeleteFunc(host.inFlight, func(other *pendingRequest) bool { return other == req })
+	r.gossip.SetInFlight(host.id, len(host.inFlight))
+	req.lastHost = host
+	req.host = nil
+}
+
+// recordOutcome takes from an outcome what it tells of the host. The request may be nil.
+func (r *Router) recordOutcome(host *hostState, req *pendingRequest, event *Event) {
+	if event.Position > 0 {
+		r.recordPosition(host, event.Position)
+	}
+	r.recordReport(host, &event.Report)
+	if event.Result.Answered() {
+		r.recordAnswer(host, req, event)
+	}
+	switch event.Result {
+	case Succeeded:
+		r.recordSuccess(host, req, event)
+	case Failed:
+		host.recordError()
+		r.gossip.RecordLatencyShare(host.id, 0, true)
+	case TimedOut:
+		if req != nil {
+			r.recordLatency(host, req, event.Latency, false)
+		}
+	case Overloaded:
+		r.recordLatencyShare(host, 1)
+		r.pauseHost(host)
+	case ConnectionRefused, ConnectionReset:
+		r.recordBrokenConnection(host, req, event)
+	}
+}
+
+// recordAnswer takes what any answer of a host tells: that it is alive, and its role.
+func (r *Router) recordAnswer(host *hostState, req *pendingRequest, event *Event) {
+	r.markHealthy(host)
+	role := event.Role
+	if event.Result == NotPrimary && req != nil && req.isWrite() {
+		role = Replica
+	}
+	if role == Replica {
+		host.wasPrimary = false
+	}
+	if role != RoleUnknown {
+		r.recordRole(host, role, r.now)
+	}
+	r.publishFact(host, event.Position, role)
+}
+
+// recordSuccess takes what a successful answer tells. The request may be nil.
+func (r *Router) recordSuccess(host *hostState, req *pendingRequest, event *Event) {
+	host.recordSuccess()
+	if req == nil {
+		return
+	}
+	if req.dialed {
+		host.refusedDials = 0
+	}
+	r.recordLatency(host, req, event.Latency, true)
+	r.recordCommit(req, event.Position)
+}
--- /dev/null
+++ b/balance/queue.go
@@ -0,0 +1,153 @@
+package balance
+
+import (
+	"cmp"
+	"slices"
+)
+
+// maxUnplacedReads is the number of reads of a group that find no host before its other reads are left for
+// later.
+const maxUnplacedReads = 8
+
+// handleRequest takes a new request. One of a group that no list has named is rejected: there is no host to
+// wait for, and a client may name any number of such groups.
+func (r *Router) handleRequest(event *Event) {
+	i, known := r.findGroup(event.Group)
+	if !known || event.Class < 0 || event.Class >= len(r.settings.Classes) {
+		r.emit(Action{Kind: RejectAction, Request: event.Request, RetryAfter: r.settings.MaxRetryAfter})
+		return
+	}
+	req := r.newRequest(event, r.groups[i])
+	r.retryBudget.earn()
+	r.checkBudget.earn()
+	r.recordRequest(req)
+	req.shedRank = r.randomFraction()
+	r.requests[req.id] = req
+	r.enqueue(req)
+	r.dispatch(req.group)
+	r.checkUnhealthyMembers(req.group)
+}
+
+func (r *Router) newRequest(event *Event, group *groupState) *pendingRequest {
+	class := &r.settings.Classes[event.Class]
+	objective := class.LatencyObjective + int64(class.ObjectivePerWork*float64(event.WorkHint))
+	return &pendingRequest{
+		id:          event.Request,
+		class:       class,
+		classIndex:  event.Class,
+		group:       group,
+		sessionKey:  event.Key,
+		hasKey:      event.HasKey,
+		objectiveAt: min(r.now+objective, event.Deadline),
+		halfTimeAt:  r.now + (event.Deadline-r.now)/2,
+		deadline:    event.Deadline,
+		minPosition: r.sessionPosition(class, event),
+	}
+}
+
+// enqueue adds a request to the queue of its group, or gives it up if nothing can come of it any more.
+func (r *Router) enqueue(req *pendingRequest) {
+	if r.expired(req) {
+		r.giveUp(req)
+		return
+	}
+	req.lateness = r.lateness(req)
+	i, _ := slices.BinarySearchFunc(req.group.queue, req, r.compareQueued)
+	req.group.queue = slices.Insert(req.group.queue, i, req)
+}
+
+// compareQueued orders a queue: late requests last, then by priority weight for the time taken, then the
+// newest first. With more requests than can be served, oldest first would send each with too little time
+// left.
+func (r *Router) compareQueued(a, b *pendingRequest) int {
+	worthA := a.class.PriorityWeight / float64(r.traffic.classCost[a.classIndex])
+	worthB := b.class.PriorityWeight / float64(r.traffic.classCost[b.classIndex])
+	return cmp.Or(
+		cmp.Compare(a.lateness, b.lateness),
+		cmp.Compare(worthB, worthA),
+		cmp.Compare(b.objectiveAt, a.objectiveAt),
+	)
+}
+
+// lateness is above 0 if a request that is sent now will miss its objective, by the latency of its group.
+func (r *Router) lateness(req *pendingRequest) int {
+	return cmp.Compare(float64(r.now)+float64(req.group.latency), float64(req.objectiveAt))
+}
+
+// dispatch sends the queued requests of a group that a host may be sent now.
+func (r *Router) dispatch(group *groupState) {
+	writesBlocked := false
+	unplacedReads := 0
+	group.queue = slices.DeleteFunc(group.queue, func(req *pendingRequest) bool {
+		if req.finished {
+			return true
+		}
+		if req.isWrite() && writesBlocked || !req.isWrite() && unplacedReads > maxUnplacedReads {
+			return false
+		}
+		if host := r.chooseHost(req); host != nil {
+			r.send(req, host)
+			return true
+		}
+		if req.isWrite() {
+			writesBlocked = true
+		} else {
+			unplacedReads++
+		}
+		return false
+	})
+}
+
+// chooseHost returns the host that a request may go to now, or nil if it must wait.
+func (r *Router) chooseHost(req *pendingRequest) *hostState {
+	if req.isWrite() {
+		return r.choosePrimary(req)
+	}
+	return r.chooseReplica(req)
+}
+
+// send starts an attempt of a request at a host.
+func (r *Router) send(req *pendingRequest, host *hostState) {
+	req.dialed = !host.connected
+	host.connected = true
+	if len(host.inFlight) == 0 {
+		host.silentSince = r.now
+	}
+	req.attempt = req.attemptsSent
+	req.attemptsSent++
+	req.host = host
+	req.sentAt = r.now
+	req.overdueHalves = 0
+	host.inFlight = append(host.inFlight, req)
+	r.gossip.SetInFlight(host.id, len(host.inFlight))
+	r.spendSlowStart(host, req)
+	r.emit(Action{Kind: SendAction, Request: req.id, Host: host.id})
+}
+
+// expireQueue gives up the requests of a group that wait in vain, and puts late ones behind the others.
+func (r *Router) expireQueue(group *groupState) {
+	group.queue = slices.DeleteFunc(group.queue, func(req *pendingRequest) bool {
+		req.lateness = r.lateness(req)
+		if !req.finished && r.waitsInVain(req) {
+			r.giveUp(req)
+		}
+		return req.finished
+	})
+	slices.SortStableFunc(group.queue, r.compareQueued)
+}
+
+// waitsInVain reports whether a queued request is to be given up: its time is over, or it is late and a late
+// answer is worth nothing, or it is a read that no host has received by half of its time: so its client can
+// still try again.
+func (r *Router) waitsInVain(req *pendingRequest) bool {
+	worthless := req.lateness > 0 && req.class.LatePriorityWeight == 0
+	halfOver := r.now+r.maintenanceInterval() >= req.halfTimeAt
+	unservedRead := !req.isWrite() && !req.reachedHost && halfOver
+	return worthless || unservedRead || r.expired(req)
+}
+
+// expired reports whether nothing more can come of a request that is not in flight: its client leaves before
+// the next maintenance sees it, or its repeat would no longer be dropped.
+func (r *Router) expired(req *pendingRequest) bool {
+	return r.now+2*r.maintenanceInterval() >= req.deadline || r.deduplicationLapsed(req, r.now)
+}
--- /dev/null
+++ b/balance/replicas.go
@@ -0,0 +1,251 @@
+package balance
+
+import (
+	"math"
+	"slices"
+)
+
+const (
+	// connectedWeight is how much more often a host is drawn that the gateway has a connection to: new
+	// connections cost hosts work, and those of all gateways together very much.
+	connectedWeight = 16.0
+	// maxUncheckedAttempts is the number of attempts after which a read goes only to hosts known to be fresh
+	// enough.
+	maxUncheckedAttempts = 2
+	// positionChecks is the number of replicas that are asked for their position for a read that waits for
+	// one.
+	positionChecks = 2
+	// positionWaitInterval is the search intervals between two such checks for the same read.
+	positionWaitInterval = 3
+)
+
+// chooseReplica returns the host that a read may go to now, or nil if it must wait. It is the better of two
+// random replicas whose known position satisfies the read. Where there is none and hosts check staleness
+// themselves, replicas that should have caught up count too. The primary is the last resort.
+func (r *Router) chooseReplica(req *pendingRequest) *hostState {
+	if req.class.Consistency == Linearizable {
+		return r.primaryForRead(req)
+	}
+	var (
+		group         = req.group
+		minPosition   = r.minPosition(req)
+		isLong        = r.isLongRead(req)
+		longReadHosts = r.longReadHosts(group)
+		draw          replicaDraw
+		freshIsBusy   bool
+	)
+	for _, member := range group.members {
+		if r.skipsMember(req, member) {
+			continue
+		}
+		admitted := r.admits(req, member)
+		if isLong && member.takesLongReads() {
+			longReadHosts--
+			if admitted {
+				return member
+			}
+			if longReadHosts == 0 {
+				return nil
+			}
+			continue
+		}
+		fresh := member.position >= minPosition
+		if !admitted {
+			freshIsBusy = freshIsBusy || fresh && member.health == healthy
+			continue
+		}
+		if fresh || !draw.fresh && r.mayHaveCaughtUp(req, member, minPosition) {
+			draw.add(member, r.drawKey(member), fresh)
+		}
+	}
+	if chosen := r.betterOf(&draw); chosen != nil {
+		return chosen
+	}
+	return r.primaryOrWait(req, minPosition, freshIsBusy)
+}
+
+// minPosition is the log position that a host must have applied to answer a read; 0 if any will do.
+func (r *Router) minPosition(req *pendingRequest) int64 {
+	switch req.class.Consistency {
+	case BoundedStaleness:
+		return r.now - req.class.MaxStaleness
+	case ReadYourWrites:
+		return req.minPosition
+	default:
+		return 0
+	}
+}
+
+// longReadHosts is the number of members that long reads go to: as many as their part of all work asks for. A
+// long read may keep its host from applying the log; spread over all replicas they would leave none fresh.
+func (r *Router) longReadHosts(group *groupState) int {
+	replicas := float64(len(group.members) - 2)
+	return max(1, int(r.traffic.longReadShare*replicas))
+}
+
+// takesLongReads reports whether a host counts among those that long reads go to. All gateways see the same
+// ones.
+func (h *hostState) takesLongReads() bool {
+	return h.health == healthy && !h.excluded && !h.warmingUp && !h.isFailing()
+}
+
+// skipsMember reports whether a read passes over a member, whatever its state: the primary, the host of the
+// last failed attempt where there are others, and hosts in a zone that reads avoid.
+func (r *Router) skipsMember(req *pendingRequest, member *hostState) bool {
+	group := req.group
+	if member == group.primary && group.confirmed {
+		return true
+	}
+	if member == req.lastHost && len(group.members) > 2 {
+		return true
+	}
+	return r.zoneShares != nil && r.avoidsZone(req, member)
+}
+
+// avoidsZone reports whether a read avoids a host in a zone from which the fleet moves traffic away. It does
+// so only where a replica of its group is healthy in a zone that takes all of its reads.
+func (r *Router) avoidsZone(req *pendingRequest, host *hostState) bool {
+	elsewhere := func(member *hostState) bool {
+		usable := member != host.group.primary && member.health == healthy && !member.excluded
+		return usable && r.zoneShares.ReadShare(member.zone) == 1
+	}
+	rank := math.Mod(req.shedRank*1024, 1) // independent of the rank that decides on load shedding
+	if rank < r.zoneShares.ReadShare(host.zone) {
+		return false
+	}
+	return slices.ContainsFunc(host.group.members, elsewhere)
+}
+
+// mayHaveCaughtUp reports whether a read may try a replica that is not known to be fresh enough: if the host
+// itself checks staleness, and by its last known lag it should be fresh, or was heard of too long ago to say.
+func (r *Router) mayHaveCaughtUp(req *pendingRequest, host *hostState, minPosition int64) bool {
+	if !r.settings.HostsCheckStaleness || req.attemptsSent > maxUncheckedAttempts {
+		return false
+	}
+	lag := host.positionHeardAt - host.position
+	tooFarBehind := r.now-lag < minPosition
+	heardLately := r.now-host.positionHeardAt < max(2*r.searchInterval(), lag)
+	return !tooFarBehind || !heardLately
+}
+
+// replicaDraw keeps the two hosts with the least keys. Hosts known to be fresh replace all others.
+type replicaDraw struct {
+	first, second       *hostState
+	firstKey, secondKey float64
+	fresh               bool // the hosts are known to be fresh enough
+}
+
+func (d *replicaDraw) add(host *hostState, key float64, fresh bool) {
+	if fresh && !d.fresh {
+		*d = replicaDraw{fresh: true}
+	}
+	switch {
+	case d.first == nil || key < d.firstKey:
+		d.second, d.secondKey = d.first, d.firstKey
+		d.first, d.firstKey = host, key
+	case d.second == nil || key < d.secondKey:
+		d.second, d.secondKey = host, key
+	}
+}
+
+// drawKey draws an exponential time; the least of several is a draw by weight. A host in slow start weighs as
+// much as it can do, and one with an open connection more.
+func (r *Router) drawKey(host *hostState) float64 {
+	weight := r.slowStartShare(host)
+	if host.connected {
+		weight *= connectedWeight
+	}
+	return -math.Log(1-r.randomFraction()) / weight
+}
+
+// betterOf returns the better one of the drawn hosts, or nil if none was drawn.
+func (r *Router) betterOf(draw *replicaDraw) *hostState {
+	if draw.second != nil && r.preferred(draw.second, draw.first) {
+		return draw.second
+	}
+	return draw.first
+}
+
+// preferred reports whether a read goes to host a rather than b: to the one that does not fail, then to the
+// zone of the gateway where crossing has a cost, then to the one with less load.
+func (r *Router) preferred(a, b *hostState) bool {
+	if a.isFailing() != b.isFailing() { // errors are quick, so a failing host looks idle
+		return b.isFailing()
+	}
+	aIsLocal := a.zone == r.settings.Zone
+	bIsLocal := b.zone == r.settings.Zone
+	if r.settings.CrossZoneCost > 0 && aIsLocal != bIsLocal && len(a.inFlight) == len(b.inFlight) {
+		return aIsLocal
+	}
+	return r.lessLoaded(a, b)
+}
+
+// lessLoaded reports whether a read goes to host a by load. All gateways see the same difference, so each
+// moves only a part of its reads: together, of those that come meanwhile, as many as even the difference out.
+func (r *Router) lessLoaded(a, b *hostState) bool {
+	loadA, coming := r.gossip.Load(r.now, a.id)
+	loadB, _ := r.gossip.Load(r.now, b.id)
+	difference := float64(len(b.inFlight)-len(a.inFlight)) + loadB - loadA
+	if b.connected && !a.connected { // the difference must be worth a new connection
+		difference -= coming / 2
+	}
+	return difference+coming/2 > coming*r.randomFraction()
+}
+
+// primaryOrWait returns the primary for a read that no replica can take now, or nil if it is to wait. What a
+// session has just written is at the primary; a bounded read first asks whether a replica has caught up.
+func (r *Router) primaryOrWait(req *pendingRequest, minPosition int64, freshIsBusy bool) *hostState {
+	primary := r.primaryForRead(req)
+	wantsReplica := primary == nil || req.class.Consistency == BoundedStaleness
+	// Where a fresh replica is only busy, or hosts check staleness themselves, asking would tell nothing new.
+	askHelps := !freshIsBusy && minPosition > 0 && !r.settings.HostsCheckStaleness
+	if wantsReplica && askHelps && r.waitForPosition(req) {
+		return nil
+	}
+	return primary
+}
+
+// waitForPosition checks the positions of some replicas for a read, and reports whether it is to wait for
+// them. With little traffic, known positions are old at every read; to check ahead of need would cost more.
+func (r *Router) waitForPosition(req *pendingRequest) bool {
+	if r.now >= req.positionWaitUntil+positionWaitInterval*r.searchInterval() {
+		r.checkPositions(req)
+	}
+	if r.now >= req.positionWaitUntil {
+		return false
+	}
+	pending := func(member *hostState) bool { return member.checkPending }
+	return slices.ContainsFunc(req.group.members, pending)
+}
+
+// checkPositions checks some replicas, from a random one on, and sets how long the read waits for the
+// results.
+func (r *Router) checkPositions(req *pendingRequest) {
+	req.positionWaitUntil = r.now
+	members := req.group.members
+	start := int(r.rand.Below(int64(len(members))))
+	checked := 0
+	for i := range members {
+		member := members[(start+i)%len(members)]
+		if member.health != healthy || member == req.group.primary || !r.isPositionChecked(member) {
+			continue
+		}
+		if member.checkPending {
+			roundTrips := int64(2 * r.healthCheckRTT)
+			req.positionWaitUntil = r.now + roundTrips + r.maintenanceInterval()
+		}
+		checked++
+		if checked == positionChecks {
+			return
+		}
+	}
+}
+
+// isPositionChecked reports whether a host is being checked or was so lately; otherwise it starts a health
+// check.
+func (r *Router) isPositionChecked(host *hostState) bool {
+	if host.checkPending || r.now-host.checkedAt < r.searchInterval() {
+		return true
+	}
+	return r.startHealthCheck(host, optionalCheck)
+}
--- /dev/null
+++ b/balance/retry.go
@@ -0,0 +1,107 @@
+package balance
+
+const (
+	retryTokensPerRequest = 0.1  // for each request: retries can't feed an overload
+	maxRetryTokens        = 20.0 // what calm times save up for a crash
+	retryCost             = 1.0  // tokens
+)
+
+// handleFailedAttempt decides what follows an attempt that did not succeed: a retry or the final answer.
+func (r *Router) handleFailedAttempt(req *pendingRequest, result Result) {
+	notExecuted := result.ProvesNotExecuted()
+	if result != ConnectionRefused && result != NotSent {
+		req.reachedHost = true
+	}
+	if !notExecuted && !req.mayHaveExecuted() {
+		req.executedAt = req.sentAt
+		req.executedZone = req.lastHost.zone
+	}
+	if req.attemptsSent >= r.settings.MaxAttempts {
+		r.giveUp(req)
+		return
+	}
+	if !notExecuted {
+		if req.class.RetrySafety == NonIdempotent || !r.retryBudget.has(retryCost) {
+			r.giveUp(req)
+			return
+		}
+		r.retryBudget.spend(retryCost)
+	}
+	r.enqueue(req)
+}
+
+// deduplicationLapsed reports whether the repeat of a request with an idempotency key, sent now, may come too
+// late to be dropped.
+func (r *Router) deduplicationLapsed(req *pendingRequest, now int64) bool {
+	if !req.mayHaveExecuted() || req.class.RetrySafety != IdempotencyKey {
+		return false
+	}
+	return now+r.maintenanceInterval() >= req.executedAt+req.class.DeduplicationWindow
+}
+
+// AttemptStillValid reports whether the attempt in flight of a request may still be written. It is to be
+// asked just before the first byte: while a connection opened, the host may have been excluded, or its known
+// position may have become too old. An attempt that is not valid is to end as NotSent, which brings a new
+// decision.
+func (r *Router) AttemptStillValid(now int64, id int64) bool {
+	req := r.requests[id]
+	if req == nil || req.finished || req.host == nil || req.host.excluded {
+		return false
+	}
+	if now >= req.deadline || r.deduplicationLapsed(req, now) {
+		return false
+	}
+	if req.class.Consistency != BoundedStaleness || r.settings.HostsCheckStaleness || req.host.wasPrimary {
+		return true
+	}
+	return req.host.position >= now-req.class.MaxStaleness
+}
+
+// handleClientDisconnected ends a request for whose answer nobody waits any more.
+func (r *Router) handleClientDisconnected(event *Event) {
+	req := r.requests[event.Request]
+	if req == nil {
+		return
+	}
+	if req.host != nil && r.settings.Cancellation {
+		r.emit(Action{Kind: CancelAction, Request: req.id, Attempt: req.attempt})
+	}
+	r.finish(req)
+}
+
+// giveUp gives the final answer.
+func (r *Router) giveUp(req *pendingRequest) {
+	if req.mayBeRepeated() {
+		r.emit(Action{Kind: RejectAction, Request: req.id, RetryAfter: r.retryAfter(req)})
+	} else {
+		r.emit(Action{Kind: FailAction, Request: req.id})
+	}
+	r.finish(req)
+}
+
+// mayBeRepeated reports whether it is harmless that the client tries again, which a rejection promises:
+// nothing was executed, or repeats do no harm wherever they run.
+func (req *pendingRequest) mayBeRepeated() bool {
+	if !req.mayHaveExecuted() || req.class.RetrySafety == Idempotent {
+		return true
+	}
+	return req.class.RetrySafety == IdempotencyKey && req.class.DeduplicationScope == ScopeGlobal
+}
+
+// retryAfter is how long a rejected client is to wait, µs. One whose read was shed waits as long as the
+// settings allow: to come back at once would undo the shedding.
+func (r *Router) retryAfter(req *pendingRequest) int64 {
+	longest := r.settings.MaxRetryAfter
+	if req.shed {
+		return longest - r.rand.Below(longest/8)
+	}
+	return min(req.class.LatencyObjective/2, longest)
+}
+
+// finish forgets a request that has its final answer, but not before its last attempt has come back.
+func (r *Router) finish(req *pendingRequest) {
+	req.finished = true
+	if req.host == nil {
+		delete(r.requests, req.id)
+	}
+}
--- /dev/null
+++ b/balance/router.go
@@ -0,0 +1,190 @@
+package balance
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"cloverrock/internal/gossip"
+	"cloverrock/internal/random"
+)
+
+const (
+	second = 1e6 // µs
+
+	// minMaintenanceInterval, in µs, is fine against latency objectives and coarse enough to be cheap.
+	minMaintenanceInterval = 20e3
+	// searchIntervalFactor is the maintenance intervals between two searches for a primary: reports are no
+	// fresher.
+	searchIntervalFactor = 5
+	// assumedGateways stands in for a fleet size that the settings don't tell.
+	assumedGateways = 6
+)
+
+// Router decides for one gateway. It is not safe for concurrent use.
+type Router struct {
+	settings Settings
+	rand     random.Source
+	started  bool
+	now      int64    // time of the event that is being handled
+	actions  []Action // collected for the caller
+
+	hosts     map[string]*hostState
+	hostsByID []*hostState // the same, sorted by id
+	groups    []*groupState
+	requests  map[int64]*pendingRequest
+
+	subscription subscription
+	sessions     sessionCommits
+	traffic      trafficStats
+
+	retryBudget         requestBudget // retries of what may have been executed
+	checkBudget         requestBudget // health checks that no decision waits for
+	healthCheckRTT      movingAverage // µs
+	idleTimeout         int64         // how long idle connections are kept, µs
+	minConcurrencyLimit float64       // attempts in flight on a host that a cut limit still allows
+
+	gossip     *gossip.State
+	zoneShares ZoneShares // nil: all zones may be read
+}
+
+// SettingsError reports a setting that no router can work with.
+type SettingsError struct {
+	Setting     string // name of the field of Settings or Class
+	Requirement string // what is required of it
+}
+
+func (e *SettingsError) Error() string { return "balance: " + e.Setting + " " + e.Requirement }
+
+// validate returns a *SettingsError for the first unusable setting.
+func (s *Settings) validate() error {
+	if s.TickInterval <= 0 {
+		return &SettingsError{"TickInterval", "must be positive"}
+	}
+	if s.MaxAttempts < 1 {
+		return &SettingsError{"MaxAttempts", "must be at least 1"}
+	}
+	for i := range s.Classes {
+		if s.Classes[i].LatencyObjective <= 0 {
+			return &SettingsError{"LatencyObjective", "of a class must be positive"}
+		}
+		if s.Classes[i].Deadline <= 0 {
+			return &SettingsError{"Deadline", "of a class must be positive"}
+		}
+	}
+	return nil
+}
+
+// New returns a router for the settings; the seed feeds its random numbers. The error is a *SettingsError.
+func New(settings Settings, seed uint64) (*Router, error) {
+	if err := settings.validate(); err != nil {
+		return nil, err
+	}
+	settings.Classes = slices.Clone(settings.Classes)
+	gateways := float64(cmp.Or(settings.Gateways, assumedGateways))
+	return &Router{
+		settings:            settings,
+		rand:                random.Source(seed),
+		hosts:               map[string]*hostState{},
+		requests:            map[int64]*pendingRequest{},
+		sessions:            newSessionCommits(),
+		traffic:             newTrafficStats(settings.Classes),
+		retryBudget:         newRequestBudget(retryTokensPerRequest, maxRetryTokens),
+		checkBudget:         newRequestBudget(checkTokensPerRequest, maxCheckTokens),
+		healthCheckRTT:      movingAverage(settings.TickInterval),
+		idleTimeout:         maxIdleTimeout,
+		minConcurrencyLimit: min(max(1, minFleetConcurrency/gateways), initialConcurrencyLimit),
+		gossip:              gossip.New(gossipConfig(&settings), seed),
+	}, nil
+}
+
+// Handle takes one event, at a time that is not before that of the last one, and appends the actions that
+// follow from it.
+func (r *Router) Handle(now int64, event Event, actions []Action) []Action {
+	r.now = now
+	r.actions = actions
+	if !r.started {
+		r.start()
+	}
+	switch event.Kind {
+	case EndpointsEvent:
+		r.handleEndpoints(&event)
+	case RequestEvent:
+		r.handleRequest(&event)
+	case OutcomeEvent:
+		r.handleOutcome(&event)
+	case ClientDisconnectedEvent:
+		r.handleClientDisconnected(&event)
+	case TimerEvent:
+		r.runMaintenance()
+		r.scheduleMaintenance()
+	case HealthCheckEvent:
+		r.handleHealthCheck(&event)
+	case GossipEvent:
+		r.handleGossip(event.Peer, event.Data)
+	}
+	r.sendGossip()
+	return r.actions
+}
+
+// start begins the router's clocks at its first event.
+func (r *Router) start() {
+	r.started = true
+	r.sessions.rotatedAt = r.now
+	r.traffic.measuredAt = r.now
+	if r.settings.MustSubscribe {
+		r.emit(Action{Kind: SubscribeAction})
+	}
+	r.scheduleMaintenance()
+}
+
+// runMaintenance does what time alone brings about.
+func (r *Router) runMaintenance() {
+	r.renewSubscription()
+	r.sessions.rotate(r.now)
+	for _, host := range r.hostsByID {
+		r.recordOverdueAttempts(host)
+		r.detectSilence(host)
+		r.closeIdleConnections(host)
+	}
+	r.measureTraffic()
+	r.checkForFleet()
+	r.removeGoneHosts()
+	for _, group := range r.groups {
+		if !group.confirmed {
+			r.searchPrimary(group)
+		}
+		r.expireQueue(group)
+		r.dispatch(group)
+	}
+}
+
+func (r *Router) scheduleMaintenance() {
+	r.emit(Action{Kind: TimerAction, At: r.now + r.maintenanceInterval()})
+}
+
+// maintenanceInterval is the time between two runs of maintenance, µs.
+func (r *Router) maintenanceInterval() int64 {
+	return max(minMaintenanceInterval, r.settings.TickInterval)
+}
+
+// searchInterval is the shortest time between two searches for a primary, µs, and the unit of backoff.
+func (r *Router) searchInterval() int64 { return searchIntervalFactor * r.maintenanceInterval() }
+
+func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
+
+func (r *Router) log(text string) { r.emit(Action{Kind: LogAction, Text: text}) }
+
+// randomFraction draws a number from 0 up to, and not including, 1.
+func (r *Router) randomFraction() float64 {
+	return float64(r.rand.Below(1<<30)) / (1 << 30)
+}
+
+// spreadOverFleet draws a random time for what a single gateway would do after the given wait, in µs. It
+// grows with the root of the number of gateways: the first to act tells the others, and no two act in step.
+func (r *Router) spreadOverFleet(wait int64) int64 {
+	if r.settings.Gateways < 2 {
+		return wait
+	}
+	return int64((0.5 + r.randomFraction()) * math.Sqrt(float64(r.settings.Gateways)) * float64(wait))
+}
--- /dev/null
+++ b/balance/sessions.go
@@ -0,0 +1,62 @@
+package balance
+
+// commitRetention is how long, in µs, a session's commit is remembered by itself, at least.
+const commitRetention = 10e6
+
+// sessionCommits remembers the position of the last commit of each session, by session key. Old ones are
+// folded into one floor that covers all of them.
+type sessionCommits struct {
+	recent, older map[int64]int64
+	rotatedAt     int64 // when recent was begun
+	floor         int64 // no forgotten session has a commit beyond it
+}
+
+func newSessionCommits() sessionCommits {
+	return sessionCommits{recent: map[int64]int64{}, older: map[int64]int64{}}
+}
+
+// rotate folds the older commits into the floor once the recent ones have been kept for long enough.
+func (s *sessionCommits) rotate(now int64) {
+	if now-s.rotatedAt <= commitRetention {
+		return
+	}
+	for _, position := range s.older {
+		s.floor = max(s.floor, position)
+	}
+	s.older = s.recent
+	s.recent = map[int64]int64{}
+	s.rotatedAt = now
+}
+
+// record remembers a commit of a session.
+func (s *sessionCommits) record(key, position int64) {
+	s.recent[key] = max(s.recent[key], position)
+}
+
+// position returns a position that shows all commits of a session.
+func (s *sessionCommits) position(key int64) int64 {
+	return max(s.floor, s.recent[key], s.older[key])
+}
+
+// recordCommit remembers the commit of a successful write, unless requests tell of their session's writes
+// themselves.
+func (r *Router) recordCommit(req *pendingRequest, position int64) {
+	if req.isWrite() && req.hasKey && position > 0 && !r.settings.RequestsCarrySessionAge {
+		r.sessions.record(req.sessionKey, position)
+	}
+}
+
+// sessionPosition is the position that a host must have applied to show what the session of a new request has
+// written; 0 if any will do.
+func (r *Router) sessionPosition(class *Class, event *Event) int64 {
+	switch {
+	case class.Consistency != ReadYourWrites:
+		return 0
+	case !r.settings.RequestsCarrySessionAge:
+		return r.sessions.position(event.Key)
+	case event.SessionWriteAge != 0:
+		return r.now - event.SessionWriteAge
+	default:
+		return 0
+	}
+}
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A fresh router that believes another's facts sends writes to the primary that it found, and asks nobody first.
+// A fresh router that believes another's facts sends writes to the primary that it found, and asks nobody
+// first.
 func TestBeliefIsAFirstGuess(t *testing.T) {
 	old := readyRig(t, testSettings())
 	old.report("a", false, old.now)
@@ -62,8 +63,8 @@
 
 func (z zoneShareMap) ReadShare(zone int) float64 { return z[zone] }
 
-// Of a zone that is left in part, that part of the reads goes to its replicas; none is kept from a group that has no other,
-// writes go where the primary is, and no read goes to a replica that is too old for it.
+// Of a zone that is left in part, that part of the reads goes to its replicas; none is kept from a group that
+// has no other, writes go where the primary is, and no read goes to a replica that is too old for it.
 func TestLeftZoneIsSpared(t *testing.T) {
 	endpoints := threeHosts()
 	endpoints[1].Zone, endpoints[2].Zone = 1, 2
--- a/balance/work_test.go
+++ b/balance/work_test.go
@@ -14,7 +14,8 @@
 	return settings
 }
 
-// A cold host's budget is of work: long reads, each a request like any other, pushed hosts over while it counted requests.
+// A cold host's budget is of work: long reads, each a request like any other, pushed hosts over while it
+// counted requests.
 func TestColdHostIsPacedByWork(t *testing.T) {
 	rig := readyRig(t, unequalSettings())
 	work := map[string]float64{}
@@ -61,8 +62,8 @@
 	}
 }
 
-// A long read may keep a replica from applying the log: all routers give them to the same one, and the others stay fresh.
-// Short ones of any age, and long ones where that replica is gone, go where there is room.
+// A long read may keep a replica from applying the log: all routers give them to the same one, and the others
+// stay fresh. Short ones of any age, and long ones where that replica is gone, go where there is room.
 func TestLongReadsKeepToOneReplica(t *testing.T) {
 	for seed := range uint64(8) {
 		settings := unequalSettings()
@@ -100,8 +101,9 @@
 	}
 }
 
-// Where hosts check reads, a replica that lagged when it was last heard is tried again, once it may have caught up: else
-// nothing would tell that it has, and it stands idle. One that lagged much is left alone for longer.
+// Where hosts check reads, a replica that lagged when it was last heard is tried again, once it may have
+// caught up: else nothing would tell that it has, and it stands idle. One that lagged much is left alone for
+// longer.
 func TestReplicaThatLaggedIsTriedAgain(t *testing.T) {
 	rig := newRig(t, unequalSettings(), threeHosts()...)
 	rig.reportAll(rig.now - 5000*ms)
@@ -118,8 +120,8 @@
 	}
 }
 
-// Few routers must each be able to have more than one attempt out, or a host's cores stand idle; of many, or of a number
-// not known, one each is enough.
+// Few routers must each be able to have more than one attempt out, or a host's cores stand idle; of many, or
+// of a number not known, one each is enough.
 func TestLeastLimitGoesByTheNumberOfRouters(t *testing.T) {
 	for routers, want := range map[int]int{0: 1, 1: 4, 2: 3, 3: 2, 80: 1, 1000: 1} {
 		settings := testSettings()
@@ -140,9 +142,10 @@
 	}
 }
 
-// What all routers together send a host that has just started stays under what lets it fall over: more than N + 2 x root
-// of N + 2 requests of mean work in the stated time, N being what it may have then. A fifth more is asked than
-// warm hosts could do. So it does if a third of the routers hear of the start late, and if another third starts meanwhile.
+// What all routers together send a host that has just started stays under what lets it fall over: more than N
+// + 2 x root of N + 2 requests of mean work in the stated time, N being what it may have then. A fifth more
+// is asked than warm hosts could do. So it does if a third of the routers hear of the start late, and if
+// another third starts meanwhile.
 func TestColdBoundByNumberOfRouters(t *testing.T) {
 	for _, d := range []struct {
 		name     string
