--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -138,7 +138,7 @@
 	return ""
 }
 
-func TestOutcomeByRepeat(t *testing.T) {
+func TestFailedAttemptIsRetriedOnlyWhereThatIsSafe(t *testing.T) {
 	const again, refuse, fail = "again", "refuse", "fail"
 	for _, c := range []struct {
 		class int
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestRefusalNeedsProof(t *testing.T) {
+func TestRejectionRequiresThatRepeatingIsHarmless(t *testing.T) {
 	for _, c := range []struct {
 		class int
 		kind  ActionKind
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestWalkHoldRelease(t *testing.T) {
+func TestWriteTriesEachMemberThenWaitsForThePrimary(t *testing.T) {
 	settings := testSettings()
 	endpoints := threeHosts()
 	endpoints[0].Primary = false
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestHeldWriteIsRefusedInTime(t *testing.T) {
+func TestWaitingWriteIsRejectedBeforeItsDeadline(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	first, _ := rig.request(unsafeWrite)
 	rig.answer(first, "a", ConnectionReset, RoleUnknown, 0)
@@ -234,7 +234,7 @@
 	t.Fatal("no final answer before the client's deadline")
 }
 
-func TestFreshStart(t *testing.T) {
+func TestFirstWriteGoesToTheListedPrimaryElseTheLowestID(t *testing.T) {
 	for _, c := range []struct {
 		mark bool
 		want string
@@ -253,7 +253,7 @@
 // A router that never was sure of a primary goes on asking at its pace: with the start of time as the start
 // of the search, the second probe would come after an eighth of all time, and the write would be held to its
 // end.
-func TestSearchFromTheStartGoesOn(t *testing.T) {
+func TestSearchForANeverConfirmedPrimaryContinues(t *testing.T) {
 	rig := newRig(t, testSettings(), threeHosts()...)
 	id, actions := rig.request(unsafeWrite)
 	for range 3 {
@@ -277,7 +277,7 @@
 	}
 }
 
-func TestLateReportDoesNotOverturnNewerAnswer(t *testing.T) {
+func TestOldReportDoesNotOverruleANewerAnswer(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	rig.now += 1000 * ms
 	id, _ := rig.request(unsafeWrite)
@@ -297,7 +297,7 @@
 	}
 }
 
-func TestSilentPrimaryHoldsWrites(t *testing.T) {
+func TestSilentPrimaryIsCheckedWhileWritesWait(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	for range 10 {
 		id, _ := rig.request(keyedWrite)
@@ -329,7 +329,7 @@
 	}
 }
 
-func TestKeyedRepeatStaysInWindow(t *testing.T) {
+func TestKeyedRetryStaysInItsDeduplicationWindow(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(keyedWrite)
 	rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)
@@ -342,7 +342,7 @@
 	}
 }
 
-func TestDrainedHostGetsNothing(t *testing.T) {
+func TestExcludedHostGetsNoRequests(t *testing.T) {
 	for _, ph := range []EndpointState{Draining, Removed} {
 		rig := readyRig(t, testSettings())
 		rig.handle(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: "a", State: ph, Weight: 1}, {Host: "b", State: ph, Weight: 1}}})
@@ -364,7 +364,7 @@
 	}
 }
 
-func TestReadsNeedKnownPositions(t *testing.T) {
+func TestReadGoesToAReplicaOnlyIfItsPositionSuffices(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
@@ -397,7 +397,7 @@
 	}
 }
 
-func TestGuessedPrimaryGetsNoFreshRead(t *testing.T) {
+func TestGuessedPrimaryGetsNoConsistentRead(t *testing.T) {
 	settings := testSettings()
 	endpoints := threeHosts()
 	endpoints[0].Primary = false
@@ -409,7 +409,7 @@
 	}
 }
 
-func TestCheckingHostsAreTried(t *testing.T) {
+func TestReadTriesAnOldReplicaWhereHostsCheckStaleness(t *testing.T) {
 	settings := testSettings()
 	settings.HostsCheckStaleness = true
 	rig := newRig(t, settings, threeHosts()...)
@@ -421,7 +421,7 @@
 	}
 }
 
-func TestRememberedTokens(t *testing.T) {
+func TestSessionReadFollowsItsRememberedWrite(t *testing.T) {
 	settings := testSettings()
 	settings.RequestsCarrySessionAge = false
 	rig := readyRig(t, settings)
@@ -440,7 +440,7 @@
 	}
 }
 
-func TestColdHostIsPaced(t *testing.T) {
+func TestColdHostGetsAtMostItsSlowStartShare(t *testing.T) {
 	settings := testSettings()
 	settings.RequestsCarrySessionAge = true
 	rig := readyRig(t, settings)
@@ -464,7 +464,7 @@
 	}
 }
 
-func TestDeadHostComesBackCold(t *testing.T) {
+func TestCrashedHostComesBackInSlowStart(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	rig.now += 10 * ms
 	id, actions := rig.request(eventualRead)
@@ -490,7 +490,7 @@
 
 // Links that break connections now and then say nothing of the host: asked once more it answers, and it is
 // given as much as before, at once.
-func TestOneBrokenProbeIsNotADeath(t *testing.T) {
+func TestOneBrokenHealthCheckDoesNotMakeAHostUnhealthy(t *testing.T) {
 	for _, res := range []Result{ConnectionRefused, ConnectionReset} {
 		rig := readyRig(t, testSettings())
 		id, actions := rig.request(eventualRead)
@@ -518,7 +518,7 @@
 }
 
 // A host that answers errors is quick, and so looks idle: reads go to the others until it is tried again.
-func TestFastErrorsDrawNoReads(t *testing.T) {
+func TestFailingHostAttractsNoReads(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	ask := func() (bad int) {
 		for range 100 {
@@ -544,7 +544,7 @@
 	}
 }
 
-func TestBrokenConnectionIsNotADeath(t *testing.T) {
+func TestBrokenConnectionIsDecidedByAHealthCheck(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(unsafeWrite)
 	actions := rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)
@@ -560,7 +560,7 @@
 	}
 }
 
-func TestTimeoutsCutTheLimit(t *testing.T) {
+func TestTimeoutsCutTheConcurrencyLimit(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	host := rig.router.hosts["b"]
 	host.concurrencyLimit = 40
@@ -577,7 +577,7 @@
 	}
 }
 
-func TestRequestThatComesTooLateIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutTimeLeftIsRejectedAtOnce(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	for _, left := range []int64{-5 * ms, 0, 10 * ms} {
 		actions := rig.handle(Event{Kind: RequestEvent, Request: 77, Class: unsafeWrite, Deadline: rig.now + left})
@@ -587,7 +587,7 @@
 	}
 }
 
-func TestNewestWaitingGoesFirst(t *testing.T) {
+func TestNewestQueuedWriteIsSentFirst(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	rig.router.hosts["a"].concurrencyLimit = 1
 	first, _ := rig.request(unsafeWrite)
@@ -601,7 +601,7 @@
 	}
 }
 
-func TestSubscribesAgainAfterFailure(t *testing.T) {
+func TestSubscriptionIsRenewedAfterAFailure(t *testing.T) {
 	settings := testSettings()
 	settings.MustSubscribe = true
 	rig := newRig(t, settings, threeHosts()...)
@@ -614,7 +614,7 @@
 	}
 }
 
-func TestSettingsAtTheirEdges(t *testing.T) {
+func TestRulesHoldWithExtremeSettings(t *testing.T) {
 	if _, err := New(Settings{}, 1); err == nil {
 		t.Error("empty settings were taken")
 	}
@@ -633,7 +633,7 @@
 	}
 }
 
-func TestRules(t *testing.T) {
+func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		settings := testSettings()
 		settings.HostsCheckStaleness = seed%3 == 0
@@ -642,7 +642,7 @@
 	}
 }
 
-func TestReplayIsTheSame(t *testing.T) {
+func TestSameEventsGiveTheSameActions(t *testing.T) {
 	a, b := randomEvents(t, testSettings(), 11), randomEvents(t, testSettings(), 11)
 	if !reflect.DeepEqual(a, b) {
 		t.Fatal("the same events gave other actions")
@@ -862,7 +862,7 @@
 	return log
 }
 
-func TestWaitingGoByWorthForTime(t *testing.T) {
+func TestQueueIsOrderedByPriorityForTheTimeTaken(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	for _, host := range rig.router.hostsByID {
 		host.concurrencyLimit = 1
@@ -878,7 +878,7 @@
 	}
 }
 
-func TestWorkForAClientThatLeftIsCalledOff(t *testing.T) {
+func TestAttemptIsCanceledWhenItsClientDisconnects(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, actions := rig.request(boundedRead)
 	h := sentTo(actions, id)
@@ -891,7 +891,7 @@
 	}
 }
 
-func TestAllMembersColdAtOnceServeOn(t *testing.T) {
+func TestGroupThatIsColdAsAWholeServesOn(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	serve := func(n int) (sent int) { // n requests, 100 a second, answered at once
 		for i := range n {
@@ -919,7 +919,7 @@
 	}
 }
 
-func TestHostWhoseProbesFailIsNotLostForGood(t *testing.T) {
+func TestHostWhoseHealthChecksFailIsTriedByARequest(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	rig.router.hosts["c"].excluded = true
 	rig.now += 10 * ms
@@ -951,7 +951,7 @@
 	t.Fatal("the host was never tried again")
 }
 
-func TestProbeTurnedAwayIsNoDeath(t *testing.T) {
+func TestOverloadedHealthCheckIsASignOfLife(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(keyedWrite)
 	rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)
@@ -961,7 +961,7 @@
 	}
 }
 
-func TestReadWaitsForAPositionAndFollowsIt(t *testing.T) {
+func TestReadWaitsForAPositionAndGoesToTheFreshReplica(t *testing.T) {
 	rig := newRig(t, testSettings(), threeHosts()...)
 	if p := findAction(rig.advance(1000*ms), HealthCheckAction, -1); p != nil {
 		t.Fatalf("%s was probed though nobody asked for anything", p.Host)
@@ -976,7 +976,7 @@
 	}
 }
 
-func TestFullHostIsLeftAlone(t *testing.T) {
+func TestOverloadedHostIsPaused(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, actions := rig.request(keyedWrite)
 	if sentTo(actions, id) != "a" {
@@ -990,7 +990,7 @@
 	}
 }
 
-func TestUnknownReplicasShareTriedReads(t *testing.T) {
+func TestReplicasOfOldPositionsShareReads(t *testing.T) {
 	settings := testSettings()
 	settings.HostsCheckStaleness = true
 	rig := newRig(t, settings, threeHosts()...)
@@ -1009,7 +1009,7 @@
 }
 
 // No list has named it, so there is nobody to wait for, and a thousand such numbers must not be remembered.
-func TestUnknownGroupIsRefusedAtOnce(t *testing.T) {
+func TestRequestOfAnUnknownGroupIsRejectedAtOnce(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	groups := len(rig.router.groups)
 	for n := int64(99); n < 1099; n++ {
@@ -1024,7 +1024,7 @@
 	}
 }
 
-func TestHundredsOfRoutersSpareAColdHost(t *testing.T) {
+func TestHundredsOfGatewaysKeepAColdHostWithinItsShare(t *testing.T) {
 	settings := testSettings()
 	const routers = 300
 	sent, normal := 0, 0
@@ -1063,7 +1063,7 @@
 	}
 }
 
-func TestFullTablesOfConnectionsShortenIdleTimes(t *testing.T) {
+func TestFullConnectionTableShortensTheIdleTimeout(t *testing.T) {
 	quick, slow := 2*ms, 250*ms
 	for _, c := range []struct {
 		name    string
@@ -1108,7 +1108,7 @@
 	}
 }
 
-func TestBadInputPassesAndServiceResumes(t *testing.T) {
+func TestServiceResumesAfterBadInput(t *testing.T) {
 	twice := append(threeHosts(), threeHosts()...)
 	torn := threeHosts()[:1]
 	moved := threeHosts()
@@ -1155,7 +1155,7 @@
 	}
 }
 
-func TestLostProbeDoesNotEndProbing(t *testing.T) {
+func TestLostHealthCheckIsRepeated(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(keyedWrite)
 	if findAction(rig.answer(id, "a", ConnectionReset, RoleUnknown, 0), HealthCheckAction, -1) == nil {
@@ -1169,7 +1169,7 @@
 
 // A read that no host has had by half of its time is refused; a write, or a read that a host turned away,
 // stays.
-func TestReadThatNoHostHadIsRefusedAtHalfItsTime(t *testing.T) {
+func TestUnservedReadIsRejectedAtHalfItsTime(t *testing.T) {
 	for _, c := range []struct {
 		class   int
 		met     bool
@@ -1200,7 +1200,7 @@
 }
 
 // A decision ages while a connection opens: what no longer fits may not be written.
-func TestDecisionAges(t *testing.T) {
+func TestAttemptBecomesInvalidWhileItsConnectionOpens(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[boundedRead].Deadline *= 2
 	rig := readyRig(t, settings)
@@ -1221,7 +1221,7 @@
 }
 
 // A commit rounded up to whole milliseconds may lie ahead of the clock; it binds all the same.
-func TestCommitAheadOfTheClock(t *testing.T) {
+func TestCommitAheadOfTheClockBindsReads(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	if id, actions := rig.requestAs(sessionRead, 5, -ms/2); sentTo(actions, id) == "b" || sentTo(actions, id) == "c" {
 		t.Error("sent to a replica that stands before the commit")
@@ -1230,7 +1230,7 @@
 
 // A repeat that was decided on within the window may wait for its connection: past the window it is not
 // written any more.
-func TestKeyedRepeatIsNotWrittenPastItsWindow(t *testing.T) {
+func TestKeyedRetryIsNotWrittenPastItsWindow(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(keyedWrite)
 	began := rig.now
@@ -1246,7 +1246,7 @@
 }
 
 // A probe that was never sent, for want of a connection of ours, says nothing of its host.
-func TestProbeThatWasNotSentIsNoDeath(t *testing.T) {
+func TestHealthCheckThatWasNotSentProvesNothing(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	rig.advance(1000 * ms)
 	rig.router.markSuspect(rig.router.hosts["a"])
@@ -1260,7 +1260,7 @@
 // A router of hundreds meets a host once in some seconds, and knows few well. If all its attempts together
 // take all of their aim, most reads are kept from each host; a write is not, and once they fare well again
 // nothing is.
-func TestReadsAreSparedByHowAllAttemptsFare(t *testing.T) {
+func TestSparseTrafficShedsReadsByTheOverloadOfAllHosts(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	rig.router.now = rig.now
 	a, b := rig.router.hosts["a"], rig.router.hosts["b"]
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -158,7 +158,7 @@
 // Eighty routers that each see a host once in seconds know its position from one another: reads go to
 // replicas, and few probes are needed. Without their messages every read would ask first, or burden the
 // primary.
-func TestManyRoutersShareWhatTheyHear(t *testing.T) {
+func TestGatewaysShareKnownPositions(t *testing.T) {
 	alone := fleetSettings(80)
 	alone.GossipBytesPerRequest = 0
 	var probes [2]int
@@ -182,7 +182,7 @@
 
 // The replicas that are heard first do not keep the others out: who is not heard gets no bounded reads, and
 // would not be heard for want of them.
-func TestNoReplicaIsLeftOut(t *testing.T) {
+func TestReplicasOfUnknownPositionGetReadsToo(t *testing.T) {
 	f := newFleet(t, fleetSettings(20), hostList(5)...)
 	for i := range f.routers { // one replica is known, as after a calm time in which few reads came
 		f.routers[i].hosts["h1"].position, f.routers[i].hosts["h1"].positionHeardAt = f.now, f.now
@@ -199,7 +199,7 @@
 }
 
 // A replica's promotion, seen by one router, lets the others' writes go without a search of their own.
-func TestOneRouterTellsOfANewPrimary(t *testing.T) {
+func TestNewPrimaryIsToldToAllGateways(t *testing.T) {
 	f := newFleet(t, fleetSettings(80), hostList(5)...)
 	f.run(500*ms, boundedRead, 10*ms)
 	f.roleOf = func(h string) Role {
@@ -220,7 +220,7 @@
 
 // A message can't name a host that no list has, revive one that the list has dropped, or move a position
 // back.
-func TestMessagesDoNotOverruleTheList(t *testing.T) {
+func TestGossipDoesNotOverruleTheEndpointList(t *testing.T) {
 	f := newFleet(t, fleetSettings(2), hostList(3)...)
 	f.run(300*ms, boundedRead, 5*ms)
 	r := f.routers[0]
@@ -236,7 +236,7 @@
 }
 
 // The tick says how often a router may act, not how often it should: with a finer one it asks no more.
-func TestPacesDoNotFollowTheTick(t *testing.T) {
+func TestCheckRateDoesNotFollowTheTickInterval(t *testing.T) {
 	var probes [2]int
 	for i, tick := range []int64{1 * ms, 20 * ms} {
 		settings := fleetSettings(1)
@@ -255,7 +255,7 @@
 
 // Of two replicas, the one goes first that has less out by all accounts, but not for all routers at once:
 // what they move together evens out the difference. What is old counts nothing.
-func TestOthersLoadsCount(t *testing.T) {
+func TestLoadOfOtherGatewaysCounts(t *testing.T) {
 	const routers = 20
 	f := newFleet(t, fleetSettings(routers), hostList(3)...)
 	slow := int64(400 * ms)
@@ -287,7 +287,7 @@
 
 // New connections of all routers together cost hosts much: reads stay with those that a router is connected
 // to.
-func TestReadsStayWithOpenConnections(t *testing.T) {
+func TestReadsPreferConnectedHosts(t *testing.T) {
 	f := newFleet(t, fleetSettings(1), hostList(3)...)
 	f.run(300*ms, boundedRead, 5*ms)
 	r := f.routers[0]
@@ -307,7 +307,7 @@
 }
 
 // A read that no host is to be burdened with is refused so that it does not come back while they are busy.
-func TestSparedReadComesBackLate(t *testing.T) {
+func TestShedReadIsToComeBackLate(t *testing.T) {
 	f := newFleet(t, fleetSettings(1), hostList(3)...)
 	f.run(300*ms, boundedRead, 5*ms)
 	r := f.routers[0]
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -4,7 +4,7 @@
 
 // A fresh router that believes another's facts sends writes to the primary that it found, and asks nobody
 // first.
-func TestBeliefIsAFirstGuess(t *testing.T) {
+func TestRestoredPrimaryIsAFirstGuess(t *testing.T) {
 	old := readyRig(t, testSettings())
 	old.report("a", false, old.now)
 	old.now += 10 * ms
@@ -28,7 +28,7 @@
 }
 
 // What a router has seen itself goes before what it is told, and unknown hosts are passed over.
-func TestOwnEyesGoFirst(t *testing.T) {
+func TestOwnObservationsOverruleASnapshot(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	actions := rig.router.Restore(rig.now, Snapshot{Groups: []GroupSnapshot{{Group: 0, Primary: "b", ObservedAt: rig.now + 1000*ms}, {Group: 9, Primary: "b"}},
 		Hosts: []HostSnapshot{{Host: "a", Down: true, ConcurrencyLimit: 99}, {Host: "nobody", Down: true}, {Host: "b", Group: 5, Position: rig.now + 9}}}, nil)
@@ -41,7 +41,7 @@
 }
 
 // A host believed down gets nothing until a probe has answered, and a cold one keeps its budget.
-func TestBelievedDownAndColdAreSpared(t *testing.T) {
+func TestRestoredUnhealthyAndColdHostsAreSpared(t *testing.T) {
 	rig := newRig(t, testSettings(), threeHosts()...)
 	rig.router.Restore(rig.now, Snapshot{Hosts: []HostSnapshot{{Host: "a", Down: true}, {Host: "b", Position: rig.now, SlowStartUntil: rig.now + 10000*ms}, {Host: "c", Position: rig.now}}}, nil)
 	for range 20 {
@@ -65,7 +65,7 @@
 
 // Of a zone that is left in part, that part of the reads goes to its replicas; none is kept from a group that
 // has no other, writes go where the primary is, and no read goes to a replica that is too old for it.
-func TestLeftZoneIsSpared(t *testing.T) {
+func TestReadsAvoidEvacuatedZones(t *testing.T) {
 	endpoints := threeHosts()
 	endpoints[1].Zone, endpoints[2].Zone = 1, 2
 	for _, share := range []float64{0, 0.2, 1} {
--- a/balance/work_test.go
+++ b/balance/work_test.go
@@ -122,7 +122,7 @@
 
 // Few routers must each be able to have more than one attempt out, or a host's cores stand idle; of many, or
 // of a number not known, one each is enough.
-func TestLeastLimitGoesByTheNumberOfRouters(t *testing.T) {
+func TestMinimumLimitDependsOnTheNumberOfGateways(t *testing.T) {
 	for routers, want := range map[int]int{0: 1, 1: 4, 2: 3, 3: 2, 80: 1, 1000: 1} {
 		settings := testSettings()
 		settings.Gateways = routers
@@ -146,7 +146,7 @@
 // + 2 x root of N + 2 requests of mean work in the stated time, N being what it may have then. A fifth more
 // is asked than warm hosts could do. So it does if a third of the routers hear of the start late, and if
 // another third starts meanwhile.
-func TestColdBoundByNumberOfRouters(t *testing.T) {
+func TestFleetOfAnySizeDoesNotOverloadAColdHost(t *testing.T) {
 	for _, d := range []struct {
 		name     string
 		cold     func(*Settings)
