--- a/balance/decisions_test.go
+++ b/balance/decisions_test.go
@@ -17,7 +17,8 @@
 
 const goldenFile = "decisions.txt"
 
-// actionHash hashes what a module answers. The texts of log lines are left out, since they may be worded anew.
+// actionHash hashes what a module answers. The texts of log lines are left out, since they may be worded
+// anew.
 type actionHash struct{ *golden.Hash }
 
 func (a actionHash) action(action balance.Action) {
--- a/balance/replicas.go
+++ b/balance/replicas.go
@@ -102,20 +102,6 @@
 	return r.zoneShares != nil && r.avoidsZone(req, member)
 }
 
-// avoidsZone reports whether a read avoids a host in a zone from which the fleet moves traffic away. It does
-// so only where a replica of its group is healthy in a zone that takes all of its reads.
-func (r *Router) avoidsZone(req *pendingRequest, host *hostState) bool {
-	elsewhere := func(member *hostState) bool {
-		usable := member != host.group.primary && member.health == healthy && !member.excluded
-		return usable && r.zoneShares.ReadShare(member.zone) == 1
-	}
-	rank := math.Mod(req.shedRank*1024, 1) // independent of the rank that decides on load shedding
-	if rank < r.zoneShares.ReadShare(host.zone) {
-		return false
-	}
-	return slices.ContainsFunc(host.group.members, elsewhere)
-}
-
 // mayHaveCaughtUp reports whether a read may try a replica that is not known to be fresh enough: if the host
 // itself checks staleness, and by its last known lag it should be fresh, or was heard of too long ago to say.
 func (r *Router) mayHaveCaughtUp(req *pendingRequest, host *hostState, minPosition int64) bool {
--- a/balance/work_test.go
+++ b/balance/slowstart_test.go
@@ -6,12 +6,95 @@
 	"testing"
 )
 
-// unequalSettings is a deployment whose reads of any age take fifteen times the work of others.
-func unequalSettings() Settings {
+func TestColdHostGetsAtMostItsSlowStartShare(t *testing.T) {
 	settings := testSettings()
-	settings.HostsCheckStaleness, settings.Gateways = true, 3
-	settings.Classes[eventualRead].LatencyObjective, settings.Classes[eventualRead].Deadline = 6000*ms, 12000*ms
-	return settings
+	settings.RequestsCarrySessionAge = true
+	rig := readyRig(t, settings)
+	rig.handle(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: "b", State: Ready, Weight: 1, StartedAt: rig.now}}})
+	sent := map[string]int{}
+	for i := 0; i < 400; i++ { // two seconds, 200 a second, every answer at once
+		rig.now += 5 * ms
+		id, actions := rig.request(eventualRead)
+		h := sentTo(actions, id)
+		sent[h]++
+		if h != "" {
+			rig.answer(id, h, Succeeded, Replica, 0)
+		}
+		if i%4 == 0 {
+			rig.handle(Event{Kind: TimerEvent})
+		}
+	}
+	warm := float64(sent["c"])
+	if most := warm * settings.SlowStartInitialShare * settings.SlowStartOverloadFactor; float64(sent["b"]) > most || sent["b"] == 0 {
+		t.Fatalf("a cold host took %d while a warm one took %v", sent["b"], warm)
+	}
+}
+
+func TestGroupThatIsColdAsAWholeServesOn(t *testing.T) {
+	rig := readyRig(t, testSettings())
+	serve := func(n int) (sent int) { // n requests, 100 a second, answered at once
+		for i := range n {
+			rig.now += 10 * ms
+			id, actions := rig.request(eventualRead)
+			if h := sentTo(actions, id); h != "" {
+				sent++
+				rig.answer(id, h, Succeeded, Replica, rig.now)
+			}
+			if i%2 == 0 {
+				rig.handle(Event{Kind: TimerEvent})
+			}
+		}
+		return sent
+	}
+	serve(500)
+	endpoints := threeHosts()
+	for i := range endpoints {
+		endpoints[i].Primary, endpoints[i].StartedAt = false, rig.now
+	}
+	rig.handle(Event{Kind: EndpointsEvent, Endpoints: endpoints})
+	// Warm members took some 33 a second each: a cold one may have a fifth of that, and more as it warms.
+	if sent := serve(300); sent < 30 || sent > 150 {
+		t.Fatalf("%d of 300 requests sent to a group that is cold as a whole", sent)
+	}
+}
+
+func TestHundredsOfGatewaysKeepAColdHostWithinItsShare(t *testing.T) {
+	settings := testSettings()
+	const routers = 300
+	sent, normal := 0, 0
+	for seed := range uint64(routers) {
+		r, err := New(settings, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		rig := &routerRig{t: t, router: r, now: base, attempts: map[int64]int{}}
+		rig.handle(Event{Kind: EndpointsEvent, Complete: true, Endpoints: threeHosts()})
+		rig.reportAll(rig.now)
+		ask := func() (toC int) { // one read of any member, answered at once
+			id, actions := rig.request(eventualRead)
+			h := sentTo(actions, id)
+			rig.answer(id, h, Succeeded, RoleUnknown, rig.now)
+			if h == "c" {
+				toC++
+			}
+			return toC
+		}
+		for range 20 { // thin traffic: a request in two seconds
+			rig.advance(2000 * ms)
+			normal += ask()
+		}
+		endpoints := threeHosts()
+		endpoints[2].StartedAt = rig.now
+		rig.handle(Event{Kind: EndpointsEvent, Complete: true, Endpoints: endpoints})
+		rig.advance(1000 * ms)
+		sent += ask()
+	}
+	// In these 40 s the warm host had some 10 attempts a router. Cold, it may have no more in two seconds
+	// than the multiple of a cold host's part of that.
+	most := float64(normal) / 40 * 2 * settings.SlowStartOverloadFactor * (settings.SlowStartInitialShare + 0.1)
+	if float64(sent) > most || sent == 0 {
+		t.Errorf("%d routers sent a cold host %d, want some and at most %.0f", routers, sent, most)
+	}
 }
 
 // A cold host's budget is of work: long reads, each a request like any other, pushed hosts over while it
@@ -62,86 +145,6 @@
 	}
 }
 
-// A long read may keep a replica from applying the log: all routers give them to the same one, and the others
-// stay fresh. Short ones of any age, and long ones where that replica is gone, go where there is room.
-func TestLongReadsKeepToOneReplica(t *testing.T) {
-	for seed := range uint64(8) {
-		settings := unequalSettings()
-		rig := readyRig(t, settings)
-		rig.router.rand.Below(int64(seed + 1))
-		for range 20 {
-			rig.now += 100 * ms
-			for range 9 { // what is long shows beside the others
-				id, actions := rig.request(boundedRead)
-				rig.answer(id, sentTo(actions, id), Succeeded, Replica, rig.now)
-			}
-			id, actions := rig.request(eventualRead)
-			if h := sentTo(actions, id); h != "b" {
-				t.Fatalf("a long read went to %q", h)
-			}
-			rig.answer(id, "b", Succeeded, Replica, rig.now)
-		}
-		rig.handle(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: "b", State: Draining, Weight: 1}}})
-		if id, actions := rig.request(eventualRead); sentTo(actions, id) != "c" {
-			t.Fatal("the next replica does not take the long reads over")
-		}
-	}
-	settings := unequalSettings()
-	settings.Classes[eventualRead].LatencyObjective = 300 * ms
-	rig := readyRig(t, settings)
-	sent := map[string]int{}
-	for range 100 {
-		rig.now += 10 * ms
-		id, actions := rig.request(eventualRead)
-		sent[sentTo(actions, id)]++
-		rig.answer(id, sentTo(actions, id), Succeeded, Replica, rig.now)
-	}
-	if sent["b"] < 20 || sent["c"] < 20 {
-		t.Errorf("short reads: %v", sent)
-	}
-}
-
-// Where hosts check reads, a replica that lagged when it was last heard is tried again, once it may have
-// caught up: else nothing would tell that it has, and it stands idle. One that lagged much is left alone for
-// longer.
-func TestReplicaThatLaggedIsTriedAgain(t *testing.T) {
-	rig := newRig(t, unequalSettings(), threeHosts()...)
-	rig.reportAll(rig.now - 5000*ms)
-	for _, c := range []struct {
-		wait    int64
-		primary bool
-	}{{0, true}, {4000 * ms, true}, {1500 * ms, false}} {
-		rig.now += c.wait
-		id, actions := rig.request(boundedRead)
-		if h := sentTo(actions, id); h == "" || (h == "a") != c.primary {
-			t.Fatalf("%v ms later a read went to %q", c.wait/ms, h)
-		}
-		rig.handle(Event{Kind: ClientDisconnectedEvent, Request: id})
-	}
-}
-
-// Few routers must each be able to have more than one attempt out, or a host's cores stand idle; of many, or
-// of a number not known, one each is enough.
-func TestMinimumLimitDependsOnTheNumberOfGateways(t *testing.T) {
-	for routers, want := range map[int]int{0: 1, 1: 4, 2: 3, 3: 2, 80: 1, 1000: 1} {
-		settings := testSettings()
-		settings.Gateways = routers
-		rig := readyRig(t, settings)
-		host := rig.router.hosts["a"]
-		for range 100 {
-			rig.router.now += 1000 * ms
-			rig.router.adjustLimit(host, 1)
-		}
-		may := 0
-		for req := (&pendingRequest{class: &settings.Classes[unsafeWrite]}); rig.router.admits(req, host); may++ {
-			host.inFlight = append(host.inFlight, req)
-		}
-		if may != want {
-			t.Errorf("%d routers: %d attempts of each at a crowded host, want %d", routers, may, want)
-		}
-	}
-}
-
 // What all routers together send a host that has just started stays under what lets it fall over: more than N
 // + 2 x root of N + 2 requests of mean work in the stated time, N being what it may have then. A fifth more
 // is asked than warm hosts could do. So it does if a third of the routers hear of the start late, and if
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -125,6 +125,3 @@
 	host.triedInRound = group.round
 	r.dispatch(group)
 }
-
-// SetZoneShares sets what the fleet has agreed on about zones; nil: nothing.
-func (r *Router) SetZoneShares(shares ZoneShares) { r.zoneShares = shares }
