--- a/balance/admission.go
+++ b/balance/admission.go
@@ -2,7 +2,7 @@
 
 const (
 	initialConcurrencyLimit = 4.0  // attempts in flight granted to a host of which nothing is known
-	minFleetConcurrency     = 5.5  // attempts of all gateways that a host needs, or some of its cores are idle
+	minFleetConcurrency     = 5.5  // attempts of all gateways that keep all cores of a host at work
 	limitGrowShare          = 0.28 // latency share below which the limit grows
 	limitCutShare           = 0.4  // latency share above which the limit is cut
 	limitCutFactor          = 0.8  // part of the limit that a cut leaves: several gateways cut at once
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -4,10 +4,10 @@
 
 func TestTimeoutsCutTheConcurrencyLimit(t *testing.T) {
 	rig := readyRig(t, testSettings())
-	host := rig.router.hosts["b"]
+	host := rig.host("b")
 	host.concurrencyLimit = 40
-	req := &pendingRequest{class: &rig.router.settings.Classes[boundedRead]}
-	for range 40 { // half of the attempts are served quickly, half run out of time
+	req := &pendingRequest{class: rig.class(boundedRead)}
+	for range 40 { // half of the attempts are answered quickly, half time out
 		rig.now += 50 * ms
 		rig.router.now = rig.now
 		rig.router.recordLatency(host, req, 100*ms, true)
@@ -26,88 +26,101 @@
 		t.Fatal("want the write at the primary")
 	}
 	if actions := rig.answer(id, "a", Overloaded, Primary, 0); sentTo(actions, id) != "" {
-		t.Error("a host that had no room was asked again at once")
+		t.Error("a host without capacity got the request again at once")
 	}
 	if actions := rig.advance(200 * ms); sentTo(actions, id) != "a" {
-		t.Error("the write was not sent again after the rest")
+		t.Error("the write was not sent again after the pause")
 	}
 }
 
-// A router of hundreds meets a host once in some seconds, and knows few well. If all its attempts together
-// take all of their aim, most reads are kept from each host; a write is not, and once they fare well again
-// nothing is.
+// A gateway of hundreds meets a host once in some seconds, and knows few well. If all its attempts together
+// take all of their objectives, it sheds most reads from each host; but no writes, and nothing once attempts
+// are quick again.
 func TestSparseTrafficShedsReadsByTheOverloadOfAllHosts(t *testing.T) {
 	rig := readyRig(t, testSettings())
-	rig.router.now = rig.now
-	a, b := rig.router.hosts["a"], rig.router.hosts["b"]
-	read := &pendingRequest{class: &rig.router.settings.Classes[boundedRead], shedRank: 0.9}
-	room := func() bool { read.shed = false; return rig.router.admits(read, a) }
-	if !room() || read.shed {
-		t.Error("spared before anything is known")
+	router := rig.router
+	router.now = rig.now
+	host, other := rig.host("a"), rig.host("b")
+	read := &pendingRequest{class: rig.class(boundedRead), shedRank: 0.9}
+	write := &pendingRequest{class: rig.class(unsafeWrite), shedRank: 0.9}
+	admitsRead := func() bool {
+		read.shed = false
+		return router.admits(read, host)
+	}
+	if !admitsRead() || read.shed {
+		t.Error("shed before anything is known")
 	}
 	for range 200 {
-		rig.router.recordLatencyShare(b, 1)
+		router.recordLatencyShare(other, 1)
 	}
-	if room() || !read.shed {
-		t.Error("not spared, although all attempts take their aim")
+	if admitsRead() || !read.shed {
+		t.Error("not shed, although all attempts take their objectives")
 	}
-	if rig.router.traffic.requestRatePerHost = 2; !room() {
-		t.Error("spared by a router that meets each host often")
+	router.traffic.requestRatePerHost = 2
+	if !admitsRead() {
+		t.Error("shed by a gateway that meets each host often")
 	}
-	rig.router.traffic.requestRatePerHost = 0.5
-	if write := (&pendingRequest{class: &rig.router.settings.Classes[unsafeWrite], shedRank: 0.9}); !rig.router.admits(write, a) {
-		t.Error("a write is kept from its primary")
+	router.traffic.requestRatePerHost = 0.5
+	if !router.admits(write, host) {
+		t.Error("a write was shed")
 	}
 	for range 200 {
-		rig.router.recordLatencyShare(b, 0.9)
+		router.recordLatencyShare(other, 0.9)
 	}
-	if !room() {
-		t.Error("spared, although all attempts are answered in their aim")
+	if !admitsRead() {
+		t.Error("shed, although all attempts are answered within their objectives")
 	}
 }
 
-// A read that no host is to be burdened with is refused so that it does not come back while they are busy.
+// A client whose read was shed must not come back while the hosts are still busy.
 func TestShedReadIsToComeBackLate(t *testing.T) {
-	f := newFleet(t, fleetSettings(1), hostList(3)...)
-	f.run(300*ms, boundedRead, 5*ms)
-	r := f.routers[0]
-	for _, m := range r.groups[0].members {
-		m.latencyShare = 1
+	fleet := newFleet(t, fleetSettings(1), hostList(3)...)
+	fleet.run(300*ms, boundedRead, 5*ms)
+	router := fleet.routers[0]
+	for _, member := range router.groups[0].members {
+		member.latencyShare = 1
 	}
 	id := int64(1 << 40)
-	actions := r.Handle(f.now, Event{Kind: RequestEvent, Request: id, Class: boundedRead, Group: 1, Deadline: f.now + 1000*ms}, nil)
-	if a := findAction(actions, SendAction, id); a != nil {
-		t.Fatalf("sent to %s, whose answers take all of their aim", a.Host)
-	}
-	for now := f.now; now < f.now+600*ms; now += 20 * ms {
-		if a := findAction(r.Handle(now, Event{Kind: TimerEvent}, nil), RejectAction, id); a != nil {
-			if a.RetryAfter < r.settings.MaxRetryAfter*7/8 {
-				t.Errorf("refused until in %d ms", a.RetryAfter/ms)
-			}
-			return
+	actions := router.Handle(fleet.now, Event{
+		Kind: RequestEvent, Request: id, Class: boundedRead, Group: 1, Deadline: fleet.now + 1000*ms,
+	}, nil)
+	if host := sentTo(actions, id); host != "" {
+		t.Fatalf("sent to %s, whose answers take all of their objectives", host)
+	}
+	for now := fleet.now; now < fleet.now+600*ms; now += 20 * ms {
+		actions := router.Handle(now, Event{Kind: TimerEvent}, nil)
+		rejection := findAction(actions, RejectAction, id)
+		if rejection == nil {
+			continue
 		}
+		if rejection.RetryAfter < router.settings.MaxRetryAfter*7/8 {
+			t.Errorf("rejected with a retry after %d ms", rejection.RetryAfter/ms)
+		}
+		return
 	}
-	t.Error("not refused by half of its time")
+	t.Error("not rejected by half of its time")
 }
 
-// Few routers must each be able to have more than one attempt out, or a host's cores stand idle; of many, or
-// of a number not known, one each is enough.
+// Each of a few gateways must be able to have more than one attempt in flight, or cores of a host stand idle;
+// for each of many, or of an unknown number, one is enough.
 func TestMinimumLimitDependsOnTheNumberOfGateways(t *testing.T) {
-	for routers, want := range map[int]int{0: 1, 1: 4, 2: 3, 3: 2, 80: 1, 1000: 1} {
+	for gateways, want := range map[int]int{0: 1, 1: 4, 2: 3, 3: 2, 80: 1, 1000: 1} {
 		settings := testSettings()
-		settings.Gateways = routers
+		settings.Gateways = gateways
 		rig := readyRig(t, settings)
-		host := rig.router.hosts["a"]
+		host := rig.host("a")
 		for range 100 {
 			rig.router.now += 1000 * ms
 			rig.router.adjustLimit(host, 1)
 		}
-		may := 0
-		for req := (&pendingRequest{class: &settings.Classes[unsafeWrite]}); rig.router.admits(req, host); may++ {
+		req := &pendingRequest{class: rig.class(unsafeWrite)}
+		admitted := 0
+		for rig.router.admits(req, host) {
 			host.inFlight = append(host.inFlight, req)
+			admitted++
 		}
-		if may != want {
-			t.Errorf("%d routers: %d attempts of each at a crowded host, want %d", routers, may, want)
+		if admitted != want {
+			t.Errorf("%d gateways: %d attempts of each at a busy host, want %d", gateways, admitted, want)
 		}
 	}
 }
--- a/balance/connections_test.go
+++ b/balance/connections_test.go
@@ -5,11 +5,11 @@
 func TestFullConnectionTableShortensTheIdleTimeout(t *testing.T) {
 	quick, slow := 2*ms, 250*ms
 	for _, c := range []struct {
-		name    string
-		res     Result
-		took    int64
-		open    bool // a connection was there before
-		shorter bool
+		name      string
+		result    Result
+		latency   int64
+		connected bool // a connection was open before
+		shorter   bool
 	}{
 		{"quick refusal", ConnectionRefused, quick, false, true},
 		{"slow refusal", ConnectionRefused, slow, false, false},
@@ -17,32 +17,39 @@
 		{"reset", ConnectionReset, quick, false, false},
 	} {
 		rig := readyRig(t, testSettings())
-		if c.open {
+		if c.connected {
 			id, _ := rig.request(keyedWrite)
 			rig.answer(id, "a", Succeeded, Primary, rig.now)
 		}
 		id, _ := rig.request(keyedWrite)
-		for try := range 2 { // one alone may be a bad link's
+		for attempt := range 2 { // one alone may be a fault of a link
 			if rig.router.idleTimeout < maxIdleTimeout {
-				t.Errorf("%s: idle connections kept for %d us after one", c.name, rig.router.idleTimeout)
+				t.Errorf("%s: idle timeout %d us after one", c.name, rig.router.idleTimeout)
 			}
-			rig.handle(Event{Kind: OutcomeEvent, Request: id, Attempt: try, Host: "a", Result: c.res, Latency: c.took})
-			rig.router.hosts["a"].connected = c.open
+			rig.handle(Event{
+				Kind: OutcomeEvent, Request: id, Attempt: attempt, Host: "a",
+				Result: c.result, Latency: c.latency,
+			})
+			rig.host("a").connected = c.connected
 			rig.report("a", true, rig.now)
 		}
-		if got := rig.router.idleTimeout < maxIdleTimeout; got != c.shorter {
-			t.Errorf("%s: idle connections kept for %d us", c.name, rig.router.idleTimeout)
+		if shorter := rig.router.idleTimeout < maxIdleTimeout; shorter != c.shorter {
+			t.Errorf("%s: idle timeout %d us", c.name, rig.router.idleTimeout)
 		}
 	}
+}
+
+func TestIdleConnectionsAreClosedAfterTheIdleTimeout(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, actions := rig.request(eventualRead)
-	h := sentTo(actions, id)
-	rig.answer(id, h, Succeeded, Replica, rig.now)
+	host := sentTo(actions, id)
+	rig.answer(id, host, Succeeded, Replica, rig.now)
 	rig.router.idleTimeout = 1000 * ms
-	if a := findAction(rig.advance(900*ms), CloseIdleAction, -1); a != nil {
+	if hasAction(rig.advance(900*ms), CloseIdleAction, anyRequest) {
 		t.Error("closed before its time")
 	}
-	if a := findAction(rig.advance(300*ms), CloseIdleAction, -1); a == nil || a.Host != h {
+	closing := findAction(rig.advance(300*ms), CloseIdleAction, anyRequest)
+	if closing == nil || closing.Host != host {
 		t.Error("an idle connection was kept")
 	}
 }
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -20,8 +20,8 @@
 //
 // # The life of a request
 //
-//  1. A [RequestEvent] adds the request to the queue of its group (queue.go). A request of an unknown group is
-//     rejected at once.
+//  1. A [RequestEvent] adds the request to the queue of its group (queue.go). A request of an unknown group
+//     is rejected at once.
 //  2. Each event that may free capacity dispatches the queue. A write goes to the group's primary
 //     (primary.go). A read goes to the better of two replicas that are drawn at random among those whose log
 //     position satisfies its consistency (replicas.go, sessions.go); the primary is the last resort.
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -6,13 +6,17 @@
 	"cloverrock/balance"
 )
 
-// A router embeds the module: it tells what happens and carries out the actions.
+// The embedding program passes events and carries out the actions.
 func Example() {
 	const ms = 1000
 	router, err := balance.New(balance.Settings{
 		TickInterval: 5 * ms, MaxAttempts: 4, HealthChecks: true,
 		Classes: []balance.Class{{
-			LatencyObjective: 200 * ms, Deadline: 1000 * ms, PriorityWeight: 1, RetrySafety: balance.NonIdempotent, Consistency: balance.Write,
+			LatencyObjective: 200 * ms,
+			Deadline:         1000 * ms,
+			PriorityWeight:   1,
+			RetrySafety:      balance.NonIdempotent,
+			Consistency:      balance.Write,
 		}},
 	}, 1)
 	if err != nil {
@@ -20,24 +24,39 @@
 		return
 	}
 	show := func(actions []balance.Action) {
-		for _, a := range actions {
-			switch a.Kind {
+		for _, action := range actions {
+			switch action.Kind {
 			case balance.SendAction:
-				fmt.Println("send", a.Request, "to", a.Host)
+				fmt.Println("send", action.Request, "to", action.Host)
 			case balance.RejectAction:
-				fmt.Println("refuse", a.Request)
+				fmt.Println("reject", action.Request)
 			}
 		}
 	}
 	now := int64(1_000_000)
-	show(router.Handle(now, balance.Event{Kind: balance.EndpointsEvent, Complete: true, Endpoints: []balance.Endpoint{
-		{Host: "a", State: balance.Ready, Primary: true}, {Host: "b", State: balance.Ready},
-	}}, nil))
-	show(router.Handle(now, balance.Event{Kind: balance.RequestEvent, Request: 1, Deadline: now + 1000*ms}, nil))
-	// The member has lost its role: the write was turned away untouched and walks down the list.
+	show(router.Handle(now, balance.Event{
+		Kind:     balance.EndpointsEvent,
+		Complete: true,
+		Endpoints: []balance.Endpoint{
+			{Host: "a", State: balance.Ready, Primary: true},
+			{Host: "b", State: balance.Ready},
+		},
+	}, nil))
+	show(router.Handle(now, balance.Event{
+		Kind:     balance.RequestEvent,
+		Request:  1,
+		Deadline: now + 1000*ms,
+	}, nil))
+	// Host a is no longer the primary: it turned the write away, which goes to the next member.
 	now += 20 * ms
-	show(router.Handle(now, balance.Event{Kind: balance.OutcomeEvent, Request: 1, Host: "a", Latency: 20 * ms,
-		Result: balance.NotPrimary, Role: balance.Replica}, nil))
+	show(router.Handle(now, balance.Event{
+		Kind:    balance.OutcomeEvent,
+		Request: 1,
+		Host:    "a",
+		Latency: 20 * ms,
+		Result:  balance.NotPrimary,
+		Role:    balance.Replica,
+	}, nil))
 	// Output:
 	// send 1 to a
 	// send 1 to b
--- a/balance/fleetrig_test.go
+++ b/balance/fleetrig_test.go
@@ -9,147 +9,207 @@
 	"cloverrock/internal/random"
 )
 
-// routerFleet is many routers before hosts that answer, in one process and on one clock. Messages take 10 ms.
+// routerFleet is many routers before hosts that answer, in one process and on one clock. Gossip takes 10 ms.
 type routerFleet struct {
-	t              *testing.T
-	now            int64
-	rand           random.Source
-	routers        []*Router
-	events         []scheduledEvent
-	lastRequest    int64
-	attempts       map[[2]int64]int                             // attempts of a request
-	classOf        map[[2]int64]int                             // by router and request
-	serviceTime    func(host string, class int) (int64, Result) // how an attempt ends, and when
+	t           *testing.T
+	now         int64
+	rand        random.Source
+	routers     []*Router
+	events      []scheduledEvent // sorted by time
+	lastRequest int64
+	attempts    map[routerRequest]int // attempts sent
+	classOf     map[routerRequest]int
+
+	serviceTime    func(host string, class int) (int64, Result) // how long an attempt takes, and how it ends
 	roleOf         func(host string) Role
 	replicationLag int64
 
-	sent                    map[string]int
-	probes, messages, bytes int
+	sent         map[string]int // attempts by host
+	checks       int            // health checks
+	gossipBytes  int            // delivered
+	gossipEvents int            // sent
+}
+
+type routerRequest struct {
+	router  int
+	request int64
 }
 
 type scheduledEvent struct {
-	at int64
-	to int
-	ev Event
+	at     int64
+	router int
+	event  Event
 }
 
 func fleetSettings(routers int) Settings {
 	settings := testSettings()
-	settings.TickInterval, settings.Gateways, settings.GossipBytesPerRequest = 1*ms, routers, 400
+	settings.TickInterval = 1 * ms
+	settings.Gateways = routers
+	settings.GossipBytesPerRequest = 400
 	return settings
 }
 
-func newFleet(t *testing.T, settings Settings, list ...Endpoint) *routerFleet {
-	f := &routerFleet{t: t, now: base, rand: 1, attempts: map[[2]int64]int{}, classOf: map[[2]int64]int{}, sent: map[string]int{}, replicationLag: 20 * ms}
-	f.serviceTime = func(string, int) (int64, Result) { return 50 * ms, Succeeded }
-	f.roleOf = func(h string) Role {
-		if h == list[0].Host {
+// hostList is one group of hosts h0, h1 ...; h0 is its primary.
+func hostList(n int) []Endpoint {
+	var endpoints []Endpoint
+	for i := range n {
+		host := Endpoint{Host: fmt.Sprint("h", i), Group: 1, State: Ready, Primary: i == 0}
+		endpoints = append(endpoints, host)
+	}
+	return endpoints
+}
+
+// primaryIs makes one host the primary and all others replicas.
+func primaryIs(primary string) func(host string) Role {
+	return func(host string) Role {
+		if host == primary {
 			return Primary
 		}
 		return Replica
 	}
+}
+
+func newFleet(t *testing.T, settings Settings, endpoints ...Endpoint) *routerFleet {
+	t.Helper()
+	fleet := &routerFleet{
+		t:              t,
+		now:            base,
+		rand:           1,
+		attempts:       map[routerRequest]int{},
+		classOf:        map[routerRequest]int{},
+		serviceTime:    func(string, int) (int64, Result) { return 50 * ms, Succeeded },
+		roleOf:         primaryIs(endpoints[0].Host),
+		replicationLag: 20 * ms,
+		sent:           map[string]int{},
+	}
 	for i := range max(settings.Gateways, 1) {
 		settings.Ordinal = i
-		r, err := New(settings, uint64(i)+1)
+		router, err := New(settings, uint64(i)+1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.routers = append(f.routers, r)
-		f.handle(i, Event{Kind: EndpointsEvent, Complete: true, Endpoints: list})
+		fleet.routers = append(fleet.routers, router)
+		fleet.handle(i, Event{Kind: EndpointsEvent, Complete: true, Endpoints: endpoints})
 	}
-	return f
+	return fleet
 }
 
-func (f *routerFleet) schedule(at int64, to int, ev Event) {
-	i, _ := slices.BinarySearchFunc(f.events, at+1, func(o scheduledEvent, at int64) int { return cmp.Compare(o.at, at) })
-	f.events = slices.Insert(f.events, i, scheduledEvent{at, to, ev})
+// restart puts a new router in the place of one; what was under way there is forgotten.
+func (f *routerFleet) restart(i int, endpoints []Endpoint) {
+	router, err := New(f.routers[i].settings, uint64(1000+i))
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.routers[i] = router
+	f.events = slices.DeleteFunc(f.events, func(e scheduledEvent) bool { return e.router == i })
+	f.handle(i, Event{Kind: EndpointsEvent, Complete: true, Endpoints: endpoints})
 }
 
-func (f *routerFleet) position(h string) int64 {
-	if f.roleOf(h) == Primary {
-		return f.now
-	}
-	return f.now - f.replicationLag
+// schedule adds an event behind those of the same time.
+func (f *routerFleet) schedule(at int64, router int, event Event) {
+	byTime := func(e scheduledEvent, at int64) int { return cmp.Compare(e.at, at) }
+	i, _ := slices.BinarySearchFunc(f.events, at+1, byTime)
+	f.events = slices.Insert(f.events, i, scheduledEvent{at, router, event})
 }
 
-func (f *routerFleet) handle(i int, ev Event) {
-	for _, a := range f.routers[i].Handle(f.now, ev, nil) {
-		key := [2]int64{int64(i), a.Request}
-		switch a.Kind {
+// handle passes an event to a router and carries out its actions.
+func (f *routerFleet) handle(router int, event Event) {
+	for _, action := range f.routers[router].Handle(f.now, event, nil) {
+		switch action.Kind {
 		case TimerAction:
-			f.schedule(max(a.At, f.now+1), i, Event{Kind: TimerEvent, Token: a.Token})
+			timer := Event{Kind: TimerEvent, Token: action.Token}
+			f.schedule(max(action.At, f.now+1), router, timer)
 		case SendAction:
-			f.sent[a.Host]++
-			took, result := f.serviceTime(a.Host, f.classOf[key])
-			f.schedule(f.now+took, i, Event{Kind: OutcomeEvent, Request: a.Request, Attempt: f.attempts[key], Host: a.Host,
-				Result: result, Latency: took, Finished: result == Succeeded})
-			f.attempts[key]++
+			f.send(router, &action)
 		case HealthCheckAction:
-			f.probes++
-			f.schedule(f.now+ms, i, Event{Kind: HealthCheckEvent, Host: a.Host, Result: Succeeded, Latency: ms})
+			f.checks++
+			result := Event{Kind: HealthCheckEvent, Host: action.Host, Result: Succeeded, Latency: ms}
+			f.schedule(f.now+ms, router, result)
 		case GossipAction:
-			f.messages++
-			for to := range f.routers {
-				if to != i && (a.Peer < 0 || a.Peer == to) {
-					f.bytes += len(a.Data)
-					f.schedule(f.now+10*ms, to, Event{Kind: GossipEvent, Peer: i, Data: a.Data})
-				}
-			}
+			f.sendGossip(router, &action)
 		}
 	}
 }
 
-// restart puts a new router in the place of one; what was under way there is forgotten.
-func (f *routerFleet) restart(i int, list []Endpoint) {
-	r, err := New(f.routers[i].settings, uint64(1000+i))
-	if err != nil {
-		f.t.Fatal(err)
+func (f *routerFleet) send(router int, action *Action) {
+	key := routerRequest{router, action.Request}
+	latency, result := f.serviceTime(action.Host, f.classOf[key])
+	f.sent[action.Host]++
+	f.schedule(f.now+latency, router, Event{
+		Kind:     OutcomeEvent,
+		Request:  action.Request,
+		Attempt:  f.attempts[key],
+		Host:     action.Host,
+		Result:   result,
+		Latency:  latency,
+		Finished: result == Succeeded,
+	})
+	f.attempts[key]++
+}
+
+func (f *routerFleet) sendGossip(from int, action *Action) {
+	f.gossipEvents++
+	for to := range f.routers {
+		if to != from && (action.Peer < 0 || action.Peer == to) {
+			f.gossipBytes += len(action.Data)
+			f.schedule(f.now+10*ms, to, Event{Kind: GossipEvent, Peer: from, Data: action.Data})
+		}
 	}
-	f.routers[i] = r
-	f.events = slices.DeleteFunc(f.events, func(o scheduledEvent) bool { return o.to == i })
-	f.handle(i, Event{Kind: EndpointsEvent, Complete: true, Endpoints: list})
 }
 
-// request has a router take a request.
-func (f *routerFleet) request(i, class int) {
+// request passes a new request to a router.
+func (f *routerFleet) request(router, class int) {
 	f.lastRequest++
-	f.classOf[[2]int64{int64(i), f.lastRequest}] = class
-	f.handle(i, Event{Kind: RequestEvent, Request: f.lastRequest, Class: class, Group: 1, Deadline: f.now + f.routers[i].settings.Classes[class].Deadline})
-}
-
-// run lets time pass; each millisecond, perMs requests of a class come to routers drawn at random.
-func (f *routerFleet) run(d int64, class int, everyUs int64) {
-	end := f.now + d
-	for at := f.now; ; at += everyUs {
-		for len(f.events) > 0 && f.events[0].at <= min(at, end) {
-			o := f.events[0]
-			f.events = f.events[1:]
-			f.now = max(f.now, o.at)
-			if o.ev.Kind == OutcomeEvent || o.ev.Kind == HealthCheckEvent {
-				f.answer(&o.ev)
-			}
-			f.handle(o.to, o.ev)
-		}
-		if f.now = min(at, end); at >= end {
+	f.classOf[routerRequest{router, f.lastRequest}] = class
+	f.handle(router, Event{
+		Kind:     RequestEvent,
+		Request:  f.lastRequest,
+		Class:    class,
+		Group:    1,
+		Deadline: f.now + f.routers[router].settings.Classes[class].Deadline,
+	})
+}
+
+// run lets time pass, in which a request of a class comes to a random router at each interval.
+func (f *routerFleet) run(duration int64, class int, interval int64) {
+	end := f.now + duration
+	for at := f.now; ; at += interval {
+		f.handleUntil(min(at, end))
+		f.now = min(at, end)
+		if at >= end {
 			return
 		}
 		f.request(int(f.rand.Below(int64(len(f.routers)))), class)
 	}
 }
 
-// answer fills in what the host tells of itself at the time of its answer.
-func (f *routerFleet) answer(ev *Event) {
-	if ev.Result.Answered() {
-		ev.Role = f.roleOf(ev.Host)
-		ev.Position = f.position(ev.Host)
-		ev.Report = HostReport{HasPosition: true, HasRole: true, Position: ev.Position, Primary: ev.Role == Primary}
+// handleUntil passes the events that are due.
+func (f *routerFleet) handleUntil(end int64) {
+	for len(f.events) > 0 && f.events[0].at <= end {
+		next := f.events[0]
+		f.events = f.events[1:]
+		f.now = max(f.now, next.at)
+		if next.event.Kind == OutcomeEvent || next.event.Kind == HealthCheckEvent {
+			f.fillAnswer(&next.event)
+		}
+		f.handle(next.router, next.event)
 	}
 }
 
-func hostList(n int) []Endpoint {
-	var es []Endpoint
-	for i := range n {
-		es = append(es, Endpoint{Host: fmt.Sprint("h", i), Group: 1, State: Ready, Primary: i == 0})
+// fillAnswer fills in what the host tells of itself at the time of its answer.
+func (f *routerFleet) fillAnswer(event *Event) {
+	if !event.Result.Answered() {
+		return
+	}
+	event.Role = f.roleOf(event.Host)
+	event.Position = f.now
+	if event.Role != Primary {
+		event.Position -= f.replicationLag
+	}
+	event.Report = HostReport{
+		HasPosition: true,
+		HasRole:     true,
+		Position:    event.Position,
+		Primary:     event.Role == Primary,
 	}
-	return es
 }
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -5,114 +5,110 @@
 	"testing"
 )
 
-// Eighty routers that each see a host once in seconds know its position from one another: reads go to
-// replicas, and few probes are needed. Without their messages every read would ask first, or burden the
+// Eighty gateways that each see a host once in seconds know its position from one another: reads go to
+// replicas, and few health checks are needed. Without gossip every read would ask first, or burden the
 // primary.
 func TestGatewaysShareKnownPositions(t *testing.T) {
+	checksFor400Reads := func(settings Settings) (*routerFleet, int) {
+		fleet := newFleet(t, settings, hostList(5)...)
+		fleet.run(1000*ms, boundedRead, 10*ms) // all get to know the hosts
+		fleet.checks = 0
+		fleet.sent = map[string]int{}
+		fleet.run(4000*ms, boundedRead, 10*ms) // 100 a second, 1.25 each
+		return fleet, fleet.checks
+	}
+	fleet, checks := checksFor400Reads(fleetSettings(80))
+	if fleet.sent["h0"] > 40 {
+		t.Errorf("%d of 400 reads went to the primary", fleet.sent["h0"])
+	}
+	if fleet.gossipBytes > 400*500+80*64*400 {
+		t.Errorf("%d bytes of gossip delivered", fleet.gossipBytes)
+	}
 	alone := fleetSettings(80)
 	alone.GossipBytesPerRequest = 0
-	var probes [2]int
-	for i, settings := range []Settings{fleetSettings(80), alone} {
-		f := newFleet(t, settings, hostList(5)...)
-		f.run(1000*ms, boundedRead, 10*ms) // all get to know the hosts
-		f.probes, f.sent = 0, map[string]int{}
-		f.run(4000*ms, boundedRead, 10*ms) // 100 a second, 1.25 each
-		probes[i] = f.probes
-		if i == 0 && f.sent["h0"] > 40 {
-			t.Errorf("%d of 400 reads went to the primary", f.sent["h0"])
-		}
-		if i == 0 && float64(f.bytes) > 400*500+80*64*400 {
-			t.Errorf("%d bytes delivered", f.bytes)
-		}
-	}
-	if probes[0] > 100 || probes[1] < 3*probes[0] {
-		t.Errorf("%d probes for 400 reads, %d without messages", probes[0], probes[1])
+	_, checksAlone := checksFor400Reads(alone)
+	if checks > 100 || checksAlone < 3*checks {
+		t.Errorf("%d health checks for 400 reads, %d without gossip", checks, checksAlone)
 	}
 }
 
-// The replicas that are heard first do not keep the others out: who is not heard gets no bounded reads, and
-// would not be heard for want of them.
+// The replicas that are heard of first do not keep the others out: those would get no bounded reads, and so
+// would not be heard of.
 func TestReplicasOfUnknownPositionGetReadsToo(t *testing.T) {
-	f := newFleet(t, fleetSettings(20), hostList(5)...)
-	for i := range f.routers { // one replica is known, as after a calm time in which few reads came
-		f.routers[i].hosts["h1"].position, f.routers[i].hosts["h1"].positionHeardAt = f.now, f.now
+	fleet := newFleet(t, fleetSettings(20), hostList(5)...)
+	for _, router := range fleet.routers { // one replica is known, as after few reads
+		router.hosts["h1"].position = fleet.now
+		router.hosts["h1"].positionHeardAt = fleet.now
 	}
-	f.run(1000*ms, boundedRead, 8*ms)
-	f.sent = map[string]int{}
-	f.run(4000*ms, boundedRead, 8*ms) // 500 reads
-	for _, h := range []string{"h1", "h2", "h3", "h4"} {
-		if f.sent[h] < 60 {
-			t.Errorf("%v of 500 reads at the hosts", f.sent)
+	fleet.run(1000*ms, boundedRead, 8*ms)
+	fleet.sent = map[string]int{}
+	fleet.run(4000*ms, boundedRead, 8*ms) // 500 reads
+	for _, host := range []string{"h1", "h2", "h3", "h4"} {
+		if fleet.sent[host] < 60 {
+			t.Errorf("%v of 500 reads at the hosts", fleet.sent)
 			break
 		}
 	}
 }
 
-// A replica's promotion, seen by one router, lets the others' writes go without a search of their own.
+// A replica's promotion, seen by one gateway, lets the others send writes without a search of their own.
 func TestNewPrimaryIsToldToAllGateways(t *testing.T) {
-	f := newFleet(t, fleetSettings(80), hostList(5)...)
-	f.run(500*ms, boundedRead, 10*ms)
-	f.roleOf = func(h string) Role {
-		if h == "h3" {
-			return Primary
-		}
-		return Replica
-	}
-	f.handle(7, Event{Kind: HealthCheckEvent, Host: "h3", Result: Succeeded, Latency: ms,
-		Report: HostReport{HasPosition: true, HasRole: true, Primary: true, Position: f.now}})
-	f.run(100*ms, boundedRead, 50*ms)
-	for i, r := range f.routers {
-		if p := r.groups[0].primary; p == nil || p.id != "h3" {
-			t.Fatalf("router %d does not know the new primary after 100 ms", i)
+	fleet := newFleet(t, fleetSettings(80), hostList(5)...)
+	fleet.run(500*ms, boundedRead, 10*ms)
+	fleet.roleOf = primaryIs("h3")
+	fleet.handle(7, Event{
+		Kind: HealthCheckEvent, Host: "h3", Result: Succeeded, Latency: ms,
+		Report: HostReport{HasPosition: true, HasRole: true, Primary: true, Position: fleet.now},
+	})
+	fleet.run(100*ms, boundedRead, 50*ms)
+	for i, router := range fleet.routers {
+		if primary := router.groups[0].primary; primary == nil || primary.id != "h3" {
+			t.Fatalf("gateway %d does not know the new primary after 100 ms", i)
 		}
 	}
 }
 
-// A message can't name a host that no list has, revive one that the list has dropped, or move a position
-// back.
+// Gossip can't name a host that no list has, revive one that the list has removed, or move a position back.
 func TestGossipDoesNotOverruleTheEndpointList(t *testing.T) {
-	f := newFleet(t, fleetSettings(2), hostList(3)...)
-	f.run(300*ms, boundedRead, 5*ms)
-	r := f.routers[0]
-	pos := r.hosts["h1"].position
-	r.Handle(f.now, Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: "h2", Group: 1, State: Removed}}}, nil)
-	f.run(200*ms, boundedRead, 5*ms) // the other still hears and tells of it
-	if host := r.hosts["h2"]; host != nil && !host.excluded {
-		t.Error("a host that is gone came back by hearsay")
+	fleet := newFleet(t, fleetSettings(2), hostList(3)...)
+	fleet.run(300*ms, boundedRead, 5*ms)
+	router := fleet.routers[0]
+	position := router.hosts["h1"].position
+	removed := []Endpoint{{Host: "h2", Group: 1, State: Removed}}
+	router.Handle(fleet.now, Event{Kind: EndpointsEvent, Endpoints: removed}, nil)
+	fleet.run(200*ms, boundedRead, 5*ms) // the other still hears and tells of it
+	if host := router.hosts["h2"]; host != nil && !host.excluded {
+		t.Error("a removed host came back by gossip")
 	}
-	if r.hosts["h1"].position < pos {
+	if router.hosts["h1"].position < position {
 		t.Error("a position went back")
 	}
 }
 
-// Of two replicas, the one goes first that has less out by all accounts, but not for all routers at once:
-// what they move together evens out the difference. What is old counts nothing.
+// Of two replicas, the one goes first that has less in flight from all gateways, but not for all gateways at
+// once: what they move together evens out the difference. Old reports don't count.
 func TestLoadOfOtherGatewaysCounts(t *testing.T) {
-	const routers = 20
-	f := newFleet(t, fleetSettings(routers), hostList(3)...)
-	slow := int64(400 * ms)
-	f.serviceTime = func(h string, _ int) (int64, Result) {
-		if h == "h1" {
-			return slow, Succeeded
+	fleet := newFleet(t, fleetSettings(20), hostList(3)...)
+	fleet.serviceTime = func(host string, _ int) (int64, Result) {
+		if host == "h1" {
+			return 400 * ms, Succeeded
 		}
 		return 10 * ms, Succeeded
 	}
-	f.run(3000*ms, boundedRead, 2*ms)
-	r := f.routers[0]
-	out := func(h string) (n int) {
-		for _, r := range f.routers {
-			n += len(r.hosts[h].inFlight)
-		}
-		return n
+	fleet.run(3000*ms, boundedRead, 2*ms)
+	inFlight := 0
+	for _, router := range fleet.routers {
+		inFlight += len(router.hosts["h1"].inFlight)
 	}
-	n, coming := r.gossip.Load(f.now, "h1")
-	if all := out("h1"); math.Abs(n-float64(all)) > 4 || n == 0 || coming <= 0 {
-		t.Fatalf("%.0f out at h1 by all accounts, in truth %d; %.1f coming", n, all, coming)
+	gossip := fleet.routers[0].gossip
+	load, coming := gossip.Load(fleet.now, "h1")
+	if math.Abs(load-float64(inFlight)) > 4 || load == 0 || coming <= 0 {
+		t.Fatalf("%.0f in flight at h1 by gossip, in truth %d; %.1f coming", load, inFlight, coming)
 	}
-	if share := float64(f.sent["h1"]) / float64(f.sent["h1"]+f.sent["h2"]); share > 0.3 {
+	if share := float64(fleet.sent["h1"]) / float64(fleet.sent["h1"]+fleet.sent["h2"]); share > 0.3 {
 		t.Errorf("%.2f of the reads went to the host that takes 40 times as long", share)
 	}
-	if n, coming := r.gossip.Load(f.now+5000*ms, "h1"); n != 0 || coming != 0 {
-		t.Errorf("news of 5 s ago count: %.0f out, %.1f coming", n, coming)
+	if load, coming := gossip.Load(fleet.now+5000*ms, "h1"); load != 0 || coming != 0 {
+		t.Errorf("reports of 5 s ago count: %.0f in flight, %.1f coming", load, coming)
 	}
 }
--- a/balance/health.go
+++ b/balance/health.go
@@ -2,7 +2,7 @@
 
 const (
 	maxBackoffFactor    = 32   // search intervals: the longest backoff of an unhealthy host
-	failingErrorShare   = 0.25 // a host with a higher error share gets a read only if the alternative fails too
+	failingErrorShare   = 0.25 // a host with a higher error share gets a read only if the other fails too
 	errorShareRetention = 0.8  // part of the error share kept each second, so that the host is tried again
 
 	checkTokensPerRequest = 2.0  // health checks that each request pays for
--- a/balance/primary_test.go
+++ b/balance/primary_test.go
@@ -3,63 +3,59 @@
 import "testing"
 
 func TestWriteTriesEachMemberThenWaitsForThePrimary(t *testing.T) {
-	settings := testSettings()
-	endpoints := threeHosts()
-	endpoints[0].Primary = false
-	rig := newRig(t, settings, endpoints...)
+	rig := newRig(t, testSettings(), threeUnmarkedHosts()...)
 	id, actions := rig.request(unsafeWrite)
 	for i, want := range []string{"a", "b", "c"} {
 		if got := sentTo(actions, id); got != want {
-			t.Fatalf("try %d went to %q, want %q", i, got, want)
+			t.Fatalf("attempt %d went to %q, want %q", i, got, want)
 		}
 		actions = rig.answer(id, want, NotPrimary, Replica, 0)
 	}
-	if sentTo(actions, id) != "" || findAction(actions, RejectAction, id) != nil {
-		t.Fatalf("not held after a round of misses: %v", actions)
+	if sentTo(actions, id) != "" || hasAction(actions, RejectAction, id) {
+		t.Fatalf("does not wait after a round of all members: %v", actions)
 	}
 	rig.now += 300 * ms
 	if actions = rig.report("c", true, rig.now); sentTo(actions, id) != "c" {
-		t.Fatalf("not released to the named primary: %v", actions)
+		t.Fatalf("not sent to the confirmed primary: %v", actions)
 	}
 }
 
 func TestFirstWriteGoesToTheListedPrimaryElseTheLowestID(t *testing.T) {
 	for _, c := range []struct {
-		mark bool
-		want string
+		marked bool
+		want   string
 	}{{true, "c"}, {false, "a"}} {
-		settings := testSettings()
-		endpoints := threeHosts()
-		endpoints[0].Primary, endpoints[2].Primary = false, c.mark
-		rig := newRig(t, settings, endpoints...)
+		endpoints := threeUnmarkedHosts()
+		endpoints[2].Primary = c.marked
+		rig := newRig(t, testSettings(), endpoints...)
 		id, actions := rig.request(unsafeWrite)
 		if got := sentTo(actions, id); got != c.want {
-			t.Errorf("list marks a primary %v: first write went to %q, want %q", c.mark, got, c.want)
+			t.Errorf("list marks a primary %v: first write went to %q, want %q", c.marked, got, c.want)
 		}
 	}
 }
 
-// A router that never was sure of a primary goes on asking at its pace: with the start of time as the start
-// of the search, the second probe would come after an eighth of all time, and the write would be held to its
-// end.
+// Where no primary was ever confirmed, the search counts from the first request that waits. Counted from time
+// zero, the second check would come after an eighth of all time, and the write would wait until it expires.
 func TestSearchForANeverConfirmedPrimaryContinues(t *testing.T) {
 	rig := newRig(t, testSettings(), threeHosts()...)
+	searchTime := 2 * rig.router.searchInterval()
 	id, actions := rig.request(unsafeWrite)
 	for range 3 {
 		host := sentTo(actions, id)
 		if host == "" {
-			t.Fatal("the write does not walk")
+			t.Fatal("the write does not try the next member")
 		}
 		actions = rig.answer(id, host, NotPrimary, RoleUnknown, 0)
 	}
-	if actions = append(actions, rig.advance(2*rig.router.searchInterval())...); findAction(actions, HealthCheckAction, -1) == nil {
-		t.Fatal("no probe after the round")
+	if actions = append(actions, rig.advance(searchTime)...); !hasCheck(actions) {
+		t.Fatal("no health check after the round")
 	}
 	for _, host := range []string{"a", "b", "c"} {
-		rig.report(host, false, rig.now) // taken before the successor was made primary
+		rig.report(host, false, rig.now) // from before the new primary was promoted
 	}
-	if actions := rig.advance(2 * rig.router.searchInterval()); findAction(actions, HealthCheckAction, -1) == nil {
-		t.Fatal("the search has ended after one probe")
+	if !hasCheck(rig.advance(searchTime)) {
+		t.Fatal("the search has ended after one health check")
 	}
 	if actions := rig.report("b", true, rig.now); sentTo(actions, id) != "b" {
 		t.Fatalf("the write does not go to the primary that was found: %+v", actions)
@@ -68,20 +64,24 @@
 
 func TestOldReportDoesNotOverruleANewerAnswer(t *testing.T) {
 	rig := readyRig(t, testSettings())
+	isPrimary := func(id string) bool {
+		primary := rig.router.groups[0].primary
+		return primary != nil && primary.id == id
+	}
 	rig.now += 1000 * ms
 	id, _ := rig.request(unsafeWrite)
 	rig.answer(id, "a", Succeeded, Primary, rig.now)
 	rig.report("a", false, rig.now-200*ms) // made before the answer, delivered after it
-	if p := rig.router.groups[0].primary; p == nil || p.id != "a" {
-		t.Fatal("an old report unseated the primary")
+	if !isPrimary("a") {
+		t.Fatal("an old report demoted the primary")
 	}
 	rig.report("b", true, rig.now-100*ms)
-	if p := rig.router.groups[0].primary; p == nil || p.id != "a" {
+	if !isPrimary("a") {
 		t.Fatal("an older claim won over a newer one")
 	}
 	rig.now += 100 * ms
 	rig.report("b", true, rig.now)
-	if p := rig.router.groups[0].primary; p == nil || p.id != "b" {
+	if !isPrimary("b") {
 		t.Fatal("the later claim did not win")
 	}
 }
@@ -95,25 +95,24 @@
 	}
 	rig.report("b", false, rig.now)
 	rig.report("c", false, rig.now)
-	lost, _ := rig.request(keyedWrite)
-	gone, _ := rig.request(unsafeWrite)
-	actions := rig.advance(200 * ms)
-	if findAction(actions, HealthCheckAction, -1) == nil {
-		t.Fatal("silence was not probed")
+	keyed, _ := rig.request(keyedWrite)
+	unsafe, _ := rig.request(unsafeWrite)
+	if !hasCheck(rig.advance(200 * ms)) {
+		t.Fatal("no health check of the silent primary")
 	}
-	rig.handle(Event{Kind: HealthCheckEvent, Host: "a", Result: TimedOut, Latency: 250 * ms})
+	rig.endCheck("a", TimedOut)
 	id, actions := rig.request(unsafeWrite)
 	if sentTo(actions, id) != "" {
 		t.Fatal("a write went to a silent primary")
 	}
-	actions = rig.report("b", true, rig.now)
-	if sentTo(actions, id) != "b" {
-		t.Fatal("held write was not released")
+	if actions = rig.report("b", true, rig.now); sentTo(actions, id) != "b" {
+		t.Fatal("the waiting write was not sent to the new primary")
 	}
-	if actions = rig.answer(lost, "a", ConnectionReset, RoleUnknown, 0); sentTo(actions, lost) != "b" {
-		t.Fatalf("keyed write did not go again: %v", actions)
+	if actions = rig.answer(keyed, "a", ConnectionReset, RoleUnknown, 0); sentTo(actions, keyed) != "b" {
+		t.Fatalf("the keyed write was not retried: %v", actions)
 	}
-	if actions = rig.answer(gone, "a", ConnectionReset, RoleUnknown, 0); findAction(actions, FailAction, gone) == nil {
-		t.Fatalf("want the unsafe write failed: %v", actions)
+	actions = rig.answer(unsafe, "a", ConnectionReset, RoleUnknown, 0)
+	if !hasAction(actions, FailAction, unsafe) {
+		t.Fatalf("want the non-idempotent write failed: %v", actions)
 	}
 }
--- a/balance/queue_test.go
+++ b/balance/queue_test.go
@@ -8,16 +8,18 @@
 	rig.answer(first, "a", ConnectionReset, RoleUnknown, 0)
 	id, actions := rig.request(unsafeWrite)
 	if sentTo(actions, id) != "" {
-		t.Fatal("sent with no primary")
+		t.Fatal("sent without a healthy primary")
 	}
-	until := rig.now + 3000*ms
-	for rig.now < until {
-		if a := findAction(rig.advance(20*ms), RejectAction, id); a != nil {
-			if a.RetryAfter <= 0 {
-				t.Fatal("no retry-after")
-			}
-			return
+	deadline := rig.now + rig.class(unsafeWrite).Deadline
+	for rig.now < deadline {
+		rejection := findAction(rig.advance(20*ms), RejectAction, id)
+		if rejection == nil {
+			continue
+		}
+		if rejection.RetryAfter <= 0 {
+			t.Fatal("no retry-after")
 		}
+		return
 	}
 	t.Fatal("no final answer before the client's deadline")
 }
@@ -25,8 +27,10 @@
 func TestRequestWithoutTimeLeftIsRejectedAtOnce(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	for _, left := range []int64{-5 * ms, 0, 10 * ms} {
-		actions := rig.handle(Event{Kind: RequestEvent, Request: 77, Class: unsafeWrite, Deadline: rig.now + left})
-		if findAction(actions, RejectAction, 77) == nil || findAction(actions, SendAction, 77) != nil {
+		actions := rig.handle(Event{
+			Kind: RequestEvent, Request: 77, Class: unsafeWrite, Deadline: rig.now + left,
+		})
+		if !hasAction(actions, RejectAction, 77) || hasAction(actions, SendAction, 77) {
 			t.Fatalf("%d us left: %v", left, actions)
 		}
 	}
@@ -34,14 +38,14 @@
 
 func TestNewestQueuedWriteIsSentFirst(t *testing.T) {
 	rig := readyRig(t, testSettings())
-	rig.router.hosts["a"].concurrencyLimit = 1
+	rig.host("a").concurrencyLimit = 1
 	first, _ := rig.request(unsafeWrite)
 	older, _ := rig.request(unsafeWrite)
 	rig.now += 50 * ms
 	newer, _ := rig.request(unsafeWrite)
 	rig.now += 50 * ms
 	actions := rig.answer(first, "a", Succeeded, Primary, rig.now)
-	if a := findAction(actions, SendAction, -1); a == nil || a.Request != newer {
+	if send := findAction(actions, SendAction, anyRequest); send == nil || send.Request != newer {
 		t.Fatalf("want write %d sent before %d: %v", newer, older, actions)
 	}
 }
@@ -51,61 +55,73 @@
 	for _, host := range rig.router.hostsByID {
 		host.concurrencyLimit = 1
 	}
-	rig.router.hosts["b"].excluded, rig.router.hosts["c"].excluded = true, true
-	rig.router.traffic.classCost[linearizableRead], rig.router.traffic.classCost[sessionRead] = 20e3, 200e3 // worth 1 in 20 ms against 3 in 200 ms
+	rig.host("b").excluded = true
+	rig.host("c").excluded = true
+	cost := rig.router.traffic.classCost
+	cost[linearizableRead] = 20e3 // µs, for a weight of 1
+	cost[sessionRead] = 200e3     // µs, for a weight of 3
 	first, _ := rig.request(unsafeWrite)
-	dear, _ := rig.requestAs(sessionRead, 1, 10*ms)
+	long, _ := rig.requestAs(sessionRead, 1, 10*ms)
 	quick, _ := rig.request(linearizableRead)
 	actions := rig.answer(first, "a", Succeeded, Primary, rig.now)
-	if a := findAction(actions, SendAction, -1); a == nil || a.Request != quick {
-		t.Fatalf("want read %d sent before %d: %v", quick, dear, actions)
+	if send := findAction(actions, SendAction, anyRequest); send == nil || send.Request != quick {
+		t.Fatalf("want read %d sent before %d: %v", quick, long, actions)
 	}
 }
 
-// No list has named it, so there is nobody to wait for, and a thousand such numbers must not be remembered.
+// No list has named the group, so there is no host to wait for, and a thousand such groups must not be
+// remembered.
 func TestRequestOfAnUnknownGroupIsRejectedAtOnce(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	groups := len(rig.router.groups)
-	for n := int64(99); n < 1099; n++ {
-		id := rig.lastRequest + n
-		actions := rig.handle(Event{Kind: RequestEvent, Request: id, Class: boundedRead, Group: n, Deadline: rig.now + 1000*ms})
-		if a := findAction(actions, RejectAction, id); a == nil || a.RetryAfter == 0 {
-			t.Fatal("a read of a group without hosts was not refused with a time to come back")
+	for group := int64(99); group < 1099; group++ {
+		id := rig.lastRequest + group
+		actions := rig.handle(Event{
+			Kind: RequestEvent, Request: id, Class: boundedRead, Group: group, Deadline: rig.now + 1000*ms,
+		})
+		if rejection := findAction(actions, RejectAction, id); rejection == nil || rejection.RetryAfter == 0 {
+			t.Fatal("a read of an unknown group was not rejected with a retry-after")
 		}
 	}
 	if len(rig.router.groups) != groups || len(rig.router.requests) != 0 {
-		t.Errorf("%d groups and %d requests are remembered", len(rig.router.groups), len(rig.router.requests))
+		t.Errorf("%d groups and %d requests are remembered",
+			len(rig.router.groups), len(rig.router.requests))
 	}
 }
 
-// A read that no host has had by half of its time is refused; a write, or a read that a host turned away,
-// stays.
+// A read that no host has received by half of its time is rejected; a write, or a read that a host turned
+// away, goes on waiting.
 func TestUnservedReadIsRejectedAtHalfItsTime(t *testing.T) {
 	for _, c := range []struct {
-		class   int
-		met     bool
-		refused bool
-	}{{boundedRead, false, true}, {boundedRead, true, false}, {unsafeWrite, false, false}} {
+		class    int
+		received bool
+		rejected bool
+	}{
+		{boundedRead, false, true},
+		{boundedRead, true, false},
+		{unsafeWrite, false, false},
+	} {
 		rig := readyRig(t, testSettings())
-		if !c.met {
+		interval := rig.router.maintenanceInterval()
+		half := rig.class(c.class).Deadline / 2
+		stopSending := func() {
 			for _, host := range rig.router.hostsByID {
 				host.concurrencyLimit = 0
 			}
 		}
+		if !c.received {
+			stopSending()
+		}
 		id, actions := rig.request(c.class)
-		if c.met {
-			host := sentTo(actions, id)
-			for _, host := range rig.router.hostsByID {
-				host.concurrencyLimit = 0
-			}
-			rig.answer(id, host, Overloaded, RoleUnknown, 0)
+		if c.received {
+			stopSending()
+			rig.answer(id, sentTo(actions, id), Overloaded, RoleUnknown, 0)
 		}
-		half := rig.router.settings.Classes[c.class].Deadline / 2
-		if a := findAction(rig.advance(half-3*rig.router.maintenanceInterval()), RejectAction, id); a != nil {
-			t.Errorf("class %d: refused before half of its time", c.class)
+		if hasAction(rig.advance(half-3*interval), RejectAction, id) {
+			t.Errorf("class %d: rejected before half of its time", c.class)
 		}
-		if a := findAction(rig.advance(2*rig.router.maintenanceInterval()), RejectAction, id); (a != nil) != c.refused {
-			t.Errorf("class %d, met %v: refusal at half of its time: %v", c.class, c.met, a)
+		if rejected := hasAction(rig.advance(2*interval), RejectAction, id); rejected != c.rejected {
+			t.Errorf("class %d, received %v: rejected at half of its time: %v", c.class, c.received, rejected)
 		}
 	}
 }
--- a/balance/replicas_test.go
+++ b/balance/replicas_test.go
@@ -4,26 +4,26 @@
 
 func TestReadGoesToAReplicaOnlyIfItsPositionSuffices(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		class int
-		since int64
-		pos   int64 // of b and c, behind now
-		want  string
+		name     string
+		class    int
+		writeAge int64
+		lag      int64 // of b and c
+		want     string
 	}{
 		{"fresh enough", boundedRead, 0, 500 * ms, "replica"},
 		{"too old", boundedRead, 0, 1500 * ms, "a"},
-		{"token met", sessionRead, 600 * ms, 500 * ms, "replica"},
-		{"token not met", sessionRead, 400 * ms, 500 * ms, "a"},
-		{"no token", sessionRead, 0, 90000 * ms, "replica"},
-		{"latest", linearizableRead, 0, 0, "a"},
-		{"loose", eventualRead, 0, 90000 * ms, "replica"},
+		{"write applied", sessionRead, 600 * ms, 500 * ms, "replica"},
+		{"write not applied", sessionRead, 400 * ms, 500 * ms, "a"},
+		{"no write", sessionRead, 0, 90000 * ms, "replica"},
+		{"linearizable", linearizableRead, 0, 0, "a"},
+		{"eventual", eventualRead, 0, 90000 * ms, "replica"},
 	} {
 		rig := newRig(t, testSettings(), threeHosts()...)
-		rig.reportAll(rig.now - c.pos)
-		id, actions := rig.requestAs(c.class, 5, c.since)
-		if sentTo(actions, id) == "" && findAction(actions, HealthCheckAction, -1) != nil { // it waits for a word of the replicas
-			rig.report("b", false, rig.now-c.pos)
-			actions = append(rig.report("c", false, rig.now-c.pos), rig.advance(40*ms)...)
+		rig.reportAll(rig.now - c.lag)
+		id, actions := rig.requestAs(c.class, 5, c.writeAge)
+		if sentTo(actions, id) == "" && hasCheck(actions) { // it waits for the positions of the replicas
+			rig.report("b", false, rig.now-c.lag)
+			actions = append(rig.report("c", false, rig.now-c.lag), rig.advance(40*ms)...)
 		}
 		got := sentTo(actions, id)
 		if got == "b" || got == "c" {
@@ -36,10 +36,7 @@
 }
 
 func TestGuessedPrimaryGetsNoConsistentRead(t *testing.T) {
-	settings := testSettings()
-	endpoints := threeHosts()
-	endpoints[0].Primary = false
-	rig := newRig(t, settings, endpoints...)
+	rig := newRig(t, testSettings(), threeUnmarkedHosts()...)
 	for _, class := range []int{boundedRead, linearizableRead} {
 		if id, actions := rig.request(class); sentTo(actions, id) != "" {
 			t.Errorf("class %d went to a member of unknown position and role", class)
@@ -54,50 +51,54 @@
 	rig.reportAll(rig.now - 10*ms)
 	rig.now += 1500 * ms
 	id, actions := rig.request(boundedRead)
-	if h := sentTo(actions, id); h != "b" && h != "c" {
-		t.Fatalf("the most advanced replica was not tried, but %q", h)
+	if host := sentTo(actions, id); host != "b" && host != "c" {
+		t.Fatalf("no replica was tried, but %q", host)
 	}
 }
 
-// A host that answers errors is quick, and so looks idle: reads go to the others until it is tried again.
+// A host that answers with errors is quick, and so looks idle: reads go to the others until it is tried
+// again.
 func TestFailingHostAttractsNoReads(t *testing.T) {
 	rig := readyRig(t, testSettings())
-	ask := func() (bad int) {
+	failedOf100 := func() int {
+		failed := 0
 		for range 100 {
 			rig.now += ms
 			id, actions := rig.request(eventualRead)
-			if h := sentTo(actions, id); h == "b" {
-				bad++
-				rig.answer(id, h, Failed, Replica, 0)
-				rig.handle(Event{Kind: ClientDisconnectedEvent, Request: id})
-			} else {
-				rig.answer(id, h, Succeeded, Replica, 0)
+			host := sentTo(actions, id)
+			if host != "b" {
+				rig.answer(id, host, Succeeded, Replica, 0)
+				continue
 			}
+			failed++
+			rig.answer(id, host, Failed, Replica, 0)
+			rig.disconnect(id)
 		}
-		return bad
+		return failed
 	}
-	if first, then := ask(), ask(); first == 0 || then > first/2 || then > 10 {
-		t.Errorf("got %d reads of 100, then %d", first, then)
+	first, second := failedOf100(), failedOf100()
+	if first == 0 || second > first/2 || second > 10 {
+		t.Errorf("got %d reads of 100, then %d", first, second)
 	}
 	rig.advance(20000 * ms)
 	rig.reportAll(rig.now)
-	if ask() == 0 {
+	if failedOf100() == 0 {
 		t.Error("never tried again")
 	}
 }
 
 func TestReadWaitsForAPositionAndGoesToTheFreshReplica(t *testing.T) {
 	rig := newRig(t, testSettings(), threeHosts()...)
-	if p := findAction(rig.advance(1000*ms), HealthCheckAction, -1); p != nil {
-		t.Fatalf("%s was probed though nobody asked for anything", p.Host)
+	if hasCheck(rig.advance(1000 * ms)) {
+		t.Fatal("a host was checked without any request")
 	}
 	id, actions := rig.request(boundedRead)
-	p := findAction(actions, HealthCheckAction, -1)
-	if p == nil || p.Host == "a" || sentTo(actions, id) != "" {
-		t.Fatalf("want a probe of a replica and the read waiting for it: %+v", actions)
+	check := findAction(actions, HealthCheckAction, anyRequest)
+	if check == nil || check.Host == "a" || sentTo(actions, id) != "" {
+		t.Fatalf("want a health check of a replica and the read waiting for it: %+v", actions)
 	}
-	if h := sentTo(rig.report(p.Host, false, rig.now-100*ms), id); h != p.Host {
-		t.Errorf("the read went to %q, not to the replica that showed itself fresh", h)
+	if host := sentTo(rig.report(check.Host, false, rig.now-100*ms), id); host != check.Host {
+		t.Errorf("the read went to %q, not to the replica that reported to be fresh", host)
 	}
 }
 
@@ -106,94 +107,103 @@
 	settings.HostsCheckStaleness = true
 	rig := newRig(t, settings, threeHosts()...)
 	rig.report("a", true, rig.now)
-	got := map[string]int{}
+	sent := map[string]int{}
 	for range 80 {
-		rig.now += 1500 * ms // what was heard is too old at every read, while the lag of late would do
+		rig.now += 1500 * ms // known positions are too old at every read, while the known lag would do
 		id, actions := rig.request(boundedRead)
-		h := sentTo(actions, id)
-		got[h]++
-		rig.answer(id, h, Succeeded, Replica, rig.now-200*ms)
+		host := sentTo(actions, id)
+		sent[host]++
+		rig.answer(id, host, Succeeded, Replica, rig.now-200*ms)
 	}
-	if got["b"] < 10 || got["c"] < 10 {
-		t.Errorf("reads went to %v, want them spread over b and c", got)
+	if sent["b"] < 10 || sent["c"] < 10 {
+		t.Errorf("reads went to %v, want them spread over b and c", sent)
 	}
 }
 
-// New connections of all routers together cost hosts much: reads stay with those that a router is connected
-// to.
+// New connections of all gateways together cost hosts much: reads stay with connected hosts.
 func TestReadsPreferConnectedHosts(t *testing.T) {
-	f := newFleet(t, fleetSettings(1), hostList(3)...)
-	f.run(300*ms, boundedRead, 5*ms)
-	r := f.routers[0]
-	r.hosts["h1"].connected, r.hosts["h2"].connected = true, false
-	req := &pendingRequest{class: &r.settings.Classes[boundedRead], group: r.groups[0]}
-	n := 0
+	fleet := newFleet(t, fleetSettings(1), hostList(3)...)
+	fleet.run(300*ms, boundedRead, 5*ms)
+	router := fleet.routers[0]
+	connected, other := router.hosts["h1"], router.hosts["h2"]
+	connected.connected = true
+	other.connected = false
+	req := &pendingRequest{class: &router.settings.Classes[boundedRead], group: router.groups[0]}
+	chosen := 0
 	for range 1000 {
-		r.hosts["h1"].inFlight, r.hosts["h2"].inFlight = nil, nil
-		r.hosts["h1"].position, r.hosts["h2"].position = r.now, r.now
-		if r.chooseReplica(req) == r.hosts["h1"] {
-			n++
+		for _, host := range []*hostState{connected, other} {
+			host.inFlight = nil
+			host.position = router.now
+		}
+		if router.chooseReplica(req) == connected {
+			chosen++
 		}
 	}
-	if n < 800 || n == 1000 {
-		t.Errorf("%d of 1000 reads were drawn for the host with a connection", n)
+	if chosen < 800 || chosen == 1000 {
+		t.Errorf("%d of 1000 reads were drawn for the connected host", chosen)
 	}
 }
 
-// A long read may keep a replica from applying the log: all routers give them to the same one, and the others
-// stay fresh. Short ones of any age, and long ones where that replica is gone, go where there is room.
+// A long read may keep a replica from applying the log: all gateways send them to the same one, and the
+// others stay fresh. Where that one drains, the next takes over.
 func TestLongReadsKeepToOneReplica(t *testing.T) {
 	for seed := range uint64(8) {
-		settings := unequalSettings()
-		rig := readyRig(t, settings)
+		rig := readyRig(t, longReadSettings())
 		rig.router.rand.Below(int64(seed + 1))
 		for range 20 {
 			rig.now += 100 * ms
-			for range 9 { // what is long shows beside the others
+			for range 9 { // the other requests show what is long
 				id, actions := rig.request(boundedRead)
 				rig.answer(id, sentTo(actions, id), Succeeded, Replica, rig.now)
 			}
 			id, actions := rig.request(eventualRead)
-			if h := sentTo(actions, id); h != "b" {
-				t.Fatalf("a long read went to %q", h)
+			if host := sentTo(actions, id); host != "b" {
+				t.Fatalf("a long read went to %q", host)
 			}
 			rig.answer(id, "b", Succeeded, Replica, rig.now)
 		}
-		rig.handle(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: "b", State: Draining, Weight: 1}}})
+		rig.list(Endpoint{Host: "b", State: Draining, Weight: 1})
 		if id, actions := rig.request(eventualRead); sentTo(actions, id) != "c" {
 			t.Fatal("the next replica does not take the long reads over")
 		}
 	}
-	settings := unequalSettings()
+}
+
+func TestShortEventualReadsGoToAllReplicas(t *testing.T) {
+	settings := longReadSettings()
 	settings.Classes[eventualRead].LatencyObjective = 300 * ms
 	rig := readyRig(t, settings)
 	sent := map[string]int{}
 	for range 100 {
 		rig.now += 10 * ms
 		id, actions := rig.request(eventualRead)
-		sent[sentTo(actions, id)]++
-		rig.answer(id, sentTo(actions, id), Succeeded, Replica, rig.now)
+		host := sentTo(actions, id)
+		sent[host]++
+		rig.answer(id, host, Succeeded, Replica, rig.now)
 	}
 	if sent["b"] < 20 || sent["c"] < 20 {
-		t.Errorf("short reads: %v", sent)
+		t.Errorf("short reads went to %v", sent)
 	}
 }
 
-// Where hosts check reads, a replica that lagged when it was last heard is tried again, once it may have
-// caught up: else nothing would tell that it has, and it stands idle. One that lagged much is left alone for
-// longer.
+// Where hosts check staleness, a replica that lagged when it was last heard of is tried again once it may
+// have caught up: else nothing would tell that it has. One that lagged much is left alone for longer.
 func TestReplicaThatLaggedIsTriedAgain(t *testing.T) {
-	rig := newRig(t, unequalSettings(), threeHosts()...)
+	rig := newRig(t, longReadSettings(), threeHosts()...)
 	rig.reportAll(rig.now - 5000*ms)
 	for _, c := range []struct {
-		wait    int64
-		primary bool
-	}{{0, true}, {4000 * ms, true}, {1500 * ms, false}} {
+		wait      int64
+		toPrimary bool
+	}{
+		{0, true},
+		{4000 * ms, true},
+		{1500 * ms, false},
+	} {
 		rig.now += c.wait
 		id, actions := rig.request(boundedRead)
-		if h := sentTo(actions, id); h == "" || (h == "a") != c.primary {
-			t.Fatalf("%v ms later a read went to %q", c.wait/ms, h)
+		if host := sentTo(actions, id); host == "" || (host == "a") != c.toPrimary {
+			t.Fatalf("%v ms later a read went to %q", c.wait/ms, host)
 		}
-		rig.handle(Event{Kind: ClientDisconnectedEvent, Request: id})
+		rig.disconnect(id)
 	}
 }
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -6,55 +6,65 @@
 )
 
 func TestFailedAttemptIsRetriedOnlyWhereThatIsSafe(t *testing.T) {
-	const again, refuse, fail = "again", "refuse", "fail"
-	for _, c := range []struct {
-		class int
-		res   Result
-		want  string
-	}{
-		{eventualRead, Failed, again}, {eventualRead, TimedOut, again}, {eventualRead, ConnectionReset, again}, {eventualRead, Overloaded, again},
-		{eventualRead, ConnectionRefused, again}, {eventualRead, Canceled, again}, {eventualRead, NotSent, again},
-		{unsafeWrite, Failed, fail}, {unsafeWrite, TimedOut, fail}, {unsafeWrite, ConnectionReset, fail}, {unsafeWrite, Canceled, fail},
-		{unsafeWrite, Overloaded, again}, {unsafeWrite, ConnectionRefused, again}, {unsafeWrite, NotPrimary, again}, {unsafeWrite, NotSent, again},
-		{keyedWrite, Failed, again}, {keyedWrite, TimedOut, again}, {keyedWrite, ConnectionReset, again}, {keyedWrite, NotPrimary, again},
-		{keyedWrite, NotSent, again}, {keyedGlobalWrite, Failed, again},
+	type outcomes map[Result]string
+	const retried, rejected, failed = "retried", "rejected", "failed"
+	for class, want := range map[int]outcomes{
+		eventualRead: {
+			Failed: retried, TimedOut: retried, ConnectionReset: retried, Overloaded: retried,
+			ConnectionRefused: retried, Canceled: retried, NotSent: retried,
+		},
+		unsafeWrite: {
+			Failed: failed, TimedOut: failed, ConnectionReset: failed, Canceled: failed,
+			Overloaded: retried, ConnectionRefused: retried, NotPrimary: retried, NotSent: retried,
+		},
+		keyedWrite: {
+			Failed: retried, TimedOut: retried, ConnectionReset: retried, NotPrimary: retried,
+			NotSent: retried,
+		},
+		keyedGlobalWrite: {Failed: retried},
 	} {
-		t.Run(fmt.Sprint(c.class, "/", c.res), func(t *testing.T) {
-			rig := readyRig(t, testSettings())
-			id, actions := rig.request(c.class)
-			host := sentTo(actions, id)
-			if host == "" {
-				t.Fatal("not sent")
-			}
-			actions = rig.answer(id, host, c.res, RoleUnknown, 0)
-			actions = append(actions, rig.report("a", true, rig.now)...) // whatever was doubted is cleared
-			got := again
-			if findAction(actions, RejectAction, id) != nil {
-				got = refuse
-			} else if findAction(actions, FailAction, id) != nil {
-				got = fail
-			}
-			if got != c.want {
-				t.Fatalf("got %s, want %s", got, c.want)
-			}
-			if got == again && rig.router.requests[id] == nil {
-				t.Fatal("forgotten")
-			}
-		})
+		for result, want := range want {
+			t.Run(fmt.Sprint(class, "/", result), func(t *testing.T) {
+				rig := readyRig(t, testSettings())
+				id, actions := rig.request(class)
+				host := sentTo(actions, id)
+				if host == "" {
+					t.Fatal("not sent")
+				}
+				actions = rig.answer(id, host, result, RoleUnknown, 0)
+				actions = append(actions, rig.report("a", true, rig.now)...) // ends any suspicion
+				got := retried
+				if hasAction(actions, RejectAction, id) {
+					got = rejected
+				} else if hasAction(actions, FailAction, id) {
+					got = failed
+				}
+				if got != want {
+					t.Fatalf("got %s, want %s", got, want)
+				}
+				if got == retried && rig.router.requests[id] == nil {
+					t.Fatal("forgotten")
+				}
+			})
+		}
 	}
 }
 
 func TestRejectionRequiresThatRepeatingIsHarmless(t *testing.T) {
 	for _, c := range []struct {
 		class int
-		kind  ActionKind
-	}{{keyedWrite, FailAction}, {keyedGlobalWrite, RejectAction}, {eventualRead, RejectAction}} {
+		want  ActionKind
+	}{
+		{keyedWrite, FailAction},
+		{keyedGlobalWrite, RejectAction},
+		{eventualRead, RejectAction},
+	} {
 		settings := testSettings()
 		settings.MaxAttempts = 1
 		rig := readyRig(t, settings)
 		id, actions := rig.request(c.class)
 		actions = rig.answer(id, sentTo(actions, id), Failed, RoleUnknown, 0)
-		if findAction(actions, c.kind, id) == nil {
+		if !hasAction(actions, c.want, id) {
 			t.Errorf("class %d: wrong final answer in %v", c.class, actions)
 		}
 	}
@@ -64,62 +74,66 @@
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(keyedWrite)
 	rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)
-	actions := rig.advance(2000 * ms)
-	if findAction(actions, FailAction, id) == nil {
+	if !hasAction(rig.advance(2000*ms), FailAction, id) {
 		t.Fatal("a keyed write past its window was not failed")
 	}
 	if sentTo(rig.report("b", true, rig.now), id) != "" {
-		t.Fatal("repeat sent past the window")
+		t.Fatal("retried past the window")
+	}
+}
+
+// A retry that was decided on within the window may wait for its connection: past the window it is not
+// written.
+func TestKeyedRetryIsNotWrittenPastItsWindow(t *testing.T) {
+	rig := readyRig(t, testSettings())
+	id, _ := rig.request(keyedWrite)
+	firstSentAt := rig.now
+	rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)
+	rig.advance(1000 * ms)
+	if sentTo(rig.report("a", true, rig.now), id) == "" && sentTo(rig.report("b", true, rig.now), id) == "" {
+		t.Fatal("not retried")
+	}
+	window := rig.class(keyedWrite).DeduplicationWindow
+	end := firstSentAt + window - rig.router.maintenanceInterval()
+	if !rig.router.AttemptStillValid(end-1, id) || rig.router.AttemptStillValid(end, id) {
+		t.Error("the window does not end, to the microsecond, a maintenance interval early")
 	}
 }
 
 func TestAttemptIsCanceledWhenItsClientDisconnects(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, actions := rig.request(boundedRead)
-	h := sentTo(actions, id)
-	if actions = rig.handle(Event{Kind: ClientDisconnectedEvent, Request: id}); findAction(actions, CancelAction, id) == nil {
-		t.Fatal("the attempt runs on for nobody")
+	host := sentTo(actions, id)
+	if !hasAction(rig.disconnect(id), CancelAction, id) {
+		t.Fatal("the attempt goes on without a client")
 	}
-	rig.answer(id, h, Canceled, RoleUnknown, 0)
-	if len(rig.router.requests) != 0 || len(rig.router.hosts[h].inFlight) != 0 {
+	rig.answer(id, host, Canceled, RoleUnknown, 0)
+	if len(rig.router.requests) != 0 || len(rig.host(host).inFlight) != 0 {
 		t.Fatal("the finished request is still kept")
 	}
 }
 
-// A decision ages while a connection opens: what no longer fits may not be written.
+// While a connection opens, a decision may become outdated: then the attempt may not be written.
 func TestAttemptBecomesInvalidWhileItsConnectionOpens(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[boundedRead].Deadline *= 2
 	rig := readyRig(t, settings)
-	id, actions := rig.request(boundedRead)
-	host := sentTo(actions, id)
-	bound := rig.router.settings.Classes[boundedRead].MaxStaleness
-	if !rig.router.AttemptStillValid(rig.now+bound, id) || rig.router.AttemptStillValid(rig.now+bound+1, id) {
-		t.Error("a position older than the bound still fits, or one within it does not")
+	valid := rig.router.AttemptStillValid
+
+	read, actions := rig.request(boundedRead)
+	staleAt := rig.now + rig.class(boundedRead).MaxStaleness
+	if !valid(staleAt, read) || valid(staleAt+1, read) {
+		t.Error("valid with a position that is too old, or not with one that is fresh enough")
 	}
-	rig.handle(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: host, State: Draining}}})
-	if rig.router.AttemptStillValid(rig.now, id) {
-		t.Error("a host that drains still fits")
+	rig.list(Endpoint{Host: sentTo(actions, read), State: Draining})
+	if valid(rig.now, read) {
+		t.Error("valid at a draining host")
 	}
 	write, _ := rig.request(unsafeWrite)
-	if rig.router.AttemptStillValid(rig.now+rig.router.settings.Classes[unsafeWrite].Deadline, write) || !rig.router.AttemptStillValid(rig.now, write) || rig.router.AttemptStillValid(rig.now, 99) {
-		t.Error("a write fits after its deadline, or not in time, or one that nobody knows does")
-	}
-}
-
-// A repeat that was decided on within the window may wait for its connection: past the window it is not
-// written any more.
-func TestKeyedRetryIsNotWrittenPastItsWindow(t *testing.T) {
-	rig := readyRig(t, testSettings())
-	id, _ := rig.request(keyedWrite)
-	began := rig.now
-	rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)
-	rig.advance(1000 * ms)
-	if sentTo(rig.report("a", true, rig.now), id) == "" && sentTo(rig.report("b", true, rig.now), id) == "" {
-		t.Fatal("not repeated")
+	if valid(rig.now+rig.class(unsafeWrite).Deadline, write) || !valid(rig.now, write) {
+		t.Error("a write is valid after its deadline, or not in time")
 	}
-	last := began + rig.router.settings.Classes[keyedWrite].DeduplicationWindow - rig.router.maintenanceInterval()
-	if !rig.router.AttemptStillValid(last-1, id) || rig.router.AttemptStillValid(last, id) {
-		t.Error("the window does not bind to the microsecond, a period before its end")
+	if valid(rig.now, 99) {
+		t.Error("an unknown request is valid")
 	}
 }
--- a/balance/rig_test.go
+++ b/balance/rig_test.go
@@ -2,27 +2,12 @@
 
 import "testing"
 
-const ms = int64(1000)
+const ms = int64(1000) // µs
 
-// base is the clock at which every test starts: far enough from zero for positions to lie behind it.
+// base is the time at which every test starts: far enough from zero for positions to lie behind it.
 const base = 1000 * 1000 * ms
 
-func testSettings() Settings {
-	return Settings{
-		TickInterval: 5 * ms, HealthChecks: true, Cancellation: true, MaxRetryAfter: 500 * ms, MaxAttempts: 6, DialTimeout: 250 * ms,
-		RequestsCarrySessionAge: true, SlowStartInitialShare: 0.2, SlowStartDuration: 15000 * ms, SlowStartOverloadFactor: 2.5, SlowStartOverloadWindow: 2000 * ms,
-		Classes: []Class{
-			boundedRead:      {LatencyObjective: 400 * ms, Deadline: 1000 * ms, PriorityWeight: 1, LatePriorityWeight: 0.2, Consistency: BoundedStaleness, MaxStaleness: 1000 * ms},
-			sessionRead:      {LatencyObjective: 200 * ms, Deadline: 500 * ms, PriorityWeight: 3, Consistency: ReadYourWrites},
-			unsafeWrite:      {LatencyObjective: 500 * ms, Deadline: 3000 * ms, PriorityWeight: 3, LatePriorityWeight: 0.3, RetrySafety: NonIdempotent, Consistency: Write},
-			keyedWrite:       {LatencyObjective: 500 * ms, Deadline: 3000 * ms, PriorityWeight: 3, LatePriorityWeight: 0.3, RetrySafety: IdempotencyKey, DeduplicationScope: ScopeGroup, DeduplicationWindow: 2000 * ms, Consistency: Write},
-			eventualRead:     {LatencyObjective: 300 * ms, Deadline: 1000 * ms, PriorityWeight: 1, Consistency: Eventual},
-			linearizableRead: {LatencyObjective: 300 * ms, Deadline: 1000 * ms, PriorityWeight: 1, Consistency: Linearizable},
-			keyedGlobalWrite: {LatencyObjective: 500 * ms, Deadline: 3000 * ms, PriorityWeight: 3, RetrySafety: IdempotencyKey, DeduplicationScope: ScopeGlobal, DeduplicationWindow: 2000 * ms, Consistency: Write},
-		},
-	}
-}
-
+// The classes of testSettings.
 const (
 	boundedRead = iota
 	sessionRead
@@ -33,36 +18,110 @@
 	keyedGlobalWrite
 )
 
-// routerRig drives a router and keeps what it did.
+func testClasses() []Class {
+	return []Class{
+		boundedRead: {
+			LatencyObjective: 400 * ms, Deadline: 1000 * ms, PriorityWeight: 1, LatePriorityWeight: 0.2,
+			Consistency: BoundedStaleness, MaxStaleness: 1000 * ms,
+		},
+		sessionRead: {
+			LatencyObjective: 200 * ms, Deadline: 500 * ms, PriorityWeight: 3,
+			Consistency: ReadYourWrites,
+		},
+		unsafeWrite: {
+			LatencyObjective: 500 * ms, Deadline: 3000 * ms, PriorityWeight: 3, LatePriorityWeight: 0.3,
+			Consistency: Write, RetrySafety: NonIdempotent,
+		},
+		keyedWrite: {
+			LatencyObjective: 500 * ms, Deadline: 3000 * ms, PriorityWeight: 3, LatePriorityWeight: 0.3,
+			Consistency: Write, RetrySafety: IdempotencyKey,
+			DeduplicationScope: ScopeGroup, DeduplicationWindow: 2000 * ms,
+		},
+		eventualRead: {
+			LatencyObjective: 300 * ms, Deadline: 1000 * ms, PriorityWeight: 1,
+			Consistency: Eventual,
+		},
+		linearizableRead: {
+			LatencyObjective: 300 * ms, Deadline: 1000 * ms, PriorityWeight: 1,
+			Consistency: Linearizable,
+		},
+		keyedGlobalWrite: {
+			LatencyObjective: 500 * ms, Deadline: 3000 * ms, PriorityWeight: 3,
+			Consistency: Write, RetrySafety: IdempotencyKey,
+			DeduplicationScope: ScopeGlobal, DeduplicationWindow: 2000 * ms,
+		},
+	}
+}
+
+func testSettings() Settings {
+	return Settings{
+		TickInterval:            5 * ms,
+		HealthChecks:            true,
+		Cancellation:            true,
+		MaxRetryAfter:           500 * ms,
+		MaxAttempts:             6,
+		DialTimeout:             250 * ms,
+		RequestsCarrySessionAge: true,
+		SlowStartInitialShare:   0.2,
+		SlowStartDuration:       15000 * ms,
+		SlowStartOverloadFactor: 2.5,
+		SlowStartOverloadWindow: 2000 * ms,
+		Classes:                 testClasses(),
+	}
+}
+
+// longReadSettings is a deployment whose eventual reads take fifteen times the work of other requests.
+func longReadSettings() Settings {
+	settings := testSettings()
+	settings.HostsCheckStaleness = true
+	settings.Gateways = 3
+	settings.Classes[eventualRead].LatencyObjective = 6000 * ms
+	settings.Classes[eventualRead].Deadline = 12000 * ms
+	return settings
+}
+
+// threeHosts is one group: a is its primary, b and c are its replicas.
+func threeHosts() []Endpoint {
+	return []Endpoint{
+		{Host: "a", State: Ready, Weight: 1, Primary: true},
+		{Host: "b", State: Ready, Weight: 1},
+		{Host: "c", State: Ready, Weight: 1},
+	}
+}
+
+// threeUnmarkedHosts are the same where the list marks no primary.
+func threeUnmarkedHosts() []Endpoint {
+	endpoints := threeHosts()
+	endpoints[0].Primary = false
+	return endpoints
+}
+
+// routerRig drives a router and keeps its last actions.
 type routerRig struct {
-	t           *testing.T
 	router      *Router
 	now         int64
 	actions     []Action
 	lastRequest int64
-	attempts    map[int64]int
+	attempts    map[int64]int // ended attempts of each request
+}
+
+func newRig(t *testing.T, settings Settings, endpoints ...Endpoint) *routerRig {
+	t.Helper()
+	return newSeededRig(t, settings, 7, endpoints...)
 }
 
-func newRig(t *testing.T, settings Settings, entries ...Endpoint) *routerRig {
+func newSeededRig(t *testing.T, settings Settings, seed uint64, endpoints ...Endpoint) *routerRig {
 	t.Helper()
-	r, err := New(settings, 7)
+	router, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rig := &routerRig{t: t, router: r, now: base, attempts: map[int64]int{}}
-	rig.handle(Event{Kind: EndpointsEvent, Complete: true, Endpoints: entries})
+	rig := &routerRig{router: router, now: base, attempts: map[int64]int{}}
+	rig.listAll(endpoints...)
 	return rig
 }
 
-func threeHosts() []Endpoint {
-	return []Endpoint{
-		{Host: "a", State: Ready, Weight: 1, Primary: true},
-		{Host: "b", State: Ready, Weight: 1},
-		{Host: "c", State: Ready, Weight: 1},
-	}
-}
-
-// readyRig is a rig of the trio, all of whose members have just reported themselves up to date.
+// readyRig is a rig of threeHosts, all of which have just reported to be up to date.
 func readyRig(t *testing.T, settings Settings) *routerRig {
 	t.Helper()
 	rig := newRig(t, settings, threeHosts()...)
@@ -70,68 +129,119 @@
 	return rig
 }
 
-func (rig *routerRig) handle(ev Event) []Action {
-	rig.actions = rig.router.Handle(rig.now, ev, nil)
+func (rig *routerRig) host(id string) *hostState { return rig.router.hosts[id] }
+
+func (rig *routerRig) class(index int) *Class { return &rig.router.settings.Classes[index] }
+
+func (rig *routerRig) handle(event Event) []Action {
+	rig.actions = rig.router.Handle(rig.now, event, nil)
 	return rig.actions
 }
 
-// advance passes time with upkeep every period and returns all that the router did meanwhile.
-func (rig *routerRig) advance(d int64) []Action {
+// listAll passes a complete endpoint list, list a part of one.
+func (rig *routerRig) listAll(endpoints ...Endpoint) {
+	rig.handle(Event{Kind: EndpointsEvent, Complete: true, Endpoints: endpoints})
+}
+
+func (rig *routerRig) list(endpoints ...Endpoint) []Action {
+	return rig.handle(Event{Kind: EndpointsEvent, Endpoints: endpoints})
+}
+
+// advance passes time with maintenance at each interval and returns all actions of that time.
+func (rig *routerRig) advance(duration int64) []Action {
 	var all []Action
-	for end := rig.now + d; rig.now < end; {
+	for end := rig.now + duration; rig.now < end; {
 		rig.now += rig.router.maintenanceInterval()
 		all = append(all, rig.handle(Event{Kind: TimerEvent})...)
 	}
 	return all
 }
 
+// request passes a new request of a class and returns its id.
 func (rig *routerRig) request(class int) (int64, []Action) { return rig.requestAs(class, 0, 0) }
 
-func (rig *routerRig) requestAs(class int, key, since int64) (int64, []Action) {
+// requestAs does so for a session (0: none) whose last write has an age (0: none).
+func (rig *routerRig) requestAs(class int, session, writeAge int64) (int64, []Action) {
 	rig.lastRequest++
-	return rig.lastRequest, rig.handle(Event{Kind: RequestEvent, Request: rig.lastRequest, Class: class, Key: key, HasKey: key != 0,
-		SessionWriteAge: since, Deadline: rig.now + rig.router.settings.Classes[class].Deadline})
+	return rig.lastRequest, rig.handle(Event{
+		Kind:            RequestEvent,
+		Request:         rig.lastRequest,
+		Class:           class,
+		Key:             session,
+		HasKey:          session != 0,
+		SessionWriteAge: writeAge,
+		Deadline:        rig.now + rig.class(class).Deadline,
+	})
 }
 
-func (rig *routerRig) answer(id int64, host string, res Result, role Role, pos int64) []Action {
-	try := rig.attempts[id]
+// answer ends the attempt in flight of a request. Succeeded is the final answer.
+func (rig *routerRig) answer(id int64, host string, result Result, role Role, position int64) []Action {
+	attempt := rig.attempts[id]
 	rig.attempts[id]++
-	return rig.handle(Event{Kind: OutcomeEvent, Request: id, Attempt: try, Host: host, Result: res, Role: role,
-		Position: pos, Latency: 20 * ms, Finished: res == Succeeded})
+	return rig.handle(Event{
+		Kind:     OutcomeEvent,
+		Request:  id,
+		Attempt:  attempt,
+		Host:     host,
+		Result:   result,
+		Role:     role,
+		Position: position,
+		Latency:  20 * ms,
+		Finished: result == Succeeded,
+	})
+}
+
+// disconnect tells that the client of a request has left.
+func (rig *routerRig) disconnect(id int64) []Action {
+	return rig.handle(Event{Kind: ClientDisconnectedEvent, Request: id})
+}
+
+// endCheck passes the result of a health check that tells nothing else.
+func (rig *routerRig) endCheck(host string, result Result) []Action {
+	return rig.handle(Event{Kind: HealthCheckEvent, Host: host, Result: result, Latency: 20 * ms})
 }
 
-func (rig *routerRig) report(host string, primary bool, pos int64) []Action {
-	return rig.handle(Event{Kind: HealthCheckEvent, Host: host, Result: Succeeded, Latency: 2 * ms,
-		Report: HostReport{HasPosition: true, Position: pos, HasRole: true, Primary: primary}})
+// report passes a successful health check with a host's account of itself.
+func (rig *routerRig) report(host string, primary bool, position int64) []Action {
+	return rig.handle(Event{
+		Kind:    HealthCheckEvent,
+		Host:    host,
+		Result:  Succeeded,
+		Latency: 2 * ms,
+		Report:  HostReport{HasPosition: true, Position: position, HasRole: true, Primary: primary},
+	})
 }
 
-// reportAll answers for the trio: a is the primary, b and c have applied up to pos.
-func (rig *routerRig) reportAll(pos int64) {
+// reportAll reports for threeHosts: a is the primary, b and c have applied their log up to a position.
+func (rig *routerRig) reportAll(position int64) {
 	rig.report("a", true, rig.now)
-	rig.report("b", false, pos)
-	rig.report("c", false, pos)
+	rig.report("b", false, position)
+	rig.report("c", false, position)
 }
 
+const anyRequest = -1 // for findAction
+
+// findAction returns the first action of a kind for a request, or nil.
 func findAction(actions []Action, kind ActionKind, id int64) *Action {
 	for i := range actions {
-		if actions[i].Kind == kind && (id < 0 || actions[i].Request == id) {
+		if actions[i].Kind == kind && (id == anyRequest || actions[i].Request == id) {
 			return &actions[i]
 		}
 	}
 	return nil
 }
 
+func hasAction(actions []Action, kind ActionKind, id int64) bool {
+	return findAction(actions, kind, id) != nil
+}
+
+// hasCheck reports whether there is any health check among actions.
+func hasCheck(actions []Action) bool { return hasAction(actions, HealthCheckAction, anyRequest) }
+
+// sentTo returns the host that a request was sent to; "" if it was not sent.
 func sentTo(actions []Action, id int64) string {
-	if a := findAction(actions, SendAction, id); a != nil {
-		return a.Host
+	if action := findAction(actions, SendAction, id); action != nil {
+		return action.Host
 	}
 	return ""
 }
-
-// unequalSettings is a deployment whose reads of any age take fifteen times the work of others.
-func unequalSettings() Settings {
-	settings := testSettings()
-	settings.HostsCheckStaleness, settings.Gateways = true, 3
-	settings.Classes[eventualRead].LatencyObjective, settings.Classes[eventualRead].Deadline = 6000*ms, 12000*ms
-	return settings
-}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -2,258 +2,402 @@
 
 import (
 	"reflect"
+	"slices"
 	"testing"
 
 	"cloverrock/internal/random"
 )
 
-// random returns a number below n, or 0.
-func (r *Router) random(n int) int { return int(r.rand.Below(int64(n))) }
+// This file plays random events on a router and checks on every action the rules that hold always: no attempt
+// at an excluded host, one attempt at a time, no unsafe retry, no read of a host that is not known to be
+// fresh enough, one final answer in time, and a rejection only where trying again is harmless.
 
-func TestRulesHoldWithExtremeSettings(t *testing.T) {
-	if _, err := New(Settings{}, 1); err == nil {
-		t.Error("empty settings were taken")
-	}
-	if _, err := New(Settings{TickInterval: 1, MaxAttempts: 1, Classes: []Class{{}}}, 1); err == nil {
-		t.Error("a class without aim was taken")
+func TestRulesHoldUnderRandomEvents(t *testing.T) {
+	for seed := uint64(1); seed <= 30; seed++ {
+		settings := testSettings()
+		settings.HostsCheckStaleness = seed%3 == 0
+		settings.RequestsCarrySessionAge = seed%5 != 0
+		playRandomEvents(t, settings, seed)
 	}
+}
+
+func TestRulesHoldWithExtremeSettings(t *testing.T) {
 	for _, change := range []func(*Settings){
-		func(s *Settings) { s.HealthChecks = false }, func(s *Settings) { s.Cancellation = false },
-		func(s *Settings) { s.MaxRetryAfter = 0 }, func(s *Settings) { s.MaxAttempts = 1 },
-		func(s *Settings) { s.Classes[boundedRead].MaxStaleness = 0 }, func(s *Settings) { s.SlowStartDuration = 0 },
+		func(s *Settings) { s.HealthChecks = false },
+		func(s *Settings) { s.Cancellation = false },
+		func(s *Settings) { s.MaxRetryAfter = 0 },
+		func(s *Settings) { s.MaxAttempts = 1 },
+		func(s *Settings) { s.Classes[boundedRead].MaxStaleness = 0 },
+		func(s *Settings) { s.SlowStartDuration = 0 },
 		func(s *Settings) { s.SlowStartOverloadWindow = 0 },
 	} {
 		settings := testSettings()
 		change(&settings)
-		randomEvents(t, settings, 3)
-	}
-}
-
-func TestRulesHoldUnderRandomEvents(t *testing.T) {
-	for seed := uint64(1); seed <= 30; seed++ {
-		settings := testSettings()
-		settings.HostsCheckStaleness = seed%3 == 0
-		settings.RequestsCarrySessionAge = seed%5 != 0
-		randomEvents(t, settings, seed)
+		playRandomEvents(t, settings, 3)
 	}
 }
 
 func TestSameEventsGiveTheSameActions(t *testing.T) {
-	a, b := randomEvents(t, testSettings(), 11), randomEvents(t, testSettings(), 11)
-	if !reflect.DeepEqual(a, b) {
+	first := playRandomEvents(t, testSettings(), 11)
+	second := playRandomEvents(t, testSettings(), 11)
+	if !reflect.DeepEqual(first, second) {
 		t.Fatal("the same events gave other actions")
 	}
 }
 
-// randomEvents plays random events and checks rules 1, 2, 3 and 5 on what the router does.
-func randomEvents(t *testing.T, settings Settings, seed uint64) []Action {
+// ruleChecker plays random events and knows the truth that the router's actions are checked against.
+type ruleChecker struct {
+	t    *testing.T
+	rig  *routerRig
+	seed uint64
+	rand random.Source
+	log  []Action
+
+	requests map[int64]*checkedRequest
+	inFlight []checkedAttempt
+	checks   []string // hosts whose health checks are pending
+
+	primary    string
+	applied    map[string]int64 // true log positions
+	known      map[string]int64 // what the router may know of them
+	wasPrimary map[string]bool  // as the router may know
+	drainedAt  map[string]int64
+	commits    map[int64]int64 // by session
+}
+
+// checkedRequest is what is known of a request that is not over.
+type checkedRequest struct {
+	class           *Class
+	classIndex      int
+	deadline        int64
+	minPosition     int64
+	attempts        int
+	inFlight        int
+	mayHaveExecuted bool
+	executedAt      int64
+	final           bool
+}
+
+type checkedAttempt struct {
+	request int64
+	number  int
+	host    string
+	sentAt  int64
+}
+
+// checkedHosts are the ids of threeHosts.
+var checkedHosts = []string{"a", "b", "c"}
+
+// playRandomEvents checks the rules on what a router does and returns all its actions.
+func playRandomEvents(t *testing.T, settings Settings, seed uint64) []Action {
 	t.Helper()
-	type out struct {
-		id   int64
-		try  int
-		host string
-		at   int64
-	}
-	type state struct {
-		class                int
-		until, ranAt, need   int64
-		outs, tries          int
-		mayRun, final, cause bool
-	}
-	dice := &Router{rand: random.Source(seed * 977)}
-	rig := newRig(t, settings, threeHosts()...)
-	reqs := map[int64]*state{}
-	var outs []out
-	var log []Action
-	applied := map[string]int64{"a": base, "b": base, "c": base}
-	told := map[string]int64{} // what the router may know of positions
-	primary, drained := "a", map[string]int64{}
-	wasPrimary := map[string]bool{"a": true}
-	commits := map[int64]int64{}
-	var probes []string
-	take := func(actions []Action) {
-		for _, a := range actions {
-			log = append(log, a)
-			q := reqs[a.Request]
-			switch a.Kind {
-			case SendAction:
-				c := settings.Classes[q.class]
-				if q.final {
-					t.Fatalf("seed %d: sent after the final answer", seed)
-				}
-				if at, ok := drained[a.Host]; ok && rig.now > at {
-					t.Fatalf("seed %d: sent to a drained host", seed)
-				}
-				if q.outs > 0 {
-					t.Fatalf("seed %d: two attempts out", seed)
-				}
-				if q.mayRun && c.RetrySafety == NonIdempotent {
-					t.Fatalf("seed %d: unsafe sent twice", seed)
-				}
-				if q.mayRun && c.RetrySafety == IdempotencyKey && rig.now > q.ranAt+c.DeduplicationWindow {
-					t.Fatalf("seed %d: keyed sent past its window", seed)
-				}
-				need := q.need
-				if c.Consistency == BoundedStaleness {
-					need = rig.now - c.MaxStaleness
-				}
-				if !settings.HostsCheckStaleness && c.Consistency != Eventual && c.Consistency != Write && !wasPrimary[a.Host] && told[a.Host] < need {
-					t.Fatalf("seed %d: class %d read from %s at %d, needs %d", seed, q.class, a.Host, told[a.Host], need)
-				}
-				outs = append(outs, out{a.Request, q.tries, a.Host, rig.now})
-				q.tries++
-				q.outs++
-			case RejectAction, FailAction:
-				if q.final {
-					t.Fatalf("seed %d: two final answers", seed)
-				}
-				q.final = true
-				r := settings.Classes[q.class].RetrySafety
-				scoped := settings.Classes[q.class].DeduplicationScope == ScopeGlobal
-				if a.Kind == RejectAction && (q.mayRun || q.outs > 0) && r != Idempotent && !(r == IdempotencyKey && scoped) {
-					t.Fatalf("seed %d: refused what may have run", seed)
-				}
-			case HealthCheckAction:
-				if _, ok := drained[a.Host]; !ok {
-					probes = append(probes, a.Host)
-				}
-			}
+	checker := &ruleChecker{
+		t:          t,
+		rig:        newRig(t, settings, threeHosts()...),
+		seed:       seed,
+		rand:       random.Source(seed * 977),
+		requests:   map[int64]*checkedRequest{},
+		primary:    "a",
+		applied:    map[string]int64{"a": base, "b": base, "c": base},
+		known:      map[string]int64{},
+		wasPrimary: map[string]bool{"a": true},
+		drainedAt:  map[string]int64{},
+		commits:    map[int64]int64{},
+	}
+	for range 3000 {
+		checker.step()
+	}
+	return checker.log
+}
+
+// draw returns a number from 0 up to, and not including, n.
+func (c *ruleChecker) draw(n int) int { return int(c.rand.Below(int64(n))) }
+
+func (c *ruleChecker) settings() *Settings { return &c.rig.router.settings }
+
+// failf ends the test; the seed shows how to repeat it.
+func (c *ruleChecker) failf(format string, args ...any) {
+	c.t.Helper()
+	c.t.Fatalf("seed %d: "+format, append([]any{c.seed}, args...)...)
+}
+
+// step passes some time and plays one random event.
+func (c *ruleChecker) step() {
+	c.rig.now += int64(c.draw(8)) * ms
+	c.replicate()
+	switch c.draw(8) {
+	case 0, 1, 2:
+		c.sendRequest()
+	case 3, 4:
+		c.endRandomAttempt()
+	case 5:
+		c.check(c.rig.handle(Event{Kind: TimerEvent}))
+		for len(c.checks) > 0 {
+			c.endHealthCheck()
+		}
+	case 6:
+		if c.draw(40) == 0 {
+			c.primary = checkedHosts[c.draw(len(checkedHosts))]
+		}
+	case 7:
+		if c.draw(60) == 0 {
+			c.drainOrReturn(checkedHosts[c.draw(len(checkedHosts))])
 		}
 	}
-	finish := func(i int, res Result) {
-		o := outs[i]
-		outs = append(outs[:i], outs[i+1:]...)
-		q := reqs[o.id]
-		q.outs--
-		if !res.ProvesNotExecuted() {
-			if !q.mayRun {
-				q.ranAt = o.at
-			}
-			q.mayRun = true
+	c.endOverdueAttempts()
+	c.checkFinalAnswers()
+}
+
+// replicate lets the replicas apply a part of the primary's log.
+func (c *ruleChecker) replicate() {
+	for _, host := range checkedHosts {
+		if host == c.primary {
+			c.applied[host] = c.rig.now
+		} else if c.draw(3) == 0 && c.rig.now-c.applied[host] > 50*ms {
+			c.applied[host] += (c.rig.now - c.applied[host]) / 2
 		}
-		ev := Event{Kind: OutcomeEvent, Request: o.id, Attempt: o.try, Host: o.host, Result: res, Latency: rig.now - o.at}
-		if res.Answered() {
-			ev.Role = Replica
-			if o.host == primary {
-				ev.Role = Primary
-			}
-			if seed%2 == 0 && ev.Role == Replica { // answers tell positions
-				ev.Position = applied[o.host]
-			}
-			if res == Succeeded && settings.Classes[q.class].Consistency == Write {
-				ev.Position = rig.now
-				commits[o.id%7+1] = rig.now
-			}
-			if ev.Position > told[o.host] {
-				told[o.host] = ev.Position
-			}
-			if ev.Role == Replica {
-				delete(wasPrimary, o.host)
-			} else {
-				wasPrimary[o.host] = true
-			}
+	}
+}
+
+func (c *ruleChecker) sendRequest() {
+	c.rig.lastRequest++
+	id := c.rig.lastRequest
+	session := id%7 + 1
+	index := c.draw(len(c.settings().Classes))
+	class := c.rig.class(index)
+	deadline := c.rig.now + class.Deadline
+	request := &checkedRequest{class: class, classIndex: index, deadline: deadline}
+	event := Event{
+		Kind:     RequestEvent,
+		Request:  id,
+		Class:    index,
+		Key:      session,
+		HasKey:   true,
+		Deadline: deadline,
+	}
+	if class.Consistency == ReadYourWrites && c.commits[session] > 0 {
+		request.minPosition = c.commits[session]
+		if c.settings().RequestsCarrySessionAge {
+			event.SessionWriteAge = max(1, c.rig.now-request.minPosition) // 0 would tell of no write
+			request.minPosition = c.rig.now - event.SessionWriteAge
+		}
+	}
+	if class.Consistency == Linearizable {
+		request.minPosition = c.rig.now
+	}
+	c.requests[id] = request
+	c.check(c.rig.handle(event))
+}
+
+func (c *ruleChecker) endRandomAttempt() {
+	if len(c.inFlight) == 0 {
+		return
+	}
+	i := c.draw(len(c.inFlight))
+	results := []Result{
+		Succeeded, Succeeded, Succeeded, Failed, Overloaded, TimedOut, ConnectionRefused, ConnectionReset,
+		NotPrimary,
+	}
+	result := results[c.draw(len(results))]
+	isWrite := c.requests[c.inFlight[i].request].class.Consistency == Write
+	if isWrite && c.inFlight[i].host != c.primary && result == Succeeded {
+		result = NotPrimary
+	} else if !isWrite && result == NotPrimary {
+		result = Succeeded
+	}
+	c.endAttempt(i, result)
+}
+
+func (c *ruleChecker) endAttempt(i int, result Result) {
+	attempt := c.inFlight[i]
+	c.inFlight = slices.Delete(c.inFlight, i, i+1)
+	request := c.requests[attempt.request]
+	request.inFlight--
+	if !result.ProvesNotExecuted() {
+		if !request.mayHaveExecuted {
+			request.executedAt = attempt.sentAt
 		}
-		if res == Succeeded || q.final {
-			q.final = true
-			ev.Finished = true
+		request.mayHaveExecuted = true
+	}
+	event := Event{
+		Kind:    OutcomeEvent,
+		Request: attempt.request,
+		Attempt: attempt.number,
+		Host:    attempt.host,
+		Result:  result,
+		Latency: c.rig.now - attempt.sentAt,
+	}
+	if result.Answered() {
+		c.fillAnswer(&event, request)
+	}
+	if result == Succeeded || request.final {
+		request.final = true
+		event.Finished = true
+	}
+	c.check(c.rig.handle(event))
+}
+
+// fillAnswer fills in what the host tells of itself, and notes what the router may know from it.
+func (c *ruleChecker) fillAnswer(event *Event, request *checkedRequest) {
+	event.Role = Replica
+	if event.Host == c.primary {
+		event.Role = Primary
+	}
+	if c.seed%2 == 0 && event.Role == Replica { // answers tell positions
+		event.Position = c.applied[event.Host]
+	}
+	if event.Result == Succeeded && request.class.Consistency == Write {
+		event.Position = c.rig.now
+		c.commits[event.Request%7+1] = c.rig.now
+	}
+	c.known[event.Host] = max(c.known[event.Host], event.Position)
+	if event.Role == Primary {
+		c.wasPrimary[event.Host] = true
+	} else {
+		delete(c.wasPrimary, event.Host)
+	}
+}
+
+func (c *ruleChecker) endHealthCheck() {
+	host := c.checks[0]
+	c.checks = c.checks[1:]
+	event := Event{Kind: HealthCheckEvent, Host: host, Result: TimedOut, Latency: 250 * ms}
+	if c.draw(4) > 0 {
+		c.known[host] = max(c.known[host], c.applied[host])
+		isPrimary := host == c.primary
+		if isPrimary {
+			c.wasPrimary[host] = true
 		}
-		take(rig.handle(ev))
-	}
-	for step := 0; step < 3000; step++ {
-		rig.now += int64(dice.random(8)) * ms
-		for _, h := range []string{"a", "b", "c"} {
-			if h == primary {
-				applied[h] = rig.now
-			} else if dice.random(3) == 0 && rig.now-applied[h] > 50*ms {
-				applied[h] += (rig.now - applied[h]) / 2
-			}
+		event.Result = Succeeded
+		event.Latency = 2 * ms
+		event.Report = HostReport{
+			HasPosition: true, Position: c.applied[host], HasRole: true, Primary: isPrimary,
 		}
-		switch dice.random(8) {
-		case 0, 1, 2:
-			rig.lastRequest++
-			class := dice.random(len(settings.Classes))
-			key := rig.lastRequest%7 + 1
-			until := rig.now + settings.Classes[class].Deadline
-			q := &state{class: class, until: until}
-			ev := Event{Kind: RequestEvent, Request: rig.lastRequest, Class: class, Key: key, HasKey: true, Deadline: until}
-			if settings.Classes[class].Consistency == ReadYourWrites && commits[key] > 0 {
-				q.need = commits[key]
-				if settings.RequestsCarrySessionAge {
-					ev.SessionWriteAge = max(1, rig.now-q.need) // 0 would say that it wrote nothing
-					q.need = rig.now - ev.SessionWriteAge
-				}
-			}
-			if settings.Classes[class].Consistency == Linearizable {
-				q.need = rig.now
-			}
-			reqs[rig.lastRequest] = q
-			take(rig.handle(ev))
-		case 3, 4:
-			if len(outs) > 0 {
-				i := dice.random(len(outs))
-				res := []Result{Succeeded, Succeeded, Succeeded, Failed, Overloaded, TimedOut, ConnectionRefused, ConnectionReset, NotPrimary}[dice.random(9)]
-				isWrite := settings.Classes[reqs[outs[i].id].class].Consistency == Write
-				if isWrite && outs[i].host != primary && res == Succeeded {
-					res = NotPrimary
-				} else if !isWrite && res == NotPrimary {
-					res = Succeeded
-				}
-				finish(i, res)
-			}
-		case 5:
-			take(rig.handle(Event{Kind: TimerEvent}))
-			for len(probes) > 0 {
-				h := probes[0]
-				probes = probes[1:]
-				ev := Event{Kind: HealthCheckEvent, Host: h, Result: TimedOut, Latency: 250 * ms}
-				if dice.random(4) > 0 {
-					told[h] = max(told[h], applied[h])
-					if h == primary {
-						wasPrimary[h] = true
-					}
-					ev.Result, ev.Latency = Succeeded, 2*ms
-					ev.Report = HostReport{HasPosition: true, Position: applied[h], HasRole: true, Primary: h == primary}
-				}
-				take(rig.handle(ev))
-			}
-		case 6:
-			if dice.random(40) == 0 {
-				primary = []string{"a", "b", "c"}[dice.random(3)]
-			}
-		case 7:
-			if dice.random(60) == 0 {
-				h := []string{"a", "b", "c"}[dice.random(3)]
-				ph := Ready
-				if _, ok := drained[h]; ok {
-					delete(drained, h)
-				} else {
-					drained[h], ph = rig.now-1, Draining
-				}
-				take(rig.handle(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: h, State: ph, Weight: 1}}}))
-			}
+	}
+	c.check(c.rig.handle(event))
+}
+
+func (c *ruleChecker) drainOrReturn(host string) {
+	state := Ready
+	if _, drained := c.drainedAt[host]; drained {
+		delete(c.drainedAt, host)
+	} else {
+		c.drainedAt[host] = c.rig.now - 1
+		state = Draining
+	}
+	c.check(c.rig.list(Endpoint{Host: host, State: state, Weight: 1}))
+}
+
+// endOverdueAttempts ends what is in flight at its deadline.
+func (c *ruleChecker) endOverdueAttempts() {
+	overdue := func(attempt checkedAttempt) bool {
+		return c.requests[attempt.request].deadline <= c.rig.now
+	}
+	for {
+		i := slices.IndexFunc(c.inFlight, overdue)
+		if i < 0 {
+			return
 		}
-		for i := 0; i < len(outs); i++ { // the deadline ends what is still out
-			if reqs[outs[i].id].until <= rig.now {
-				finish(i, TimedOut)
-				i = -1
+		c.endAttempt(i, TimedOut)
+	}
+}
+
+// check checks the rules on actions and carries them out.
+func (c *ruleChecker) check(actions []Action) {
+	for i := range actions {
+		action := &actions[i]
+		c.log = append(c.log, *action)
+		switch action.Kind {
+		case SendAction:
+			c.checkSend(action)
+		case RejectAction, FailAction:
+			c.checkFinal(action)
+		case HealthCheckAction:
+			if _, drained := c.drainedAt[action.Host]; !drained {
+				c.checks = append(c.checks, action.Host)
 			}
 		}
-		for id := int64(1); id <= rig.lastRequest; id++ {
-			q := reqs[id]
-			if q == nil {
-				continue
-			}
-			if !q.final && rig.now > q.until+20*ms && q.outs == 0 {
-				// The router is only woken by its own timer; give it that before judging.
-				take(rig.handle(Event{Kind: TimerEvent}))
-				if !q.final {
-					t.Fatalf("seed %d: request %d got no final answer", seed, id)
-				}
-			}
-			if q.final && q.outs == 0 {
-				delete(reqs, id)
+	}
+}
+
+func (c *ruleChecker) checkSend(action *Action) {
+	request := c.requests[action.Request]
+	if request.final {
+		c.failf("sent after the final answer")
+	}
+	if at, drained := c.drainedAt[action.Host]; drained && c.rig.now > at {
+		c.failf("sent to a drained host")
+	}
+	if request.inFlight > 0 {
+		c.failf("two attempts in flight")
+	}
+	c.checkRetry(request)
+	c.checkFreshness(request, action.Host)
+	attempt := checkedAttempt{action.Request, request.attempts, action.Host, c.rig.now}
+	c.inFlight = append(c.inFlight, attempt)
+	request.attempts++
+	request.inFlight++
+}
+
+func (c *ruleChecker) checkRetry(request *checkedRequest) {
+	if !request.mayHaveExecuted {
+		return
+	}
+	switch request.class.RetrySafety {
+	case NonIdempotent:
+		c.failf("non-idempotent request sent twice")
+	case IdempotencyKey:
+		if c.rig.now > request.executedAt+request.class.DeduplicationWindow {
+			c.failf("keyed request sent past its window")
+		}
+	}
+}
+
+// checkFreshness checks that the router knew the host of a read to be fresh enough, unless hosts check that.
+func (c *ruleChecker) checkFreshness(request *checkedRequest, host string) {
+	needed := request.minPosition
+	switch request.class.Consistency {
+	case Eventual, Write:
+		return
+	case BoundedStaleness:
+		needed = c.rig.now - request.class.MaxStaleness
+	}
+	if !c.settings().HostsCheckStaleness && !c.wasPrimary[host] && c.known[host] < needed {
+		c.failf("class %d read from %s at %d, needs %d", request.classIndex, host, c.known[host], needed)
+	}
+}
+
+func (c *ruleChecker) checkFinal(action *Action) {
+	request := c.requests[action.Request]
+	if request.final {
+		c.failf("two final answers")
+	}
+	request.final = true
+	safety := request.class.RetrySafety
+	harmless := safety == Idempotent ||
+		safety == IdempotencyKey && request.class.DeduplicationScope == ScopeGlobal
+	mayRun := request.mayHaveExecuted || request.inFlight > 0
+	if action.Kind == RejectAction && mayRun && !harmless {
+		c.failf("rejected what may have been executed")
+	}
+}
+
+// checkFinalAnswers checks that each request got its final answer in time, and forgets those that are over.
+func (c *ruleChecker) checkFinalAnswers() {
+	for id := int64(1); id <= c.rig.lastRequest; id++ {
+		request := c.requests[id]
+		if request == nil {
+			continue
+		}
+		if !request.final && c.rig.now > request.deadline+20*ms && request.inFlight == 0 {
+			// The router is woken only by its own timer, which may be due.
+			c.check(c.rig.handle(Event{Kind: TimerEvent}))
+			if !request.final {
+				c.failf("request %d got no final answer", id)
 			}
 		}
+		if request.final && request.inFlight == 0 {
+			delete(c.requests, id)
+		}
 	}
-	return log
 }
--- a/balance/sessions_test.go
+++ b/balance/sessions_test.go
@@ -16,15 +16,20 @@
 		t.Fatal("another session's read went to the primary")
 	}
 	rig.advance(3 * int64(commitRetention))
-	if len(rig.router.sessions.recent)+len(rig.router.sessions.older) != 0 || max(rig.router.sessions.floor, rig.router.sessions.recent[5], rig.router.sessions.older[5]) == 0 {
-		t.Fatal("old commits must leave the memory and stay covered by the floor")
+	sessions := &rig.router.sessions
+	if len(sessions.recent)+len(sessions.older) != 0 {
+		t.Fatal("old commits are remembered one by one")
+	}
+	if sessions.position(5) == 0 {
+		t.Fatal("old commits are not covered by the floor")
 	}
 }
 
-// A commit rounded up to whole milliseconds may lie ahead of the clock; it binds all the same.
+// A commit that was rounded up to whole milliseconds may lie ahead of the clock.
 func TestCommitAheadOfTheClockBindsReads(t *testing.T) {
 	rig := readyRig(t, testSettings())
-	if id, actions := rig.requestAs(sessionRead, 5, -ms/2); sentTo(actions, id) == "b" || sentTo(actions, id) == "c" {
-		t.Error("sent to a replica that stands before the commit")
+	id, actions := rig.requestAs(sessionRead, 5, -ms/2)
+	if host := sentTo(actions, id); host == "b" || host == "c" {
+		t.Error("sent to a replica that has not applied the commit")
 	}
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -10,35 +10,46 @@
 	settings := testSettings()
 	settings.RequestsCarrySessionAge = true
 	rig := readyRig(t, settings)
-	rig.handle(Event{Kind: EndpointsEvent, Endpoints: []Endpoint{{Host: "b", State: Ready, Weight: 1, StartedAt: rig.now}}})
+	rig.list(Endpoint{Host: "b", State: Ready, Weight: 1, StartedAt: rig.now})
 	sent := map[string]int{}
-	for i := 0; i < 400; i++ { // two seconds, 200 a second, every answer at once
+	for i := range 400 { // two seconds, 200 a second, all answered at once
 		rig.now += 5 * ms
 		id, actions := rig.request(eventualRead)
-		h := sentTo(actions, id)
-		sent[h]++
-		if h != "" {
-			rig.answer(id, h, Succeeded, Replica, 0)
+		host := sentTo(actions, id)
+		sent[host]++
+		if host != "" {
+			rig.answer(id, host, Succeeded, Replica, 0)
 		}
 		if i%4 == 0 {
 			rig.handle(Event{Kind: TimerEvent})
 		}
 	}
 	warm := float64(sent["c"])
-	if most := warm * settings.SlowStartInitialShare * settings.SlowStartOverloadFactor; float64(sent["b"]) > most || sent["b"] == 0 {
+	most := warm * settings.SlowStartInitialShare * settings.SlowStartOverloadFactor
+	if float64(sent["b"]) > most || sent["b"] == 0 {
 		t.Fatalf("a cold host took %d while a warm one took %v", sent["b"], warm)
 	}
 }
 
+// startAll lists threeHosts as just started, without a primary.
+func (rig *routerRig) startAll() {
+	endpoints := threeUnmarkedHosts()
+	for i := range endpoints {
+		endpoints[i].StartedAt = rig.now
+	}
+	rig.list(endpoints...)
+}
+
 func TestGroupThatIsColdAsAWholeServesOn(t *testing.T) {
 	rig := readyRig(t, testSettings())
-	serve := func(n int) (sent int) { // n requests, 100 a second, answered at once
-		for i := range n {
+	serve := func(requests int) int { // 100 a second, answered at once
+		sent := 0
+		for i := range requests {
 			rig.now += 10 * ms
 			id, actions := rig.request(eventualRead)
-			if h := sentTo(actions, id); h != "" {
+			if host := sentTo(actions, id); host != "" {
 				sent++
-				rig.answer(id, h, Succeeded, Replica, rig.now)
+				rig.answer(id, host, Succeeded, Replica, rig.now)
 			}
 			if i%2 == 0 {
 				rig.handle(Event{Kind: TimerEvent})
@@ -47,12 +58,8 @@
 		return sent
 	}
 	serve(500)
-	endpoints := threeHosts()
-	for i := range endpoints {
-		endpoints[i].Primary, endpoints[i].StartedAt = false, rig.now
-	}
-	rig.handle(Event{Kind: EndpointsEvent, Endpoints: endpoints})
-	// Warm members took some 33 a second each: a cold one may have a fifth of that, and more as it warms.
+	rig.startAll()
+	// Warm members took some 33 a second each: a cold one may have a fifth of that, and more as it warms up.
 	if sent := serve(300); sent < 30 || sent > 150 {
 		t.Fatalf("%d of 300 requests sent to a group that is cold as a whole", sent)
 	}
@@ -60,168 +67,194 @@
 
 func TestHundredsOfGatewaysKeepAColdHostWithinItsShare(t *testing.T) {
 	settings := testSettings()
-	const routers = 300
-	sent, normal := 0, 0
-	for seed := range uint64(routers) {
-		r, err := New(settings, seed)
-		if err != nil {
-			t.Fatal(err)
-		}
-		rig := &routerRig{t: t, router: r, now: base, attempts: map[int64]int{}}
-		rig.handle(Event{Kind: EndpointsEvent, Complete: true, Endpoints: threeHosts()})
+	const gateways = 300
+	sentWarm, sentCold := 0, 0
+	for seed := range uint64(gateways) {
+		rig := newSeededRig(t, settings, seed, threeHosts()...)
 		rig.reportAll(rig.now)
-		ask := func() (toC int) { // one read of any member, answered at once
+		goesToC := func() int { // one read of any member, answered at once
 			id, actions := rig.request(eventualRead)
-			h := sentTo(actions, id)
-			rig.answer(id, h, Succeeded, RoleUnknown, rig.now)
-			if h == "c" {
-				toC++
+			host := sentTo(actions, id)
+			rig.answer(id, host, Succeeded, RoleUnknown, rig.now)
+			if host == "c" {
+				return 1
 			}
-			return toC
+			return 0
 		}
-		for range 20 { // thin traffic: a request in two seconds
+		for range 20 { // sparse traffic: a request in two seconds
 			rig.advance(2000 * ms)
-			normal += ask()
+			sentWarm += goesToC()
 		}
 		endpoints := threeHosts()
 		endpoints[2].StartedAt = rig.now
-		rig.handle(Event{Kind: EndpointsEvent, Complete: true, Endpoints: endpoints})
+		rig.listAll(endpoints...)
 		rig.advance(1000 * ms)
-		sent += ask()
+		sentCold += goesToC()
 	}
-	// In these 40 s the warm host had some 10 attempts a router. Cold, it may have no more in two seconds
-	// than the multiple of a cold host's part of that.
-	most := float64(normal) / 40 * 2 * settings.SlowStartOverloadFactor * (settings.SlowStartInitialShare + 0.1)
-	if float64(sent) > most || sent == 0 {
-		t.Errorf("%d routers sent a cold host %d, want some and at most %.0f", routers, sent, most)
+	// In these 40 s the warm host had some 10 attempts of each gateway. Cold, it may have no more in two
+	// seconds than the overload factor times a cold host's part of that.
+	coldShare := settings.SlowStartInitialShare + 0.1
+	most := float64(sentWarm) / 40 * 2 * settings.SlowStartOverloadFactor * coldShare
+	if float64(sentCold) > most || sentCold == 0 {
+		t.Errorf("%d gateways sent a cold host %d, want some and at most %.0f", gateways, sentCold, most)
 	}
 }
 
-// A cold host's budget is of work: long reads, each a request like any other, pushed hosts over while it
-// counted requests.
-func TestColdHostIsPacedByWork(t *testing.T) {
-	rig := readyRig(t, unequalSettings())
-	work := map[string]float64{}
-	serve := func(d int64, every int64) { // 200 requests a second, one of so many a long one, all answered at once
-		for end := rig.now + d; rig.now < end; {
-			rig.now += 5 * ms
-			actions := rig.handle(Event{Kind: TimerEvent})
-			class := boundedRead
-			if rig.lastRequest%every == 0 {
-				class = eventualRead
-			}
-			_, more := rig.request(class)
-			for actions = append(actions, more...); len(actions) > 0; actions = actions[1:] {
-				req := rig.router.requests[actions[0].Request]
-				if actions[0].Kind != SendAction || req == nil || req.host == nil {
-					continue
-				}
-				took := 20 * ms
-				if req.classIndex == eventualRead {
-					took *= 15
-				}
-				work[req.host.id] += float64(took)
-				actions = append(actions, rig.handle(Event{Kind: OutcomeEvent, Request: req.id, Attempt: req.attempt, Host: req.host.id, Result: Succeeded,
-					Role: req.host.role, Position: rig.now, Latency: took, Finished: true})...)
+// serveByWork passes 200 requests a second, answers them at once, and adds the time that they take, in µs, to
+// the work of their hosts. One of each longEvery requests is an eventual read, which takes 15 times as long
+// as the others.
+func (rig *routerRig) serveByWork(duration, longEvery int64, work map[string]float64) {
+	for end := rig.now + duration; rig.now < end; {
+		rig.now += 5 * ms
+		actions := rig.handle(Event{Kind: TimerEvent})
+		class := boundedRead
+		if rig.lastRequest%longEvery == 0 {
+			class = eventualRead
+		}
+		_, more := rig.request(class)
+		actions = append(actions, more...)
+		for ; len(actions) > 0; actions = actions[1:] {
+			req := rig.router.requests[actions[0].Request]
+			if actions[0].Kind == SendAction && req != nil && req.host != nil {
+				actions = append(actions, rig.answerByWork(req, work)...)
 			}
 		}
 	}
-	serve(3000*ms, 10)
-	warm := (work["a"] + work["b"] + work["c"]) / 3 / 3 // a host and second
-	clear(work)
-	endpoints := threeHosts()
-	for i := range endpoints {
-		endpoints[i].Primary, endpoints[i].StartedAt = false, rig.now
+}
+
+func (rig *routerRig) answerByWork(req *pendingRequest, work map[string]float64) []Action {
+	latency := 20 * ms
+	if req.classIndex == eventualRead {
+		latency *= 15
 	}
-	rig.handle(Event{Kind: EndpointsEvent, Endpoints: endpoints})
-	serve(1000*ms, 1)
-	for h, w := range work {
-		if most := warm * (rig.router.settings.SlowStartInitialShare + 0.1) * rig.router.settings.SlowStartOverloadFactor; w > most {
-			t.Errorf("cold %s took %.0f ms of work in a second, %.0f at most", h, w/1e3, most/1e3)
+	work[req.host.id] += float64(latency)
+	return rig.handle(Event{
+		Kind:     OutcomeEvent,
+		Request:  req.id,
+		Attempt:  req.attempt,
+		Host:     req.host.id,
+		Result:   Succeeded,
+		Role:     req.host.role,
+		Position: rig.now,
+		Latency:  latency,
+		Finished: true,
+	})
+}
+
+// A cold host's budget is work: counted in requests, long reads would overload it.
+func TestColdHostIsPacedByWork(t *testing.T) {
+	rig := readyRig(t, longReadSettings())
+	work := map[string]float64{}
+	rig.serveByWork(3000*ms, 10, work)
+	warm := (work["a"] + work["b"] + work["c"]) / 3 / 3 // for each host and second
+	clear(work)
+	rig.startAll()
+	rig.serveByWork(1000*ms, 1, work)
+	settings := &rig.router.settings
+	most := warm * (settings.SlowStartInitialShare + 0.1) * settings.SlowStartOverloadFactor
+	for host, cold := range work {
+		if cold > most {
+			t.Errorf("cold %s took %.0f ms of work in a second, %.0f at most", host, cold/1e3, most/1e3)
 		}
 	}
-	if serve(1000*ms, 10); work["b"]+work["c"] == 0 {
+	rig.serveByWork(1000*ms, 10, work)
+	if work["b"]+work["c"] == 0 {
 		t.Error("cold hosts get no short reads either")
 	}
 }
 
-// What all routers together send a host that has just started stays under what lets it fall over: more than N
-// + 2 x root of N + 2 requests of mean work in the stated time, N being what it may have then. A fifth more
-// is asked than warm hosts could do. So it does if a third of the routers hear of the start late, and if
-// another third starts meanwhile.
+// coldStart is a deployment's slow start, with the capacity of a warm host in requests per second.
+type coldStart struct {
+	initialShare   float64
+	duration       int64 // µs
+	overloadFactor float64
+	overloadWindow int64 // µs
+	capacity       float64
+}
+
+func (c *coldStart) settings(gateways int) Settings {
+	settings := fleetSettings(gateways)
+	settings.SlowStartInitialShare = c.initialShare
+	settings.SlowStartDuration = c.duration
+	settings.SlowStartOverloadFactor = c.overloadFactor
+	settings.SlowStartOverloadWindow = c.overloadWindow
+	return settings
+}
+
+// worstLoad is the highest load of a host that started at a time, as a part of what overloads it: n + 2
+// sqrt(n) + 2 attempts in a window, where n is the overload factor times its capacity at the start of the
+// window.
+func (c *coldStart) worstLoad(sentAt []int64, startedAt int64) float64 {
+	worst, first := 0.0, 0
+	for i, at := range sentAt {
+		for at-sentAt[first] >= c.overloadWindow {
+			first++
+		}
+		from := max(at-c.overloadWindow, startedAt)
+		share := c.initialShare + (1-c.initialShare)*float64(from-startedAt)/float64(c.duration)
+		n := c.overloadFactor * share * c.capacity * float64(c.overloadWindow) / second
+		worst = max(worst, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
+	}
+	return worst
+}
+
+// play starts one of five hosts under a load of 1.2 times what warm hosts can do. A third of the gateways
+// hear of the start two seconds late, another third restarts then. It returns when attempts were sent to the
+// host by gateways that had been told, and when it started.
+func (c *coldStart) play(t *testing.T, gateways int) (sentAt []int64, startedAt int64) {
+	t.Helper()
+	const hosts = 5
+	const load = 1.2
+	const late = 2000 * ms
+	fleet := newFleet(t, c.settings(gateways), hostList(hosts)...)
+	interval := int64(second / (load * c.capacity * hosts))
+	fleet.run(8000*ms, eventualRead, interval)
+
+	warm, cold := hostList(hosts)[:hosts-1], hostList(hosts)[hosts-1]
+	cold.StartedAt = fleet.now
+	fleet.serviceTime = func(host string, _ int) (int64, Result) {
+		if host == cold.Host {
+			sentAt = append(sentAt, fleet.now)
+		}
+		return 50 * ms, Succeeded
+	}
+	start := Event{Kind: EndpointsEvent, Endpoints: []Endpoint{cold}}
+	someAreLate := gateways >= 3
+	for i := range fleet.routers {
+		if !someAreLate || i%3 != 0 {
+			fleet.handle(i, start)
+		}
+	}
+	fleet.run(late, eventualRead, interval)
+	sentByUnaware := len(sentAt)
+	for i := range fleet.routers {
+		fleet.handle(i, start)
+		if someAreLate && i%3 == 1 {
+			fleet.restart(i, append(warm[:hosts-1:hosts-1], cold))
+		}
+	}
+	if someAreLate {
+		sentAt = sentAt[sentByUnaware:]
+	}
+	fleet.run(c.duration-late, eventualRead, interval)
+	return sentAt, cold.StartedAt
+}
+
 func TestFleetOfAnySizeDoesNotOverloadAColdHost(t *testing.T) {
-	for _, d := range []struct {
-		name     string
-		cold     func(*Settings)
-		capacity float64 // of a warm host, requests a second
-	}{
-		{"regina", func(s *Settings) {
-			s.SlowStartInitialShare, s.SlowStartDuration, s.SlowStartOverloadFactor, s.SlowStartOverloadWindow = 0.25, 16000*ms, 4, 1500*ms
-		}, 66},
-		{"karbejelentes", func(s *Settings) {
-			s.SlowStartInitialShare, s.SlowStartDuration, s.SlowStartOverloadFactor, s.SlowStartOverloadWindow = 0.17, 14000*ms, 2.5, 1000*ms
-		}, 40},
-		{"cairo", func(s *Settings) {
-			s.SlowStartInitialShare, s.SlowStartDuration, s.SlowStartOverloadFactor, s.SlowStartOverloadWindow = 0.19, 18000*ms, 3, 1500*ms
-		}, 60},
-		{"a low multiple", func(s *Settings) {
-			s.SlowStartInitialShare, s.SlowStartDuration, s.SlowStartOverloadFactor, s.SlowStartOverloadWindow = 0.15, 20000*ms, 1.5, 800*ms
-		}, 30},
+	for name, start := range map[string]coldStart{
+		"high factor":   {0.25, 16000 * ms, 4, 1500 * ms, 66},
+		"short window":  {0.17, 14000 * ms, 2.5, 1000 * ms, 40},
+		"long duration": {0.19, 18000 * ms, 3, 1500 * ms, 60},
+		"low factor":    {0.15, 20000 * ms, 1.5, 800 * ms, 30},
 	} {
-		for _, routers := range []int{1, 3, 20, 30, 80, 300} {
-			t.Run(fmt.Sprintf("%s, %d routers", d.name, routers), func(t *testing.T) {
+		for _, gateways := range []int{1, 3, 20, 30, 80, 300} {
+			t.Run(fmt.Sprintf("%s, %d gateways", name, gateways), func(t *testing.T) {
 				t.Parallel()
-				const use = 1.2
-				settings := fleetSettings(routers)
-				d.cold(&settings)
-				const hosts = 5
-				f := newFleet(t, settings, hostList(hosts)...)
-				every := int64(1e6 / (use * d.capacity * hosts))
-				f.run(8000*ms, eventualRead, every)
-				var sent []int64
-				cold := hostList(hosts)[hosts-1]
-				cold.StartedAt = f.now
-				f.serviceTime = func(h string, _ int) (int64, Result) {
-					if h == cold.Host {
-						sent = append(sent, f.now)
-					}
-					return 50 * ms, Succeeded
-				}
-				var late, warm int
-				for i := range f.routers {
-					if routers >= 3 && i%3 == 0 {
-						late++
-						continue
-					}
-					f.handle(i, Event{Kind: EndpointsEvent, Endpoints: []Endpoint{cold}})
-				}
-				f.run(2000*ms, eventualRead, every)
-				unaware := len(sent) // what those sent that had not been told is not the fleet's fault
-				for i := range f.routers {
-					f.handle(i, Event{Kind: EndpointsEvent, Endpoints: []Endpoint{cold}})
-					if routers >= 3 && i%3 == 1 {
-						f.restart(i, append(hostList(hosts)[:hosts-1:hosts-1], cold))
-						warm++
-					}
-				}
-				if late+warm > 0 {
-					sent = sent[unaware:]
-				}
-				f.run(settings.SlowStartDuration-2000*ms, eventualRead, every)
-				worst, first := 0.0, 0
-				for i, at := range sent {
-					for at-sent[first] >= settings.SlowStartOverloadWindow {
-						first++
-					}
-					from := max(at-settings.SlowStartOverloadWindow, cold.StartedAt)
-					ramp := settings.SlowStartInitialShare + (1-settings.SlowStartInitialShare)*float64(from-cold.StartedAt)/float64(settings.SlowStartDuration)
-					n := settings.SlowStartOverloadFactor * ramp * d.capacity * float64(settings.SlowStartOverloadWindow) / 1e6
-					worst = max(worst, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
-				}
-				if worst > 0.9 || len(sent) == 0 {
-					t.Errorf("%d sent, at most %.2f of what it bears", len(sent), worst)
-				} else {
-					t.Logf("%d sent, at most %.2f of what it bears", len(sent), worst)
+				sentAt, startedAt := start.play(t, gateways)
+				worst := start.worstLoad(sentAt, startedAt)
+				t.Logf("%d sent, at most %.2f of what it bears", len(sentAt), worst)
+				if worst > 0.9 || len(sentAt) == 0 {
+					t.Error("overloaded, or nothing was sent")
 				}
 			})
 		}
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -2,37 +2,46 @@
 
 import "testing"
 
-// A fresh router that believes another's facts sends writes to the primary that it found, and asks nobody
-// first.
+// A fresh router sends writes to the primary that the other one found, without a search.
 func TestRestoredPrimaryIsAFirstGuess(t *testing.T) {
 	old := readyRig(t, testSettings())
 	old.report("a", false, old.now)
 	old.now += 10 * ms
 	old.report("c", true, old.now)
-	f := old.router.Snapshot()
-	if len(f.Groups) != 1 || f.Groups[0].Primary != "c" {
-		t.Fatalf("%+v", f)
+	snapshot := old.router.Snapshot()
+	if len(snapshot.Groups) != 1 || snapshot.Groups[0].Primary != "c" {
+		t.Fatalf("%+v", snapshot)
 	}
 	fresh := newRig(t, testSettings(), threeHosts()...) // its list names a
-	fresh.router.Restore(fresh.now, f, nil)
+	fresh.router.Restore(fresh.now, snapshot, nil)
 	id, actions := fresh.request(unsafeWrite)
-	if to := sentTo(actions, id); to != "c" {
-		t.Fatalf("the write goes to %q", to)
+	if host := sentTo(actions, id); host != "c" {
+		t.Fatalf("the write goes to %q", host)
 	}
 	if actions = fresh.answer(id, "c", NotPrimary, RoleUnknown, 0); sentTo(actions, id) == "c" {
-		t.Error("a guess that was wrong is held on to")
+		t.Error("a wrong guess is tried again")
 	}
-	if _, actions = fresh.requestAs(linearizableRead, 0, 0); findAction(actions, SendAction, -1) != nil {
-		t.Error("a read that needs the primary goes to one that is not")
+	if _, actions = fresh.request(linearizableRead); hasAction(actions, SendAction, anyRequest) {
+		t.Error("a read that needs the primary goes to a host that is not")
 	}
 }
 
-// What a router has seen itself goes before what it is told, and unknown hosts are passed over.
+// What a router has seen itself takes precedence, and unknown hosts are ignored.
 func TestOwnObservationsOverruleASnapshot(t *testing.T) {
 	rig := readyRig(t, testSettings())
-	actions := rig.router.Restore(rig.now, Snapshot{Groups: []GroupSnapshot{{Group: 0, Primary: "b", ObservedAt: rig.now + 1000*ms}, {Group: 9, Primary: "b"}},
-		Hosts: []HostSnapshot{{Host: "a", Down: true, ConcurrencyLimit: 99}, {Host: "nobody", Down: true}, {Host: "b", Group: 5, Position: rig.now + 9}}}, nil)
-	if len(actions) != 0 || rig.router.hosts["a"].health != healthy || rig.router.hosts["b"].position > rig.now {
+	snapshot := Snapshot{
+		Groups: []GroupSnapshot{
+			{Group: 0, Primary: "b", ObservedAt: rig.now + 1000*ms},
+			{Group: 9, Primary: "b"},
+		},
+		Hosts: []HostSnapshot{
+			{Host: "a", Down: true, ConcurrencyLimit: 99},
+			{Host: "nobody", Down: true},
+			{Host: "b", Group: 5, Position: rig.now + 9},
+		},
+	}
+	actions := rig.router.Restore(rig.now, snapshot, nil)
+	if len(actions) != 0 || rig.host("a").health != healthy || rig.host("b").position > rig.now {
 		t.Errorf("%+v", actions)
 	}
 	if id, actions := rig.request(unsafeWrite); sentTo(actions, id) != "a" {
@@ -40,20 +49,26 @@
 	}
 }
 
-// A host believed down gets nothing until a probe has answered, and a cold one keeps its budget.
+// A host restored as unhealthy gets nothing until a health check is answered, and a cold one keeps to its
+// slow start.
 func TestRestoredUnhealthyAndColdHostsAreSpared(t *testing.T) {
 	rig := newRig(t, testSettings(), threeHosts()...)
-	rig.router.Restore(rig.now, Snapshot{Hosts: []HostSnapshot{{Host: "a", Down: true}, {Host: "b", Position: rig.now, SlowStartUntil: rig.now + 10000*ms}, {Host: "c", Position: rig.now}}}, nil)
+	rig.router.Restore(rig.now, Snapshot{Hosts: []HostSnapshot{
+		{Host: "a", Down: true},
+		{Host: "b", Position: rig.now, SlowStartUntil: rig.now + 10000*ms},
+		{Host: "c", Position: rig.now},
+	}}, nil)
 	for range 20 {
 		if id, actions := rig.request(boundedRead); sentTo(actions, id) == "a" {
-			t.Fatal("a read goes to a host that is down")
+			t.Fatal("a read goes to an unhealthy host")
 		}
 	}
-	if !rig.router.hosts["b"].warmingUp {
-		t.Error("b is not cold")
+	if !rig.host("b").warmingUp {
+		t.Error("b is not in slow start")
 	}
 	rig.advance(2 * rig.router.searchInterval())
-	if a := findAction(rig.report("a", true, rig.now), SendAction, -1); a == nil || a.Host != "a" {
-		t.Errorf("a host that answers again gets nothing: %+v", a)
+	send := findAction(rig.report("a", true, rig.now), SendAction, anyRequest)
+	if send == nil || send.Host != "a" {
+		t.Errorf("a host that answers again gets nothing: %+v", send)
 	}
 }
