--- a/balance/api.go
+++ b/balance/api.go
@@ -201,7 +201,7 @@
 
 // The kinds of actions, with the fields of Action that count.
 const (
-	SendAction          ActionKind = iota // Request, Host: send it there; Timeout, 0: until the deadline
+	SendAction          ActionKind = iota // Request, Host: send it there; Timeout
 	CancelAction                          // Request, Attempt: end the attempt
 	RejectAction                          // Request, RetryAfter: final answer, trying again is harmless
 	FailAction                            // Request: final answer, the request may have been executed
@@ -211,7 +211,7 @@
 	GossipAction                          // Peer (-1: all), Data: send it to other gateways
 	LogAction                             // Text: write a log line
 	SubscribeAction                       // follow the changes of the endpoint list
-	PollEndpointsAction                   // ask for the whole endpoint list once
+	PollEndpointsAction                   // ask for the whole endpoint list once; not used by Router
 )
 
 // Action is one thing to do. Kind tells which of the other fields count.
--- a/balance/decisions_test.go
+++ b/balance/decisions_test.go
@@ -1,6 +1,7 @@
 package balance_test
 
 import (
+	"strings"
 	"testing"
 
 	"cloverrock/balance"
@@ -98,8 +99,8 @@
 			t.Fatal("usable settings were rejected: ", err)
 		}
 		change(&settings)
-		if _, err := balance.New(settings, 1); err == nil {
-			t.Errorf("settings %d were accepted", i)
+		if _, err := balance.New(settings, 1); err == nil || !strings.HasPrefix(err.Error(), "balance: ") {
+			t.Errorf("settings %d: got error %v", i, err)
 		}
 	}
 }
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -75,9 +75,9 @@
 		r.recordRole(host, Role(fact.Role), fact.Position)
 	}
 	if fact.Failing {
-		host.recordError()
+		host.countError()
 	} else if fact.LatencyShare > 0 {
-		host.recordSuccess()
+		host.countSuccess()
 		r.adjustLimit(host, fact.LatencyShare)
 	}
 	r.dispatch(host.group)
--- a/balance/health.go
+++ b/balance/health.go
@@ -38,9 +38,9 @@
 	checkedAt    int64 // when the last health check was sent
 }
 
-// recordError and recordSuccess keep the share of errors among answers.
-func (h *hostHealth) recordError()   { h.errorShare += ewmaWeight * (1 - h.errorShare) }
-func (h *hostHealth) recordSuccess() { h.errorShare -= ewmaWeight * h.errorShare }
+// countError and countSuccess keep the share of errors among answers.
+func (h *hostHealth) countError()   { h.errorShare += ewmaWeight * (1 - h.errorShare) }
+func (h *hostHealth) countSuccess() { h.errorShare -= ewmaWeight * h.errorShare }
 
 // isFailing reports whether the host mostly answers with errors.
 func (h *hostHealth) isFailing() bool { return h.errorShare > failingErrorShare }
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -47,7 +47,7 @@
 	case Succeeded:
 		r.recordSuccess(host, req, event)
 	case Failed:
-		host.recordError()
+		host.countError()
 		r.gossip.RecordLatencyShare(host.id, 0, true)
 	case TimedOut:
 		if req != nil {
@@ -79,7 +79,7 @@
 
 // recordSuccess takes what a successful answer tells. The request may be nil.
 func (r *Router) recordSuccess(host *hostState, req *pendingRequest, event *Event) {
-	host.recordSuccess()
+	host.countSuccess()
 	if req == nil {
 		return
 	}
--- a/balance/state.go
+++ b/balance/state.go
@@ -33,8 +33,7 @@
 	class      *Class
 	classIndex int
 	group      *groupState
-	sessionKey int64
-	hasKey     bool
+	sessionKey int64 // of its session, if hasKey
 
 	objectiveAt int64 // an answer by then meets the latency objective
 	halfTimeAt  int64 // half of the time to the deadline has passed
@@ -48,15 +47,17 @@
 	host              *hostState // where the attempt is in flight; nil while the request waits
 	lastHost          *hostState // where the last failed attempt was
 	sentAt            int64
-	dialed            bool // the attempt needed a new connection
-	overdueHalves     int  // halves of its latency objective that the attempt has taken while in flight
+	overdueHalves     int // halves of its latency objective that the attempt has taken while in flight
 	positionWaitUntil int64
 
 	executedAt   int64 // when the first attempt that may have been executed was sent; 0 if none
 	executedZone int   // zone of the host of that attempt
-	reachedHost  bool  // a host has received the request
-	shed         bool  // a host with capacity was withheld to shed load
-	finished     bool  // the final answer is given; only the last attempt is still awaited
+
+	hasKey      bool
+	dialed      bool // the attempt in flight needed a new connection
+	reachedHost bool // a host has received the request
+	shed        bool // a host with capacity was withheld to shed load
+	finished    bool // the final answer is given; only the last attempt is still awaited
 }
 
 // isWrite reports whether the primary alone may take the request.
