--- /dev/null
+++ b/balance/average.go
@@ -0,0 +1,47 @@
+package balance
+
+const (
+	// Weights of a new value in moving averages. With ewmaWeight about ten values decide.
+	ewmaWeight     = 0.1
+	slowEWMAWeight = ewmaWeight * ewmaWeight // over all hosts, which give far more values
+	meanCostWeight = slowEWMAWeight / 5      // no faster than the average request rate
+
+	deviationFactor     = 4 // deviations above the mean that latencies rarely exceed
+	minDeviationDivisor = 4 // a deviation counts as this part of the mean, at least
+	maxPatienceDivisor  = 4 // attempts in flight that make silence suspicious sooner, at most
+)
+
+// movingAverage is an exponentially weighted moving average; 0 means that there is no value yet.
+type movingAverage float64
+
+// add moves the average towards a value; the first value becomes the average.
+func (a *movingAverage) add(value, weight float64) {
+	if *a == 0 {
+		*a = movingAverage(value)
+	}
+	*a += movingAverage(weight * (value - float64(*a)))
+}
+
+// latencyEstimate is the moving average of latencies and of their deviation, µs.
+type latencyEstimate struct {
+	mean      movingAverage
+	deviation movingAverage
+}
+
+// add records one latency. Its deviation has a lower bound, so that equal latencies leave some patience.
+func (l *latencyEstimate) add(latency float64) {
+	l.mean.add(latency, ewmaWeight)
+	mean := float64(l.mean)
+	l.deviation.add(max(latency-mean, mean-latency, mean/minDeviationDivisor), ewmaWeight)
+}
+
+// known reports whether any latency was recorded.
+func (l *latencyEstimate) known() bool { return l.mean != 0 }
+
+// patience is how long to wait for any answer, µs, while a number of attempts is in flight: the more there
+// are, the sooner silence is suspicious.
+func (l *latencyEstimate) patience(inFlight int) float64 {
+	mean := float64(l.mean)
+	divisor := float64(max(min(inFlight, maxPatienceDivisor), 1))
+	return max(mean, (mean+deviationFactor*float64(l.deviation))/divisor)
+}
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -6,60 +6,79 @@
 	"cloverrock/internal/gossip"
 )
 
-// This file passes on to other routers what hosts have told this one, and takes in what they pass on. What is worth
-// telling, and to whom, is decided in internal/gossip; a fact that others heard counts as one that this router heard.
+// This file passes on to the other gateways of the fleet what hosts have told this one, and takes in what
+// they pass on. Package gossip decides what is worth telling, to whom and when.
 
-// tell notes what a host itself has told, for the other routers.
-func (r *Router) tell(h *host, position int64, role Role) {
-	r.news.Record(gossip.HostFact{Host: h.id, Position: position, Role: gossip.Role(role)})
+// gossipConfig derives the configuration of gossip from the router's.
+func gossipConfig(settings *Settings) gossip.Config {
+	config := gossip.Config{
+		Gateways:        settings.Gateways,
+		Ordinal:         settings.Ordinal,
+		BytesPerRequest: settings.GossipBytesPerRequest,
+	}
+	for i := range settings.Classes {
+		class := &settings.Classes[i]
+		if class.Consistency == BoundedStaleness {
+			config.FreshnessWindow = max(config.FreshnessWindow, class.MaxStaleness)
+		}
+	}
+	return config
 }
 
-// weigh takes how much of its aim an attempt of ours took, or will take at the least.
-func (r *Router) weigh(h *host, share float64) {
-	r.news.RecordLatencyShare(h.id, share, false)
-	r.judge(h, share)
+// publishFact notes, for the other gateways, what a host itself has told.
+func (r *Router) publishFact(host *hostState, position int64, role Role) {
+	r.gossip.Record(gossip.HostFact{Host: host.id, Position: position, Role: gossip.Role(role)})
 }
 
-// askAround asks hosts of which the fleet is to hear, on behalf of all.
-func (r *Router) askAround() {
-	for _, id := range r.news.HostsToCheck(r.now) {
-		if h := r.hosts[id]; h.cond == up {
-			r.probe(h, 1)
+// checkForFleet checks the hosts of which this gateway is to tell the others.
+func (r *Router) checkForFleet() {
+	for _, id := range r.gossip.HostsToCheck(r.now) {
+		host := r.hosts[id]
+		if host.health == healthy {
+			r.startHealthCheck(host, optionalCheck)
 		}
 	}
 }
 
-// tellAll sends what is due to the others.
-func (r *Router) tellAll() {
-	for _, m := range r.news.PendingMessages(r.now) {
-		r.act(Action{Kind: GossipAction, Peer: m.To, Data: m.Data})
+// sendGossip sends the messages that are due.
+func (r *Router) sendGossip() {
+	for _, message := range r.gossip.PendingMessages(r.now) {
+		r.emit(Action{Kind: GossipAction, Peer: message.To, Data: message.Data})
 	}
 }
 
-// hear takes what another router tells. A role is as old as the position that came with it.
-func (r *Router) hear(peer int, data []byte) {
-	facts := r.news.Receive(r.now, peer, data)
-	if n := r.news.TakeMalformedReport(r.now); n > 0 {
-		r.log(strconv.Itoa(n) + " messages of other routers could not be read")
+// handleGossip takes a message of another gateway.
+func (r *Router) handleGossip(peer int, data []byte) {
+	facts := r.gossip.Receive(r.now, peer, data)
+	if malformed := r.gossip.TakeMalformedReport(r.now); malformed > 0 {
+		r.log("balance: malformed gossip messages dropped count=" + strconv.Itoa(malformed))
 	}
-	for _, f := range facts {
-		h := r.hosts[f.Host]
-		if f.Position > h.pos {
-			h.pos, h.posAt = f.Position, r.now
-			h.heard, h.quietFrom = max(h.heard, f.Position), max(h.quietFrom, f.Position)
-			if h.cond == down && f.Position > h.fellAt { // no host moves on while it is down
-				r.alive(h)
-			}
-		}
-		if f.Role != gossip.Unknown {
-			r.learnRole(h, Role(f.Role), f.Position)
-		}
-		if f.Failing {
-			h.errs += smooth * (1 - h.errs)
-		} else if f.LatencyShare > 0 {
-			h.errs -= smooth * h.errs
-			r.judge(h, f.LatencyShare)
+	for i := range facts {
+		r.applyFact(&facts[i])
+	}
+}
+
+// applyFact takes what another gateway has heard of a host as if this one had heard it. A role is as old as
+// the position that came with it.
+func (r *Router) applyFact(fact *gossip.HostFact) {
+	host := r.hosts[fact.Host]
+	if fact.Position > host.position {
+		r.recordPosition(host, fact.Position)
+		host.lastHeardAt = max(host.lastHeardAt, fact.Position)
+		host.silentSince = max(host.silentSince, fact.Position)
+		// A host that is down does not advance, so it has come back.
+		if host.health == unhealthy && fact.Position > host.unhealthyAt {
+			r.markHealthy(host)
 		}
-		r.dispatch(h.group)
 	}
+	if fact.Role != gossip.Unknown {
+		r.recordRole(host, Role(fact.Role), fact.Position)
+	}
+	if fact.Failing {
+		host.countError()
+	} else if fact.LatencyShare > 0 {
+		host.countSuccess()
+		r.adjustLimit(host, fact.LatencyShare)
+	}
+	r.dispatch(host.group)
 }
--- /dev/null
+++ b/balance/retry_test.go
@@ -0,0 +1,139 @@
+package balance
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestFailedAttemptIsRetriedOnlyWhereThatIsSafe(t *testing.T) {
+	type outcomes map[Result]string
+	const retried, rejected, failed = "retried", "rejected", "failed"
+	for class, want := range map[int]outcomes{
+		eventualRead: {
+			Failed: retried, TimedOut: retried, ConnectionReset: retried, Overloaded: retried,
+			ConnectionRefused: retried, Canceled: retried, NotSent: retried,
+		},
+		unsafeWrite: {
+			Failed: failed, TimedOut: failed, ConnectionReset: failed, Canceled: failed,
+			Overloaded: retried, ConnectionRefused: retried, NotPrimary: retried, NotSent: retried,
+		},
+		keyedWrite: {
+			Failed: retried, TimedOut: retried, ConnectionReset: retried, NotPrimary: retried,
+			NotSent: retried,
+		},
+		keyedGlobalWrite: {Failed: retried},
+	} {
+		for result, want := range want {
+			t.Run(fmt.Sprint(class, "/", result), func(t *testing.T) {
+				rig := readyRig(t, testSettings())
+				id, actions := rig.request(class)
+				host := sentTo(actions, id)
+				if host == "" {
+					t.Fatal("not sent")
+				}
+				actions = rig.answer(id, host, result, RoleUnknown, 0)
+				actions = append(actions, rig.report("a", true, rig.now)...) // ends any suspicion
+				got := retried
+				if hasAction(actions, RejectAction, id) {
+					got = rejected
+				} else if hasAction(actions, FailAction, id) {
+					got = failed
+				}
+				if got != want {
+					t.Fatalf("got %s, want %s", got, want)
+				}
+				if got == retried && rig.router.requests[id] == nil {
+					t.Fatal("forgotten")
+				}
+			})
+		}
+	}
+}
+
+func TestRejectionRequiresThatRepeatingIsHarmless(t *testing.T) {
+	for _, c := range []struct {
+		class int
+		want  ActionKind
+	}{
+		{keyedWrite, FailAction},
+		{keyedGlobalWrite, RejectAction},
+		{eventualRead, RejectAction},
+	} {
+		settings := testSettings()
+		settings.MaxAttempts = 1
+		rig := readyRig(t, settings)
+		id, actions := rig.request(c.class)
+		actions = rig.answer(id, sentTo(actions, id), Failed, RoleUnknown, 0)
+		if !hasAction(actions, c.want, id) {
+			t.Errorf("class %d: wrong final answer in %v", c.class, actions)
+		}
+	}
+}
+
+func TestKeyedRetryStaysInItsDeduplicationWindow(t *testing.T) {
+	rig := readyRig(t, testSettings())
+	id, _ := rig.request(keyedWrite)
+	rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)
+	if !hasAction(rig.advance(2000*ms), FailAction, id) {
+		t.Fatal("a keyed write past its window was not failed")
+	}
+	if sentTo(rig.report("b", true, rig.now), id) != "" {
+		t.Fatal("retried past the window")
+	}
+}
+
+// A retry that was decided on within the window may wait for its connection: past the window it is not
+// written.
+func TestKeyedRetryIsNotWrittenPastItsWindow(t *testing.T) {
+	rig := readyRig(t, testSettings())
+	id, _ := rig.request(keyedWrite)
+	firstSentAt := rig.now
+	rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)
+	rig.advance(1000 * ms)
+	if sentTo(rig.report("a", true, rig.now), id) == "" && sentTo(rig.report("b", true, rig.now), id) == "" {
+		t.Fatal("not retried")
+	}
+	window := rig.class(keyedWrite).DeduplicationWindow
+	end := firstSentAt + window - rig.router.maintenanceInterval()
+	if !rig.router.AttemptStillValid(end-1, id) || rig.router.AttemptStillValid(end, id) {
+		t.Error("the window does not end, to the microsecond, a maintenance interval early")
+	}
+}
+
+func TestAttemptIsCanceledWhenItsClientDisconnects(t *testing.T) {
+	rig := readyRig(t, testSettings())
+	id, actions := rig.request(boundedRead)
+	host := sentTo(actions, id)
+	if !hasAction(rig.disconnect(id), CancelAction, id) {
+		t.Fatal("the attempt goes on without a client")
+	}
+	rig.answer(id, host, Canceled, RoleUnknown, 0)
+	if len(rig.router.requests) != 0 || len(rig.host(host).inFlight) != 0 {
+		t.Fatal("the finished request is still kept")
+	}
+}
+
+// While a connection opens, a decision may become outdated: then the attempt may not be written.
+func TestAttemptBecomesInvalidWhileItsConnectionOpens(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[boundedRead].Deadline *= 2
+	rig := readyRig(t, settings)
+	valid := rig.router.AttemptStillValid
+
+	read, actions := rig.request(boundedRead)
+	staleAt := rig.now + rig.class(boundedRead).MaxStaleness
+	if !valid(staleAt, read) || valid(staleAt+1, read) {
+		t.Error("valid with a position that is too old, or not with one that is fresh enough")
+	}
+	rig.list(Endpoint{Host: sentTo(actions, read), State: Draining})
+	if valid(rig.now, read) {
+		t.Error("valid at a draining host")
+	}
+	write, _ := rig.request(unsafeWrite)
+	if valid(rig.now+rig.class(unsafeWrite).Deadline, write) || !valid(rig.now, write) {
+		t.Error("a write is valid after its deadline, or not in time")
+	}
+	if valid(rig.now, 99) {
+		t.Error("an unknown request is valid")
+	}
+}
