--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -43,9 +43,10 @@
 const (
 	maxLine = 1 << 20 // bytes
 
-	countsMessage = "counts"     // marks the lines that are added up
-	primaryNamed  = ": primary " // between group and host, in the line on a new primary
-	tallySize     = 5            // numbers of each host: succeeded, failed, timed out, others, mean milliseconds
+	countsMessage    = "counts" // marks the lines that are added up
+	primaryConfirmed = "balance: primary confirmed group="
+	hostField        = " host="
+	tallySize        = 5 // numbers of each host: succeeded, failed, timed out, others, mean milliseconds
 )
 
 // Read adds up the files of a directory whose names end in .log. A line may begin with the seconds since the start of the
@@ -112,8 +113,9 @@
 // add adds one line's fields up.
 func (s *Second) add(fields map[string]any) {
 	message, _ := fields["message"].(string)
-	if group, host, ok := strings.Cut(message, primaryNamed); ok && !strings.Contains(host, " ") {
-		s.Changes[group+" "+host]++
+	if change, ok := strings.CutPrefix(message, primaryConfirmed); ok {
+		group, host, _ := strings.Cut(change, hostField)
+		s.Changes["group "+group+" "+host]++
 	}
 	if message != countsMessage {
 		return
