--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -21,7 +21,7 @@
 		{"nothing known", report{}, report{}},
 		{"now, primary", report{HostFact{Position: goldenNow, Role: Primary, LatencyShare: 1}, 0x010203, 1, 2}, report{HostFact{Position: goldenNow, Role: Primary, LatencyShare: 1}, 0x010203, 1, 2}},
 		{"replica, most counts", report{HostFact{Position: goldenNow - 300_000, Role: Replica, LatencyShare: 2}, 0xffffff, 255, 255}, report{HostFact{Position: goldenNow - 300_000, Role: Replica, LatencyShare: 2}, 0xffffff, 255, 255}},
-		{"counts over the most", report{code: 1, out: 256, begun: 1000}, report{code: 1, out: 255, begun: 255}},
+		{"counts over the most", report{hash: 1, inFlight: 256, started: 1000}, report{hash: 1, inFlight: 255, started: 255}},
 		{"failing", report{HostFact{Position: goldenNow - 1000, Failing: true}, 7, 0, 0}, report{HostFact{Position: goldenNow - 1000, Failing: true}, 7, 0, 0}},
 		{"oldest age", report{HostFact: HostFact{Position: goldenNow - 65_534_000, Role: Replica}}, report{HostFact: HostFact{Position: goldenNow - 65_534_000, Role: Replica}}},
 		{"too old", report{HostFact: HostFact{Position: goldenNow - 65_535_000}}, report{}},
@@ -31,7 +31,7 @@
 	}
 	var cases []golden.Case
 	for _, test := range tests {
-		b := appendReport(head(goldenNow, reportVersion), goldenNow, &test.made)
+		b := appendReport(newMessage(goldenNow, reportVersion), goldenNow, &test.made)
 		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(b)})
 	}
 	stored := golden.Check(t, "reports.golden", cases)
@@ -66,9 +66,9 @@
 	}
 	var cases []golden.Case
 	for _, test := range tests {
-		b := appendDigestHead(head(goldenNow, digestVersion), test.made.group, test.made.every, test.made.rate, test.leads)
+		b := appendDigestHead(newMessage(goldenNow, digestVersion), test.made.group, test.made.interval, test.made.attemptRate, test.leads)
 		for _, e := range test.made.entries {
-			b = appendEntry(b, goldenNow, uint32(e.code), e.HostFact, e.load)
+			b = appendEntry(b, goldenNow, uint32(e.shortHash), e.HostFact, e.load)
 		}
 		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(b)})
 	}
@@ -86,14 +86,14 @@
 func TestGoldenCodesAndOrder(t *testing.T) {
 	cases := []golden.Case{{Name: "bounds", Form: fmt.Sprint(MaxMessage, " ", Broadcast)}}
 	for _, host := range []string{"", "host-a", "10.0.0.1:5432"} {
-		cases = append(cases, golden.Case{Name: "code of " + host, Form: fmt.Sprintf("%06x", code(host))})
+		cases = append(cases, golden.Case{Name: "code of " + host, Form: fmt.Sprintf("%06x", hostHash(host))})
 	}
 	for _, id := range []uint32{0, 1, 0xffffff} {
-		cases = append(cases, golden.Case{Name: fmt.Sprintf("order for %06x", id), Form: fmt.Sprint(order(id, 40))})
+		cases = append(cases, golden.Case{Name: fmt.Sprintf("order for %06x", id), Form: fmt.Sprint(rankCandidates(id, 40))})
 	}
 	for _, group := range []int64{-1, 0, 1 << 31} {
-		circle := New(Config{Gateways: 3, BytesPerRequest: 1, FreshnessWindow: 1}, 1).circle(group)
-		cases = append(cases, golden.Case{Name: fmt.Sprint("code of group ", group), Form: fmt.Sprintf("%06x", circle.code)})
+		circle := New(Config{Gateways: 3, BytesPerRequest: 1, FreshnessWindow: 1}, 1).ensureGroup(group)
+		cases = append(cases, golden.Case{Name: fmt.Sprint("code of group ", group), Form: fmt.Sprintf("%06x", circle.hash)})
 	}
 	golden.Check(t, "codes.golden", cases)
 }
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	version, sent, body, err = open(goldenNow, b)
+	version, sent, body, err = readHeader(goldenNow, b)
 	if err != nil || sent != goldenNow {
 		t.Fatalf("sent at %d, %v", sent, err)
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -106,7 +106,7 @@
 			}
 			s := f.states[i]
 			s.Record(HostFact{Host: name(h), Position: f.now - 3*ms, Role: Replica})
-			s.SetInFlight(name(h), 1-s.hosts[name(h)].out)
+			s.SetInFlight(name(h), 1-s.hosts[name(h)].inFlight)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	for i, s := range f.states {
 		for h := range hosts {
 			if of(i) {
-				age = max(age, f.now-max(f.knows[i][name(h)], s.hosts[name(h)].own.Position))
+				age = max(age, f.now-max(f.knows[i][name(h)], s.hosts[name(h)].ownFact.Position))
 			}
 		}
 	}
@@ -127,8 +127,8 @@
 
 // keepers are those of each group as a gateway sees it.
 func (f *fleet) keepers(i int) (ks []int) {
-	for _, c := range f.states[i].circles {
-		ks = append(ks, f.states[i].keeper(f.now, c))
+	for _, c := range f.states[i].groups {
+		ks = append(ks, f.states[i].coordinator(f.now, c))
 	}
 	return ks
 }
@@ -159,7 +159,7 @@
 		if f.now%(25*ms) == 0 { // 40 in a second
 			requests++
 			s := f.states[requests%gateways]
-			s.SetInFlight(name(requests%hosts), s.hosts[name(requests%hosts)].out+1)
+			s.SetInFlight(name(requests%hosts), s.hosts[name(requests%hosts)].inFlight+1)
 		}
 		f.step()
 	}
@@ -267,7 +267,7 @@
 	for f.now < base+2000*ms {
 		i := int(f.now/ms/5) % 4
 		f.states[i].Record(HostFact{Host: name(0), Position: f.now - 3*ms, Role: Replica})
-		f.states[i].SetInFlight(name(0), 1-f.states[i].hosts[name(0)].out)
+		f.states[i].SetInFlight(name(0), 1-f.states[i].hosts[name(0)].inFlight)
 		f.step()
 		for i, s := range f.states {
 			for _, h := range s.HostsToCheck(f.now) {
@@ -329,8 +329,8 @@
 	}
 	f.stopped[b] = true // dies with one out
 	for range 400 {
-		f.states[a].SetInFlight(name(0), 1-f.states[a].hosts[name(0)].out) // digests go on
-		f.states[k].SetInFlight(name(0), 1-f.states[k].hosts[name(0)].out)
+		f.states[a].SetInFlight(name(0), 1-f.states[a].hosts[name(0)].inFlight) // digests go on
+		f.states[k].SetInFlight(name(0), 1-f.states[k].hosts[name(0)].inFlight)
 		f.step()
 	}
 	if n, _ := told(c); n != 4 { // a's are forgotten, too: it has said nothing of them for 2 s
@@ -361,7 +361,7 @@
 		for end := f.now + d; f.now < end; f.step() {
 			for i, s := range f.states {
 				s.SetInFlight(name(0), min(1, max(0, out-i))) // so many gateways have one out
-				s.SetInFlight(name(1), 1-s.hosts[name(1)].out)
+				s.SetInFlight(name(1), 1-s.hosts[name(1)].inFlight)
 			}
 			s := f.states[int(f.now/ms)%gateways]
 			s.Record(HostFact{Host: name(0), Position: f.now - ms, Role: Primary})
@@ -392,12 +392,12 @@
 	k := f.keepers(0)[0]
 	keeper, from := f.states[k], 1-k
 	report := func(at int64, n int) []byte {
-		return appendReport(head(at, reportVersion), at, &report{code: code(name(0)), out: n})
+		return appendReport(newMessage(at, reportVersion), at, &report{hash: hostHash(name(0)), inFlight: n})
 	}
 	keeper.Receive(base+30*ms, from, report(base+20*ms, 3))
 	keeper.Receive(base+40*ms, from, report(base+10*ms, 9))
 	keeper.Receive(base+2000*ms, from, report(base+50*ms, 9))
-	if n := keeper.hosts[name(0)].held; n != 3 {
+	if n := keeper.hosts[name(0)].reportedTotal; n != 3 {
 		t.Errorf("%d out, want 3", n)
 	}
 }
@@ -409,7 +409,7 @@
 	k := f.keepers(0)[0]
 	keeper := f.states[k]
 	tell := func(h int, at int64, r Role) {
-		keeper.Receive(base+ms, 1-k, appendReport(head(base, reportVersion), base, &report{HostFact: HostFact{Position: at, Role: r}, code: code(name(h))}))
+		keeper.Receive(base+ms, 1-k, appendReport(newMessage(base, reportVersion), base, &report{HostFact: HostFact{Position: at, Role: r}, hash: hostHash(name(h))}))
 	}
 	tell(0, base-10*ms, Replica)
 	tell(0, base-900*ms, Primary)
@@ -438,7 +438,7 @@
 	said := func(share float64, failed bool) (facts []HostFact) {
 		f.states[1-k].RecordLatencyShare(name(0), share, failed)
 		for range 100 {
-			f.states[1-k].SetInFlight(name(1), 1-f.states[1-k].hosts[name(1)].out) // requests go on, and pay
+			f.states[1-k].SetInFlight(name(1), 1-f.states[1-k].hosts[name(1)].inFlight) // requests go on, and pay
 			for _, m := range f.flying {
 				if m.from == k && m.at <= f.now+5*ms {
 					facts = append(facts, New(conf(2, 1-k), 1).hearAs(f.states[1-k], f.now, k, m.data)...)
@@ -462,8 +462,8 @@
 
 // hearAs reads a message as another state would, and leaves that one alone.
 func (s *State) hearAs(other *State, now int64, from int, data []byte) []HostFact {
-	for _, c := range other.circles {
-		for _, b := range c.books {
+	for _, c := range other.groups {
+		for _, b := range c.hosts {
 			s.AddHost(b.id, 0)
 		}
 	}
@@ -471,14 +471,14 @@
 }
 
 func bad() map[string][]byte {
-	report := appendReport(head(base, reportVersion), base, &report{HostFact{Position: base, Role: Replica}, code(name(0)), 3, 1})
-	digest := appendEntry(appendDigestHead(head(base, digestVersion), 77, 40*ms, 20, true), base, code(name(0)), HostFact{Position: base - ms}, 3)
+	report := appendReport(newMessage(base, reportVersion), base, &report{HostFact{Position: base, Role: Replica}, hostHash(name(0)), 3, 1})
+	digest := appendEntry(appendDigestHead(newMessage(base, digestVersion), 77, 40*ms, 20, true), base, hostHash(name(0)), HostFact{Position: base - ms}, 3)
 	with := func(m []byte, i int, b byte) []byte { m = slices.Clone(m); m[i] = b; return m }
 	return map[string][]byte{
 		"empty": {}, "no version": with(report, 0, 0), "a version before": with(report, 0, 1), "a later version": with(report, 0, 9),
 		"report cut short": report[:len(report)-1], "head alone, cut": report[:3], "digest cut short": digest[:len(digest)-1],
 		"digest without its head": digest[:7], "too long": append(slices.Clone(report), make([]byte, 32*reportSize)...),
-		"a role that is none": with(report, headSize+5, 3<<6), "sent in the future": head(base+60_000*ms, reportVersion),
+		"a role that is none": with(report, headerSize+5, 3<<6), "sent in the future": newMessage(base+60_000*ms, reportVersion),
 	}
 }
 
@@ -492,8 +492,8 @@
 			t.Errorf("%s: %+v, %d dropped", what, f, s.MalformedMessages()-dropped)
 		}
 	}
-	s.Receive(base, -1, head(base, reportVersion)) // from nobody in the tier
-	s.Receive(base, 2, head(base, reportVersion))
+	s.Receive(base, -1, newMessage(base, reportVersion)) // from nobody in the tier
+	s.Receive(base, 2, newMessage(base, reportVersion))
 	if n := s.TakeMalformedReport(base); n != len(bad())+2 || s.TakeMalformedReport(base+ms) != 0 {
 		t.Errorf("%d messages were complained of", n)
 	}
@@ -509,25 +509,25 @@
 	var a, b string
 	for i := 0; b == ""; i++ {
 		id := fmt.Sprint("x", i)
-		if first, ok := seen[code(id)]; ok {
+		if first, ok := seen[hostHash(id)]; ok {
 			a, b = first, id
 		}
-		seen[code(id)] = id
+		seen[hostHash(id)] = id
 	}
 	s := New(conf(2, 0), 1)
 	s.AddHost(a, 1)
 	s.AddHost(b, 1)
-	m := appendReport(head(base, reportVersion), base, &report{HostFact{Position: base, Role: Replica}, code(a), 1, 1})
+	m := appendReport(newMessage(base, reportVersion), base, &report{HostFact{Position: base, Role: Replica}, hostHash(a), 1, 1})
 	if f := s.Receive(base, 1, m); f != nil {
 		t.Errorf("believed %+v", f)
 	}
 	s.Record(HostFact{Host: a, Position: base, Role: Primary})
-	if len(s.due) != 0 {
+	if len(s.pendingReports) != 0 {
 		t.Error("a host that can't be told apart is told of")
 	}
 	s.RemoveHost(b)
 	s.RemoveHost(a)
-	if len(s.hosts) != 0 || len(s.circles[0].books) != 0 {
+	if len(s.hosts) != 0 || len(s.groups[0].hosts) != 0 {
 		t.Error("hosts stay")
 	}
 }
@@ -537,7 +537,7 @@
 	const gateways, groups = 20, 2000
 	kept := make([]float64, gateways)
 	for g := range groups {
-		kept[order(uint32(g*7919), gateways)[0]]++
+		kept[rankCandidates(uint32(g*7919), gateways)[0]]++
 	}
 	mean := float64(groups) / gateways
 	if least, most := slices.Min(kept), slices.Max(kept); least < mean-4*math.Sqrt(mean) || most > mean+4*math.Sqrt(mean) {
@@ -551,14 +551,14 @@
 		f.Add(m)
 	}
 	s := New(conf(80, 0), 1)
-	group := s.circle(1).code
-	f.Add(appendEntry(appendDigestHead(head(base, digestVersion), group, 40*ms, 20, true), base, code(name(0)), HostFact{Position: base - ms}, 3))
+	group := s.ensureGroup(1).hash
+	f.Add(appendEntry(appendDigestHead(newMessage(base, digestVersion), group, 40*ms, 20, true), base, hostHash(name(0)), HostFact{Position: base - ms}, 3))
 	f.Fuzz(func(t *testing.T, m []byte) {
 		s := New(conf(80, 0), 1)
 		s.AddHost(name(0), 1)
 		s.AddHost(name(1), 1)
 		for _, fact := range s.Receive(base, 1, m) {
-			if fact.Position > base+early || fact.Role > Replica || math.IsNaN(fact.LatencyShare) || s.hosts[fact.Host] == nil {
+			if fact.Position > base+maxClockLead || fact.Role > Replica || math.IsNaN(fact.LatencyShare) || s.hosts[fact.Host] == nil {
 				t.Errorf("believed %+v", fact)
 			}
 		}
