--- /dev/null
+++ b/internal/gossip/digest.go
@@ -0,0 +1,172 @@
+package gossip
+
+// The pace of digests.
+const (
+	minDigestInterval     = 40_000    // microseconds; reports are not fresher
+	relaxedIntervalFactor = 2         // a digest waits until requests have paid its price so many times
+	rateWarmup            = 1_000_000 // microseconds from the first report on, before which the attempt rate is not known
+	// After this fraction of the freshness window the next digest is due, whatever it costs while the rate is not known
+	// and as soon as it is paid for once afterwards: else positions become too old to be used.
+	pressingNumerator   = 2
+	pressingDenominator = 5
+)
+
+// buildDigest returns what this gateway, as the coordinator of a group, broadcasts now, or nil.
+func (s *State) buildDigest(now int64, group *groupState) []byte {
+	if !group.hasNews || now < group.nextDigestAt || s.isIsolated(now) {
+		return nil
+	}
+	group.updateAttemptRate(now)
+	group.started = 0
+	group.lastDigestAt = now
+	group.hasNews = false
+
+	entries, primaryLeads := s.buildEntries(now, group)
+	interval := s.nextInterval(now, group, digestHeaderSize+len(entries))
+	group.nextDigestAt = now + interval
+	message := newMessage(now, digestVersion)
+	message = appendDigestHeader(message, group.hash, interval, group.attemptRate, primaryLeads)
+	return append(message, entries...)
+}
+
+// updateAttemptRate takes the attempts since the last digest into the rate, a moving average over a second or so.
+func (g *groupState) updateAttemptRate(now int64) {
+	if g.lastDigestAt == 0 {
+		g.firstReportAt = now
+		g.lastDigestAt = now - rateWarmup/4
+	}
+	elapsed := float64(now-g.lastDigestAt) / 1e6
+	warmupLeft := rateWarmup/1e6 - float64(now-g.firstReportAt)/1e6
+	weight := min(1, max(elapsed, warmupLeft))
+	g.attemptRate += weight * (float64(g.started)/elapsed - g.attemptRate)
+}
+
+// buildEntries returns the entries of a digest, the primary's first, and whether there is one of the primary.
+func (s *State) buildEntries(now int64, group *groupState) (entries []byte, primaryLeads bool) {
+	primary := group.latestPrimary()
+	if primary != nil {
+		entries = s.appendHost(entries, now, primary, true)
+		primaryLeads = len(entries) > 0
+	}
+	for _, host := range group.hosts {
+		if host != primary {
+			entries = s.appendHost(entries, now, host, false)
+		}
+	}
+	return entries, primaryLeads
+}
+
+// latestPrimary is the host that was seen as primary at the highest position, or nil.
+func (g *groupState) latestPrimary() (primary *hostState) {
+	for _, host := range g.hosts {
+		if host.latest.Role != Primary {
+			continue
+		}
+		if primary == nil || host.latest.Position > primary.latest.Position {
+			primary = host
+		}
+	}
+	return primary
+}
+
+// appendHost appends a host's entry if there is something to say of it, it can be named and the message has space left.
+func (s *State) appendHost(entries []byte, now int64, host *hostState, isPrimary bool) []byte {
+	load := s.totalLoad(now, host)
+	fact := host.latest
+	host.reportedSamples.writeTo(&fact)
+	roleHolds := isPrimary || fact.Role == Replica // a former primary has no role to publish
+	hasNewPosition := fact.Position > host.publishedPosition && fact.Role != Unknown && roleHolds
+	isEmpty := load == 0 && host.reportedSamples.count == 0 && !hasNewPosition
+	isAmbiguous := host.group.hostsByShortHash[shortHash(host.hash)] != host
+	isFull := digestHeaderSize+len(entries)+entrySize > MaxMessage
+	if isEmpty || isAmbiguous || isFull {
+		return entries
+	}
+	if hasNewPosition {
+		host.publishedPosition = fact.Position
+	} else {
+		fact.Position = 0
+	}
+	if isPrimary {
+		host.concurrencyCap.adjust(fact.LatencyShare, load, s.randomFraction())
+	}
+	host.reportedSamples = latencySamples{}
+	return appendEntry(entries, now, host.hash, fact, load)
+}
+
+// totalLoad is how many attempts all gateways have in flight at a host. Where another gateway publishes digests of the
+// group too, some gateways can't reach one of the two, and the higher number is nearer to the truth.
+func (s *State) totalLoad(now int64, host *hostState) float64 {
+	load := float64(s.inFlightByOthers(now, host) + host.inFlight)
+	if host.group.hasRecentDigest(now) {
+		load = max(load, host.publishedLoad)
+	}
+	return load
+}
+
+// nextInterval is how many microseconds after a digest of a size the next one follows: as soon as the group's requests
+// have paid for it, within the limits above.
+func (s *State) nextInterval(now int64, group *groupState, size int) int64 {
+	cost := float64(size * (s.conf.Gateways - 1)) // bytes
+	paid := maxInterval * 2.0
+	if group.attemptRate > 0 {
+		paid = min(paid, cost/(group.attemptRate*s.conf.BytesPerRequest)*1e6)
+	}
+	pressing := float64(s.conf.FreshnessWindow) * pressingNumerator / pressingDenominator
+	if now-group.firstReportAt >= rateWarmup {
+		pressing = max(pressing, paid)
+	}
+	return int64(min(max(relaxedIntervalFactor*paid, minDigestInterval), pressing))
+}
+
+// receiveDigest takes a digest of another gateway and returns the facts in it. Loads are taken only from the
+// coordinator to which this gateway reports: another one knows a part of them.
+func (s *State) receiveDigest(now, sentAt int64, from int, body []byte) ([]HostFact, error) {
+	d, err := readDigest(sentAt, body)
+	if err != nil {
+		return nil, err
+	}
+	group := s.groupsByHash[d.group]
+	if group == nil {
+		return nil, nil
+	}
+	if group.awaitedCoordinator == from {
+		group.awaitingSince = 0
+	}
+	coordinator := s.coordinator(now, group)
+	isFollowed := (coordinator == from || coordinator == s.conf.Ordinal) && sentAt > group.digestSentAt
+	if isFollowed {
+		group.follow(sentAt, &d)
+	}
+	var facts []HostFact
+	for _, e := range d.entries {
+		host := group.hostsByShortHash[e.shortHash]
+		if host == nil {
+			continue
+		}
+		if isFollowed {
+			host.publishedLoad = e.load
+			host.ownInPublishedLoad = host.reportedInFlight
+		}
+		host.recordLatest(now, e.HostFact)
+		if isFollowed && host.latest.Role == Primary { // the entry has no role if the primary has stopped answering
+			host.concurrencyCap.adjust(e.LatencyShare, e.load, s.randomFraction())
+		}
+		if e.Position > 0 || e.LatencyShare > 0 || e.Failing {
+			e.Host = host.id
+			facts = append(facts, e.HostFact)
+		}
+	}
+	return facts, nil
+}
+
+// follow takes over a digest's head. Hosts without an entry have nothing in flight.
+func (g *groupState) follow(sentAt int64, d *digest) {
+	g.digestSentAt = sentAt
+	g.digestInterval = d.interval
+	g.attemptRate = d.attemptRate
+	for _, host := range g.hosts {
+		host.publishedLoad = 0
+		host.ownInPublishedLoad = 0
+	}
+}
--- /dev/null
+++ b/internal/gossip/digest_test.go
@@ -0,0 +1,109 @@
+package gossip
+
+import (
+	"slices"
+	"testing"
+)
+
+// What one gateway hears, all gateways soon know, and the traffic follows the hosts and not the gateways.
+func TestFactsReachTheWholeFleetSoon(t *testing.T) {
+	const gateways, hosts = 80, 20
+	f := newFleet(gateways, hosts)
+	f.run(hosts, 3000*ms)
+	if age := f.maxPositionAge(hosts, all); age > 300*ms {
+		t.Errorf("a host's position is known as of %d ms ago", age/ms)
+	}
+	if got := f.coordinators(3); !slices.Equal(got, f.coordinators(70)) {
+		t.Errorf("gateways disagree on coordinators: %v", got)
+	}
+	// Each of 4 groups has at most 25 digests a second.
+	if most := 4 * 3 * 25; f.digests > most || f.digests < 30 {
+		t.Errorf("%d digests in 3 s, want %d at most", f.digests, most)
+	}
+}
+
+// Digests are sent only as often as the requests pay for, however many gateways there are.
+func TestDigestTrafficIsBoundedByRequests(t *testing.T) {
+	const hosts, gateways = 5, 400
+	f := newFleet(gateways, hosts)
+	requests := 0
+	for f.now < base+8000*ms {
+		if f.now%(25*ms) == 0 { // 40 in a second
+			requests++
+			s := f.states[requests%gateways]
+			s.SetInFlight(hostName(requests%hosts), s.hosts[hostName(requests%hosts)].inFlight+1)
+		}
+		f.step()
+	}
+	warmup := 6 * 50 * gateways // bytes of the first second, when the rate is not known
+	if most := int(testConfig(2, 0).BytesPerRequest)*requests + warmup; f.bytes > most {
+		t.Errorf("%d bytes delivered for %d requests", f.bytes, requests)
+	}
+	if alone := New(testConfig(1, 0), 1); alone.PendingMessages(base) != nil || alone.hosts["x"] != nil {
+		t.Error("a gateway that is alone sends messages")
+	}
+	unnumbered := New(testConfig(3, -1), 1)
+	unnumbered.AddHost("x", 1)
+	if len(unnumbered.hosts) != 0 {
+		t.Error("a gateway without a number takes part")
+	}
+}
+
+// Messages are lost, late, duplicated and reordered: positions only rise, and a role is as old as its position. Of two
+// hosts that were primary the later one is.
+func TestPositionsNeverGoBack(t *testing.T) {
+	f := newFleet(2, 5)
+	k := f.coordinators(0)[0]
+	coordinator := f.states[k]
+	send := func(h int, position int64, role Role) {
+		r := report{HostFact: HostFact{Position: position, Role: role}, hash: hostHash(hostName(h))}
+		coordinator.Receive(base+ms, 1-k, appendReport(newMessage(base, reportVersion), base, &r))
+	}
+	send(0, base-10*ms, Replica)
+	send(0, base-900*ms, Primary)
+	send(1, base-300*ms, Primary)
+	send(2, base-20*ms, Primary)
+	m := coordinator.PendingMessages(base + 20*ms)
+	if len(m) != 1 || m[0].To != Broadcast {
+		t.Fatalf("sent %v", m)
+	}
+	got := map[string]HostFact{}
+	for _, fact := range f.states[1-k].Receive(base+30*ms, k, m[0].Data) {
+		got[fact.Host] = fact
+	}
+	if a, c := got[hostName(0)], got[hostName(2)]; a.Role != Replica || a.Position > base-10*ms || a.Position < base-15*ms || c.Role != Primary {
+		t.Errorf("%+v, %+v", a, c)
+	}
+	if former, found := got[hostName(1)]; found {
+		t.Errorf("a former primary is published as %+v", former)
+	}
+}
+
+// A host that becomes slow or fails is published though its position stands still.
+func TestLatencyIsPublishedWithoutANewPosition(t *testing.T) {
+	f := newFleet(2, 5)
+	k := f.coordinators(0)[0]
+	published := func(share float64, failed bool) (facts []HostFact) {
+		f.states[1-k].RecordLatencyShare(hostName(0), share, failed)
+		for range 100 {
+			f.states[1-k].toggleInFlight(hostName(1)) // requests continue, and pay for digests
+			for _, m := range f.packets {
+				if m.from == k && m.at <= f.now+5*ms {
+					facts = append(facts, New(testConfig(2, 1-k), 1).receiveAs(f.states[1-k], f.now, k, m.data)...)
+				}
+			}
+			f.step()
+		}
+		return facts
+	}
+	for _, c := range []struct {
+		share  float64
+		failed bool
+		want   float64
+	}{{0.25, false, 0.26}, {0.5, false, 0.55}, {3, false, 1}, {0, true, 0}} {
+		got := published(c.share, c.failed)
+		if got = slices.DeleteFunc(got, func(f HostFact) bool { return f.Host != hostName(0) }); len(got) != 1 || got[0].LatencyShare != c.want || got[0].Failing != c.failed {
+			t.Errorf("%v: published %+v", c, got)
+		}
+	}
+}
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -66,7 +66,7 @@
 	}
 	var cases []golden.Case
 	for _, test := range tests {
-		b := appendDigestHead(newMessage(goldenNow, digestVersion), test.made.group, test.made.interval, test.made.attemptRate, test.leads)
+		b := appendDigestHeader(newMessage(goldenNow, digestVersion), test.made.group, test.made.interval, test.made.attemptRate, test.leads)
 		for _, e := range test.made.entries {
 			b = appendEntry(b, goldenNow, uint32(e.shortHash), e.HostFact, e.load)
 		}
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -3,87 +3,113 @@
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"math"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// Messages, in network order. Both begin with the version 1 and the time of sending 4 (milliseconds since 1970, the low
-// half), then
+// Messages are in network byte order. Both kinds begin with the version (1 byte) and the time of sending (4 bytes: the
+// low half of the milliseconds since 1970). The numbers below are sizes in bytes unless they say bits.
 //
-//	report  for each host: its code 3 (a hash of its id), age 2 (milliseconds from its position to the sending; all
-//	        ones: not known), role and share 1, the sender's attempts out 1, and begun since its last report 1
-//	digest  group 3 (a hash), until the next one 1 (20 ms), rate of attempts 1, its first bit set if a primary leads;
-//	        for each host: code 2, age 1 (4 ms; all ones: not known), load 5 bits and share 3 bits
+//	report  for each host: hash of its id 3, age 2 (milliseconds from its position to the sending; all ones: not
+//	        known), role 2 bits and latency share 6 bits, the sender's attempts in flight 1, and the attempts
+//	        started since its last report 1
+//	digest  hash of the group 3, interval until the next digest 1 (in 20 ms), first entry is the primary 1 bit,
+//	        rate of attempts 7 bits; for each host: short hash 2, age 1 (in 4 ms; all ones: not known), load
+//	        5 bits and latency share 3 bits
 //
-// Hosts go by hashes, since a list's order differs between gateways that have been told different lists. Ages are
-// rounded up: a position is never told to be further than it is.
+// Hosts are named by hashes, since indexes into a list differ between gateways that hold different lists. Ages are
+// rounded up, so that a position is never overstated.
 const (
-	// MaxMessage is the longest message that may be sent.
+	// MaxMessage is the size of the longest message, in bytes.
 	MaxMessage = 256
 
-	reportVersion    = 3 // 1 and 2 were facts and loads that went to everybody
+	reportVersion    = 3 // versions 1 and 2 are no longer read
 	digestVersion    = 4
-	headerSize       = 5
-	reportSize       = 8
+	headerSize       = 5 // bytes
+	reportSize       = 8 // bytes
 	digestHeaderSize = headerSize + 5
-	entrySize        = 4
+	entrySize        = 4 // bytes
 
+	millisecond     = 1_000 // microseconds
 	unknownAge      = math.MaxUint16
-	digestAgeStep   = 4_000
+	digestAgeStep   = 4_000 // microseconds
 	maxDigestAge    = math.MaxUint8 - 1
-	intervalStep    = 20_000
+	intervalStep    = 20_000 // microseconds
 	maxInterval     = maxDigestAge * intervalStep
 	primaryLeadsBit = 0x80
 	maxByteCount    = math.MaxUint8
-	// maxClockLead is how far ahead of our clock a sender's may be. All gateways read the same clock, but read it at other
-	// moments; a position beyond that is no position, and to believe it would have a replica serve whatever it holds.
+	// maxClockLead is how far ahead of our clock, in microseconds, a sender's may be. A position further ahead is
+	// invalid: if it were believed, a replica would serve reads whatever its real position.
 	maxClockLead = 50_000
 )
 
-var errMalformedMessage = errors.New("not a message of gateways")
+// errMalformedMessage is a message that can't be read; errUnknownSender one of a gateway outside the fleet.
+var (
+	errMalformedMessage = errors.New("gossip: malformed message")
+	errUnknownSender    = errors.New("gossip: sender is not a gateway of the fleet")
+)
+
+// hostHash is a host's name on the wire, in 24 bits.
+func hostHash(id string) uint32 { return uint32(xxhash.Sum64String(id) >> 40) }
+
+// shortHash is a host's name in digests, unique within its group only.
+func shortHash(hash uint32) uint16 { return uint16(hash) }
+
+func readUint24(b []byte) uint32 { return uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]) }
 
-// hostHash is a host on the wire, in 24 bits.
-func hostHash(host string) uint32 { return uint32(xxhash.Sum64String(host) >> 40) }
+func appendUint24(b []byte, v uint32) []byte { return append(b, byte(v>>16), byte(v>>8), byte(v)) }
 
+// newMessage returns a message that consists of its header.
 func newMessage(now int64, version byte) []byte {
-	return binary.BigEndian.AppendUint32([]byte{version}, uint32(now/1000))
+	return binary.BigEndian.AppendUint32([]byte{version}, uint32(now/millisecond))
 }
 
-// readHeader reads the head.
-func readHeader(now int64, b []byte) (version byte, sent int64, body []byte, err error) {
-	if len(b) < headerSize || len(b) > MaxMessage || b[0] != reportVersion && b[0] != digestVersion {
-		return 0, 0, nil, errMalformedMessage
+// readHeader reads the version and the time of sending in microseconds.
+func readHeader(now int64, b []byte) (version byte, sentAt int64, body []byte, err error) {
+	if len(b) < headerSize || len(b) > MaxMessage {
+		return 0, 0, nil, fmt.Errorf("%w: %d bytes", errMalformedMessage, len(b))
 	}
-	// The time that ends in these bits and lies nearest to now: off by days is off by more than any message lives.
-	sent = now / 1000
-	sent += int64(int32(binary.BigEndian.Uint32(b[1:]) - uint32(sent)))
-	if sent*1000 > now+maxClockLead {
-		return 0, 0, nil, errMalformedMessage
+	version = b[0]
+	if version != reportVersion && version != digestVersion {
+		return 0, 0, nil, fmt.Errorf("%w: version %d", errMalformedMessage, version)
 	}
-	return b[0], sent * 1000, b[headerSize:], nil
+	// Of the times with these low bits the one nearest to now is meant; messages do not live for days.
+	nowMillis := now / millisecond
+	lead := int32(binary.BigEndian.Uint32(b[1:]) - uint32(nowMillis))
+	sentAt = (nowMillis + int64(lead)) * millisecond
+	if sentAt > now+maxClockLead {
+		return 0, 0, nil, fmt.Errorf("%w: sent in the future", errMalformedMessage)
+	}
+	return version, sentAt, b[headerSize:], nil
 }
 
+// report is one host in a report.
 type report struct {
 	HostFact
 	hash              uint32
 	inFlight, started int
 }
 
-// appendReport writes of one host. A position of more than 65 s ago, or one ahead of the clock, is left out.
+// appendReport writes one host. A position of more than 65 s ago, or one ahead of the clock, is left out.
 func appendReport(b []byte, now int64, r *report) []byte {
-	age := now/1000 - r.Position/1000 // both rounded down: as of the sending that the head tells
+	age := now/millisecond - r.Position/millisecond // both rounded down, as the time of sending is
 	if r.Position <= 0 || age < 0 || age > unknownAge {
 		age = unknownAge
 	}
-	return append(b, byte(r.hash>>16), byte(r.hash>>8), byte(r.hash), byte(age>>8), byte(age), byte(r.Role)<<6|packShare(r.HostFact),
-		byte(min(r.inFlight, maxByteCount)), byte(min(r.started, maxByteCount)))
+	b = appendUint24(b, r.hash)
+	b = binary.BigEndian.AppendUint16(b, uint16(age))
+	b = append(b, byte(r.Role)<<6|packShare(r.HostFact))
+	return append(b, byte(min(r.inFlight, maxByteCount)), byte(min(r.started, maxByteCount)))
 }
 
-func readReport(sent int64, b []byte) (report, error) {
-	r := report{hash: uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]), inFlight: int(b[6]), started: int(b[7])}
+func readReport(sentAt int64, b []byte) (report, error) {
+	r := report{hash: readUint24(b), inFlight: int(b[6]), started: int(b[7])}
+	role := Role(b[5] >> 6)
 	if age := int64(binary.BigEndian.Uint16(b[3:])); age != unknownAge {
-		r.Position, r.Role = sent-age*1000, Role(b[5]>>6)
+		r.Position = sentAt - age*millisecond
+		r.Role = role
 	}
 	switch packed := b[5] & 63; packed {
 	case 0:
@@ -92,71 +118,85 @@
 	default:
 		r.LatencyShare = math.Exp2((float64(packed) - 32) / 8)
 	}
-	if b[5]>>6 > byte(Replica) || r.Position < 0 {
-		return r, errMalformedMessage
+	if role > Replica {
+		return r, fmt.Errorf("%w: role %d", errMalformedMessage, role)
+	}
+	if r.Position < 0 {
+		return r, fmt.Errorf("%w: position %d", errMalformedMessage, r.Position)
 	}
 	return r, nil
 }
 
-// failingShare stands for errors in place of a share.
+// failingShare marks, in place of a share, that most answers were errors.
 const failingShare = 63
 
 // packShare packs a share into 6 bits: 0 if it is not known, else eight steps for each doubling, with 1 in the middle.
-func packShare(f HostFact) byte {
-	if f.Failing {
+func packShare(fact HostFact) byte {
+	if fact.Failing {
 		return failingShare
 	}
-	if f.LatencyShare <= 0 || math.IsNaN(f.LatencyShare) {
+	if fact.LatencyShare <= 0 || math.IsNaN(fact.LatencyShare) {
 		return 0
 	}
-	return byte(min(max(math.Round(8*math.Log2(f.LatencyShare))+32, 1), failingShare-1))
+	return byte(min(max(math.Round(8*math.Log2(fact.LatencyShare))+32, 1), failingShare-1))
+}
+
+// digest is what a coordinator broadcasts about its group.
+type digest struct {
+	group       uint32 // hash
+	interval    int64  // microseconds until the next digest
+	attemptRate float64
+	entries     []entry
 }
 
+// entry is one host in a digest.
 type entry struct {
 	HostFact
 	shortHash uint16
 	load      float64
 }
 
-type digest struct {
-	group       uint32
-	interval    int64
-	attemptRate float64
-	entries     []entry
-}
-
-func appendDigestHead(b []byte, group uint32, every int64, rate float64, leads bool) []byte {
-	r := byte(0)
-	if rate > 0 {
-		r = byte(min(max(math.Round(8*math.Log2(rate))+24, 1), primaryLeadsBit-1)) // from an eighth a second on
+func appendDigestHeader(b []byte, group uint32, interval int64, attemptRate float64, primaryLeads bool) []byte {
+	packedRate := byte(0)
+	if attemptRate > 0 { // in eight steps for each doubling, from an eighth per second on
+		packedRate = byte(min(max(math.Round(8*math.Log2(attemptRate))+24, 1), primaryLeadsBit-1))
 	}
-	if leads {
-		r |= primaryLeadsBit
+	if primaryLeads {
+		packedRate |= primaryLeadsBit
 	}
-	return append(b, byte(group>>16), byte(group>>8), byte(group), byte(min((every+intervalStep-1)/intervalStep, maxDigestAge+1)), r)
+	steps := min((interval+intervalStep-1)/intervalStep, maxDigestAge+1)
+	return append(appendUint24(b, group), byte(steps), packedRate)
 }
 
-// shareBands are what 3 bits stand for: nothing, then parts of the aim; the last means errors. They lie apart where the
-// module's limits do.
+// shareBands are what the 3 bits of a share stand for. They are closest together where decisions depend on them.
 var shareBands = [...]float64{0, 0.08, 0.18, 0.26, 0.36, 0.55, 1}
 
+// failingBand marks, in place of a share, that most answers were errors.
 const failingBand = 7
 
-func appendEntry(b []byte, now int64, code uint32, f HostFact, load float64) []byte {
+func appendEntry(b []byte, now int64, hash uint32, fact HostFact, load float64) []byte {
 	age := int64(maxDigestAge + 1)
-	if f.Position > 0 && f.Position <= now {
-		age = min((now/1000*1000-f.Position+digestAgeStep-1)/digestAgeStep, maxDigestAge+1)
-	}
-	share := byte(0)
-	if f.Failing {
-		share = failingBand
-	} else if f.LatencyShare > 0 {
-		share = 1
-		for i := 2; i < len(shareBands) && f.LatencyShare > math.Sqrt(shareBands[i-1]*shareBands[i]); i++ {
-			share = byte(i)
-		}
+	if fact.Position > 0 && fact.Position <= now {
+		sentAt := now / millisecond * millisecond // as the header says
+		age = min((sentAt-fact.Position+digestAgeStep-1)/digestAgeStep, maxDigestAge+1)
+	}
+	b = binary.BigEndian.AppendUint16(b, shortHash(hash))
+	return append(b, byte(max(age, 0)), packLoad(load)<<3|packBand(fact))
+}
+
+// packBand returns the band nearest to a fact's share, by ratio.
+func packBand(fact HostFact) byte {
+	if fact.Failing {
+		return failingBand
 	}
-	return append(b, byte(code>>8), byte(code), byte(max(age, 0)), packLoad(load)<<3|share)
+	if fact.LatencyShare <= 0 || math.IsNaN(fact.LatencyShare) {
+		return 0
+	}
+	band := 1
+	for band+1 < len(shareBands) && fact.LatencyShare > math.Sqrt(shareBands[band]*shareBands[band+1]) {
+		band++
+	}
+	return byte(band)
 }
 
 // packLoad packs a count into 5 bits: exact up to 15, then in steps of 4.
@@ -174,34 +214,41 @@
 	return 16 + 4*float64(b-16)
 }
 
-func readDigest(sent int64, b []byte) (digest, error) {
-	if len(b) < digestHeaderSize-headerSize || (len(b)-digestHeaderSize+headerSize)%entrySize != 0 {
-		return digest{}, errMalformedMessage
-	}
-	d := digest{group: uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]), interval: int64(b[3]) * intervalStep}
-	if r := b[4] &^ primaryLeadsBit; r > 0 {
-		d.attemptRate = math.Exp2((float64(r) - 24) / 8)
-	}
-	leads := b[4]&primaryLeadsBit != 0
-	for b = b[digestHeaderSize-headerSize:]; len(b) > 0; b = b[entrySize:] {
-		e := entry{shortHash: binary.BigEndian.Uint16(b), load: unpackLoad(b[3] >> 3)}
-		if b[2] <= maxDigestAge {
-			e.Position, e.Role = sent-int64(b[2])*digestAgeStep, Replica
-			if leads {
-				e.Role = Primary
-			}
-		}
-		leads = false
-		switch band := b[3] & 7; band {
-		case failingBand:
-			e.Failing = true
-		default:
-			e.LatencyShare = shareBands[band]
-		}
+// readDigest reads a message's body.
+func readDigest(sentAt int64, b []byte) (digest, error) {
+	const bodyHeader = digestHeaderSize - headerSize
+	if len(b) < bodyHeader || (len(b)-bodyHeader)%entrySize != 0 {
+		return digest{}, fmt.Errorf("%w: digest of %d bytes", errMalformedMessage, len(b))
+	}
+	d := digest{group: readUint24(b), interval: int64(b[3]) * intervalStep}
+	if packedRate := b[4] &^ primaryLeadsBit; packedRate > 0 {
+		d.attemptRate = math.Exp2((float64(packedRate) - 24) / 8)
+	}
+	isPrimary := b[4]&primaryLeadsBit != 0
+	for b = b[bodyHeader:]; len(b) > 0; b = b[entrySize:] {
+		e := readEntry(sentAt, b, isPrimary)
 		if e.Position < 0 {
-			return digest{}, errMalformedMessage
+			return digest{}, fmt.Errorf("%w: position %d", errMalformedMessage, e.Position)
 		}
 		d.entries = append(d.entries, e)
+		isPrimary = false
 	}
 	return d, nil
 }
+
+func readEntry(sentAt int64, b []byte, isPrimary bool) entry {
+	e := entry{shortHash: binary.BigEndian.Uint16(b), load: unpackLoad(b[3] >> 3)}
+	if age := int64(b[2]); age <= maxDigestAge {
+		e.Position = sentAt - age*digestAgeStep
+		e.Role = Replica
+		if isPrimary {
+			e.Role = Primary
+		}
+	}
+	if band := b[3] & 7; band == failingBand {
+		e.Failing = true
+	} else {
+		e.LatencyShare = shareBands[band]
+	}
+	return e
+}
--- /dev/null
+++ b/internal/gossip/message_test.go
@@ -0,0 +1,70 @@
+package gossip
+
+import (
+	"math"
+	"reflect"
+	"slices"
+	"testing"
+)
+
+// malformedMessages are messages that must not be read, by what is wrong with them.
+func malformedMessages() map[string][]byte {
+	report := appendReport(newMessage(base, reportVersion), base, &report{HostFact{Position: base, Role: Replica}, hostHash(hostName(0)), 3, 1})
+	digest := appendEntry(appendDigestHeader(newMessage(base, digestVersion), 77, 40*ms, 20, true), base, hostHash(hostName(0)), HostFact{Position: base - ms}, 3)
+	with := func(m []byte, i int, b byte) []byte { m = slices.Clone(m); m[i] = b; return m }
+	return map[string][]byte{
+		"empty": {}, "no version": with(report, 0, 0), "a version before": with(report, 0, 1), "a later version": with(report, 0, 9),
+		"report cut short": report[:len(report)-1], "head alone, cut": report[:3], "digest cut short": digest[:len(digest)-1],
+		"digest without its head": digest[:7], "too long": append(slices.Clone(report), make([]byte, 32*reportSize)...),
+		"an unknown role": with(report, headerSize+5, 3<<6), "sent in the future": newMessage(base+60_000*ms, reportVersion),
+	}
+}
+
+// A malformed message changes nothing and is counted, and the count is reported at most once in ten seconds.
+func TestMalformedMessagesHaveNoEffect(t *testing.T) {
+	s := New(testConfig(2, 0), 1)
+	s.AddHost(hostName(0), 1)
+	before := *s.hosts[hostName(0)]
+	for what, m := range malformedMessages() {
+		malformed := s.MalformedMessages()
+		if f := s.Receive(base, 1, m); f != nil || s.MalformedMessages() != malformed+1 || !reflect.DeepEqual(*s.hosts[hostName(0)], before) {
+			t.Errorf("%s: %+v, %d malformed", what, f, s.MalformedMessages()-malformed)
+		}
+	}
+	s.Receive(base, -1, newMessage(base, reportVersion)) // from outside the fleet
+	s.Receive(base, 2, newMessage(base, reportVersion))
+	if n := s.TakeMalformedReport(base); n != len(malformedMessages())+2 || s.TakeMalformedReport(base+ms) != 0 {
+		t.Errorf("%d malformed messages were reported", n)
+	}
+	s.Receive(base, 1, nil)
+	if s.TakeMalformedReport(base+5000*ms) != 0 || s.TakeMalformedReport(base+11_000*ms) != 1 {
+		t.Error("malformed messages are not reported once in ten seconds")
+	}
+}
+
+// Whatever is received, no position lies ahead of the clock and no message that is sent is too long.
+func FuzzReceive(f *testing.F) {
+	for _, m := range malformedMessages() {
+		f.Add(m)
+	}
+	s := New(testConfig(80, 0), 1)
+	group := s.ensureGroup(1).hash
+	f.Add(appendEntry(appendDigestHeader(newMessage(base, digestVersion), group, 40*ms, 20, true), base, hostHash(hostName(0)), HostFact{Position: base - ms}, 3))
+	f.Fuzz(func(t *testing.T, m []byte) {
+		s := New(testConfig(80, 0), 1)
+		s.AddHost(hostName(0), 1)
+		s.AddHost(hostName(1), 1)
+		for _, fact := range s.Receive(base, 1, m) {
+			if fact.Position > base+maxClockLead || fact.Role > Replica || math.IsNaN(fact.LatencyShare) || s.hosts[fact.Host] == nil {
+				t.Errorf("believed %+v", fact)
+			}
+		}
+		for now := base; now < base+200*ms; now += 5 * ms {
+			for _, m := range s.PendingMessages(now) {
+				if len(m.Data) > MaxMessage {
+					t.Errorf("a message of %d bytes", len(m.Data))
+				}
+			}
+		}
+	})
+}
