--- a/internal/agreement/agreement.go
+++ b/internal/agreement/agreement.go
@@ -113,7 +113,7 @@
 // Vote says what this gateway sees, if that is new or was said long ago; the entry is to be told to the others.
 func (c *Council) Vote(now int64, topic string, body []byte) (crdt.Entry, bool) {
 	old, ok := c.state.Get(crdt.Key{Kind: c.conf.Votes, Name: topic, Origin: c.conf.Self})
-	if ok && string(old.Value) == string(body) && now-old.Stamp < c.conf.Fresh/2 {
+	if ok && string(old.Value) == string(body) && now-old.Timestamp < c.conf.Fresh/2 {
 		return crdt.Entry{}, false
 	}
 	return c.state.Put(now, c.conf.Votes, topic, body), true
@@ -124,7 +124,7 @@
 // of those that are left, with their votes alone.
 func (c *Council) Votes(now int64, topic string, members Roll) (votes []Vote) {
 	c.state.Each(c.conf.Votes, topic, func(e *crdt.Entry) bool {
-		if alive, ok := members[e.Origin]; ok && (alive || c.conf.Majority) && now-e.Stamp < c.conf.Fresh {
+		if alive, ok := members[e.Origin]; ok && (alive || c.conf.Majority) && now-e.Timestamp < c.conf.Fresh {
 			votes = append(votes, Vote{e.Origin, e.Value})
 		}
 		return true
@@ -181,7 +181,7 @@
 	}
 	delete(c.wanted, topic)
 	next := Decision{Epoch: epoch, Choice: choice, Previous: previous, From: now + c.conf.Delay, By: c.conf.Self}
-	return c.state.Decide(now, c.conf.Decided, topic, epoch, next.encode()), true
+	return c.state.PutEpoch(now, c.conf.Decided, topic, epoch, next.encode()), true
 }
 
 // Settle notes that nothing is due.
@@ -225,8 +225,8 @@
 // half of the members are seen. Without that it holds for Hold and is then forgotten.
 func (c *Council) Again(now int64, topic string, members Roll) (crdt.Entry, bool) {
 	e, ok := c.state.Get(crdt.Key{Kind: c.conf.Decided, Name: topic})
-	if !ok || now-e.Stamp < c.conf.Hold/2 || !c.Majority(members) {
+	if !ok || now-e.Timestamp < c.conf.Hold/2 || !c.Majority(members) {
 		return crdt.Entry{}, false
 	}
-	return c.state.Decide(now, c.conf.Decided, topic, e.Sequence, e.Value), true
+	return c.state.PutEpoch(now, c.conf.Decided, topic, e.Sequence, e.Value), true
 }
--- a/internal/agreement/agreement_test.go
+++ b/internal/agreement/agreement_test.go
@@ -19,8 +19,8 @@
 var none = []byte{100, 100}
 
 func council(name string) (*Council, *crdt.State) {
-	s := crdt.New(crdt.Config{Self: name, Incarnation: 1, Ahead: 5 * second, Forms: map[crdt.Kind]crdt.Form{
-		1: {Name: "votes", Rule: crdt.Newest, Keep: 60 * second, Most: 16}, 2: {Name: "decided", Rule: crdt.Decided, Keep: 600 * second, Most: 64}}})
+	s := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: map[crdt.Kind]crdt.KindConfig{
+		1: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 16}, 2: {Name: "decided", Rule: crdt.HighestEpoch, TTL: 600 * second, MaxValueSize: 64}}})
 	return New(Config{Self: name, Votes: 1, Decided: 2, Delay: second, Turn: second / 5, Fresh: 30 * second, Hold: 600 * second, Majority: true}, s), s
 }
 
--- a/internal/agreement/decisions_test.go
+++ b/internal/agreement/decisions_test.go
@@ -43,11 +43,11 @@
 
 func newFleet(majority bool, seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(2026, seed)), now: 1_700_000_000 * second, answers: golden.NewHash()}
-	forms := map[crdt.Kind]crdt.Form{kindVotes: {Name: "votes", Rule: crdt.Newest, Keep: 60 * second, Most: 16},
-		kindDecided: {Name: "decided", Rule: crdt.Decided, Keep: 20 * second, Most: 64}}
+	forms := map[crdt.Kind]crdt.KindConfig{kindVotes: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 16},
+		kindDecided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: 20 * second, MaxValueSize: 64}}
 	for i := range 5 {
 		name := "n" + strconv.Itoa(i)
-		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, Ahead: 5 * second, Forms: forms})
+		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: forms})
 		council := agreement.New(agreement.Config{Self: name, Votes: kindVotes, Decided: kindDecided, Delay: second, Turn: second / 5,
 			Fresh: 5 * second, Hold: 20 * second, Majority: majority}, state)
 		f.members = append(f.members, &member{name, state, council})
@@ -56,10 +56,10 @@
 }
 
 func (f *fleet) entry(entry crdt.Entry) {
-	f.answers.Numbers(int64(entry.Kind), int64(entry.Incarnation), int64(entry.Sequence), entry.Stamp)
+	f.answers.Numbers(int64(entry.Kind), int64(entry.Incarnation), int64(entry.Sequence), entry.Timestamp)
 	f.answers.Text(entry.Name)
 	f.answers.Text(entry.Origin)
-	f.answers.Bool(entry.Dead)
+	f.answers.Bool(entry.Deleted)
 	f.answers.Text(string(entry.Value))
 }
 
@@ -145,9 +145,9 @@
 			m.council.Settle(topic)
 		}
 	case 8:
-		m.state.Upkeep(f.now)
+		m.state.Expire(f.now)
 	case 9: // what is no decision, for a topic of its own
-		broken := crdt.Entry{Kind: kindDecided, Name: "broken", Sequence: uint64(f.random.IntN(9)), Stamp: f.now, Value: []byte{9, 9}}
+		broken := crdt.Entry{Kind: kindDecided, Name: "broken", Sequence: uint64(f.random.IntN(9)), Timestamp: f.now, Value: []byte{9, 9}}
 		f.hear(m, broken)
 	default:
 		f.ask(m, members)
--- a/internal/crdt/entry.go
+++ b/internal/crdt/entry.go
@@ -18,25 +18,25 @@
 // Kind is what an entry is about; the numbers are on the wire.
 type Kind uint8
 
-// Rule is the order of a kind's entries.
-type Rule uint8
+// MergeRule is the order of a kind's entries.
+type MergeRule uint8
 
 const (
-	// Newest is for what one writer says of itself: the later incarnation, then the later sequence.
-	Newest Rule = iota
-	// Highest is for numbers that only rise, whoever says them, such as positions: the value, of 8 bytes, is compared.
-	Highest
-	// Decided is for what was agreed on: the sequence is the epoch. Of two that were proposed at once for one epoch the
+	// LastWriterWins is for what one writer says of itself: the later incarnation, then the later sequence.
+	LastWriterWins MergeRule = iota
+	// MaxValue is for numbers that only rise, whoever says them, such as positions: the value, of 8 bytes, is compared.
+	MaxValue
+	// HighestEpoch is for what was agreed on: the sequence is the epoch. Of two that were proposed at once for one epoch the
 	// lesser value is taken; what proposes has to lay values out so that the more careful one is less.
-	Decided
+	HighestEpoch
 )
 
-// Form describes a kind.
-type Form struct {
-	Name string
-	Rule Rule
-	Keep int64 // how long after its stamp an entry counts, in microseconds
-	Most int   // bytes of a value
+// KindConfig describes a kind.
+type KindConfig struct {
+	Name         string
+	Rule         MergeRule
+	TTL          int64 // how long after its stamp an entry counts, in microseconds
+	MaxValueSize int   // bytes of a value
 }
 
 // Key names an entry. Of kinds that are about one truth, whoever says it, Origin is empty.
@@ -59,16 +59,16 @@
 	Origin      string
 	Incarnation uint64 // of the origin's process: it rises with each start
 	Sequence    uint64
-	Stamp       int64 // when the evidence was taken; microseconds since 1970
-	Dead        bool
+	Timestamp   int64 // when the evidence was taken; microseconds since 1970
+	Deleted     bool
 	Value       []byte
 }
 
 // Key is the entry's.
 func (e *Entry) Key() Key { return Key{e.Kind, e.Name, e.Origin} }
 
-// number is the value as a number that only rises.
-func (e *Entry) number() uint64 {
+// numericValue is the value as a number that only rises.
+func (e *Entry) numericValue() uint64 {
 	if len(e.Value) != 8 {
 		return 0
 	}
@@ -76,23 +76,23 @@
 }
 
 // compare orders two entries of one key: above 0 if e is the one to keep. It is total: 0 is for equal entries alone.
-func compare(rule Rule, e, o *Entry) int {
+func compare(rule MergeRule, e, o *Entry) int {
 	var first int
 	switch rule {
-	case Newest:
+	case LastWriterWins:
 		first = cmp.Or(cmp.Compare(e.Incarnation, o.Incarnation), cmp.Compare(e.Sequence, o.Sequence))
-	case Highest:
-		first = cmp.Compare(e.number(), o.number())
-	case Decided:
+	case MaxValue:
+		first = cmp.Compare(e.numericValue(), o.numericValue())
+	case HighestEpoch:
 		first = cmp.Or(cmp.Compare(e.Sequence, o.Sequence), bytes.Compare(o.Value, e.Value))
 	}
 	// The rest makes it total. Two writers under one name, or a spoilt copy, may bring what differs there alone.
-	return cmp.Or(first, cmp.Compare(e.Stamp, o.Stamp), dead(e)-dead(o), cmp.Compare(e.Incarnation, o.Incarnation),
+	return cmp.Or(first, cmp.Compare(e.Timestamp, o.Timestamp), deletedOrder(e)-deletedOrder(o), cmp.Compare(e.Incarnation, o.Incarnation),
 		cmp.Compare(e.Sequence, o.Sequence), bytes.Compare(e.Value, o.Value))
 }
 
-func dead(e *Entry) int {
-	if e.Dead {
+func deletedOrder(e *Entry) int {
+	if e.Deleted {
 		return 1
 	}
 	return 0
@@ -109,8 +109,8 @@
 	number(e.Key().hash())
 	number(e.Incarnation)
 	number(e.Sequence)
-	number(uint64(e.Stamp))
-	number(uint64(dead(e)))
+	number(uint64(e.Timestamp))
+	number(uint64(deletedOrder(e)))
 	_, _ = d.Write(e.Value)
 	return d.Sum64()
 }
--- a/internal/crdt/golden_test.go
+++ b/internal/crdt/golden_test.go
@@ -15,36 +15,36 @@
 // goldenState holds entries of each kind, one of them dead.
 func goldenState() *State {
 	s := newState("a")
-	s.Put(start, newest, "one", []byte("value"))
-	s.Put(start+1, newest, "two", []byte{0, 255})
-	s.Remove(start+2, newest, "two")
-	s.Decide(start, decided, "topic", 7, []byte("choice"))
-	s.Merge(start, Entry{Kind: highest, Name: "position", Sequence: 3, Stamp: start, Value: []byte{0, 0, 0, 0, 0, 0, 1, 2}})
+	s.Put(start, lastWriterWins, "one", []byte("value"))
+	s.Put(start+1, lastWriterWins, "two", []byte{0, 255})
+	s.Delete(start+2, lastWriterWins, "two")
+	s.PutEpoch(start, highestEpoch, "topic", 7, []byte("choice"))
+	s.Merge(start, Entry{Kind: maxValue, Name: "position", Sequence: 3, Timestamp: start, Value: []byte{0, 0, 0, 0, 0, 0, 1, 2}})
 	return s
 }
 
 // Each form of a message has the same bytes as ever, and they are read as the message that was sent.
 func TestGoldenMessages(t *testing.T) {
-	asked, other := goldenState().Ask(math.MaxUint64), newState("b")
-	answers, _ := other.Hear(start, asked)
-	brought, _ := goldenState().Hear(start, answers[0])
-	wanted, _ := goldenState().Hear(start, &Message{Want: []int{0, 255}, Round: 2})
-	same, _ := goldenState().Hear(start, goldenState().Ask(3))
+	asked, other := goldenState().StartRound(math.MaxUint64), newState("b")
+	answers, _ := other.Receive(start, asked)
+	brought, _ := goldenState().Receive(start, answers[0])
+	wanted, _ := goldenState().Receive(start, &Message{WantedBuckets: []int{0, 255}, Round: 2})
+	same, _ := goldenState().Receive(start, goldenState().StartRound(3))
 	tests := []struct {
 		name string
 		made *Message
 	}{
 		{"nothing", &Message{}},
 		{"ask", asked},
-		{"ask of an empty state", other.Ask(1)},
+		{"ask of an empty state", other.StartRound(1)},
 		{"groups that differ", answers[0]},
 		{"entries", brought[0]},
 		{"last", wanted[0]},
 		{"same", same[0]},
-		{"want", &Message{Want: []int{0, 127, 128, 255}, Round: 256}},
+		{"want", &Message{WantedBuckets: []int{0, 127, 128, 255}, Round: 256}},
 		{"greatest entry", &Message{Entries: []Entry{{Kind: math.MaxUint8, Name: "n", Origin: "o", Incarnation: math.MaxUint64,
-			Sequence: math.MaxUint64 - 1, Stamp: math.MaxInt64, Dead: true, Value: make([]byte, 256)}}}},
-		{"least entry", &Message{Entries: []Entry{{Stamp: math.MinInt64, Value: []byte{}}, {Stamp: -1}}}},
+			Sequence: math.MaxUint64 - 1, Timestamp: math.MaxInt64, Deleted: true, Value: make([]byte, 256)}}}},
+		{"least entry", &Message{Entries: []Entry{{Timestamp: math.MinInt64, Value: []byte{}}, {Timestamp: -1}}}},
 	}
 	var cases []golden.Case
 	for _, test := range tests {
@@ -77,10 +77,10 @@
 		cases = append(cases, golden.Case{Name: name, Form: fmt.Sprintf("%016x", number)})
 	}
 	s := goldenState()
-	add("root", s.Ask(1).Top)
-	add("root of an empty state", newState("a").Ask(1).Top)
-	for i, e := range held(s) {
-		group, bucket := s.slot(e.Key())
+	add("root", s.StartRound(1).GroupDigests)
+	add("root of an empty state", newState("a").StartRound(1).GroupDigests)
+	for i, e := range allEntries(s) {
+		group, bucket := s.bucketOf(e.Key())
 		add(fmt.Sprint("entry ", i, " of kind ", e.Kind, " in ", group, "/", bucket), e.hash())
 	}
 	golden.Check(t, "digests.golden", cases)
--- a/internal/crdt/message.go
+++ b/internal/crdt/message.go
@@ -6,22 +6,22 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// mostBytes bounds the entries of one message; what is left goes in the next ones.
-const mostBytes = 32 << 10
+// maxMessageSize bounds the entries of one message; what is left goes in the next ones.
+const maxMessageSize = 32 << 10
 
 // Message is what gateways send one another to become alike. A round is begun with Ask by whoever wants to hear what it
 // lacks: the first level of its digest; the answer has the second level of what differs; then both send the entries of the
 // buckets that still differ. Each message stands for itself: one that is lost, late or doubled does no harm.
 type Message struct {
-	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the form on the wire
-	Top      []uint64 // the first level, of a round's first message
-	Groups   []int    // the groups that differ
-	Second   []uint64 // and their second level, one after the other
-	Want     []int    // buckets of which the entries are wanted, by group x 16 + bucket
-	Entries  []Entry
-	Same     bool // the answer to a first message that found no difference
-	Last     bool // the last of what was wanted: whoever began the round has caught up
-	Round    uint64
+	_msgpack        struct{} `msgpack:",as_array"` //nolint:unused // the form on the wire
+	GroupDigests    []uint64 // the first level, of a round's first message
+	DifferingGroups []int    // the groups that differ
+	BucketDigests   []uint64 // and their second level, one after the other
+	WantedBuckets   []int    // buckets of which the entries are wanted, by group x 16 + bucket
+	Entries         []Entry
+	Identical       bool // the answer to a first message that found no difference
+	Final           bool // the last of what was wanted: whoever began the round has caught up
+	Round           uint64
 }
 
 // MessageError is a message that cannot be read.
@@ -55,78 +55,78 @@
 	if err := msgpack.Unmarshal(b, m); err != nil {
 		return nil, &MessageError{from, err}
 	}
-	if len(m.Top) != 0 && len(m.Top) != groups || len(m.Second) != buckets*len(m.Groups) {
-		return nil, &MessageError{from, fmt.Errorf("a digest of %d and %d parts", len(m.Top), len(m.Second))}
+	if len(m.GroupDigests) != 0 && len(m.GroupDigests) != digestGroups || len(m.BucketDigests) != bucketsPerGroup*len(m.DifferingGroups) {
+		return nil, &MessageError{from, fmt.Errorf("a digest of %d and %d parts", len(m.GroupDigests), len(m.BucketDigests))}
 	}
 	return m, nil
 }
 
-// Ask begins a round.
-func (s *State) Ask(round uint64) *Message {
+// StartRound begins a round.
+func (s *State) StartRound(round uint64) *Message {
 	m := &Message{Round: round}
-	for g := range groups {
-		m.Top = append(m.Top, s.top(g))
+	for g := range digestGroups {
+		m.GroupDigests = append(m.GroupDigests, s.groupDigest(g))
 	}
 	return m
 }
 
-func (s *State) top(g int) (sum uint64) {
+func (s *State) groupDigest(g int) (sum uint64) {
 	for b, h := range s.digest[g] {
 		sum ^= (h + uint64(b) + 1) * 0x9e3779b97f4a7c15 // its place counts, else two that were swapped would cancel out
 	}
 	return sum
 }
 
-// Hear takes a message in, and returns what to answer and which entries changed what is known.
-func (s *State) Hear(now int64, m *Message) (answers []*Message, changed []Entry) {
+// Receive takes a message in, and returns what to answer and which entries changed what is known.
+func (s *State) Receive(now int64, m *Message) (answers []*Message, changed []Entry) {
 	s.counts.Messages++
 	changed = s.Merge(now, m.Entries...)
-	if m.Same || m.Last {
-		s.caught = max(s.caught, m.Round)
+	if m.Identical || m.Final {
+		s.caughtUpRound = max(s.caughtUpRound, m.Round)
 	}
-	if len(m.Top) == groups {
+	if len(m.GroupDigests) == digestGroups {
 		a := &Message{Round: m.Round}
-		for g, h := range m.Top {
-			if h != s.top(g) {
-				a.Groups = append(a.Groups, g)
-				a.Second = append(a.Second, s.digest[g][:]...)
+		for g, h := range m.GroupDigests {
+			if h != s.groupDigest(g) {
+				a.DifferingGroups = append(a.DifferingGroups, g)
+				a.BucketDigests = append(a.BucketDigests, s.digest[g][:]...)
 			}
 		}
-		a.Same = len(a.Groups) == 0
+		a.Identical = len(a.DifferingGroups) == 0
 		answers = append(answers, a)
 	}
 	var want, give []int
-	for i, g := range m.Groups {
-		if g < 0 || g >= groups {
+	for i, g := range m.DifferingGroups {
+		if g < 0 || g >= digestGroups {
 			continue
 		}
-		for b := range buckets {
-			if h := m.Second[i*buckets+b]; h != s.digest[g][b] {
-				give = append(give, g*buckets+b)
+		for b := range bucketsPerGroup {
+			if h := m.BucketDigests[i*bucketsPerGroup+b]; h != s.digest[g][b] {
+				give = append(give, g*bucketsPerGroup+b)
 				if h != 0 {
-					want = append(want, g*buckets+b)
+					want = append(want, g*bucketsPerGroup+b)
 				}
 			}
 		}
 	}
-	if len(m.Groups) > 0 {
-		answers = append(answers, s.bring(give, want, m.Round)...)
+	if len(m.DifferingGroups) > 0 {
+		answers = append(answers, s.collectEntries(give, want, m.Round)...)
 		if len(want) == 0 {
-			s.caught = max(s.caught, m.Round)
+			s.caughtUpRound = max(s.caughtUpRound, m.Round)
 		}
 	}
-	if len(m.Want) > 0 {
-		answers = append(answers, s.bring(m.Want, nil, m.Round)...)
-		answers[len(answers)-1].Last = true
+	if len(m.WantedBuckets) > 0 {
+		answers = append(answers, s.collectEntries(m.WantedBuckets, nil, m.Round)...)
+		answers[len(answers)-1].Final = true
 	}
 	return answers, changed
 }
 
-// CaughtUp is the latest round of this gateway's own after which it knew all that the other did.
-func (s *State) CaughtUp() uint64 { return s.caught }
+// CaughtUpRound is the latest round of this gateway's own after which it knew all that the other did.
+func (s *State) CaughtUpRound() uint64 { return s.caughtUpRound }
 
-// bring puts the entries of buckets into messages; the last asks for what is wanted.
-func (s *State) bring(give, want []int, round uint64) []*Message {
+// collectEntries puts the entries of buckets into messages; the last asks for what is wanted.
+func (s *State) collectEntries(give, want []int, round uint64) []*Message {
 	wanted := map[int]bool{}
 	for _, i := range give {
 		wanted[i] = true
@@ -135,8 +135,8 @@
 	all := []*Message{m}
 	if len(give) > 0 {
 		s.entries.Scan(func(_ string, e *Entry) bool {
-			if g, b := s.slot(e.Key()); wanted[g*buckets+b] {
-				if n := len(e.Name) + len(e.Origin) + len(e.Value) + 32; size+n > mostBytes {
+			if g, b := s.bucketOf(e.Key()); wanted[g*bucketsPerGroup+b] {
+				if n := len(e.Name) + len(e.Origin) + len(e.Value) + 32; size+n > maxMessageSize {
 					m, size = &Message{Round: round}, n
 					all = append(all, m)
 				} else {
@@ -147,6 +147,6 @@
 			return true
 		})
 	}
-	m.Want = want
+	m.WantedBuckets = want
 	return all
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -238,9 +238,9 @@
 	taken := func(what string) bool { return slices.Contains(z.Without, what) }
 	incarnation := uint64(time.Now().UnixMicro())
 	hold := 10 * 60 * second
-	p.state = crdt.New(crdt.Config{Self: p.conf.Name, Incarnation: incarnation, Ahead: 5 * second, Forms: map[crdt.Kind]crdt.Form{
-		votes:   {Name: "votes", Rule: crdt.Newest, Keep: 60 * second, Most: 1 + 4*255},
-		decided: {Name: "decided", Rule: crdt.Decided, Keep: hold, Most: 1024},
+	p.state = crdt.New(crdt.Config{Self: p.conf.Name, Incarnation: incarnation, MaxClockSkew: 5 * second, Kinds: map[crdt.Kind]crdt.KindConfig{
+		votes:   {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 1 + 4*255},
+		decided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: hold, MaxValueSize: 1024},
 	}})
 	p.council = agreement.New(agreement.Config{Self: p.conf.Name, Votes: votes, Decided: decided, Delay: int64(z.DelayMS) * 1000, Turn: 200_000,
 		Fresh: 30 * second, Hold: hold, Majority: !taken("quorum")}, p.state)
@@ -339,7 +339,7 @@
 			asked = now
 			p.ask(roll)
 		}
-		if p.behind && (p.state.CaughtUp() == p.round || roll.Alive() < 2) {
+		if p.behind && (p.state.CaughtUpRound() == p.round || roll.Alive() < 2) {
 			p.behind = false
 			p.log.Info().Msg("caught up")
 		}
@@ -391,18 +391,18 @@
 		return
 	}
 	now := time.Now().UnixMicro()
-	answers, changed := p.state.Hear(now, m)
+	answers, changed := p.state.Receive(now, m)
 	for _, d := range p.council.Heard(now, changed) {
 		ahead := d.From - now
 		p.log.Info().Uint64("epoch", d.Epoch).Ints("shares", ints(d.Choice)).Str("by", d.By).Int64("ahead_ms", ahead/1000).Msg("agreed")
 	}
-	if len(m.Top) == 0 && m.Round == 0 { // news: the others hear it from here, too
+	if len(m.GroupDigests) == 0 && m.Round == 0 { // news: the others hear it from here, too
 		p.tell(changed...)
 	}
 	for _, a := range answers {
 		p.send(l.name, a)
 	}
-	if f := p.state.Foreign(); f != nil {
+	if f := p.state.TakeConflictingOrigin(); f != nil {
 		p.log.Error().Err(f).Str("remedy", f.Remedy()).Msg("a name is used twice")
 	}
 }
@@ -439,7 +439,7 @@
 	}
 	if len(others) > 0 {
 		p.round++
-		p.send(others[rand.IntN(len(others))], p.state.Ask(p.round))
+		p.send(others[rand.IntN(len(others))], p.state.StartRound(p.round))
 	}
 }
 
@@ -448,7 +448,7 @@
 		p.tell(e)
 	}
 	p.tell(p.zonal.Decide(now, roll)...)
-	p.state.Upkeep(now)
+	p.state.Expire(now)
 	for _, l := range p.zonal.Lines() {
 		ev := p.log.Info().Str("zone", l.Zone).Uint64("epoch", l.Epoch).Int("share", int(l.Share)).Int("members", len(roll)).Int("alive", roll.Alive())
 		if l.Next > 0 {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -12,12 +12,12 @@
 
 // What a gateway tells all, and what it asks one, are the same bytes as ever under the same keys.
 func TestGoldenLetters(t *testing.T) {
-	forms := map[crdt.Kind]crdt.Form{
-		votes:   {Name: "votes", Rule: crdt.Newest, Keep: second, Most: 8},
-		decided: {Name: "decided", Rule: crdt.Decided, Keep: second, Most: 8},
+	forms := map[crdt.Kind]crdt.KindConfig{
+		votes:   {Name: "votes", Rule: crdt.LastWriterWins, TTL: second, MaxValueSize: 8},
+		decided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: second, MaxValueSize: 8},
 	}
-	p := &Component{conf: &config.Config{Name: "a"}, out: newRing[letter](8), state: crdt.New(crdt.Config{Self: "a", Incarnation: 5, Forms: forms})}
-	p.tell(p.state.Put(second, votes, "zones", []byte{1, 2}), p.state.Decide(second, decided, "zones", 3, []byte{4}))
+	p := &Component{conf: &config.Config{Name: "a"}, out: newRing[letter](8), state: crdt.New(crdt.Config{Self: "a", Incarnation: 5, Kinds: forms})}
+	p.tell(p.state.Put(second, votes, "zones", []byte{1, 2}), p.state.PutEpoch(second, decided, "zones", 3, []byte{4}))
 	p.ask(agreement.Roll{"a": true, "b": true, "c": false})
 	var cases []golden.Case
 	for _, name := range []string{"vote", "decision", "question"} {
--- a/internal/zonefailover/decisions_test.go
+++ b/internal/zonefailover/decisions_test.go
@@ -46,12 +46,12 @@
 func newFleet(conf zonefailover.Config, seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(2027, seed)), now: 1_700_000_000 * second, conf: conf, answers: golden.NewHash(),
 		failing: make([]float64, len(conf.Zones)), busy: make([]float64, len(conf.Zones))}
-	forms := map[crdt.Kind]crdt.Form{kindVotes: {Name: "votes", Rule: crdt.Newest, Keep: 60 * second, Most: 64},
-		kindDecided: {Name: "decided", Rule: crdt.Decided, Keep: 60 * second, Most: 80}}
+	forms := map[crdt.Kind]crdt.KindConfig{kindVotes: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 64},
+		kindDecided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: 60 * second, MaxValueSize: 80}}
 	for i := range 9 {
 		conf.Own = i%(len(conf.Zones)+1) - 1
 		name := "n" + strconv.Itoa(i)
-		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, Ahead: 5 * second, Forms: forms})
+		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: forms})
 		council := agreement.New(agreement.Config{Self: name, Votes: kindVotes, Decided: kindDecided, Delay: second, Turn: second / 5,
 			Fresh: 30 * second, Hold: 60 * second, Majority: true}, state)
 		sight := zonefailover.NewSight(zonefailover.SightConfig{Zones: len(conf.Zones), Window: 3 * second, Least: 3, Groups: 2, Part: 0.6})
@@ -80,7 +80,7 @@
 
 // told writes down an entry that is to be told, and has most others hear it.
 func (f *fleet) told(from *gateway, entry crdt.Entry) {
-	f.answers.Numbers(int64(entry.Kind), int64(entry.Sequence), entry.Stamp)
+	f.answers.Numbers(int64(entry.Kind), int64(entry.Sequence), entry.Timestamp)
 	f.answers.Text(entry.Name)
 	f.answers.Text(entry.Origin)
 	f.answers.Text(string(entry.Value))
@@ -123,7 +123,7 @@
 	for zone := range f.conf.Zones {
 		f.answers.Numbers(int64(g.zones.Share(f.now, zone)))
 	}
-	g.state.Upkeep(f.now)
+	g.state.Expire(f.now)
 }
 
 // change has a zone fail or recover, and answers take more or less of their aim.
@@ -145,7 +145,7 @@
 		g := f.gateways[0]
 		f.told(g, g.state.Put(f.now, kindVotes, "zones", []byte{1, 9}))
 		_, epoch := g.zones.Epoch(f.now)
-		f.told(g, g.state.Decide(f.now, kindDecided, "zones", epoch+1, []byte{1, 100, 0, 0, 0, 0, 0, 0, 0, 0, 100, 'x'}))
+		f.told(g, g.state.PutEpoch(f.now, kindDecided, "zones", epoch+1, []byte{1, 100, 0, 0, 0, 0, 0, 0, 0, 0, 100, 'x'}))
 	}
 }
 
--- a/internal/zonefailover/world_test.go
+++ b/internal/zonefailover/world_test.go
@@ -78,8 +78,8 @@
 		if change != nil {
 			change(&conf, &agree)
 		}
-		state := crdt.New(crdt.Config{Self: agree.Self, Incarnation: 1, Ahead: 5 * second, Forms: map[crdt.Kind]crdt.Form{
-			votes: {Name: "votes", Rule: crdt.Newest, Keep: 60 * second, Most: 64}, decided: {Name: "decided", Rule: crdt.Decided, Keep: agree.Hold, Most: 80}}})
+		state := crdt.New(crdt.Config{Self: agree.Self, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: map[crdt.Kind]crdt.KindConfig{
+			votes: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 64}, decided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: agree.Hold, MaxValueSize: 80}}})
 		council := agreement.New(agree, state)
 		w.nodes = append(w.nodes, &node{name: agree.Self, zone: conf.Own, state: state, council: council, zonal: New(conf, council), left: map[uint64]int64{}})
 	}
@@ -123,7 +123,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	answers, changed := n.state.Hear(w.now+n.skew, m)
+	answers, changed := n.state.Receive(w.now+n.skew, m)
 	n.council.Heard(w.now+n.skew, changed)
 	if m.Round == 0 {
 		w.tell(n, changed...)
@@ -159,7 +159,7 @@
 					w.tell(n, e)
 				}
 				w.tell(n, n.zonal.Decide(now, w.members(n))...)
-				n.state.Upkeep(now)
+				n.state.Expire(now)
 			}
 			if _, epoch := n.council.InForce(now, topic, n.zonal.whole); n.left[epoch] == 0 {
 				n.left[epoch] = w.now
@@ -190,7 +190,7 @@
 	slices.SortStableFunc(n.queue, func(a, b push) int { return b.more - a.more }) // what was sent least goes first
 	if (w.now/tick+int64(i))%25 == 0 {
 		n.rounds++
-		if b, err := crdt.Encode(n.state.Ask(n.rounds)); err == nil {
+		if b, err := crdt.Encode(n.state.StartRound(n.rounds)); err == nil {
 			w.send(i, other(), b)
 		}
 	}
--- a/internal/zonefailover/zonefailover_test.go
+++ b/internal/zonefailover/zonefailover_test.go
@@ -305,7 +305,7 @@
 				busy += o.bytes
 			}
 			t.Logf("%d gateways, loss %.1f: left %d ms after the zone failed, 99 of 100 within %d ms, the last within %d; %d bytes a gateway and second at rest, %d while it agreed; %d bytes held",
-				n, loss, (first-began)/ms, (p99-first)/ms, (last-first)/ms, quiet/n/20, int64(busy-quiet)*second/int64(n)/(w.now-began), w.nodes[0].state.Bytes())
+				n, loss, (first-began)/ms, (p99-first)/ms, (last-first)/ms, quiet/n/20, int64(busy-quiet)*second/int64(n)/(w.now-began), w.nodes[0].state.MemoryBytes())
 			if p99-first > second || quiet/n/20 > 20_000 {
 				t.Errorf("%d gateways, loss %.1f: 99 of 100 left within %d ms, %d bytes a second", n, loss, (p99-first)/ms, quiet/n/20)
 			}
