--- a/internal/crdt/entry.go
+++ b/internal/crdt/entry.go
@@ -1,10 +1,13 @@
-// Package replica is what the gateways of a fleet know together: a small map of entries that each holds whole, merges from
-// whatever reaches it, in any order and any number of times, and catches up on when it was away.
+// Package crdt is a small replicated map (a state-based CRDT) that the gateways of a fleet share. Each gateway holds all
+// entries, merges what it receives in any order and any number of times, and catches up by anti-entropy rounds after it
+// was away.
 //
-// The merge of two entries of one key is the greater of them by a total order, so it is commutative, associative and
-// idempotent whatever the kind (a join); the kinds differ in their order. Entries are worth something for a stated time
-// after the evidence that they rest on and are dropped then, by everybody for itself: so nothing has to be taken back
-// over dead links, and memory is bounded. Nothing here does I/O, reads a clock or starts anything.
+// The merge of two entries of one key is the greater of them by a total order. It is therefore commutative, associative
+// and idempotent for each kind of entry; kinds differ in their order (MergeRule). Each gateway drops an entry for itself
+// when its time to live is over, counted from the evidence that it rests on: nothing has to be retracted over broken
+// links, and memory is bounded. The package does no I/O, reads no clock and starts no goroutine.
+//
+// See Shapiro, Preguiça, Baquero, Zawirski: Conflict-free Replicated Data Types (2011).
 package crdt
 
 import (
@@ -22,12 +25,12 @@
 type MergeRule uint8
 
 const (
-	// LastWriterWins is for what one writer says of itself: the later incarnation, then the later sequence.
+	// LastWriterWins is for what a single writer says of itself: the later incarnation, then the later sequence.
 	LastWriterWins MergeRule = iota
-	// MaxValue is for numbers that only rise, whoever says them, such as positions: the value, of 8 bytes, is compared.
+	// MaxValue is for numbers that only rise, whoever writes them, such as positions: the value has 8 bytes.
 	MaxValue
-	// HighestEpoch is for what was agreed on: the sequence is the epoch. Of two that were proposed at once for one epoch the
-	// lesser value is taken; what proposes has to lay values out so that the more careful one is less.
+	// HighestEpoch is for agreed values: the sequence is the epoch. Of two values proposed for one epoch the lesser is
+	// kept; a proposer has to encode values so that the more cautious one is less.
 	HighestEpoch
 )
 
@@ -35,11 +38,11 @@
 type KindConfig struct {
 	Name         string
 	Rule         MergeRule
-	TTL          int64 // how long after its stamp an entry counts, in microseconds
-	MaxValueSize int   // bytes of a value
+	TTL          int64 // microseconds for which an entry counts after its timestamp
+	MaxValueSize int   // bytes
 }
 
-// Key names an entry. Of kinds that are about one truth, whoever says it, Origin is empty.
+// Key names an entry. Origin is empty for kinds without a single writer.
 type Key struct {
 	Kind   Kind
 	Name   string
@@ -47,27 +50,27 @@
 }
 
 // Compare orders keys.
-func (k Key) Compare(o Key) int {
-	return cmp.Or(cmp.Compare(k.Kind, o.Kind), cmp.Compare(k.Name, o.Name), cmp.Compare(k.Origin, o.Origin))
+func (k Key) Compare(other Key) int {
+	return cmp.Or(cmp.Compare(k.Kind, other.Kind), cmp.Compare(k.Name, other.Name), cmp.Compare(k.Origin, other.Origin))
 }
 
-// Entry is one piece of knowledge. One that is dead says that there is none any more.
+// Entry is one replicated value, or a tombstone.
 type Entry struct {
-	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // the form on the wire
+	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // has the encoder write an array
 	Kind        Kind
 	Name        string
 	Origin      string
 	Incarnation uint64 // of the origin's process: it rises with each start
 	Sequence    uint64
-	Timestamp   int64 // when the evidence was taken; microseconds since 1970
-	Deleted     bool
+	Timestamp   int64 // of the evidence; microseconds since 1970
+	Deleted     bool  // a tombstone
 	Value       []byte
 }
 
 // Key is the entry's.
 func (e *Entry) Key() Key { return Key{e.Kind, e.Name, e.Origin} }
 
-// numericValue is the value as a number that only rises.
+// numericValue is the value of a MaxValue entry.
 func (e *Entry) numericValue() uint64 {
 	if len(e.Value) != 8 {
 		return 0
@@ -75,22 +78,27 @@
 	return binary.BigEndian.Uint64(e.Value)
 }
 
-// compare orders two entries of one key: above 0 if e is the one to keep. It is total: 0 is for equal entries alone.
-func compare(rule MergeRule, e, o *Entry) int {
-	var first int
+// compare orders two entries of one key: above 0 if e is the one to keep. It is total: only equal entries give 0.
+func compare(rule MergeRule, e, other *Entry) int {
+	var byRule int
 	switch rule {
 	case LastWriterWins:
-		first = cmp.Or(cmp.Compare(e.Incarnation, o.Incarnation), cmp.Compare(e.Sequence, o.Sequence))
+		byRule = cmp.Or(cmp.Compare(e.Incarnation, other.Incarnation), cmp.Compare(e.Sequence, other.Sequence))
 	case MaxValue:
-		first = cmp.Compare(e.numericValue(), o.numericValue())
+		byRule = cmp.Compare(e.numericValue(), other.numericValue())
 	case HighestEpoch:
-		first = cmp.Or(cmp.Compare(e.Sequence, o.Sequence), bytes.Compare(o.Value, e.Value))
+		byRule = cmp.Or(cmp.Compare(e.Sequence, other.Sequence), bytes.Compare(other.Value, e.Value))
 	}
-	// The rest makes it total. Two writers under one name, or a spoilt copy, may bring what differs there alone.
-	return cmp.Or(first, cmp.Compare(e.Timestamp, o.Timestamp), deletedOrder(e)-deletedOrder(o), cmp.Compare(e.Incarnation, o.Incarnation),
-		cmp.Compare(e.Sequence, o.Sequence), bytes.Compare(e.Value, o.Value))
+	// The rest makes the order total, for conflicting writers under one name and corrupted copies.
+	return cmp.Or(byRule,
+		cmp.Compare(e.Timestamp, other.Timestamp),
+		deletedOrder(e)-deletedOrder(other),
+		cmp.Compare(e.Incarnation, other.Incarnation),
+		cmp.Compare(e.Sequence, other.Sequence),
+		bytes.Compare(e.Value, other.Value))
 }
 
+// deletedOrder has a tombstone win over an entry that is equal otherwise.
 func deletedOrder(e *Entry) int {
 	if e.Deleted {
 		return 1
@@ -98,27 +106,27 @@
 	return 0
 }
 
-// hash stands for an entry in digests.
+// hash stands for an entry in digests. It is the same in all versions.
 func (e *Entry) hash() uint64 {
-	d := xxhash.New()
-	var b [8]byte
-	number := func(n uint64) {
-		binary.LittleEndian.PutUint64(b[:], n)
-		_, _ = d.Write(b[:])
+	digest := xxhash.New()
+	var buf [8]byte
+	writeNumber := func(n uint64) {
+		binary.LittleEndian.PutUint64(buf[:], n)
+		_, _ = digest.Write(buf[:]) // never fails
 	}
-	number(e.Key().hash())
-	number(e.Incarnation)
-	number(e.Sequence)
-	number(uint64(e.Timestamp))
-	number(uint64(deletedOrder(e)))
-	_, _ = d.Write(e.Value)
-	return d.Sum64()
+	writeNumber(e.Key().hash())
+	writeNumber(e.Incarnation)
+	writeNumber(e.Sequence)
+	writeNumber(uint64(e.Timestamp))
+	writeNumber(uint64(deletedOrder(e)))
+	_, _ = digest.Write(e.Value)
+	return digest.Sum64()
 }
 
 func (k Key) hash() uint64 {
-	d := xxhash.New()
-	_, _ = d.Write([]byte{byte(k.Kind), byte(len(k.Name))})
-	_, _ = d.WriteString(k.Name)
-	_, _ = d.WriteString(k.Origin)
-	return d.Sum64()
+	digest := xxhash.New()
+	_, _ = digest.Write([]byte{byte(k.Kind), byte(len(k.Name))}) // writing to it never fails
+	_, _ = digest.WriteString(k.Name)
+	_, _ = digest.WriteString(k.Origin)
+	return digest.Sum64()
 }
--- a/internal/crdt/golden_test.go
+++ b/internal/crdt/golden_test.go
@@ -80,7 +80,7 @@
 	add("root", s.StartRound(1).GroupDigests)
 	add("root of an empty state", newState("a").StartRound(1).GroupDigests)
 	for i, e := range allEntries(s) {
-		group, bucket := s.bucketOf(e.Key())
+		group, bucket := bucketOf(e.Key())
 		add(fmt.Sprint("entry ", i, " of kind ", e.Kind, " in ", group, "/", bucket), e.hash())
 	}
 	golden.Check(t, "digests.golden", cases)
--- a/internal/crdt/state.go
+++ b/internal/crdt/state.go
@@ -7,39 +7,47 @@
 	"github.com/tidwall/btree"
 )
 
+// Digests have two levels: groups, and buckets of each. Both numbers are on the wire.
 const (
-	digestGroups    = 16 // of a digest's first level
-	bucketsPerGroup = 16 // of each
-	maxNameSize     = 128
+	digestGroups    = 16
+	bucketsPerGroup = 16
+)
+
+const (
+	maxNameSize       = 128     // bytes of a name or an origin
+	defaultMaxEntries = 100_000 // of a state
 )
 
 // Config describes the state.
 type Config struct {
 	Self         string // this gateway's name
-	Incarnation  uint64 // of this process; later ones of the name have a greater one
+	Incarnation  uint64 // of this process; later processes of the name have a greater one
 	Kinds        map[Kind]KindConfig
-	MaxClockSkew int64 // how far clocks may be apart: what is stamped later than that is refused
-	MaxEntries   int   // entries
+	MaxClockSkew int64 // microseconds; an entry with a timestamp further ahead is rejected
+	MaxEntries   int   // 0: 100 000
 }
 
-// Counts tells what became of entries that came.
+// Counts tells what became of received entries.
 type Counts struct {
-	Merged, NotNewer       int
-	UnknownKind, Malformed int // of a kind that is not known, or too long
-	FromFuture, Expired    int // stamped too far ahead, or so long ago that it counts no more
-	OverLimit              int // for want of room
-	ConflictingOrigin      int // under this gateway's own name, by another process
-	Messages               int
+	Merged            int // changed the state
+	NotNewer          int // known already, or older than the known one
+	UnknownKind       int
+	Malformed         int // too long, or of the wrong form for the kind
+	FromFuture        int // a timestamp too far ahead
+	Expired           int // received after the time to live
+	OverLimit         int // not kept, since the state was full
+	ConflictingOrigin int // written under this gateway's own name by another process
+	Messages          int
 }
 
-// ConflictingOriginError is another process that speaks under this gateway's name.
+// ConflictingOriginError is another process that writes entries under this gateway's name.
 type ConflictingOriginError struct {
 	Name        string
 	Incarnation uint64
 }
 
 func (e *ConflictingOriginError) Error() string {
-	return fmt.Sprintf("another process says things under the name %s (incarnation %d)", e.Name, e.Incarnation)
+	return fmt.Sprintf("another process writes entries under the name %s (incarnation %d)", e.Name, e.Incarnation)
 }
 
 // Remedy says what an operator can do.
@@ -47,12 +55,12 @@
 	return "give each gateway a name of its own (the key name of the configuration, or EDGE_NAME) and restart one of the two"
 }
 
-// State is the entries that a gateway holds. It is not safe for concurrent use.
+// State is one gateway's copy of the map. It is not safe for concurrent use.
 type State struct {
 	conf          Config
-	entries       btree.Map[string, *Entry] // by key in order: the kind's byte, name, origin
+	entries       btree.Map[string, *Entry] // by treeKey
 	digest        [digestGroups][bucketsPerGroup]uint64
-	bucketSizes   [digestGroups][bucketsPerGroup]int
+	bucketSizes   [digestGroups][bucketsPerGroup]int // entries
 	sequence      uint64
 	memoryBytes   int
 	counts        Counts
@@ -63,19 +71,19 @@
 // New returns an empty state.
 func New(conf Config) *State {
 	if conf.MaxEntries == 0 {
-		conf.MaxEntries = 100_000
+		conf.MaxEntries = defaultMaxEntries
 	}
 	return &State{conf: conf}
 }
 
-// Counts tells what became of what came.
+// Counts tells what became of received entries.
 func (s *State) Counts() Counts { return s.counts }
 
-// TakeConflictingOrigin is the first other process that spoke under this gateway's name since it was last asked for; nil if none has.
+// TakeConflictingOrigin returns the first conflict since it was last called; nil if there was none.
 func (s *State) TakeConflictingOrigin() *ConflictingOriginError {
-	f := s.conflict
+	conflict := s.conflict
 	s.conflict = nil
-	return f
+	return conflict
 }
 
 // Len is the number of entries, tombstones included.
@@ -84,60 +92,71 @@
 // MemoryBytes is about what the entries take in memory.
 func (s *State) MemoryBytes() int { return s.memoryBytes }
 
-// entryOverhead is what an entry takes beside its texts: the struct, its place in the tree and the key's copy.
+// entryOverhead is about how many bytes an entry takes beside its texts: the struct, its tree node and its tree key.
 const entryOverhead = 176
 
+// treeKey orders entries by kind, name and origin.
 func treeKey(k Key) string { return string(rune(k.Kind)) + k.Name + "\x00" + k.Origin }
 
-func (s *State) bucketOf(k Key) (group, bucket int) {
-	h := k.hash()
-	return int(h % digestGroups), int(h / digestGroups % bucketsPerGroup)
+// bucketOf is the place of a key in digests.
+func bucketOf(k Key) (group, bucket int) {
+	hash := k.hash()
+	return int(hash % digestGroups), int(hash / digestGroups % bucketsPerGroup)
 }
 
-// updateDigest puts an entry into the digest or takes it out.
+// updateDigest adds an entry to the digest and the sizes (n is 1), or removes it (n is -1).
 func (s *State) updateDigest(e *Entry, n int) {
-	g, b := s.bucketOf(e.Key())
-	s.digest[g][b] ^= e.hash()
-	s.bucketSizes[g][b] += n
+	group, bucket := bucketOf(e.Key())
+	s.digest[group][bucket] ^= e.hash()
+	s.bucketSizes[group][bucket] += n
 	s.memoryBytes += n * (entryOverhead + 2*len(e.Name) + 2*len(e.Origin) + len(e.Value))
 }
 
 func (s *State) store(e Entry) {
-	at := treeKey(e.Key())
-	if old, ok := s.entries.Get(at); ok {
+	key := treeKey(e.Key())
+	if old, ok := s.entries.Get(key); ok {
 		s.updateDigest(old, -1)
 	}
-	s.entries.Set(at, &e)
+	s.entries.Set(key, &e)
 	s.updateDigest(&e, 1)
 }
 
-// Put writes an entry of this gateway's own, and returns it as it is to be told.
+// Put writes an entry of this gateway's own, and returns it for the other gateways.
 func (s *State) Put(now int64, kind Kind, name string, value []byte) Entry {
 	return s.write(now, kind, name, value, false)
 }
 
-// Delete says that there is no such entry any more. What says so lasts as long as what it ends could, so that no older
-// copy comes back.
+// Delete writes a tombstone, and returns it for the other gateways. It lives as long as any copy of what it deletes, so
+// that no older copy comes back.
 func (s *State) Delete(now int64, kind Kind, name string) Entry {
 	return s.write(now, kind, name, nil, true)
 }
 
-func (s *State) write(now int64, kind Kind, name string, value []byte, dead bool) Entry {
+func (s *State) write(now int64, kind Kind, name string, value []byte, deleted bool) Entry {
 	s.sequence++
-	e := Entry{Kind: kind, Name: name, Origin: s.conf.Self, Incarnation: s.conf.Incarnation, Sequence: s.sequence, Timestamp: now, Value: slices.Clone(value), Deleted: dead}
+	e := Entry{
+		Kind:        kind,
+		Name:        name,
+		Origin:      s.conf.Self,
+		Incarnation: s.conf.Incarnation,
+		Sequence:    s.sequence,
+		Timestamp:   now,
+		Value:       slices.Clone(value),
+		Deleted:     deleted,
+	}
 	s.store(e)
 	return e
 }
 
-// PutEpoch writes what is agreed on for an epoch. It is merged like what comes from others: another proposal for that epoch
-// may be the one to keep, and is returned then.
+// PutEpoch writes a value for an epoch. It is merged like what others write, and the entry that is kept is returned,
+// which may be another proposal for that epoch.
 func (s *State) PutEpoch(now int64, kind Kind, name string, epoch uint64, value []byte) Entry {
 	s.Merge(now, Entry{Kind: kind, Name: name, Sequence: epoch, Timestamp: now, Value: slices.Clone(value)})
-	e, _ := s.Get(Key{Kind: kind, Name: name})
-	return e
+	kept, _ := s.Get(Key{Kind: kind, Name: name})
+	return kept
 }
 
-// Merge takes entries in and returns those that changed what is known.
+// Merge takes entries in and returns those that changed the state.
 func (s *State) Merge(now int64, entries ...Entry) (changed []Entry) {
 	for _, e := range entries {
 		if s.merge(now, e) {
@@ -148,36 +167,19 @@
 }
 
 func (s *State) merge(now int64, e Entry) bool {
-	form, known := s.conf.Kinds[e.Kind]
-	switch {
-	case !known:
-		s.counts.UnknownKind++
-		return false
-	case len(e.Value) > form.MaxValueSize || len(e.Name) > maxNameSize || len(e.Origin) > maxNameSize || form.Rule == MaxValue && !e.Deleted && len(e.Value) != 8,
-		(form.Rule == LastWriterWins) != (e.Origin != ""):
-		s.counts.Malformed++
-		return false
-	case e.Timestamp > now+s.conf.MaxClockSkew:
-		s.counts.FromFuture++
-		return false
-	case e.Timestamp+form.TTL < now:
-		s.counts.Expired++
+	kind, valid := s.validate(now, &e)
+	if !valid {
 		return false
 	}
-	if e.Origin == s.conf.Self && form.Rule == LastWriterWins && (e.Incarnation > s.conf.Incarnation ||
-		e.Incarnation == s.conf.Incarnation && e.Sequence > s.sequence) {
-		// Nobody else may write under this name. What an earlier process of it wrote comes back as any copy does.
-		s.counts.ConflictingOrigin++
-		if s.conflict == nil {
-			s.conflict = &ConflictingOriginError{e.Origin, e.Incarnation}
-		}
+	if kind.Rule == LastWriterWins {
+		s.detectConflict(&e)
 	}
-	old, ok := s.entries.Get(treeKey(e.Key()))
-	if ok && compare(form.Rule, &e, old) <= 0 {
+	old, known := s.entries.Get(treeKey(e.Key()))
+	if known && compare(kind.Rule, &e, old) <= 0 {
 		s.counts.NotNewer++
 		return false
 	}
-	if !ok && s.entries.Len() >= s.conf.MaxEntries {
+	if !known && s.entries.Len() >= s.conf.MaxEntries {
 		s.counts.OverLimit++
 		return false
 	}
@@ -186,7 +188,52 @@
 	return true
 }
 
-// Get returns an entry; false also if there is none any more.
+// validate counts an entry that must not be merged.
+func (s *State) validate(now int64, e *Entry) (kind KindConfig, valid bool) {
+	kind, known := s.conf.Kinds[e.Kind]
+	switch {
+	case !known:
+		s.counts.UnknownKind++
+	case !kind.fits(e):
+		s.counts.Malformed++
+	case e.Timestamp > now+s.conf.MaxClockSkew:
+		s.counts.FromFuture++
+	case e.Timestamp+kind.TTL < now:
+		s.counts.Expired++
+	default:
+		return kind, true
+	}
+	return kind, false
+}
+
+// fits tells whether an entry has the form that its kind requires.
+func (k *KindConfig) fits(e *Entry) bool {
+	if len(e.Value) > k.MaxValueSize || len(e.Name) > maxNameSize || len(e.Origin) > maxNameSize {
+		return false
+	}
+	if k.Rule == MaxValue && !e.Deleted && len(e.Value) != 8 {
+		return false
+	}
+	hasOrigin := e.Origin != ""
+	return hasOrigin == (k.Rule == LastWriterWins)
+}
+
+// detectConflict finds entries that another process has written under this gateway's name. Those of an earlier process
+// of the same gateway come back like any copy and are no conflict.
+func (s *State) detectConflict(e *Entry) {
+	if e.Origin != s.conf.Self || e.Incarnation < s.conf.Incarnation {
+		return
+	}
+	if e.Incarnation == s.conf.Incarnation && e.Sequence <= s.sequence {
+		return
+	}
+	s.counts.ConflictingOrigin++
+	if s.conflict == nil {
+		s.conflict = &ConflictingOriginError{e.Origin, e.Incarnation}
+	}
+}
+
+// Get returns an entry; false if there is none or it is deleted.
 func (s *State) Get(k Key) (Entry, bool) {
 	e, ok := s.entries.Get(treeKey(k))
 	if !ok || e.Deleted {
@@ -195,39 +242,34 @@
 	return *e, true
 }
 
-// Each calls f for the entries of a kind and name, in the order of their origins, until it returns false.
+// Each calls f for the entries of a kind and name, in the order of their origins, until f returns false.
 func (s *State) Each(kind Kind, name string, f func(*Entry) bool) {
 	s.entries.Ascend(treeKey(Key{Kind: kind, Name: name}), func(_ string, e *Entry) bool {
 		return e.Kind == kind && e.Name == name && (e.Deleted || f(e))
 	})
 }
 
-// Names calls f for each entry of a kind, in the order of names and origins.
-func (s *State) Names(kind Kind, f func(*Entry) bool) {
-	s.entries.Ascend(string(rune(kind)), func(_ string, e *Entry) bool { return e.Kind == kind && (e.Deleted || f(e)) })
-}
-
-// Expire drops what counts no more, and returns the entries of this gateway's own that should be said again, since half of
-// their time is over.
-func (s *State) Expire(now int64) (again []Entry) {
-	var gone []string
-	s.entries.Scan(func(at string, e *Entry) bool {
-		keep := s.conf.Kinds[e.Kind].TTL
+// Expire drops the entries whose time to live is over, and returns this gateway's own entries of which half of the time
+// is over, to be written again.
+func (s *State) Expire(now int64) (toRefresh []Entry) {
+	var expired []string
+	s.entries.Scan(func(key string, e *Entry) bool {
+		ttl := s.conf.Kinds[e.Kind].TTL
 		if e.Deleted {
-			keep += s.conf.MaxClockSkew // a copy by a clock that is ahead counts for so much longer
+			ttl += s.conf.MaxClockSkew // a copy written by a clock that is ahead lives so much longer
 		}
-		switch own := e.Origin == s.conf.Self && e.Incarnation == s.conf.Incarnation; {
-		case e.Timestamp+keep < now:
-			gone = append(gone, at)
-		case own && !e.Deleted && e.Timestamp+keep/2 < now:
-			again = append(again, *e)
+		isOwn := e.Origin == s.conf.Self && e.Incarnation == s.conf.Incarnation
+		if e.Timestamp+ttl < now {
+			expired = append(expired, key)
+		} else if isOwn && !e.Deleted && e.Timestamp+ttl/2 < now {
+			toRefresh = append(toRefresh, *e)
 		}
 		return true
 	})
-	for _, at := range gone {
-		if e, ok := s.entries.Delete(at); ok {
+	for _, key := range expired {
+		if e, ok := s.entries.Delete(key); ok {
 			s.updateDigest(e, -1)
 		}
 	}
-	return again
+	return toRefresh
 }
--- a/internal/crdt/replica_test.go
+++ b/internal/crdt/state_test.go
@@ -29,7 +29,7 @@
 	return New(Config{Self: self, Incarnation: 1, Kinds: kindConfigs, MaxClockSkew: 5 * second})
 }
 
-// drawEntries draws entries of few keys, so that they meet.
+// drawEntries draws entries of few keys, so that they conflict.
 func drawEntries() *rapid.Generator[[]Entry] {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry {
 		e := Entry{Kind: Kind(rapid.IntRange(1, 3).Draw(t, "kind")), Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
@@ -56,7 +56,7 @@
 
 var equal = cmp.Options{cmpopts.EquateEmpty(), cmpopts.IgnoreUnexported(Entry{})}
 
-// In whatever order, how often and in whatever parts entries come, what is held is the same, and its digest tells so.
+// In whatever order, how often and in whatever parts entries are merged, the state and its digest are the same.
 func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawEntries().Draw(t, "entries")
@@ -68,81 +68,46 @@
 		d := newState("j")
 		c.Merge(start, all[cut:]...)
 		d.Merge(start, all[:cut]...)
-		c.Merge(start, allEntries(d)...) // what was merged elsewhere, merged here
-		for _, o := range []*State{b, c} {
-			if diff := cmp.Diff(allEntries(a), allEntries(o), equal); diff != "" || a.digest != o.digest || a.bucketSizes != o.bucketSizes || a.memoryBytes != o.memoryBytes {
-				t.Fatalf("held differs: %s", diff)
+		c.Merge(start, allEntries(d)...) // what was merged elsewhere is merged here
+		for _, other := range []*State{b, c} {
+			if diff := cmp.Diff(allEntries(a), allEntries(other), equal); diff != "" || a.digest != other.digest || a.bucketSizes != other.bucketSizes || a.memoryBytes != other.memoryBytes {
+				t.Fatalf("states differ: %s", diff)
 			}
 		}
 	})
 }
 
-// What was heard never goes back: a number that only rises, an epoch, what an origin said last.
+// A merged number never falls, nor does an epoch, nor the incarnation of a writer.
 func TestEntriesNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newState("g")
-		was := map[Key]Entry{}
+		previous := map[Key]Entry{}
 		for _, e := range drawEntries().Draw(t, "entries") {
 			s.Merge(start, e)
-			for _, now := range allEntries(s) {
-				old, ok := was[now.Key()]
-				if ok && (kindConfigs[now.Kind].Rule == MaxValue && now.numericValue() < old.numericValue() || kindConfigs[now.Kind].Rule == HighestEpoch && now.Sequence < old.Sequence ||
-					kindConfigs[now.Kind].Rule == LastWriterWins && now.Incarnation < old.Incarnation) {
-					t.Fatalf("%+v after %+v", now, old)
+			for _, merged := range allEntries(s) {
+				if old, ok := previous[merged.Key()]; ok && isBefore(&merged, &old) {
+					t.Fatalf("%+v after %+v", merged, old)
 				}
-				was[now.Key()] = now
+				previous[merged.Key()] = merged
 			}
 		}
 	})
 }
 
-// Rounds make two states alike, whatever each held, and the messages survive their form on the wire. Whoever asked knows
-// when it has caught up.
-func TestRoundMakesStatesIdentical(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		a, b := newState("g"), newState("h")
-		a.Merge(start, drawEntries().Draw(t, "a")...)
-		b.Merge(start, drawEntries().Draw(t, "b")...)
-		for i := range rapid.IntRange(0, 300).Draw(t, "more") {
-			a.Merge(start, Entry{Kind: lastWriterWins, Name: fmt.Sprint(i), Origin: "x", Incarnation: 1, Sequence: 1, Timestamp: start, Value: make([]byte, 16)})
-		}
-		type sent struct {
-			to, from *State
-			m        *Message
-		}
-		queue := []sent{{b, a, a.StartRound(7)}}
-		for n := 0; len(queue) > 0; n++ {
-			if n > 50 {
-				t.Fatal("the round does not end")
-			}
-			at := queue[0]
-			queue = queue[1:]
-			wire, err := Encode(at.m)
-			if err != nil {
-				t.Fatal(err)
-			}
-			m, err := Decode("x", wire)
-			if err != nil {
-				t.Fatal(err)
-			}
-			answers, _ := at.to.Receive(start, m)
-			for _, o := range answers {
-				if o.Round != 7 {
-					t.Fatalf("an answer of round %d", o.Round)
-				}
-				queue = append(queue, sent{at.from, at.to, o})
-			}
-		}
-		if a.digest != b.digest || cmp.Diff(allEntries(a), allEntries(b), equal) != "" {
-			t.Fatal("the states differ after a round")
-		}
-		if a.CaughtUpRound() != 7 || b.CaughtUpRound() != 0 {
-			t.Fatalf("caught up with %d, %d", a.CaughtUpRound(), b.CaughtUpRound())
-		}
-	})
+// isBefore tells whether an entry has gone back behind another one of its key.
+func isBefore(e, other *Entry) bool {
+	switch kindConfigs[e.Kind].Rule {
+	case MaxValue:
+		return e.numericValue() < other.numericValue()
+	case HighestEpoch:
+		return e.Sequence < other.Sequence
+	case LastWriterWins:
+		return e.Incarnation < other.Incarnation
+	}
+	return false
 }
 
-// What was removed does not come back by an older copy, however late it comes; and all is dropped when its time is over.
+// A deleted entry does not come back with an older copy, however late that arrives, and everything expires.
 func TestDeletedEntryStaysDeletedUntilItExpires(t *testing.T) {
 	s, far := newState("g"), newState("h")
 	old := s.Put(start, lastWriterWins, "a", []byte("v"))
@@ -153,16 +118,16 @@
 			o.Expire(at)
 			o.Merge(at, old)
 			if _, ok := o.Get(old.Key()); ok && at >= start+2*second {
-				t.Fatalf("is back after %d s", (at-start)/second)
+				t.Fatalf("the deleted entry is back after %d s", (at-start)/second)
 			}
 		}
 	}
 	if s.Len()+far.Len() != 0 || s.MemoryBytes()+far.MemoryBytes() != 0 || s.digest != [digestGroups][bucketsPerGroup]uint64{} {
-		t.Errorf("%d entries, %d bytes are left", s.Len(), s.MemoryBytes())
+		t.Errorf("%d entries, %d bytes remain", s.Len(), s.MemoryBytes())
 	}
 }
 
-// A writer's own entries are to be said again before others drop them; those of a dead writer go.
+// A writer's own entries are returned for refresh before others drop them; those of a crashed writer expire.
 func TestOwnEntriesAreRefreshedBeforeTheyExpire(t *testing.T) {
 	s, o := newState("g"), newState("h")
 	o.Merge(start, s.Put(start, lastWriterWins, "a", []byte("v")))
@@ -170,16 +135,18 @@
 		for _, e := range s.Expire(at) {
 			o.Merge(at, s.Put(at, e.Kind, e.Name, e.Value))
 		}
-		if o.Expire(at); o.Len() != 1 {
+		o.Expire(at)
+		if o.Len() != 1 {
 			t.Fatalf("dropped after %d s", (at-start)/second)
 		}
 	}
-	if o.Expire(start + 300*second); o.Len() != 0 {
-		t.Error("what a dead writer said stays for good")
+	o.Expire(start + 300*second)
+	if o.Len() != 0 {
+		t.Error("the entries of a crashed writer never expire")
 	}
 }
 
-// What can't be right is passed over and counted: from the future, long ago, of unknown kind, too long, without an origin.
+// Entries from the future, from long ago, of unknown kind, too long or without an origin are rejected and counted.
 func TestInvalidEntriesAreRejectedAndCounted(t *testing.T) {
 	s := newState("g")
 	good := Entry{Kind: lastWriterWins, Name: "a", Origin: "x", Timestamp: start, Value: []byte("v")}
@@ -190,7 +157,7 @@
 		e := good
 		change(&e)
 		if len(s.Merge(start, e)) != 0 {
-			t.Errorf("took %+v", e)
+			t.Errorf("merged %+v", e)
 		}
 	}
 	if c := s.Counts(); c.FromFuture != 1 || c.Expired != 1 || c.UnknownKind != 1 || c.Malformed != 4 {
@@ -198,20 +165,20 @@
 	}
 }
 
-// Two processes under one name are found out by each.
+// Of two processes under one name the older one detects the other; a copy of an earlier process's entry is no conflict.
 func TestConflictingOriginIsDetected(t *testing.T) {
 	a, b := newState("g"), New(Config{Self: "g", Incarnation: 2, Kinds: kindConfigs, MaxClockSkew: 5 * second})
 	a.Merge(start, b.Put(start, lastWriterWins, "a", []byte("2")))
 	if f := a.TakeConflictingOrigin(); f == nil || f.Remedy() == "" || errors.Is(f, nil) {
-		t.Errorf("not found out: %v", f)
+		t.Errorf("no conflict was detected: %v", f)
 	}
 	b.Merge(start, a.Put(start, lastWriterWins, "a", []byte("1")))
 	if b.TakeConflictingOrigin() != nil {
-		t.Error("a copy of what an earlier process wrote is taken for another process")
+		t.Error("a copy of an earlier process's entry is taken for a conflict")
 	}
 }
 
-// A thousand gateways with ten entries each: what that takes.
+// The time of a merge and the memory with ten entries of each of a thousand gateways.
 func BenchmarkThousandGateways(b *testing.B) {
 	s := newState("g")
 	for i := range 10000 {
