--- a/internal/agreement/agreement.go
+++ b/internal/agreement/agreement.go
@@ -1,21 +1,24 @@
-// Package accord decides when a fleet has agreed on something, and from which moment on that holds for all.
+// Package agreement decides when a fleet has agreed on a value, and from which moment on that value is in effect
+// everywhere.
 //
-// What gateways see is evidence: each says its own as a vote. What follows from the votes is proposed for the next epoch
-// of its topic by one gateway, or by a few that do not know of one another; by the order of proposals
-// (replica.Decided) all come to keep the same one. It takes effect at a moment that lies far enough ahead for nearly all to
-// have heard of it; who hears later acts later, and counts that. No two values are ever in force at two gateways for
-// longer than what separates their hearing, and none that fewer than half of the members stand behind: whoever sees no
-// more than half of them proposes nothing, and keeps for a stated time what was agreed on last.
+// What gateways observe is evidence, which each publishes as its vote. What follows from the votes is proposed for the
+// next epoch of a topic by one gateway, or by a few that do not know of one another; by the order of proposals
+// (crdt.HighestEpoch) all gateways come to keep the same one. It takes effect at a moment that is far enough ahead for
+// nearly all gateways to have received it; a gateway that receives it later acts later, and counts that. Two values are
+// in effect at two gateways for no longer than the time between their receiving the decision, and no value without a
+// quorum: a gateway that sees no more than half of the members alive proposes nothing, and keeps the last decision until
+// that expires.
 //
-// This is no consensus: two majorities that never hear one another can't be, but two proposers of one majority can, and
-// the loser's value may have been in force at some for a moment. So it is for what does no harm in either form, such as
-// how much of a zone is used; what must be true of one alone belongs in the store. Nothing here does I/O, reads a clock
-// or starts anything.
+// This is weaker than consensus: two proposers within one majority may both succeed, and the value that is not kept may
+// have been in effect at some gateways for a moment. It is therefore for values that do no harm either way, such as the
+// share of a zone; what must be unique belongs in the store. The package does no I/O, reads no clock and starts no
+// goroutine.
 package agreement
 
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 
 	"github.com/cespare/xxhash/v2"
 
@@ -24,22 +27,22 @@
 
 // Config describes how a fleet agrees. Times are microseconds.
 type Config struct {
-	Self     string
-	Votes    crdt.Kind
-	Decided  crdt.Kind
-	Delay    int64 // from a proposal to its effect: longer than news takes to reach nearly all
-	Turn     int64 // how long the next in rank waits for the one before it to propose
-	Fresh    int64 // how long a vote counts
-	Hold     int64 // how long what was agreed on holds where less than half of the members are seen
-	Majority bool  // false only where an experiment must show what becomes of a fleet without it
-}
-
-// Roll is who belongs to the fleet, as membership knows it: true for those that are alive.
-type Roll map[string]bool
-
-// Alive counts them.
-func (r Roll) Alive() (n int) {
-	for _, alive := range r {
+	Self          string
+	VoteKind      crdt.Kind
+	DecisionKind  crdt.Kind
+	EffectDelay   int64 // from a proposal until its effect: longer than a message takes to reach nearly all
+	ProposerDelay int64 // how long a proposer waits for each one that ranks before it
+	VoteTTL       int64 // how long a vote counts
+	DecisionTTL   int64 // how long a decision lasts while there is no quorum
+	RequireQuorum bool  // false only in experiments that show why a quorum is required
+}
+
+// Members are the gateways of the fleet by name: true for those that are alive.
+type Members map[string]bool
+
+// AliveCount is how many members are alive.
+func (m Members) AliveCount() (n int) {
+	for _, alive := range m {
 		if alive {
 			n++
 		}
@@ -49,82 +52,92 @@
 
 // Decision is what was agreed on for an epoch.
 type Decision struct {
-	Epoch    uint64
-	Choice   []byte
-	Previous []byte // in force until From; as long as Choice
-	From     int64  // microseconds since 1970
-	By       string
+	Epoch       uint64
+	Value       []byte
+	Previous    []byte // in effect until EffectiveAt; as long as Value
+	EffectiveAt int64  // microseconds since 1970
+	Proposer    string
 }
 
-// encode lays a decision out so that of two for one epoch the lesser choice, then the earlier moment, is kept.
+// encode lays a decision out so that of two for one epoch the lesser value, then the earlier moment, is kept.
 func (d *Decision) encode() []byte {
-	b := append([]byte{byte(len(d.Choice))}, d.Choice...)
-	b = binary.BigEndian.AppendUint64(b, uint64(d.From))
-	return append(append(b, d.Previous...), d.By...)
+	b := append([]byte{byte(len(d.Value))}, d.Value...)
+	b = binary.BigEndian.AppendUint64(b, uint64(d.EffectiveAt))
+	b = append(b, d.Previous...)
+	return append(b, d.Proposer...)
 }
 
-var errShort = errors.New("accord: a decision that is too short")
+var errTruncatedDecision = errors.New("agreement: truncated decision")
 
-func decode(e *crdt.Entry) (Decision, error) {
+func decodeDecision(e *crdt.Entry) (Decision, error) {
 	b := e.Value
 	if len(b) == 0 || len(b) < 1+2*int(b[0])+8 {
-		return Decision{}, errShort
+		return Decision{}, fmt.Errorf("%w: %d bytes", errTruncatedDecision, len(b))
 	}
-	n := int(b[0])
-	choice, b := b[1:1+n], b[1+n:]
-	return Decision{Epoch: e.Sequence, Choice: choice, From: int64(binary.BigEndian.Uint64(b)), Previous: b[8 : 8+n], By: string(b[8+n:])}, nil
+	size := int(b[0])
+	value, rest := b[1:1+size], b[1+size:]
+	return Decision{
+		Epoch:       e.Sequence,
+		Value:       value,
+		EffectiveAt: int64(binary.BigEndian.Uint64(rest)),
+		Previous:    rest[8 : 8+size],
+		Proposer:    string(rest[8+size:]),
+	}, nil
 }
 
 // Vote is what a member says of a topic.
 type Vote struct {
-	Name string
-	Body []byte
+	Member string
+	Body   []byte
 }
 
-// Council is a gateway's view of what its fleet agrees on. It is not safe for concurrent use.
-type Council struct {
-	conf   Config
-	state  *crdt.State
-	wanted map[string]wish
-	late   Lateness
+// Participant is one gateway's part in what its fleet agrees on. It is not safe for concurrent use.
+type Participant struct {
+	conf     Config
+	state    *crdt.State
+	pending  map[string]pendingProposal // by topic
+	lateness Lateness
 }
 
-// wish is since when this gateway has held that a choice is due.
-type wish struct {
-	epoch  uint64
-	choice string
-	since  int64
+// pendingProposal is a value that this gateway wants and may not propose yet.
+type pendingProposal struct {
+	epoch uint64
+	value string
+	since int64
 }
 
-// Lateness counts decisions that were heard after they had taken effect.
+// Lateness counts decisions that were received after they had taken effect.
 type Lateness struct {
-	Heard, Late int
-	Most        int64 // microseconds
+	Decisions, Late int
+	Max             int64 // microseconds
 }
 
-// New returns a council over a state.
-func New(conf Config, state *crdt.State) *Council {
-	return &Council{conf: conf, state: state, wanted: map[string]wish{}}
+// New returns a participant whose votes and decisions are entries of a state.
+func New(conf Config, state *crdt.State) *Participant {
+	return &Participant{conf: conf, state: state, pending: map[string]pendingProposal{}}
 }
 
-// Lateness tells how many decisions came too late.
-func (c *Council) Lateness() Lateness { return c.late }
+// Lateness tells how many decisions were received too late.
+func (p *Participant) Lateness() Lateness { return p.lateness }
 
-// Vote says what this gateway sees, if that is new or was said long ago; the entry is to be told to the others.
-func (c *Council) Vote(now int64, topic string, body []byte) (crdt.Entry, bool) {
-	old, ok := c.state.Get(crdt.Key{Kind: c.conf.Votes, Name: topic, Origin: c.conf.Self})
-	if ok && string(old.Value) == string(body) && now-old.Timestamp < c.conf.Fresh/2 {
+// Vote publishes what this gateway observes, if that is new or half of the last vote's time is over; the entry is to be
+// sent to the other members.
+func (p *Participant) Vote(now int64, topic string, body []byte) (crdt.Entry, bool) {
+	last, found := p.state.Get(crdt.Key{Kind: p.conf.VoteKind, Name: topic, Origin: p.conf.Self})
+	if found && string(last.Value) == string(body) && now-last.Timestamp < p.conf.VoteTTL/2 {
 		return crdt.Entry{}, false
 	}
-	return c.state.Put(now, c.conf.Votes, topic, body), true
+	return p.state.Put(now, p.conf.VoteKind, topic, body), true
 }
 
-// Votes are the fresh ones of all members, those that are held for dead included: what they said last still counts for its
-// time. Else a fleet that is cut in two would, while it finds that out one member at a time, count itself a majority
-// of those that are left, with their votes alone.
-func (c *Council) Votes(now int64, topic string, members Roll) (votes []Vote) {
-	c.state.Each(c.conf.Votes, topic, func(e *crdt.Entry) bool {
-		if alive, ok := members[e.Origin]; ok && (alive || c.conf.Majority) && now-e.Timestamp < c.conf.Fresh {
+// Votes returns the current votes of all members. The last vote of a dead member counts until it expires: else the part
+// of a partitioned fleet that has found only some of the other members dead could pass for a majority with its own votes
+// alone.
+func (p *Participant) Votes(now int64, topic string, members Members) (votes []Vote) {
+	p.state.Each(p.conf.VoteKind, topic, func(e *crdt.Entry) bool {
+		alive, isMember := members[e.Origin]
+		counts := isMember && (alive || p.conf.RequireQuorum)
+		if counts && now-e.Timestamp < p.conf.VoteTTL {
 			votes = append(votes, Vote{e.Origin, e.Value})
 		}
 		return true
@@ -132,101 +145,115 @@
 	return votes
 }
 
-// Majority tells whether more than half of the members are alive, this gateway among them.
-func (c *Council) Majority(members Roll) bool {
-	return !c.conf.Majority || 2*members.Alive() > len(members)
+// HasQuorum tells whether more than half of the members are alive.
+func (p *Participant) HasQuorum(members Members) bool {
+	return !p.conf.RequireQuorum || 2*members.AliveCount() > len(members)
 }
 
-// Latest is the decision of the highest epoch that is known, in force or not yet.
-func (c *Council) Latest(topic string) (Decision, bool) {
-	e, ok := c.state.Get(crdt.Key{Kind: c.conf.Decided, Name: topic})
-	if !ok {
+// Latest is the decision of the highest epoch that is known, in effect or not yet.
+func (p *Participant) Latest(topic string) (Decision, bool) {
+	e, found := p.state.Get(crdt.Key{Kind: p.conf.DecisionKind, Name: topic})
+	if !found {
 		return Decision{}, false
 	}
-	d, err := decode(&e)
-	return d, err == nil
-}
-
-// InForce is the choice that holds now, and its epoch; of what no decision is known, the choice is none.
-func (c *Council) InForce(now int64, topic string, none []byte) (choice []byte, epoch uint64) {
-	d, ok := c.Latest(topic)
-	switch {
-	case !ok:
-		return none, 0
-	case now < d.From:
-		return d.Previous, d.Epoch - 1
+	decision, err := decodeDecision(&e)
+	return decision, err == nil
+}
+
+// InEffect is the value that is in effect now, and its epoch. Without a decision that is the default, in epoch 0.
+func (p *Participant) InEffect(now int64, topic string, byDefault []byte) (value []byte, epoch uint64) {
+	decision, found := p.Latest(topic)
+	if !found {
+		return byDefault, 0
+	}
+	if now < decision.EffectiveAt {
+		return decision.Previous, decision.Epoch - 1
 	}
-	return d.Choice, d.Epoch
+	return decision.Value, decision.Epoch
 }
 
-// Propose is told what this gateway holds to be due, and that it is due no more by calling Settle. It proposes when its turn
-// has come: the first in the rank of the members that are alive at once, the others one after the other, so that mostly one
-// does. The entry is to be told to the others.
-func (c *Council) Propose(now int64, topic string, choice, none []byte, members Roll) (crdt.Entry, bool) {
-	d, ok := c.Latest(topic)
-	if ok && now < d.From || !c.Majority(members) {
-		return crdt.Entry{}, false // one at a time
+// Propose is called with the value that this gateway wants, until the value is decided or withdrawn. It proposes when
+// this gateway's turn has come: the living member that ranks first proposes at once and the others one after the other,
+// so that mostly one does. The entry is to be sent to the other members.
+func (p *Participant) Propose(now int64, topic string, value, byDefault []byte, members Members) (crdt.Entry, bool) {
+	last, found := p.Latest(topic)
+	isPending := found && now < last.EffectiveAt // one decision at a time
+	if isPending || !p.HasQuorum(members) {
+		return crdt.Entry{}, false
 	}
-	previous, epoch := none, d.Epoch+1
-	if ok {
-		previous = d.Choice
+	previous := byDefault
+	if found {
+		previous = last.Value
 	}
-	w := c.wanted[topic]
-	if w.epoch != epoch || w.choice != string(choice) {
-		w = wish{epoch, string(choice), now}
-		c.wanted[topic] = w
+	epoch := last.Epoch + 1
+	pending := p.pending[topic]
+	if pending.epoch != epoch || pending.value != string(value) {
+		pending = pendingProposal{epoch, string(value), now}
+		p.pending[topic] = pending
 	}
-	if now < w.since+int64(c.rank(topic, epoch, members))*c.conf.Turn {
+	turn := pending.since + int64(p.proposerRank(topic, epoch, members))*p.conf.ProposerDelay
+	if now < turn {
 		return crdt.Entry{}, false
 	}
-	delete(c.wanted, topic)
-	next := Decision{Epoch: epoch, Choice: choice, Previous: previous, From: now + c.conf.Delay, By: c.conf.Self}
-	return c.state.PutEpoch(now, c.conf.Decided, topic, epoch, next.encode()), true
+	delete(p.pending, topic)
+	decision := Decision{
+		Epoch:       epoch,
+		Value:       value,
+		Previous:    previous,
+		EffectiveAt: now + p.conf.EffectDelay,
+		Proposer:    p.conf.Self,
+	}
+	return p.state.PutEpoch(now, p.conf.DecisionKind, topic, epoch, decision.encode()), true
 }
 
-// Settle notes that nothing is due.
-func (c *Council) Settle(topic string) { delete(c.wanted, topic) }
+// Withdraw notes that this gateway wants no change any more.
+func (p *Participant) Withdraw(topic string) { delete(p.pending, topic) }
 
-// rank is how many living members go before this one in an epoch: by rendezvous hashing, so another goes first each time.
-func (c *Council) rank(topic string, epoch uint64, members Roll) (n int) {
-	weight := func(name string) uint64 {
-		b := binary.LittleEndian.AppendUint64(nil, epoch)
-		return xxhash.Sum64(append(append(append(b, topic...), 0), name...))
+// proposerRank is how many living members propose before this one in an epoch. By rendezvous hashing another member
+// ranks first in each epoch.
+func (p *Participant) proposerRank(topic string, epoch uint64, members Members) (rank int) {
+	score := func(name string) uint64 {
+		key := binary.LittleEndian.AppendUint64(nil, epoch)
+		key = append(key, topic...)
+		key = append(key, 0)
+		return xxhash.Sum64(append(key, name...))
 	}
-	mine := weight(c.conf.Self)
+	own := score(p.conf.Self)
 	for name, alive := range members {
-		if alive && name != c.conf.Self && weight(name) > mine {
-			n++
+		if alive && name != p.conf.Self && score(name) > own {
+			rank++
 		}
 	}
-	return n
+	return rank
 }
 
-// Heard takes note of entries that changed what is known, and returns the decisions among them, each with how late it came.
-func (c *Council) Heard(now int64, changed []crdt.Entry) (news []Decision) {
+// Apply takes note of entries that were merged, and returns the decisions among them. An entry that is no decision is
+// passed over.
+func (p *Participant) Apply(now int64, changed []crdt.Entry) (decisions []Decision) {
 	for i := range changed {
-		if changed[i].Kind != c.conf.Decided {
+		if changed[i].Kind != p.conf.DecisionKind {
 			continue
 		}
-		d, err := decode(&changed[i])
+		decision, err := decodeDecision(&changed[i])
 		if err != nil {
 			continue
 		}
-		if c.late.Heard++; now > d.From {
-			c.late.Late++
-			c.late.Most = max(c.late.Most, now-d.From)
+		p.lateness.Decisions++
+		if now > decision.EffectiveAt {
+			p.lateness.Late++
+			p.lateness.Max = max(p.lateness.Max, now-decision.EffectiveAt)
 		}
-		news = append(news, d)
+		decisions = append(decisions, decision)
 	}
-	return news
+	return decisions
 }
 
-// Again says once more what was agreed on, so that it outlives the time for which an entry counts; only while more than
-// half of the members are seen. Without that it holds for Hold and is then forgotten.
-func (c *Council) Again(now int64, topic string, members Roll) (crdt.Entry, bool) {
-	e, ok := c.state.Get(crdt.Key{Kind: c.conf.Decided, Name: topic})
-	if !ok || now-e.Timestamp < c.conf.Hold/2 || !c.Majority(members) {
+// Resend writes the last decision again before it expires, while there is a quorum; the entry is to be sent to the other
+// members. Without a quorum the decision expires after DecisionTTL.
+func (p *Participant) Resend(now int64, topic string, members Members) (crdt.Entry, bool) {
+	e, found := p.state.Get(crdt.Key{Kind: p.conf.DecisionKind, Name: topic})
+	if !found || now-e.Timestamp < p.conf.DecisionTTL/2 || !p.HasQuorum(members) {
 		return crdt.Entry{}, false
 	}
-	return c.state.PutEpoch(now, c.conf.Decided, topic, e.Sequence, e.Value), true
+	return p.state.PutEpoch(now, p.conf.DecisionKind, topic, e.Sequence, e.Value), true
 }
--- a/internal/agreement/decisions_test.go
+++ b/internal/agreement/decisions_test.go
@@ -31,7 +31,7 @@
 type member struct {
 	name    string
 	state   *crdt.State
-	council *agreement.Council
+	council *agreement.Participant
 }
 
 type fleet struct {
@@ -48,8 +48,8 @@
 	for i := range 5 {
 		name := "n" + strconv.Itoa(i)
 		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: forms})
-		council := agreement.New(agreement.Config{Self: name, Votes: kindVotes, Decided: kindDecided, Delay: second, Turn: second / 5,
-			Fresh: 5 * second, Hold: 20 * second, Majority: majority}, state)
+		council := agreement.New(agreement.Config{Self: name, VoteKind: kindVotes, DecisionKind: kindDecided, EffectDelay: second, ProposerDelay: second / 5,
+			VoteTTL: 5 * second, DecisionTTL: 20 * second, RequireQuorum: majority}, state)
 		f.members = append(f.members, &member{name, state, council})
 	}
 	return f
@@ -64,10 +64,10 @@
 }
 
 func (f *fleet) decision(decision agreement.Decision) {
-	f.answers.Numbers(int64(decision.Epoch), decision.From)
-	f.answers.Text(string(decision.Choice))
+	f.answers.Numbers(int64(decision.Epoch), decision.EffectiveAt)
+	f.answers.Text(string(decision.Value))
 	f.answers.Text(string(decision.Previous))
-	f.answers.Text(decision.By)
+	f.answers.Text(decision.Proposer)
 }
 
 // tell writes down an entry that is to be told, and has most others hear it.
@@ -85,15 +85,15 @@
 }
 
 func (f *fleet) hear(m *member, entry crdt.Entry) {
-	for _, decision := range m.council.Heard(f.now+int64(f.random.IntN(int(2*second))), m.state.Merge(f.now, entry)) {
+	for _, decision := range m.council.Apply(f.now+int64(f.random.IntN(int(2*second))), m.state.Merge(f.now, entry)) {
 		f.decision(decision)
 	}
 	late := m.council.Lateness()
-	f.answers.Numbers(int64(late.Heard), int64(late.Late), late.Most)
+	f.answers.Numbers(int64(late.Decisions), int64(late.Late), late.Max)
 }
 
-func (f *fleet) roll(m *member) agreement.Roll {
-	roll := agreement.Roll{}
+func (f *fleet) roll(m *member) agreement.Members {
+	roll := agreement.Members{}
 	for _, other := range f.members {
 		if f.random.IntN(20) > 0 {
 			roll[other.name] = other == m || f.random.IntN(10) < 7
@@ -103,17 +103,17 @@
 }
 
 // ask writes down what a member says when asked.
-func (f *fleet) ask(m *member, members agreement.Roll) {
+func (f *fleet) ask(m *member, members agreement.Members) {
 	for _, vote := range m.council.Votes(f.now, topic, members) {
-		f.answers.Text(vote.Name)
+		f.answers.Text(vote.Member)
 		f.answers.Text(string(vote.Body))
 	}
-	f.answers.Numbers(int64(members.Alive()))
-	f.answers.Bool(m.council.Majority(members))
+	f.answers.Numbers(int64(members.AliveCount()))
+	f.answers.Bool(m.council.HasQuorum(members))
 	decision, ok := m.council.Latest(topic)
 	f.answers.Bool(ok)
 	f.decision(decision)
-	choice, epoch := m.council.InForce(f.now, topic, none)
+	choice, epoch := m.council.InEffect(f.now, topic, none)
 	f.answers.Text(string(choice))
 	f.answers.Numbers(int64(epoch))
 }
@@ -121,8 +121,8 @@
 func (f *fleet) step() {
 	f.now += int64(f.random.IntN(int(second / 10)))
 	m := f.members[f.random.IntN(len(f.members))]
-	if decision, ok := m.council.Latest(topic); ok && f.now < decision.From && f.random.IntN(20) == 0 {
-		f.now = decision.From // the very moment of its effect
+	if decision, ok := m.council.Latest(topic); ok && f.now < decision.EffectiveAt && f.random.IntN(20) == 0 {
+		f.now = decision.EffectiveAt // the very moment of its effect
 		f.ask(m, f.roll(m))
 	}
 	members := f.roll(m)
@@ -138,11 +138,11 @@
 		entry, ok := m.council.Propose(f.now, topic, choice, none, members)
 		f.tell(m, entry, ok)
 	case 6:
-		entry, ok := m.council.Again(f.now, topic, members)
+		entry, ok := m.council.Resend(f.now, topic, members)
 		f.tell(m, entry, ok)
 	case 7:
 		if f.random.IntN(5) == 0 {
-			m.council.Settle(topic)
+			m.council.Withdraw(topic)
 		}
 	case 8:
 		m.state.Expire(f.now)
--- a/internal/agreement/golden_test.go
+++ b/internal/agreement/golden_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math"
 	"reflect"
+	"strconv"
 	"testing"
 
 	"cloverrock/internal/crdt"
@@ -17,7 +18,7 @@
 		name string
 		made Decision
 	}{
-		{"nothing", Decision{Choice: []byte{}, Previous: []byte{}}},
+		{"nothing", Decision{Value: []byte{}, Previous: []byte{}}},
 		{"usual", Decision{7, []byte{0, 100}, []byte{100, 100}, start, "n0"}},
 		{"greatest", Decision{math.MaxUint64, []byte{255}, []byte{254}, math.MaxInt64, "n"}},
 		{"least moment", Decision{1, []byte{1}, []byte{2}, math.MinInt64, ""}},
@@ -33,7 +34,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		read, err := decode(&crdt.Entry{Sequence: test.made.Epoch, Value: value})
+		read, err := decodeDecision(&crdt.Entry{Sequence: test.made.Epoch, Value: value})
 		if err != nil || !reflect.DeepEqual(read, test.made) {
 			t.Errorf("%s is read as %v, %v", test.name, read, err)
 		}
@@ -42,7 +43,7 @@
 
 // Votes and proposals go out as the same bytes as ever, and gateways propose in the same order whatever their versions.
 func TestGoldenEntriesAndRanks(t *testing.T) {
-	c, _ := council("n0")
+	c, _ := newParticipant("n0")
 	var cases []golden.Case
 	add := func(name string, entry crdt.Entry, told bool) {
 		b, err := crdt.Encode(&crdt.Message{Entries: []crdt.Entry{entry}})
@@ -53,14 +54,14 @@
 	}
 	vote, told := c.Vote(start, topic, []byte{1, 2, 3})
 	add("vote", vote, told)
-	first, told := c.Propose(start, topic, []byte{0, 100}, none, roll(1, 0))
+	first, told := c.Propose(start, topic, []byte{0, 100}, none, newMembers(1, 0))
 	add("first epoch", first, told)
-	next, told := c.Propose(start+2*second, topic, []byte{50, 100}, none, roll(1, 0))
+	next, told := c.Propose(start+2*second, topic, []byte{50, 100}, none, newMembers(1, 0))
 	add("next epoch", next, told)
-	again, told := c.Again(start+400*second, topic, roll(1, 0))
+	again, told := c.Resend(start+400*second, topic, newMembers(1, 0))
 	add("again", again, told)
 	for epoch := range uint64(8) {
-		cases = append(cases, golden.Case{Name: fmt.Sprint("rank in epoch ", epoch), Form: fmt.Sprint(c.rank(topic, epoch, roll(9, 1)))})
+		cases = append(cases, golden.Case{Name: fmt.Sprint("rank in epoch ", epoch), Form: strconv.Itoa(c.proposerRank(topic, epoch, newMembers(9, 1)))})
 	}
 	golden.Check(t, "entries.golden", cases)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -141,7 +141,7 @@
 
 	// What follows belongs to the core's goroutine.
 	state   *crdt.State
-	council *agreement.Council
+	council *agreement.Participant
 	zonal   *zonefailover.State
 	sight   *zonefailover.Sight
 	hosts   map[string]place
@@ -242,8 +242,8 @@
 		votes:   {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 1 + 4*255},
 		decided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: hold, MaxValueSize: 1024},
 	}})
-	p.council = agreement.New(agreement.Config{Self: p.conf.Name, Votes: votes, Decided: decided, Delay: int64(z.DelayMS) * 1000, Turn: 200_000,
-		Fresh: 30 * second, Hold: hold, Majority: !taken("quorum")}, p.state)
+	p.council = agreement.New(agreement.Config{Self: p.conf.Name, VoteKind: votes, DecisionKind: decided, EffectDelay: int64(z.DelayMS) * 1000, ProposerDelay: 200_000,
+		VoteTTL: 30 * second, DecisionTTL: hold, RequireQuorum: !taken("quorum")}, p.state)
 	own := -1
 	if p.conf.Settings.Zone < len(p.unit) {
 		own = p.unit[p.conf.Settings.Zone]
@@ -339,7 +339,7 @@
 			asked = now
 			p.ask(roll)
 		}
-		if p.behind && (p.state.CaughtUpRound() == p.round || roll.Alive() < 2) {
+		if p.behind && (p.state.CaughtUpRound() == p.round || roll.AliveCount() < 2) {
 			p.behind = false
 			p.log.Info().Msg("caught up")
 		}
@@ -392,9 +392,9 @@
 	}
 	now := time.Now().UnixMicro()
 	answers, changed := p.state.Receive(now, m)
-	for _, d := range p.council.Heard(now, changed) {
-		ahead := d.From - now
-		p.log.Info().Uint64("epoch", d.Epoch).Ints("shares", ints(d.Choice)).Str("by", d.By).Int64("ahead_ms", ahead/1000).Msg("agreed")
+	for _, d := range p.council.Apply(now, changed) {
+		ahead := d.EffectiveAt - now
+		p.log.Info().Uint64("epoch", d.Epoch).Ints("shares", ints(d.Value)).Str("by", d.Proposer).Int64("ahead_ms", ahead/1000).Msg("agreed")
 	}
 	if len(m.GroupDigests) == 0 && m.Round == 0 { // news: the others hear it from here, too
 		p.tell(changed...)
@@ -430,7 +430,7 @@
 }
 
 // ask begins a round with a member drawn at random.
-func (p *Component) ask(roll agreement.Roll) {
+func (p *Component) ask(roll agreement.Members) {
 	var others []string
 	for name, alive := range roll {
 		if alive && name != p.conf.Name {
@@ -443,14 +443,14 @@
 	}
 }
 
-func (p *Component) decide(now int64, roll agreement.Roll) {
+func (p *Component) decide(now int64, roll agreement.Members) {
 	if e, ok := p.zonal.Vote(now, p.sight.Views(now, p.zonal.Own())); ok {
 		p.tell(e)
 	}
 	p.tell(p.zonal.Decide(now, roll)...)
 	p.state.Expire(now)
 	for _, l := range p.zonal.Lines() {
-		ev := p.log.Info().Str("zone", l.Zone).Uint64("epoch", l.Epoch).Int("share", int(l.Share)).Int("members", len(roll)).Int("alive", roll.Alive())
+		ev := p.log.Info().Str("zone", l.Zone).Uint64("epoch", l.Epoch).Int("share", int(l.Share)).Int("members", len(roll)).Int("alive", roll.AliveCount())
 		if l.Next > 0 {
 			ev = ev.Dur("next_ms", l.Next)
 		}
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -18,7 +18,7 @@
 	}
 	p := &Component{conf: &config.Config{Name: "a"}, out: newRing[letter](8), state: crdt.New(crdt.Config{Self: "a", Incarnation: 5, Kinds: forms})}
 	p.tell(p.state.Put(second, votes, "zones", []byte{1, 2}), p.state.PutEpoch(second, decided, "zones", 3, []byte{4}))
-	p.ask(agreement.Roll{"a": true, "b": true, "c": false})
+	p.ask(agreement.Members{"a": true, "b": true, "c": false})
 	var cases []golden.Case
 	for _, name := range []string{"vote", "decision", "question"} {
 		l := <-p.out.c
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -134,8 +134,8 @@
 }
 
 // Roll is who belongs to the fleet. Those that died stay on it for the time after which they are forgotten.
-func (m *Members) Roll() agreement.Roll {
-	roll := agreement.Roll{}
+func (m *Members) Roll() agreement.Members {
+	roll := agreement.Members{}
 	for _, n := range m.list.Members() {
 		roll[n.Name] = true
 	}
--- a/internal/zonefailover/decisions_test.go
+++ b/internal/zonefailover/decisions_test.go
@@ -52,8 +52,8 @@
 		conf.Own = i%(len(conf.Zones)+1) - 1
 		name := "n" + strconv.Itoa(i)
 		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: forms})
-		council := agreement.New(agreement.Config{Self: name, Votes: kindVotes, Decided: kindDecided, Delay: second, Turn: second / 5,
-			Fresh: 30 * second, Hold: 60 * second, Majority: true}, state)
+		council := agreement.New(agreement.Config{Self: name, VoteKind: kindVotes, DecisionKind: kindDecided, EffectDelay: second, ProposerDelay: second / 5,
+			VoteTTL: 30 * second, DecisionTTL: 60 * second, RequireQuorum: true}, state)
 		sight := zonefailover.NewSight(zonefailover.SightConfig{Zones: len(conf.Zones), Window: 3 * second, Least: 3, Groups: 2, Part: 0.6})
 		f.gateways = append(f.gateways, &gateway{name, state, sight, zonefailover.New(conf, council)})
 	}
@@ -105,7 +105,7 @@
 
 // decide has a gateway decide, and writes down all that it then holds.
 func (f *fleet) decide(g *gateway) {
-	members := agreement.Roll{}
+	members := agreement.Members{}
 	for _, other := range f.gateways {
 		members[other.name] = other == g || f.odds(0.95)
 	}
--- a/internal/zonefailover/golden_test.go
+++ b/internal/zonefailover/golden_test.go
@@ -44,10 +44,10 @@
 	const start = 1_000_000_000
 	state := crdt.New(crdt.Config{Self: "a", Incarnation: 1, Kinds: map[crdt.Kind]crdt.KindConfig{
 		1: {Name: "votes", Rule: crdt.LastWriterWins, TTL: start, MaxValueSize: 64}, 2: {Name: "decided", Rule: crdt.HighestEpoch, TTL: start, MaxValueSize: 64}}})
-	council := agreement.New(agreement.Config{Self: "a", Votes: 1, Decided: 2, Delay: 1, Fresh: start, Hold: start, Majority: true}, state)
+	council := agreement.New(agreement.Config{Self: "a", VoteKind: 1, DecisionKind: 2, EffectDelay: 1, VoteTTL: start, DecisionTTL: start, RequireQuorum: true}, state)
 	s := New(Config{Zones: []string{"x", "y", "z"}, Own: 0, AtOnce: 1, Bad: 0.6, Views: 1, Bear: 0.6, Steps: []byte{50, Whole}, Step: 1, Away: 1}, council)
 	vote, voted := s.Vote(start, []View{{Good, 20, 5}, {Bad, 200, 5}, {Good, 20, 5}})
-	told := s.Decide(start, agreement.Roll{"a": true})
+	told := s.Decide(start, agreement.Members{"a": true})
 	if !voted || len(told) != 1 {
 		t.Fatalf("%d entries are told", len(told))
 	}
--- a/internal/zonefailover/world_test.go
+++ b/internal/zonefailover/world_test.go
@@ -25,7 +25,7 @@
 	name    string
 	zone    int
 	state   *crdt.State
-	council *agreement.Council
+	council *agreement.Participant
 	zonal   *State
 	queue   []push
 	stopped bool
@@ -73,21 +73,21 @@
 	for i := range n {
 		conf := testConfig()
 		conf.Own = i % len(conf.Zones)
-		agree := agreement.Config{Self: fmt.Sprint("n", i), Votes: votes, Decided: decided, Delay: 800 * ms, Turn: 200 * ms, Fresh: 30 * second,
-			Hold: 60 * second, Majority: true}
+		agree := agreement.Config{Self: fmt.Sprint("n", i), VoteKind: votes, DecisionKind: decided, EffectDelay: 800 * ms, ProposerDelay: 200 * ms, VoteTTL: 30 * second,
+			DecisionTTL: 60 * second, RequireQuorum: true}
 		if change != nil {
 			change(&conf, &agree)
 		}
 		state := crdt.New(crdt.Config{Self: agree.Self, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: map[crdt.Kind]crdt.KindConfig{
-			votes: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 64}, decided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: agree.Hold, MaxValueSize: 80}}})
+			votes: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 64}, decided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: agree.DecisionTTL, MaxValueSize: 80}}})
 		council := agreement.New(agree, state)
 		w.nodes = append(w.nodes, &node{name: agree.Self, zone: conf.Own, state: state, council: council, zonal: New(conf, council), left: map[uint64]int64{}})
 	}
 	return w
 }
 
-func (w *world) members(n *node) agreement.Roll {
-	all := agreement.Roll{}
+func (w *world) members(n *node) agreement.Members {
+	all := agreement.Members{}
 	for _, o := range w.nodes {
 		all[o.name] = o == n || !o.stopped && o.side == n.side && !w.dead(n, o)
 	}
@@ -124,7 +124,7 @@
 		w.t.Fatal(err)
 	}
 	answers, changed := n.state.Receive(w.now+n.skew, m)
-	n.council.Heard(w.now+n.skew, changed)
+	n.council.Apply(w.now+n.skew, changed)
 	if m.Round == 0 {
 		w.tell(n, changed...)
 	}
@@ -161,7 +161,7 @@
 				w.tell(n, n.zonal.Decide(now, w.members(n))...)
 				n.state.Expire(now)
 			}
-			if _, epoch := n.council.InForce(now, topic, n.zonal.whole); n.left[epoch] == 0 {
+			if _, epoch := n.council.InEffect(now, topic, n.zonal.whole); n.left[epoch] == 0 {
 				n.left[epoch] = w.now
 			}
 			w.gossip(i, n)
--- a/internal/zonefailover/zonefailover.go
+++ b/internal/zonefailover/zonefailover.go
@@ -109,7 +109,7 @@
 // State is what a gateway holds of all zones.
 type State struct {
 	conf    Config
-	council *agreement.Council
+	council *agreement.Participant
 	zones   []zone
 	epoch   uint64 // as last noted
 	whole   []byte // all zones in full use
@@ -127,7 +127,7 @@
 }
 
 // New returns a state in which all zones are whole.
-func New(conf Config, council *agreement.Council) *State {
+func New(conf Config, council *agreement.Participant) *State {
 	s := &State{conf: conf, council: council, zones: make([]zone, len(conf.Zones)), calm: make([]float64, len(conf.Zones)), whole: slices.Repeat([]byte{Whole}, len(conf.Zones))}
 	for i := range s.zones {
 		s.zones[i] = zone{share: Whole, away: conf.Away}
@@ -162,7 +162,7 @@
 	case Left:
 		return 0
 	}
-	shares, _ := s.council.InForce(now, topic, s.whole)
+	shares, _ := s.council.InEffect(now, topic, s.whole)
 	return of(shares, zone)
 }
 
@@ -171,13 +171,13 @@
 
 // Epoch is what is in force.
 func (s *State) Epoch(now int64) (shares []byte, epoch uint64) {
-	return s.council.InForce(now, topic, s.whole)
+	return s.council.InEffect(now, topic, s.whole)
 }
 
 // Late is how long what is in force has been so.
 func (s *State) Late(now int64) int64 {
-	if d, ok := s.council.Latest(topic); ok && now >= d.From {
-		return now - d.From
+	if d, ok := s.council.Latest(topic); ok && now >= d.EffectiveAt {
+		return now - d.EffectiveAt
 	}
 	return 0
 }
@@ -235,7 +235,7 @@
 }
 
 // Decide looks at all zones, and returns what is to be told to the others: a proposal whose turn has come.
-func (s *State) Decide(now int64, members agreement.Roll) (told []crdt.Entry) {
+func (s *State) Decide(now int64, members agreement.Members) (told []crdt.Entry) {
 	s.votes = s.council.Votes(now, topic, members)
 	s.note(now)
 	s.measure()
@@ -244,7 +244,7 @@
 	for i := range s.zones {
 		next[i] = s.zones[i].share
 		if d, ok := s.council.Latest(topic); ok {
-			next[i] = of(d.Choice, i)
+			next[i] = of(d.Value, i)
 		}
 	}
 	for i := range s.zones {
@@ -253,8 +253,8 @@
 		}
 	}
 	if !any {
-		s.council.Settle(topic)
-		if e, ok := s.council.Again(now, topic, members); ok {
+		s.council.Withdraw(topic)
+		if e, ok := s.council.Resend(now, topic, members); ok {
 			told = append(told, e)
 		}
 	} else if e, ok := s.council.Propose(now, topic, next, s.whole, members); ok {
@@ -270,10 +270,10 @@
 
 // note follows the shares that are in force.
 func (s *State) note(now int64) {
-	shares, epoch := s.council.InForce(now, topic, s.whole)
+	shares, epoch := s.council.InEffect(now, topic, s.whole)
 	from := now
 	if d, ok := s.council.Latest(topic); ok && d.Epoch == epoch {
-		from = d.From
+		from = d.EffectiveAt
 	}
 	news := epoch != s.epoch
 	s.epoch = epoch
--- a/internal/zonefailover/zonefailover_test.go
+++ b/internal/zonefailover/zonefailover_test.go
@@ -202,7 +202,7 @@
 
 // Without a majority, or without what it bears, the tests above would fail: what an experiment takes away is missed.
 func TestWhatIsTakenAwayIsMissed(t *testing.T) {
-	w := newWorld(t, 30, func(_ *Config, a *agreement.Config) { a.Majority = false })
+	w := newWorld(t, 30, func(_ *Config, a *agreement.Config) { a.RequireQuorum = false })
 	w.fails(all)
 	for i, n := range w.nodes {
 		n.side = min(i%5, 1)
