--- a/internal/agreement/decisions_test.go
+++ b/internal/agreement/decisions_test.go
@@ -29,9 +29,9 @@
 
 // member is one gateway of the storm.
 type member struct {
-	name    string
-	state   *crdt.State
-	council *agreement.Participant
+	name        string
+	state       *crdt.State
+	participant *agreement.Participant
 }
 
 type fleet struct {
@@ -48,9 +48,9 @@
 	for i := range 5 {
 		name := "n" + strconv.Itoa(i)
 		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: forms})
-		council := agreement.New(agreement.Config{Self: name, VoteKind: kindVotes, DecisionKind: kindDecided, EffectDelay: second, ProposerDelay: second / 5,
+		participant := agreement.New(agreement.Config{Self: name, VoteKind: kindVotes, DecisionKind: kindDecided, EffectDelay: second, ProposerDelay: second / 5,
 			VoteTTL: 5 * second, DecisionTTL: 20 * second, RequireQuorum: majority}, state)
-		f.members = append(f.members, &member{name, state, council})
+		f.members = append(f.members, &member{name, state, participant})
 	}
 	return f
 }
@@ -85,14 +85,14 @@
 }
 
 func (f *fleet) hear(m *member, entry crdt.Entry) {
-	for _, decision := range m.council.Apply(f.now+int64(f.random.IntN(int(2*second))), m.state.Merge(f.now, entry)) {
+	for _, decision := range m.participant.Apply(f.now+int64(f.random.IntN(int(2*second))), m.state.Merge(f.now, entry)) {
 		f.decision(decision)
 	}
-	late := m.council.Lateness()
+	late := m.participant.Lateness()
 	f.answers.Numbers(int64(late.Decisions), int64(late.Late), late.Max)
 }
 
-func (f *fleet) roll(m *member) agreement.Members {
+func (f *fleet) newMembers(m *member) agreement.Members {
 	roll := agreement.Members{}
 	for _, other := range f.members {
 		if f.random.IntN(20) > 0 {
@@ -104,16 +104,16 @@
 
 // ask writes down what a member says when asked.
 func (f *fleet) ask(m *member, members agreement.Members) {
-	for _, vote := range m.council.Votes(f.now, topic, members) {
+	for _, vote := range m.participant.Votes(f.now, topic, members) {
 		f.answers.Text(vote.Member)
 		f.answers.Text(string(vote.Body))
 	}
 	f.answers.Numbers(int64(members.AliveCount()))
-	f.answers.Bool(m.council.HasQuorum(members))
-	decision, ok := m.council.Latest(topic)
+	f.answers.Bool(m.participant.HasQuorum(members))
+	decision, ok := m.participant.Latest(topic)
 	f.answers.Bool(ok)
 	f.decision(decision)
-	choice, epoch := m.council.InEffect(f.now, topic, none)
+	choice, epoch := m.participant.InEffect(f.now, topic, none)
 	f.answers.Text(string(choice))
 	f.answers.Numbers(int64(epoch))
 }
@@ -121,28 +121,28 @@
 func (f *fleet) step() {
 	f.now += int64(f.random.IntN(int(second / 10)))
 	m := f.members[f.random.IntN(len(f.members))]
-	if decision, ok := m.council.Latest(topic); ok && f.now < decision.EffectiveAt && f.random.IntN(20) == 0 {
+	if decision, ok := m.participant.Latest(topic); ok && f.now < decision.EffectiveAt && f.random.IntN(20) == 0 {
 		f.now = decision.EffectiveAt // the very moment of its effect
-		f.ask(m, f.roll(m))
+		f.ask(m, f.newMembers(m))
 	}
-	members := f.roll(m)
+	members := f.newMembers(m)
 	choice := []byte{byte(f.now / (3 * second) % 3), byte(f.random.IntN(8) / 7)}
 	switch f.random.IntN(12) {
 	case 0, 1:
-		entry, ok := m.council.Vote(f.now, topic, choice[:1])
+		entry, ok := m.participant.Vote(f.now, topic, choice[:1])
 		f.tell(m, entry, ok)
 	case 2, 3, 4, 5:
 		if f.now/(60*second)%2 == 1 {
 			return // a calm minute, in which nothing is due
 		}
-		entry, ok := m.council.Propose(f.now, topic, choice, none, members)
+		entry, ok := m.participant.Propose(f.now, topic, choice, none, members)
 		f.tell(m, entry, ok)
 	case 6:
-		entry, ok := m.council.Resend(f.now, topic, members)
+		entry, ok := m.participant.Resend(f.now, topic, members)
 		f.tell(m, entry, ok)
 	case 7:
 		if f.random.IntN(5) == 0 {
-			m.council.Withdraw(topic)
+			m.participant.Withdraw(topic)
 		}
 	case 8:
 		m.state.Expire(f.now)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -112,7 +112,7 @@
 // ReadShare implements balance.View.
 func (v *view) ReadShare(zone int) float64 {
 	if s := v.shares.Load(); zone < len(*s) {
-		return float64((*s)[zone]) / zonefailover.Whole
+		return float64((*s)[zone]) / zonefailover.FullShare
 	}
 	return 1
 }
@@ -143,7 +143,7 @@
 	state   *crdt.State
 	council *agreement.Participant
 	zonal   *zonefailover.State
-	sight   *zonefailover.Sight
+	sight   *zonefailover.EvidenceCollector
 	hosts   map[string]place
 	round   uint64
 	behind  bool
@@ -208,7 +208,7 @@
 		return
 	}
 	p.start(z)
-	whole := slices.Repeat([]byte{zonefailover.Whole}, len(p.unit))
+	whole := slices.Repeat([]byte{zonefailover.FullShare}, len(p.unit))
 	p.view.shares.Store(&whole)
 	g.SetZoneShares(&p.view)
 	g.ObserveOutcomes(func(host string, class int, o gateway.Outcome) {
@@ -248,23 +248,23 @@
 	if p.conf.Settings.Zone < len(p.unit) {
 		own = p.unit[p.conf.Settings.Zone]
 	}
-	conf := zonefailover.Config{Zones: p.units, Own: own, AtOnce: z.AtOnce, Bad: 0.6, Views: min(3, max(1, p.conf.Gateways/3)), Bear: 0.6,
-		Steps: []byte{2, 5, 10, 20, 40, 70, zonefailover.Whole}, Step: int64(z.StepMS) * 1000, Away: int64(z.AwayMS) * 1000, AwayMax: 300 * second, Calm: 600 * second,
-		Pace: !taken("pace"), Capacity: !taken("capacity")}
+	conf := zonefailover.Config{Zones: p.units, OwnZone: own, MaxEvacuated: z.AtOnce, RequiredShare: 0.6, MinViews: min(3, max(1, p.conf.Gateways/3)), MaxLatencyShare: 0.6,
+		RecoverySteps: []byte{2, 5, 10, 20, 40, 70, zonefailover.FullShare}, StepDuration: int64(z.StepMS) * 1000, EvacuationTime: int64(z.AwayMS) * 1000, MaxEvacuationTime: 300 * second, BackoffReset: 600 * second,
+		PacedRecovery: !taken("pace"), CheckCapacity: !taken("capacity")}
 	if z.StepMS == 0 { // as many steps as a host takes to be warm
-		conf.Step = max(second, p.conf.Settings.SlowStartDuration/int64(len(conf.Steps)))
+		conf.StepDuration = max(second, p.conf.Settings.SlowStartDuration/int64(len(conf.RecoverySteps)))
 	}
 	if taken("quorum") {
-		conf.Views = 1
+		conf.MinViews = 1
 	}
 	p.zonal = zonefailover.New(conf, p.council)
-	p.sight = zonefailover.NewSight(zonefailover.SightConfig{Zones: len(p.units), Window: 4 * second, Least: 3, Groups: 2, Part: 0.6})
+	p.sight = zonefailover.NewEvidenceCollector(zonefailover.EvidenceConfig{Zones: len(p.units), Window: 4 * second, MinHosts: 3, MinFailingGroups: 2, FailingShare: 0.6})
 	p.pin(z.Pin)
 }
 
 func (p *Component) pin(pins map[string]string) {
 	for i := range p.units {
-		p.zonal.Pin(i, zonefailover.Free)
+		p.zonal.SetOverride(i, zonefailover.NoOverride)
 	}
 	for zone, how := range pins {
 		i := slices.Index(p.units, zone)
@@ -273,7 +273,7 @@
 			p.log.Error().Err(err).Str("remedy", err.Remedy()).Msg("the pin is passed over")
 			continue
 		}
-		p.zonal.Pin(i, map[string]zonefailover.Pin{"kept": zonefailover.Kept, "left": zonefailover.Left}[how])
+		p.zonal.SetOverride(i, map[string]zonefailover.Override{"kept": zonefailover.ForceInUse, "left": zonefailover.ForceEvacuated}[how])
 		p.log.Info().Str("zone", zone).Str("pin", how).Msg("pinned")
 	}
 }
@@ -327,7 +327,7 @@
 		if gap := now.Sub(last); gap > stalled { // what it last knew of the others is old, and what it saw was its own stop
 			p.log.Warn().Dur("gap_ms", gap).Msg("this process stood still: it says nothing before it has caught up")
 			p.behind, asked = true, time.Time{}
-			p.sight = zonefailover.NewSight(zonefailover.SightConfig{Zones: len(p.units), Window: 4 * second, Least: 3, Groups: 2, Part: 0.6})
+			p.sight = zonefailover.NewEvidenceCollector(zonefailover.EvidenceConfig{Zones: len(p.units), Window: 4 * second, MinHosts: 3, MinFailingGroups: 2, FailingShare: 0.6})
 		}
 		last = now
 		if now.Sub(listed) > time.Second {
@@ -369,11 +369,11 @@
 	if !known {
 		return
 	}
-	seen := zonefailover.End{Host: e.host, Zone: at.unit, Group: at.group, Probe: e.class == gateway.HealthCheckClass, At: e.at.UnixMicro()}
+	seen := zonefailover.Observation{Host: e.host, Zone: at.unit, Group: at.group, HealthCheck: e.class == gateway.HealthCheckClass, At: e.at.UnixMicro()}
 	switch e.result {
 	case balance.Succeeded:
-		if !seen.Probe && e.class < len(p.conf.Settings.Classes) {
-			seen.Used = float64(e.took) / float64(p.conf.Settings.Classes[e.class].LatencyObjective)
+		if !seen.HealthCheck && e.class < len(p.conf.Settings.Classes) {
+			seen.LatencyShare = float64(e.took) / float64(p.conf.Settings.Classes[e.class].LatencyObjective)
 		}
 	case balance.NotPrimary, balance.Overloaded: // it is there, and says so
 	case balance.Failed, balance.TimedOut, balance.ConnectionRefused, balance.ConnectionReset:
@@ -381,7 +381,7 @@
 	default: // ended from this side
 		return
 	}
-	p.sight.See(seen)
+	p.sight.Observe(seen)
 }
 
 func (p *Component) hear(l letter) {
@@ -444,17 +444,17 @@
 }
 
 func (p *Component) decide(now int64, roll agreement.Members) {
-	if e, ok := p.zonal.Vote(now, p.sight.Views(now, p.zonal.Own())); ok {
+	if e, ok := p.zonal.Vote(now, p.sight.Assess(now, p.zonal.OwnZone())); ok {
 		p.tell(e)
 	}
 	p.tell(p.zonal.Decide(now, roll)...)
 	p.state.Expire(now)
-	for _, l := range p.zonal.Lines() {
+	for _, l := range p.zonal.TakeLog() {
 		ev := p.log.Info().Str("zone", l.Zone).Uint64("epoch", l.Epoch).Int("share", int(l.Share)).Int("members", len(roll)).Int("alive", roll.AliveCount())
-		if l.Next > 0 {
-			ev = ev.Dur("next_ms", l.Next)
+		if l.NextStepIn > 0 {
+			ev = ev.Dur("next_ms", l.NextStepIn)
 		}
-		ev.Msg(l.Text)
+		ev.Msg(l.Message)
 	}
 	if lost := int(p.ends.lost.Load() + p.in.lost.Load() + p.out.lost.Load()); lost > p.late {
 		p.log.Warn().Int("lost", lost-p.late).Msg("rings were full: the oldest of what was in them is lost")
@@ -470,8 +470,8 @@
 	}
 	was := p.view.shares.Load()
 	if !slices.Equal(*was, shares) {
-		_, epoch := p.zonal.Epoch(now)
+		_, epoch := p.zonal.InEffect(now)
 		p.view.shares.Store(&shares)
-		p.log.Info().Ints("shares", ints(shares)).Uint64("epoch", epoch).Int64("late_ms", p.zonal.Late(now)/1000).Msg("in force")
+		p.log.Info().Ints("shares", ints(shares)).Uint64("epoch", epoch).Int64("late_ms", p.zonal.InEffectFor(now)/1000).Msg("in force")
 	}
 }
--- a/internal/zonefailover/decisions_test.go
+++ b/internal/zonefailover/decisions_test.go
@@ -28,7 +28,7 @@
 type gateway struct {
 	name  string
 	state *crdt.State
-	sight *zonefailover.Sight
+	sight *zonefailover.EvidenceCollector
 	zones *zonefailover.State
 }
 
@@ -49,12 +49,12 @@
 	forms := map[crdt.Kind]crdt.KindConfig{kindVotes: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 64},
 		kindDecided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: 60 * second, MaxValueSize: 80}}
 	for i := range 9 {
-		conf.Own = i%(len(conf.Zones)+1) - 1
+		conf.OwnZone = i%(len(conf.Zones)+1) - 1
 		name := "n" + strconv.Itoa(i)
 		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: forms})
 		council := agreement.New(agreement.Config{Self: name, VoteKind: kindVotes, DecisionKind: kindDecided, EffectDelay: second, ProposerDelay: second / 5,
 			VoteTTL: 30 * second, DecisionTTL: 60 * second, RequireQuorum: true}, state)
-		sight := zonefailover.NewSight(zonefailover.SightConfig{Zones: len(conf.Zones), Window: 3 * second, Least: 3, Groups: 2, Part: 0.6})
+		sight := zonefailover.NewEvidenceCollector(zonefailover.EvidenceConfig{Zones: len(conf.Zones), Window: 3 * second, MinHosts: 3, MinFailingGroups: 2, FailingShare: 0.6})
 		f.gateways = append(f.gateways, &gateway{name, state, sight, zonefailover.New(conf, council)})
 	}
 	return f
@@ -66,15 +66,15 @@
 func (f *fleet) see(g *gateway) {
 	for range 30 {
 		zone, host := f.random.IntN(len(f.conf.Zones)), f.random.IntN(8)
-		end := zonefailover.End{Host: "host" + strconv.Itoa(zone*8+host), Zone: zone, Group: int64(host % 4), Failed: f.odds(f.failing[zone]),
-			Probe: f.odds(0.2), At: f.now - int64(f.random.IntN(int(second/5)))}
+		end := zonefailover.Observation{Host: "host" + strconv.Itoa(zone*8+host), Zone: zone, Group: int64(host % 4), Failed: f.odds(f.failing[zone]),
+			HealthCheck: f.odds(0.2), At: f.now - int64(f.random.IntN(int(second/5)))}
 		if f.odds(0.9) {
-			end.Used = f.busy[zone] * (0.5 + f.random.Float64())
+			end.LatencyShare = f.busy[zone] * (0.5 + f.random.Float64())
 		}
 		if f.odds(0.01) {
 			end.Zone += f.random.IntN(5) - 2
 		}
-		g.sight.See(end)
+		g.sight.Observe(end)
 	}
 }
 
@@ -93,9 +93,9 @@
 
 // vote has a gateway say what it sees, and writes that down.
 func (f *fleet) vote(g *gateway) {
-	views := g.sight.Views(f.now, g.zones.Own())
+	views := g.sight.Assess(f.now, g.zones.OwnZone())
 	for _, view := range views {
-		f.answers.Numbers(int64(view.Verdict), int64(view.Used), int64(view.Load))
+		f.answers.Numbers(int64(view.Health), int64(view.LatencyShare), int64(view.RequestRate))
 	}
 	entry, ok := g.zones.Vote(f.now, views)
 	if f.answers.Bool(ok); ok {
@@ -112,14 +112,14 @@
 	for _, entry := range g.zones.Decide(f.now, members) {
 		f.told(g, entry)
 	}
-	for _, line := range g.zones.Lines() {
+	for _, line := range g.zones.TakeLog() {
 		f.answers.Text(line.Zone)
-		f.answers.Numbers(int64(line.Epoch), int64(line.Share), int64(line.Next))
-		f.answers.Bool(line.Text != "")
+		f.answers.Numbers(int64(line.Epoch), int64(line.Share), int64(line.NextStepIn))
+		f.answers.Bool(line.Message != "")
 	}
-	shares, epoch := g.zones.Epoch(f.now)
+	shares, epoch := g.zones.InEffect(f.now)
 	f.answers.Text(string(shares))
-	f.answers.Numbers(int64(epoch), g.zones.Late(f.now))
+	f.answers.Numbers(int64(epoch), g.zones.InEffectFor(f.now))
 	for zone := range f.conf.Zones {
 		f.answers.Numbers(int64(g.zones.Share(f.now, zone)))
 	}
@@ -139,12 +139,12 @@
 	}
 	if f.odds(0.1) {
 		g := f.gateways[f.random.IntN(len(f.gateways))]
-		g.zones.Pin(f.random.IntN(len(f.failing)), zonefailover.Pin(f.random.IntN(3)))
+		g.zones.SetOverride(f.random.IntN(len(f.failing)), zonefailover.Override(f.random.IntN(3)))
 	}
 	if f.odds(0.1) { // a vote and a decision of who has other zones in mind
 		g := f.gateways[0]
 		f.told(g, g.state.Put(f.now, kindVotes, "zones", []byte{1, 9}))
-		_, epoch := g.zones.Epoch(f.now)
+		_, epoch := g.zones.InEffect(f.now)
 		f.told(g, g.state.PutEpoch(f.now, kindDecided, "zones", epoch+1, []byte{1, 100, 0, 0, 0, 0, 0, 0, 0, 0, 100, 'x'}))
 	}
 }
@@ -171,14 +171,14 @@
 
 // What gateways see of zones, vote, and come to hold stays as it was when the golden file was written.
 func TestDecisionsStayTheSame(t *testing.T) {
-	base := zonefailover.Config{Zones: []string{"a", "b", "c"}, AtOnce: 1, Bad: 0.6, Views: 3, Bear: 0.6,
-		Steps: []byte{2, 5, 10, 20, 40, 70, zonefailover.Whole}, Step: 2 * second, Away: 4 * second, AwayMax: 20 * second,
-		Calm: 10 * second, Pace: true, Capacity: true}
+	base := zonefailover.Config{Zones: []string{"a", "b", "c"}, MaxEvacuated: 1, RequiredShare: 0.6, MinViews: 3, MaxLatencyShare: 0.6,
+		RecoverySteps: []byte{2, 5, 10, 20, 40, 70, zonefailover.FullShare}, StepDuration: 2 * second, EvacuationTime: 4 * second, MaxEvacuationTime: 20 * second,
+		BackoffReset: 10 * second, PacedRecovery: true, CheckCapacity: true}
 	unpaced, boundless, single, short := base, base, base, base
-	unpaced.Pace = false
-	boundless.Capacity, boundless.AtOnce, boundless.Zones = false, 2, []string{"a", "b", "c", "d"}
+	unpaced.PacedRecovery = false
+	boundless.CheckCapacity, boundless.MaxEvacuated, boundless.Zones = false, 2, []string{"a", "b", "c", "d"}
 	single.Zones = []string{"a"}
-	short.Steps, short.Bad, short.Views, short.Step = []byte{5, 50}, 0.5, 1, 8*second
+	short.RecoverySteps, short.RequiredShare, short.MinViews, short.StepDuration = []byte{5, 50}, 0.5, 1, 8*second
 	var lines []string
 	for i, s := range []struct {
 		name string
--- a/internal/zonefailover/golden_test.go
+++ b/internal/zonefailover/golden_test.go
@@ -15,24 +15,24 @@
 	tests := []struct {
 		name  string
 		own   int
-		views []View
+		views []ZoneView
 	}{
-		{"of no zone", -1, []View{{Good, 40, 1}}},
-		{"each verdict", 2, []View{{Unseen, 0, 0}, {Good, 255, 65535}, {Bad, 1, 256}}},
+		{"of no zone", -1, []ZoneView{{Healthy, 40, 1}}},
+		{"each verdict", 2, []ZoneView{{Unknown, 0, 0}, {Healthy, 255, 65535}, {Unhealthy, 1, 256}}},
 		{"no zones", 0, nil},
 	}
 	var cases []golden.Case
 	for _, test := range tests {
-		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(encode(test.own, test.views))})
+		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(encodeVote(test.own, test.views))})
 	}
-	stored := golden.Check(t, "votes.golden", append(cases, golden.Case{Name: "topic and whole", Form: fmt.Sprint(topic, " ", Whole)}))
+	stored := golden.Check(t, "votes.golden", append(cases, golden.Case{Name: "topic and whole", Form: fmt.Sprint(topic, " ", FullShare)}))
 	for _, test := range tests {
 		b, err := hex.DecodeString(stored[test.name])
 		if err != nil {
 			t.Fatal(err)
 		}
 		for zone, view := range test.views {
-			if own, read, ok := decode(b, zone); !ok || byte(own) != byte(test.own) || read != view {
+			if own, read, ok := decodeVote(b, zone); !ok || byte(own) != byte(test.own) || read != view {
 				t.Errorf("%s: zone %d is read as %v of %d, %v", test.name, zone, read, own, ok)
 			}
 		}
@@ -45,8 +45,8 @@
 	state := crdt.New(crdt.Config{Self: "a", Incarnation: 1, Kinds: map[crdt.Kind]crdt.KindConfig{
 		1: {Name: "votes", Rule: crdt.LastWriterWins, TTL: start, MaxValueSize: 64}, 2: {Name: "decided", Rule: crdt.HighestEpoch, TTL: start, MaxValueSize: 64}}})
 	council := agreement.New(agreement.Config{Self: "a", VoteKind: 1, DecisionKind: 2, EffectDelay: 1, VoteTTL: start, DecisionTTL: start, RequireQuorum: true}, state)
-	s := New(Config{Zones: []string{"x", "y", "z"}, Own: 0, AtOnce: 1, Bad: 0.6, Views: 1, Bear: 0.6, Steps: []byte{50, Whole}, Step: 1, Away: 1}, council)
-	vote, voted := s.Vote(start, []View{{Good, 20, 5}, {Bad, 200, 5}, {Good, 20, 5}})
+	s := New(Config{Zones: []string{"x", "y", "z"}, OwnZone: 0, MaxEvacuated: 1, RequiredShare: 0.6, MinViews: 1, MaxLatencyShare: 0.6, RecoverySteps: []byte{50, FullShare}, StepDuration: 1, EvacuationTime: 1}, council)
+	vote, voted := s.Vote(start, []ZoneView{{Healthy, 20, 5}, {Unhealthy, 200, 5}, {Healthy, 20, 5}})
 	told := s.Decide(start, agreement.Members{"a": true})
 	if !voted || len(told) != 1 {
 		t.Fatalf("%d entries are told", len(told))
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "proposal.golden", []golden.Case{{Name: "proposal and vote", Form: hex.EncodeToString(b)}})
-	if s.Share(start+1, 0) != Whole || s.Share(start+1, 1) != 0 {
+	if s.Share(start+1, 0) != FullShare || s.Share(start+1, 1) != 0 {
 		t.Errorf("in force are %d and %d", s.Share(start+1, 0), s.Share(start+1, 1))
 	}
 }
--- a/internal/zonefailover/zonefailover.go
+++ b/internal/zonefailover/zonefailover.go
@@ -17,120 +17,120 @@
 	"cloverrock/internal/crdt"
 )
 
-// Whole is the share of a zone that is used in full, in hundredths.
-const Whole = 100
+// FullShare is the share of a zone that is used in full, in hundredths.
+const FullShare = 100
 
 // Config says how zones are left. Times are microseconds.
 type Config struct {
-	Zones []string // by index
-	Own   int      // this gateway's zone; -1: none
-
-	AtOnce  int     // zones that may be left at a time
-	Bad     float64 // of the gateways with a view, the part that must find a zone bad
-	Views   int     // gateways that must have a view at the least
-	Bear    float64 // of their limit, what the other zones may be loaded to
-	Steps   []byte  // shares of a return, rising, the last Whole
-	Step    int64   // a step's least time
-	Away    int64   // how long a zone is left for at the least; doubled with each return that was taken back
-	AwayMax int64
-	Calm    int64 // after so long in full use, Away is as at first
+	Zones   []string // by index
+	OwnZone int      // this gateway's zone; -1: none
+
+	MaxEvacuated      int     // zones that may be left at a time
+	RequiredShare     float64 // of the gateways with a view, the part that must find a zone bad
+	MinViews          int     // gateways that must have a view at the least
+	MaxLatencyShare   float64 // of their limit, what the other zones may be loaded to
+	RecoverySteps     []byte  // shares of a return, rising, the last Whole
+	StepDuration      int64   // a step's least time
+	EvacuationTime    int64   // how long a zone is left for at the least; doubled with each return that was taken back
+	MaxEvacuationTime int64
+	BackoffReset      int64 // after so long in full use, Away is as at first
 
 	// What an experiment takes away, to see that it is missed.
-	Pace, Capacity bool
+	PacedRecovery, CheckCapacity bool
 }
 
-// Pin is what an operator wants of a zone, whatever is seen.
-type Pin uint8
+// Override is what an operator wants of a zone, whatever is seen.
+type Override uint8
 
 // Pins.
 const (
-	Free Pin = iota
-	Kept
-	Left
+	NoOverride Override = iota
+	ForceInUse
+	ForceEvacuated
 )
 
-// View is what one gateway finds of one zone.
-type View struct {
-	Verdict Verdict
-	Used    byte   // of their aim, what answers there take: hundredths, 255 at the most
-	Load    uint16 // requests of late, in tenths a second
+// ZoneView is what one gateway finds of one zone.
+type ZoneView struct {
+	Health       Health
+	LatencyShare byte   // of their aim, what answers there take: hundredths, 255 at the most
+	RequestRate  uint16 // requests of late, in tenths a second
 }
 
-// Verdict is what a gateway finds.
-type Verdict byte
+// Health is what a gateway finds.
+type Health byte
 
 // Verdicts.
 const (
-	Unseen Verdict = iota // too little was seen of it
-	Good
-	Bad
+	Unknown Health = iota // too little was seen of it
+	Healthy
+	Unhealthy
 )
 
-const each = 4 // bytes of a view
+const viewSize = 4 // bytes of a view
 
-// encode is a vote's body: the gateway's zone, 255 if none, and its view of each.
-func encode(own int, views []View) []byte {
+// encodeVote is a vote's body: the gateway's zone, 255 if none, and its view of each.
+func encodeVote(own int, views []ZoneView) []byte {
 	b := []byte{byte(own)}
 	for _, v := range views {
-		b = append(b, byte(v.Verdict), v.Used, byte(v.Load>>8), byte(v.Load))
+		b = append(b, byte(v.Health), v.LatencyShare, byte(v.RequestRate>>8), byte(v.RequestRate))
 	}
 	return b
 }
 
-// decode reads of a vote's body what it says of one zone.
-func decode(b []byte, zone int) (own int, v View, ok bool) {
-	if at := 1 + zone*each; len(b) >= at+each && b[at] <= byte(Bad) {
-		return int(b[0]), View{Verdict(b[at]), b[at+1], uint16(b[at+2])<<8 | uint16(b[at+3])}, true
+// decodeVote reads of a vote's body what it says of one zone.
+func decodeVote(b []byte, zone int) (own int, v ZoneView, ok bool) {
+	if at := 1 + zone*viewSize; len(b) >= at+viewSize && b[at] <= byte(Unhealthy) {
+		return int(b[0]), ZoneView{Health(b[at]), b[at+1], uint16(b[at+2])<<8 | uint16(b[at+3])}, true
 	}
 	return 0, v, false
 }
 
-// changed tells that views say something else than those that were told last. What others add up needs no more than a
+// differs tells that views say something else than those that were told last. What others add up needs no more than a
 // third; a verdict always counts.
-func changed(was, now []View) bool {
+func differs(was, now []ZoneView) bool {
 	apart := func(a, b float64) bool { return max(a, b) > 1.33*min(a, b)+10 }
 	for i := range now {
-		if i >= len(was) || was[i].Verdict != now[i].Verdict || apart(float64(was[i].Used), float64(now[i].Used)) ||
-			apart(float64(was[i].Load), float64(now[i].Load)) {
+		if i >= len(was) || was[i].Health != now[i].Health || apart(float64(was[i].LatencyShare), float64(now[i].LatencyShare)) ||
+			apart(float64(was[i].RequestRate), float64(now[i].RequestRate)) {
 			return true
 		}
 	}
 	return false
 }
 
-// Line is a thing for operators to read.
-type Line struct {
-	Zone, Text string
-	Epoch      uint64
-	Share      byte
-	Next       time.Duration // until the next step may come; 0 if none does
+// LogEntry is a thing for operators to read.
+type LogEntry struct {
+	Zone, Message string
+	Epoch         uint64
+	Share         byte
+	NextStepIn    time.Duration // until the next step may come; 0 if none does
 }
 
 // State is what a gateway holds of all zones.
 type State struct {
-	conf    Config
-	council *agreement.Participant
-	zones   []zone
-	epoch   uint64 // as last noted
-	whole   []byte // all zones in full use
-	lines   []Line
-	said    []View
-	calm    []float64        // the least that answers of a zone took of their aim, on the mean
-	votes   []agreement.Vote // of the round that is being decided
+	conf       Config
+	agreement  *agreement.Participant
+	zones      []zone
+	epoch      uint64 // as last noted
+	fullShares []byte // all zones in full use
+	log        []LogEntry
+	lastVote   []ZoneView
+	baseline   []float64        // the least that answers of a zone took of their aim, on the mean
+	votes      []agreement.Vote // of the round that is being decided
 }
 
 type zone struct {
-	pin   Pin
-	share byte
-	since int64 // when it took effect
-	away  int64 // how long it is left for at the least, the next time
+	override       Override
+	share          byte
+	since          int64 // when it took effect
+	evacuationTime int64 // how long it is left for at the least, the next time
 }
 
 // New returns a state in which all zones are whole.
 func New(conf Config, council *agreement.Participant) *State {
-	s := &State{conf: conf, council: council, zones: make([]zone, len(conf.Zones)), calm: make([]float64, len(conf.Zones)), whole: slices.Repeat([]byte{Whole}, len(conf.Zones))}
+	s := &State{conf: conf, agreement: council, zones: make([]zone, len(conf.Zones)), baseline: make([]float64, len(conf.Zones)), fullShares: slices.Repeat([]byte{FullShare}, len(conf.Zones))}
 	for i := range s.zones {
-		s.zones[i] = zone{share: Whole, away: conf.Away}
+		s.zones[i] = zone{share: FullShare, evacuationTime: conf.EvacuationTime}
 	}
 	return s
 }
@@ -140,217 +140,217 @@
 const topic = "zones"
 
 // Vote says what this gateway sees, if that is new or was said long ago; the entry is to be told to the others.
-func (s *State) Vote(now int64, views []View) (crdt.Entry, bool) {
-	if !changed(s.said, views) {
-		views = s.said
+func (s *State) Vote(now int64, views []ZoneView) (crdt.Entry, bool) {
+	if !differs(s.lastVote, views) {
+		views = s.lastVote
 	}
-	e, ok := s.council.Vote(now, topic, encode(s.conf.Own, views))
+	e, ok := s.agreement.Vote(now, topic, encodeVote(s.conf.OwnZone, views))
 	if ok {
-		s.said = slices.Clone(views)
+		s.lastVote = slices.Clone(views)
 	}
 	return e, ok
 }
 
-// Pin sets what operators want of a zone.
-func (s *State) Pin(zone int, p Pin) { s.zones[zone].pin = p }
+// SetOverride sets what operators want of a zone.
+func (s *State) SetOverride(zone int, p Override) { s.zones[zone].override = p }
 
 // Share is how much of a zone is used now, in hundredths.
 func (s *State) Share(now int64, zone int) byte {
-	switch s.zones[zone].pin {
-	case Kept:
-		return Whole
-	case Left:
+	switch s.zones[zone].override {
+	case ForceInUse:
+		return FullShare
+	case ForceEvacuated:
 		return 0
 	}
-	shares, _ := s.council.InEffect(now, topic, s.whole)
-	return of(shares, zone)
+	shares, _ := s.agreement.InEffect(now, topic, s.fullShares)
+	return shareOf(shares, zone)
 }
 
-// Own is this gateway's zone; -1: none.
-func (s *State) Own() int { return s.conf.Own }
+// OwnZone is this gateway's zone; -1: none.
+func (s *State) OwnZone() int { return s.conf.OwnZone }
 
-// Epoch is what is in force.
-func (s *State) Epoch(now int64) (shares []byte, epoch uint64) {
-	return s.council.InEffect(now, topic, s.whole)
+// InEffect is what is in force.
+func (s *State) InEffect(now int64) (shares []byte, epoch uint64) {
+	return s.agreement.InEffect(now, topic, s.fullShares)
 }
 
-// Late is how long what is in force has been so.
-func (s *State) Late(now int64) int64 {
-	if d, ok := s.council.Latest(topic); ok && now >= d.EffectiveAt {
+// InEffectFor is how long what is in force has been so.
+func (s *State) InEffectFor(now int64) int64 {
+	if d, ok := s.agreement.Latest(topic); ok && now >= d.EffectiveAt {
 		return now - d.EffectiveAt
 	}
 	return 0
 }
 
-// of is a zone's share in a decision. One that was made with other zones in mind says nothing of those it lacks.
-func of(shares []byte, zone int) byte {
+// shareOf is a zone's share in a decision. One that was made with other zones in mind says nothing of those it lacks.
+func shareOf(shares []byte, zone int) byte {
 	if zone < len(shares) {
-		return min(shares[zone], Whole)
+		return min(shares[zone], FullShare)
 	}
-	return Whole
+	return FullShare
 }
 
-// Lines returns what operators should read since they were last asked for.
-func (s *State) Lines() []Line {
-	l := s.lines
-	s.lines = nil
+// TakeLog returns what operators should read since they were last asked for.
+func (s *State) TakeLog() []LogEntry {
+	l := s.log
+	s.log = nil
 	return l
 }
 
-func (s *State) say(i int, z *zone, next int64, format string, a ...any) {
-	s.lines = append(s.lines, Line{Zone: s.conf.Zones[i], Text: fmt.Sprintf(format, a...), Epoch: s.epoch, Share: z.share,
-		Next: time.Duration(next) * time.Microsecond})
+func (s *State) logZone(i int, z *zone, next int64, format string, a ...any) {
+	s.log = append(s.log, LogEntry{Zone: s.conf.Zones[i], Message: fmt.Sprintf(format, a...), Epoch: s.epoch, Share: z.share,
+		NextStepIn: time.Duration(next) * time.Microsecond})
 }
 
-// tally is what the votes on a zone come to.
-type tally struct {
-	good, bad, unseen int
-	used              float64 // mean of those that find it good
+// VoteCount is what the votes on a zone come to.
+type VoteCount struct {
+	Healthy, Unhealthy, Unknown int
+	latencyShare                float64 // mean of those that find it good
 }
 
-func (t tally) views() int { return t.good + t.bad }
+func (t VoteCount) views() int { return t.Healthy + t.Unhealthy }
 
-// count adds up the votes of gateways that lie outside a zone. All gateways of a zone may be cut off with it, and then see
+// countVotes adds up the votes of gateways that lie outside a zone. All gateways of a zone may be cut off with it, and then see
 // everybody else as bad: those inside have no say.
-func (s *State) count(i int) (t tally) {
+func (s *State) countVotes(i int) (t VoteCount) {
 	for _, v := range s.votes {
-		own, view, ok := decode(v.Body, i)
+		own, view, ok := decodeVote(v.Body, i)
 		if !ok || own == i {
 			continue
 		}
-		switch view.Verdict {
-		case Good:
-			t.good++
-			t.used += float64(view.Used) / 100
-		case Bad:
-			t.bad++
-		case Unseen:
-			t.unseen++
+		switch view.Health {
+		case Healthy:
+			t.Healthy++
+			t.latencyShare += float64(view.LatencyShare) / 100
+		case Unhealthy:
+			t.Unhealthy++
+		case Unknown:
+			t.Unknown++
 		}
 	}
-	if t.good > 0 {
-		t.used /= float64(t.good)
+	if t.Healthy > 0 {
+		t.latencyShare /= float64(t.Healthy)
 	}
 	return t
 }
 
 // Decide looks at all zones, and returns what is to be told to the others: a proposal whose turn has come.
 func (s *State) Decide(now int64, members agreement.Members) (told []crdt.Entry) {
-	s.votes = s.council.Votes(now, topic, members)
-	s.note(now)
-	s.measure()
+	s.votes = s.agreement.Votes(now, topic, members)
+	s.followDecision(now)
+	s.updateBaselines()
 	next := make([]byte, len(s.zones))
 	any := false
 	for i := range s.zones {
 		next[i] = s.zones[i].share
-		if d, ok := s.council.Latest(topic); ok {
-			next[i] = of(d.Value, i)
+		if d, ok := s.agreement.Latest(topic); ok {
+			next[i] = shareOf(d.Value, i)
 		}
 	}
 	for i := range s.zones {
-		if share, due := s.due(now, i, next); due {
+		if share, due := s.nextShare(now, i, next); due {
 			next[i], any = share, true
 		}
 	}
 	if !any {
-		s.council.Withdraw(topic)
-		if e, ok := s.council.Resend(now, topic, members); ok {
+		s.agreement.Withdraw(topic)
+		if e, ok := s.agreement.Resend(now, topic, members); ok {
 			told = append(told, e)
 		}
-	} else if e, ok := s.council.Propose(now, topic, next, s.whole, members); ok {
+	} else if e, ok := s.agreement.Propose(now, topic, next, s.fullShares, members); ok {
 		told = append(told, e)
 		for i, share := range next {
-			if t := s.count(i); share != s.zones[i].share {
-				s.say(i, &s.zones[i], 0, "proposed share %d: %d gateways find it bad, %d good, %d have no view", share, t.bad, t.good, t.unseen)
+			if t := s.countVotes(i); share != s.zones[i].share {
+				s.logZone(i, &s.zones[i], 0, "proposed share %d: %d gateways find it bad, %d good, %d have no view", share, t.Unhealthy, t.Healthy, t.Unknown)
 			}
 		}
 	}
 	return told
 }
 
-// note follows the shares that are in force.
-func (s *State) note(now int64) {
-	shares, epoch := s.council.InEffect(now, topic, s.whole)
+// followDecision follows the shares that are in force.
+func (s *State) followDecision(now int64) {
+	shares, epoch := s.agreement.InEffect(now, topic, s.fullShares)
 	from := now
-	if d, ok := s.council.Latest(topic); ok && d.Epoch == epoch {
+	if d, ok := s.agreement.Latest(topic); ok && d.Epoch == epoch {
 		from = d.EffectiveAt
 	}
 	news := epoch != s.epoch
 	s.epoch = epoch
 	for i := range s.zones {
 		z := &s.zones[i]
-		share, was := of(shares, i), z.share
+		share, was := shareOf(shares, i), z.share
 		if !news || share == was {
-			if share == Whole && now-z.since > s.conf.Calm {
-				z.away = s.conf.Away
+			if share == FullShare && now-z.since > s.conf.BackoffReset {
+				z.evacuationTime = s.conf.EvacuationTime
 			}
 			continue
 		}
 		z.share, z.since = share, from
 		switch {
-		case share < was && was < Whole: // a return was taken back
-			z.away = min(2*z.away, s.conf.AwayMax)
-			s.say(i, z, z.away, "return taken back at %d of 100", was)
+		case share < was && was < FullShare: // a return was taken back
+			z.evacuationTime = min(2*z.evacuationTime, s.conf.MaxEvacuationTime)
+			s.logZone(i, z, z.evacuationTime, "return taken back at %d of 100", was)
 		case share < was:
-			s.say(i, z, z.away, "left")
-		case share == Whole:
-			s.say(i, z, 0, "in full use again")
+			s.logZone(i, z, z.evacuationTime, "left")
+		case share == FullShare:
+			s.logZone(i, z, 0, "in full use again")
 		default:
-			s.say(i, z, s.conf.Step, "returning")
+			s.logZone(i, z, s.conf.StepDuration, "returning")
 		}
 	}
 }
 
-// due is the share of a zone that should be agreed on next, if that is another; next has what is to be of the others.
-func (s *State) due(now int64, i int, next []byte) (share byte, due bool) {
+// nextShare is the share of a zone that should be agreed on next, if that is another; next has what is to be of the others.
+func (s *State) nextShare(now int64, i int, next []byte) (share byte, due bool) {
 	z := &s.zones[i]
-	t := s.count(i)
-	bad := t.views() >= s.conf.Views && float64(t.bad) >= s.conf.Bad*float64(t.views())
-	good := t.views() >= 1 && float64(t.bad) <= (1-s.conf.Bad)*float64(t.views())
+	t := s.countVotes(i)
+	bad := t.views() >= s.conf.MinViews && float64(t.Unhealthy) >= s.conf.RequiredShare*float64(t.views())
+	good := t.views() >= 1 && float64(t.Unhealthy) <= (1-s.conf.RequiredShare)*float64(t.views())
 	switch {
-	case bad && z.share == Whole:
-		if away(i, next) >= s.conf.AtOnce {
+	case bad && z.share == FullShare:
+		if evacuatedOthers(i, next) >= s.conf.MaxEvacuated {
 			return 0, false
 		}
-		share = s.bearable(i)
-		return share, share < Whole
-	case z.share == Whole:
+		share = s.shareToKeep(i)
+		return share, share < FullShare
+	case z.share == FullShare:
 		return 0, false
 	case bad && z.share > 0: // but not for what was sent before the step
-		share = s.bearable(i)
-		return share, share < z.share && now-z.since > s.conf.Step/4
+		share = s.shareToKeep(i)
+		return share, share < z.share && now-z.since > s.conf.StepDuration/4
 	case !good:
 		return 0, false
-	case z.share == 0 && now-z.since < z.away, z.share > 0 && now-z.since < s.conf.Step && s.conf.Pace:
+	case z.share == 0 && now-z.since < z.evacuationTime, z.share > 0 && now-z.since < s.conf.StepDuration && s.conf.PacedRecovery:
 		return 0, false
-	case z.share > 0 && t.used > s.conf.Bear && s.conf.Pace: // answers worsen: the step is held
+	case z.share > 0 && t.latencyShare > s.conf.MaxLatencyShare && s.conf.PacedRecovery: // answers worsen: the step is held
 		return 0, false
 	}
-	for _, step := range s.conf.Steps {
-		if step > z.share && (s.conf.Pace || step == Whole) {
+	for _, step := range s.conf.RecoverySteps {
+		if step > z.share && (s.conf.PacedRecovery || step == FullShare) {
 			return step, true
 		}
 	}
-	return Whole, true
+	return FullShare, true
 }
 
-// away counts the other zones that are left or on their way back.
-func away(i int, next []byte) (n int) {
+// evacuatedOthers counts the other zones that are left or on their way back.
+func evacuatedOthers(i int, next []byte) (n int) {
 	for o, share := range next {
-		if o != i && share < Whole {
+		if o != i && share < FullShare {
 			n++
 		}
 	}
 	return n
 }
 
-// weigh adds up what all gateways send to a zone, and the mean of what its answers take of their aim, by n of them.
-func (s *State) weigh(zone int) (load, used float64, n int) {
+// totalLoad adds up what all gateways send to a zone, and the mean of what its answers take of their aim, by n of them.
+func (s *State) totalLoad(zone int) (load, used float64, n int) {
 	for _, v := range s.votes {
-		if _, view, ok := decode(v.Body, zone); ok {
-			load += float64(view.Load)
-			if view.Verdict == Good && view.Used > 0 {
-				used += float64(view.Used) / 100
+		if _, view, ok := decodeVote(v.Body, zone); ok {
+			load += float64(view.RequestRate)
+			if view.Health == Healthy && view.LatencyShare > 0 {
+				used += float64(view.LatencyShare) / 100
 				n++
 			}
 		}
@@ -358,48 +358,48 @@
 	return load, used / float64(max(n, 1)), n
 }
 
-// measure notes how little answers of each zone take when it has least to do.
-func (s *State) measure() {
+// updateBaselines notes how little answers of each zone take when it has least to do.
+func (s *State) updateBaselines() {
 	for i := range s.zones {
-		if _, used, n := s.weigh(i); n > 0 && (s.calm[i] == 0 || used < s.calm[i]) {
-			s.calm[i] = used
+		if _, used, n := s.totalLoad(i); n > 0 && (s.baseline[i] == 0 || used < s.baseline[i]) {
+			s.baseline[i] = used
 		}
 	}
 }
 
-// measured tells that another zone than i has been seen at work, so that what it bears is known at all.
-func (s *State) measured(i int) bool {
-	for o, calm := range s.calm {
-		if _, used, n := s.weigh(o); o != i && n > 0 && used > calm {
+// hasSeenLoadElsewhere tells that another zone than i has been seen at work, so that what it bears is known at all.
+func (s *State) hasSeenLoadElsewhere(i int) bool {
+	for o, calm := range s.baseline {
+		if _, used, n := s.totalLoad(o); o != i && n > 0 && used > calm {
 			return true
 		}
 	}
 	return false
 }
 
-// bearable is the share of a zone that has to stay for the others to bear what it gives up. Answers of a host in use u take
+// shareToKeep is the share of a zone that has to stay for the others to bear what it gives up. Answers of a host in use u take
 // 1/(1-u) times what they take of a calm one (processor sharing), so u follows from what they take now and took at
 // the least; at Bear of their aim no more is to be given.
-func (s *State) bearable(i int) byte {
-	if !s.conf.Capacity {
+func (s *State) shareToKeep(i int) byte {
+	if !s.conf.CheckCapacity {
 		return 0
 	}
 	var load, room float64
 	for o := range s.zones {
-		here, used, n := s.weigh(o)
+		here, used, n := s.totalLoad(o)
 		if o == i {
 			load = here
 			continue
 		}
-		calm := s.calm[o]
+		calm := s.baseline[o]
 		if n == 0 || here == 0 || calm == 0 || used <= calm {
 			continue
 		}
-		use, most := 1-calm/used, 1-calm/s.conf.Bear
+		use, most := 1-calm/used, 1-calm/s.conf.MaxLatencyShare
 		room += here * max(most/use-1, 0)
 	}
-	if load == 0 || room >= load || len(s.zones) < 2 || !s.measured(i) {
+	if load == 0 || room >= load || len(s.zones) < 2 || !s.hasSeenLoadElsewhere(i) {
 		return 0
 	}
-	return byte(Whole * (1 - room/load)) // steps of the return go on from there
+	return byte(FullShare * (1 - room/load)) // steps of the return go on from there
 }
