--- /dev/null
+++ b/internal/zonefailover/capacity.go
@@ -0,0 +1,54 @@
+package zonefailover
+
+// updateBaselines notes the least response time of each zone, which it has with little load.
+func (s *State) updateBaselines() {
+	for i := range s.zones {
+		_, latencyShare, measured := totalLoad(s.votes, i)
+		if measured && (s.baseline[i] == 0 || latencyShare < s.baseline[i]) {
+			s.baseline[i] = latencyShare
+		}
+	}
+}
+
+// hasSeenLoadElsewhere tells whether a zone other than i answers slower than at its best. Without that nothing is known
+// about the capacity of the others.
+func (s *State) hasSeenLoadElsewhere(i int) bool {
+	for other, baseline := range s.baseline {
+		_, latencyShare, measured := totalLoad(s.votes, other)
+		if other != i && measured && latencyShare > baseline {
+			return true
+		}
+	}
+	return false
+}
+
+// shareToKeep is the share of a zone that has to remain in use since the other zones lack the capacity for it.
+//
+// In processor sharing a host with utilization u takes 1/(1-u) times as long to answer as an idle one. A zone's
+// utilization therefore follows from its response time now and at its least, and the utilization that it may reach from
+// MaxLatencyShare.
+func (s *State) shareToKeep(i int) byte {
+	if !s.conf.CheckCapacity {
+		return 0
+	}
+	var load, spareCapacity float64 // in tenths of a request per second
+	for other := range s.zones {
+		requestRate, latencyShare, measured := totalLoad(s.votes, other)
+		if other == i {
+			load = requestRate
+			continue
+		}
+		baseline := s.baseline[other]
+		if !measured || requestRate == 0 || baseline == 0 || latencyShare <= baseline {
+			continue
+		}
+		utilization := 1 - baseline/latencyShare
+		maxUtilization := 1 - baseline/s.conf.MaxLatencyShare
+		spareCapacity += requestRate * max(maxUtilization/utilization-1, 0)
+	}
+	fits := load == 0 || spareCapacity >= load
+	if fits || len(s.zones) < 2 || !s.hasSeenLoadElsewhere(i) {
+		return 0
+	}
+	return byte(FullShare * (1 - spareCapacity/load))
+}
