--- a/internal/zonefailover/decisions_test.go
+++ b/internal/zonefailover/decisions_test.go
@@ -26,10 +26,10 @@
 
 // gateway is one of the storm's, with what it sees of the zones and what it holds of them.
 type gateway struct {
-	name  string
-	state *crdt.State
-	sight *zonefailover.EvidenceCollector
-	zones *zonefailover.State
+	name     string
+	state    *crdt.State
+	evidence *zonefailover.EvidenceCollector
+	zones    *zonefailover.State
 }
 
 // fleet is some gateways before zones that fail and come back.
@@ -74,7 +74,7 @@
 		if f.odds(0.01) {
 			end.Zone += f.random.IntN(5) - 2
 		}
-		g.sight.Observe(end)
+		g.evidence.Observe(end)
 	}
 }
 
@@ -93,7 +93,7 @@
 
 // vote has a gateway say what it sees, and writes that down.
 func (f *fleet) vote(g *gateway) {
-	views := g.sight.Assess(f.now, g.zones.OwnZone())
+	views := g.evidence.Assess(f.now, g.zones.OwnZone())
 	for _, view := range views {
 		f.answers.Numbers(int64(view.Health), int64(view.LatencyShare), int64(view.RequestRate))
 	}
--- /dev/null
+++ b/internal/zonefailover/evacuation_test.go
@@ -0,0 +1,157 @@
+package zonefailover
+
+import (
+	"testing"
+
+	"cloverrock/internal/agreement"
+)
+
+// A zone stays in use if half of the gateways find it unhealthy, if one does, if those inside it do while they are cut off
+// with it, and if the fleet is partitioned so that no part has a majority.
+func TestZoneStaysInUseWithoutQuorumOfOutsideGateways(t *testing.T) {
+	for name, play := range map[string]func(sim *simulation){
+		"half find it unhealthy": func(sim *simulation) { sim.failZoneFor(func(i int) bool { return i%2 == 0 }) },
+		"one finds it unhealthy": func(sim *simulation) { sim.failZoneFor(func(i int) bool { return i == 1 }) },
+		"those inside find the others unhealthy": func(sim *simulation) {
+			sim.view = func(gw *gateway, z int) ZoneView {
+				v := healthyView()
+				if gw.zone == 0 && z != 0 {
+					v.Health = Unhealthy
+				}
+				return v
+			}
+			for _, gw := range sim.gateways {
+				gw.partition = min(gw.zone, 1)
+			}
+		},
+		"partitioned in halves": func(sim *simulation) {
+			sim.failZoneFor(everybody)
+			for i, gw := range sim.gateways {
+				gw.partition = i % 2
+			}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			sim := newSimulation(t, 30, nil)
+			sim.run(3 * second)
+			play(sim)
+			sim.run(12 * second)
+			for z := range 3 {
+				for _, gw := range sim.gateways {
+					if s := gw.zones.Share(sim.now, z); s != FullShare {
+						t.Fatalf("%s uses %d of zone %d", gw.name, s, z)
+					}
+				}
+			}
+			if name == "partitioned in halves" { // and evacuates once the partition is over
+				for _, gw := range sim.gateways {
+					gw.partition = 0
+				}
+				sim.run(8 * second)
+				sim.requireShare("healed", 0)
+			}
+		})
+	}
+}
+
+// A third of the gateways is stopped while a zone is evacuated. When they go on they receive the decision, follow it and
+// count that it was late.
+func TestStoppedGatewaysFollowTheDecisionLate(t *testing.T) {
+	sim := newSimulation(t, 30, nil)
+	sim.run(3 * second)
+	sim.failZoneFor(everybody)
+	for i, gw := range sim.gateways {
+		gw.stopped = i%3 == 0
+	}
+	sim.run(5 * second)
+	for _, gw := range sim.gateways {
+		gw.stopped = false
+	}
+	sim.run(6 * second)
+	sim.requireShare("after the stop", 0)
+	late := 0
+	for _, gw := range sim.gateways {
+		late += gw.agreement.Lateness().Late
+	}
+	if late == 0 {
+		t.Error("no gateway counts that it received the decision late")
+	}
+}
+
+// Operators' overrides precede what was decided.
+func TestOverridesPrecedeDecisions(t *testing.T) {
+	sim := newSimulation(t, 12, nil)
+	sim.failZoneFor(everybody)
+	sim.run(5 * second)
+	gw := sim.gateways[0]
+	if a, b, c := gw.zones.Share(sim.now, 0), gw.zones.Share(sim.now, 1), gw.zones.Share(sim.now, 2); a != 0 || b != FullShare || c != FullShare {
+		t.Errorf("shares %d, %d, %d", a, b, c)
+	}
+	gw.zones.SetOverride(0, ForceInUse)
+	gw.zones.SetOverride(2, ForceEvacuated)
+	if gw.zones.Share(sim.now, 0) != FullShare || gw.zones.Share(sim.now, 2) != 0 {
+		t.Error("overrides have no effect")
+	}
+	if len(gw.zones.TakeLog()) == 0 {
+		t.Error("nothing was logged for operators")
+	}
+}
+
+// Without a quorum a minority evacuates a zone, and without paced recovery a zone returns at once: the tests above do
+// depend on them.
+func TestQuorumAndPacedRecoveryAreNecessary(t *testing.T) {
+	sim := newSimulation(t, 30, func(_ *Config, a *agreement.Config) { a.RequireQuorum = false })
+	sim.failZoneFor(everybody)
+	for i, gw := range sim.gateways {
+		gw.partition = min(i%5, 1)
+	}
+	sim.run(8 * second)
+	if s := sim.shares(); s[0] != 0 {
+		t.Error("six gateways of thirty do not evacuate without the quorum")
+	}
+	sim = newSimulation(t, 30, func(c *Config, _ *agreement.Config) { c.PacedRecovery = false })
+	sim.failZoneFor(everybody)
+	sim.run(5 * second)
+	sim.failZoneFor(nobody)
+	sim.run(7 * second)
+	sim.requireShare("without paced recovery", FullShare)
+}
+
+// The time of an evacuation and the traffic for it stay within bounds as the fleet grows: run with -v for a table.
+func TestEvacuationTimeAndTrafficByFleetSize(t *testing.T) {
+	sizes := []int{10, 50}
+	if testing.Verbose() {
+		sizes = append(sizes, 100, 300)
+	}
+	for _, n := range sizes {
+		for _, loss := range []float64{0, 0.2} {
+			sim := newSimulation(t, n, nil)
+			sim.loss = loss
+			sim.run(40 * second)
+			for _, other := range sim.gateways {
+				other.bytes = 0
+			}
+			sim.run(20 * second)
+			atRest := 0
+			for _, other := range sim.gateways {
+				atRest += other.bytes
+			}
+			sim.failZoneFor(everybody)
+			failedAt := sim.now
+			for s := sim.shares(); s[len(s)-1] > 0 && sim.now-failedAt < 30*second; s = sim.shares() {
+				sim.run(tickInterval)
+			}
+			sim.run(tickInterval)
+			first, p99, last := sim.actedOn(1)
+			total := 0
+			for _, other := range sim.gateways {
+				total += other.bytes
+			}
+			t.Logf("%d gateways, loss %.1f: evacuated %d ms after the zone failed, 99 of 100 within %d ms, the last within %d; %d bytes per gateway and second at rest, %d while it agreed; %d bytes held",
+				n, loss, (first-failedAt)/ms, (p99-first)/ms, (last-first)/ms, atRest/n/20, int64(total-atRest)*second/int64(n)/(sim.now-failedAt), sim.gateways[0].state.MemoryBytes())
+			if p99-first > second || atRest/n/20 > 20_000 {
+				t.Errorf("%d gateways, loss %.1f: 99 of 100 evacuated within %d ms, %d bytes a second", n, loss, (p99-first)/ms, atRest/n/20)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/zonefailover/evidence_test.go
@@ -0,0 +1,63 @@
+package zonefailover
+
+import (
+	"strconv"
+	"testing"
+)
+
+// A zone is unhealthy only if most of its hosts, of several groups, fail and the fault is not the gateway's own.
+func TestHealthOfAZoneFromObservations(t *testing.T) {
+	for name, c := range map[string]struct {
+		failed func(host, zone int, group int64) bool
+		want   [3]Health
+	}{
+		"all well":             {func(int, int, int64) bool { return false }, [3]Health{Healthy, Healthy, Healthy}},
+		"a zone":               {func(_, z int, _ int64) bool { return z == 1 }, [3]Health{Healthy, Unhealthy, Healthy}},
+		"one bad host":         {func(h, _ int, _ int64) bool { return h == 1 }, [3]Health{Healthy, Healthy, Healthy}},
+		"one bad group":        {func(_, _ int, g int64) bool { return g == 1 }, [3]Health{Healthy, Healthy, Healthy}},
+		"its own link":         {func(int, int, int64) bool { return true }, [3]Health{Unknown, Unknown, Unknown}},
+		"its own zone":         {func(_, z int, _ int64) bool { return z == 0 }, [3]Health{Unknown, Healthy, Healthy}},
+		"two zones":            {func(_, z int, _ int64) bool { return z > 0 }, [3]Health{Healthy, Unhealthy, Unhealthy}},
+		"most hosts of a zone": {func(h, z int, _ int64) bool { return z == 2 && h%4 != 2 }, [3]Health{Healthy, Healthy, Unhealthy}},
+	} {
+		evidence := NewEvidenceCollector(EvidenceConfig{Zones: 3, Window: 5 * second, MinHosts: 3, MinFailingGroups: 2, FailingShare: 0.6})
+		for at := range 40 {
+			for h := range 12 {
+				zone, group := h%3, int64(h/3)
+				evidence.Observe(Observation{Host: strconv.Itoa(h), Zone: zone, Group: group, Failed: c.failed(h, zone, group), LatencyShare: 0.3, At: beginning + int64(at)*100*ms})
+			}
+		}
+		for z, v := range evidence.Assess(beginning+4*second, 0) {
+			if v.Health != c.want[z] {
+				t.Errorf("%s: zone %d: %d, want %d", name, z, v.Health, c.want[z])
+			}
+		}
+		for z, v := range evidence.Assess(beginning+60*second, 0) {
+			if v.Health != Unknown {
+				t.Errorf("%s: zone %d is still %d a minute later", name, z, v.Health)
+			}
+		}
+	}
+}
+
+// The many successes of a busy zone before it falls silent do not delay that it is found unhealthy.
+func TestBusyZoneThatFallsSilentIsUnhealthySoon(t *testing.T) {
+	evidence := NewEvidenceCollector(EvidenceConfig{Zones: 2, Window: 4 * second, MinHosts: 3, MinFailingGroups: 2, FailingShare: 0.6})
+	health, now := Healthy, beginning
+	for ; health != Unhealthy; now += 10 * ms {
+		for h := range 8 {
+			silent := h%2 == 0 && now > beginning+10*second
+			if silent && (now/ms/10)%50 != 0 {
+				continue // a suspected host gets a health check from time to time
+			}
+			evidence.Observe(Observation{Host: strconv.Itoa(h), Zone: h % 2, Group: int64(h / 4), Failed: silent, At: now})
+		}
+		health = evidence.Assess(now, 1)[0].Health
+		if now > beginning+13*second {
+			t.Fatal("is not found unhealthy after 3 s")
+		}
+		if health == Unhealthy && now <= beginning+10*second {
+			t.Fatal("is found unhealthy while it does well")
+		}
+	}
+}
--- /dev/null
+++ b/internal/zonefailover/recovery_test.go
@@ -0,0 +1,76 @@
+package zonefailover
+
+import (
+	"slices"
+	"testing"
+)
+
+// A failing zone is evacuated by all gateways at one moment and recovers step by step, each step at one moment and at a
+// pace that cold hosts bear; also if a fifth of the messages is lost.
+func TestZoneIsEvacuatedAtOnceAndRecoversInSteps(t *testing.T) {
+	for _, loss := range []float64{0, 0.2} {
+		sim := newSimulation(t, 60, nil)
+		sim.loss = loss
+		sim.run(5 * second)
+		sim.requireShare("before", FullShare)
+		sim.failZoneFor(everybody)
+		sim.run(9 * second)
+		sim.requireShare("while it fails", 0)
+		if first, p99, last := sim.actedOn(1); p99-first > 500*ms || first-beginning > 9*second {
+			t.Errorf("loss %.1f: evacuated from %d to %d ms after the start, 99 of 100 within %d", loss, (first-beginning)/ms, (last-beginning)/ms, (p99-first)/ms)
+		}
+		sim.failZoneFor(nobody)
+		recoveryBegan := sim.now
+		var steps []byte
+		sim.afterTick = func() {
+			if s := sim.shares(); s[0] == s[len(s)-1] && (len(steps) == 0 || steps[len(steps)-1] != s[0]) {
+				steps = append(steps, s[0])
+			}
+		}
+		sim.run(40 * second)
+		sim.requireShare("after the recovery", FullShare)
+		if want := []byte{0, 2, 5, 10, 20, 40, 70, 100}; !slices.Equal(steps, want) {
+			t.Errorf("loss %.1f: steps %v, want %v", loss, steps, want)
+		}
+		if took := sim.now - recoveryBegan; took < 6*2*second {
+			t.Errorf("recovered within %d ms", took/ms)
+		}
+	}
+}
+
+// actedOn is when the first, 99 of 100, and the last gateway acted on an epoch.
+func (sim *simulation) actedOn(epoch uint64) (first, p99, last int64) {
+	var at []int64
+	for _, gw := range sim.gateways {
+		if gw.firstActedAt[epoch] == 0 {
+			sim.t.Fatalf("%s never acted on epoch %d", gw.name, epoch)
+		}
+		at = append(at, gw.firstActedAt[epoch])
+	}
+	slices.Sort(at)
+	return at[0], at[len(at)*99/100-1], at[len(at)-1]
+}
+
+// A zone that fails again at 40 of 100 is evacuated again, and the next recovery begins after twice the time.
+func TestFailureDuringRecoveryDoublesTheNextEvacuation(t *testing.T) {
+	sim := newSimulation(t, 30, nil)
+	sim.failZoneFor(everybody)
+	sim.run(5 * second)
+	sim.requireShare("evacuated", 0)
+	sim.failZoneFor(nobody)
+	for n := 0; sim.shares()[0] < 40; n++ {
+		sim.run(second)
+		if n > 40 {
+			t.Fatal("does not recover")
+		}
+	}
+	sim.run(second)
+	sim.failZoneFor(everybody)
+	sim.run(3 * second)
+	sim.requireShare("evacuated again", 0)
+	sim.failZoneFor(nobody)
+	sim.run(6 * second)
+	sim.requireShare("within twice the time", 0)
+	sim.run(40 * second)
+	sim.requireShare("after the recovery", FullShare)
+}
