--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -199,7 +199,7 @@
 	}
 	var err error
 	if p.members, err = membership.Open(membership.Config{Name: p.conf.Name, Listen: p.set.Listen, Join: p.set.Join, Relay: p.set.Relay, Log: p.log,
-		Heard: func(from string, b []byte) { p.in.put(letter{name: from, b: b}) }}); err != nil {
+		OnMessage: func(from string, b []byte) { p.in.put(letter{name: from, b: b}) }}); err != nil {
 		log := p.log.Error().Err(err)
 		if r, ok := err.(interface{ Remedy() string }); ok {
 			log = log.Str("remedy", r.Remedy())
@@ -296,7 +296,7 @@
 			return
 		case l := <-p.out.c:
 			if l.name == "" {
-				p.members.Tell(l.key, l.b)
+				p.members.Broadcast(l.key, l.b)
 			} else if err := p.members.Send(l.name, l.b); err != nil {
 				p.log.Debug().Err(err).Msg("a message was not sent")
 			}
@@ -334,7 +334,7 @@
 			listed = now
 			p.list()
 		}
-		roll := p.members.Roll()
+		roll := p.members.Snapshot()
 		if wait := rounds; now.Sub(asked) > wait || p.behind && now.Sub(asked) > wait/5 {
 			asked = now
 			p.ask(roll)
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -19,7 +19,7 @@
 	var cases []golden.Case
 	for _, test := range tests {
 		m := &Members{conf: Config{Name: test.from}}
-		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(m.wrap([]byte(test.said)))})
+		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(m.withSender([]byte(test.said)))})
 	}
 	stored := golden.Check(t, "messages.golden", cases)
 	for _, test := range tests {
@@ -28,7 +28,7 @@
 			t.Fatal(err)
 		}
 		heard := false
-		m := &Members{conf: Config{Heard: func(from string, said []byte) {
+		m := &Members{conf: Config{OnMessage: func(from string, said []byte) {
 			heard = from == test.from && bytes.Equal(said, []byte(test.said))
 		}}}
 		(*delegate)(m).NotifyMsg(b)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,14 +1,14 @@
-// Package member keeps track of which gateways of a fleet are there, and carries what they tell one another. The failure
-// detector and the spreading of messages are hashicorp/memberlist's (SWIM with Lifeguard's refinements); this package gives it
-// a transport that can be led through a relay, and remembers those that are gone, since a majority is counted of all.
+// Package membership keeps track of which gateways of a fleet are alive, and carries messages between them.
+//
+// Failure detection and the spreading of messages are those of hashicorp/memberlist (the SWIM protocol with the Lifeguard
+// extensions). This package gives it a transport that can go through a relay, and remembers members that have died, since
+// a quorum is counted of all members.
 package membership
 
 import (
 	"context"
 	"fmt"
-	"io"
 	"log"
-	"net"
 	"net/netip"
 	"sync"
 	"time"
@@ -19,30 +19,45 @@
 	"cloverrock/internal/agreement"
 )
 
+const (
+	defaultDeadRetention = time.Hour
+	minJoinBackoff       = 100 * time.Millisecond
+	maxJoinBackoff       = 5 * time.Second
+	leaveTimeout         = 200 * time.Millisecond
+
+	gossipInterval = 100 * time.Millisecond
+	probeInterval  = 500 * time.Millisecond
+	probeTimeout   = 250 * time.Millisecond
+	// pushPullInterval is for the list of members only; what members tell one another has rounds of its own.
+	pushPullInterval = 30 * time.Second
+	// deadNodeReclaimTime lets a gateway that restarts have another address.
+	deadNodeReclaimTime = time.Second
+)
+
 // Config describes this gateway's part.
 type Config struct {
-	Name   string
-	Listen string   // TCP and UDP
-	Join   []string // addresses of others; those that don't answer are asked again
-	Relay  string   // where everything is sent first, if set: an experiment's links
-	Forget time.Duration
-	Heard  func(from string, b []byte) // called on the library's goroutines: it may not wait
-	Log    zerolog.Logger
+	Name          string
+	Listen        string                            // address and port, for TCP and UDP
+	Join          []string                          // addresses of other members; retried while none answers
+	Relay         string                            // address that all traffic is sent through, for experiments; empty: none
+	DeadRetention time.Duration                     // how long a dead member counts as a member; 0: an hour
+	OnMessage     func(from string, message []byte) // is called on the library's goroutines and must not block
+	Log           zerolog.Logger
 }
 
-// DuplicateError is a second process under a name that is in use.
-type DuplicateError struct{ Name, Address string }
+// DuplicateNameError is a second process under a name that is in use.
+type DuplicateNameError struct{ Name, Address string }
 
-func (e *DuplicateError) Error() string {
+func (e *DuplicateNameError) Error() string {
 	return fmt.Sprintf("another process runs under the name %s at %s", e.Name, e.Address)
 }
 
 // Remedy says what an operator can do.
-func (e *DuplicateError) Remedy() string {
+func (e *DuplicateNameError) Remedy() string {
 	return "give each gateway a name of its own (the key name, or EDGE_NAME), or end the process at that address"
 }
 
-// ListenError is an address that can't be had.
+// ListenError is an address that can't be listened on.
 type ListenError struct {
 	Address string
 	Err     error
@@ -58,50 +73,50 @@
 	return "name an address of this machine whose TCP and UDP ports are both free"
 }
 
-// Members is this gateway among the others.
+// UnknownMemberError is a member that is not alive, or does not exist.
+type UnknownMemberError struct{ Name string }
+
+func (e *UnknownMemberError) Error() string {
+	return fmt.Sprintf("membership: %s is not a living member", e.Name)
+}
+
+// Members is this gateway as a member of its fleet. Its methods may be called from any goroutine.
 type Members struct {
 	conf  Config
 	list  *memberlist.Memberlist
 	queue *memberlist.TransmitLimitedQueue
 
-	mu   sync.Mutex
-	gone map[string]time.Time // members that died, and when
+	mu     sync.Mutex           // guards diedAt
+	diedAt map[string]time.Time // by member
+
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 }
 
-// Open joins the fleet. It does not wait for the others.
+// Open joins the fleet. It does not wait for other members. An address that can't be listened on gives a *ListenError.
 func Open(conf Config) (*Members, error) {
-	at, err := netip.ParseAddrPort(conf.Listen)
+	address, err := netip.ParseAddrPort(conf.Listen)
 	if err != nil {
 		return nil, &ListenError{conf.Listen, err}
 	}
-	if conf.Forget == 0 {
-		conf.Forget = time.Hour
+	if conf.DeadRetention == 0 {
+		conf.DeadRetention = defaultDeadRetention
 	}
-	m := &Members{conf: conf, gone: map[string]time.Time{}}
-	quiet := log.New(lines{conf.Log}, "", 0)
-	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{at.Addr().String()}, BindPort: int(at.Port()), Logger: quiet})
+	m := &Members{conf: conf, diedAt: map[string]time.Time{}}
+	logger := log.New(libraryLog{conf.Log}, "", 0)
+	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{address.Addr().String()},
+		BindPort:  int(address.Port()),
+		Logger:    logger,
+	})
 	if err != nil {
 		return nil, &ListenError{conf.Listen, err}
 	}
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.BindAddr, c.BindPort, c.AdvertisePort = conf.Name, at.Addr().String(), int(at.Port()), int(at.Port())
-	c.Transport, c.Logger, c.LogOutput = &transport{NetTransport: inner, relay: conf.Relay}, quiet, nil
-	c.Delegate, c.Events, c.Conflict = (*delegate)(m), (*events)(m), (*conflicts)(m)
-	c.GossipInterval, c.ProbeInterval, c.ProbeTimeout = 100*time.Millisecond, 500*time.Millisecond, 250*time.Millisecond
-	c.PushPullInterval = 30 * time.Second // membership; knowledge has rounds of its own
-	c.DeadNodeReclaimTime = time.Second   // a gateway that starts again may have another address
-	c.EnableCompression = false
-	m.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: c.RetransmitMult, NumNodes: func() int {
-		if m.list == nil {
-			return 1
-		}
-		return m.list.NumMembers()
-	}}
-	if m.list, err = memberlist.Create(c); err != nil {
-		_ = inner.Shutdown()
-		return nil, fmt.Errorf("member: %w", err)
+	library := m.libraryConfig(address, &transport{NetTransport: inner, relay: conf.Relay}, logger)
+	m.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: library.RetransmitMult, NumNodes: m.count}
+	if m.list, err = memberlist.Create(library); err != nil {
+		_ = inner.Shutdown() // the error that is returned says more
+		return nil, fmt.Errorf("membership: start: %w", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	m.stop = stop
@@ -109,186 +124,103 @@
 	return m, nil
 }
 
-// join asks the others until one has answered, and again later while this gateway sees nobody.
+func (m *Members) libraryConfig(address netip.AddrPort, t *transport, logger *log.Logger) *memberlist.Config {
+	c := memberlist.DefaultLANConfig()
+	c.Name = m.conf.Name
+	c.BindAddr = address.Addr().String()
+	c.BindPort = int(address.Port())
+	c.AdvertisePort = int(address.Port())
+	c.Transport = t
+	c.Logger = logger
+	c.LogOutput = nil
+	c.Delegate = (*delegate)(m)
+	c.Events = (*events)(m)
+	c.Conflict = (*conflicts)(m)
+	c.GossipInterval = gossipInterval
+	c.ProbeInterval = probeInterval
+	c.ProbeTimeout = probeTimeout
+	c.PushPullInterval = pushPullInterval
+	c.DeadNodeReclaimTime = deadNodeReclaimTime
+	c.EnableCompression = false
+	return c
+}
+
+// count is how many members are alive; the library asks for it while it starts, too.
+func (m *Members) count() int {
+	if m.list == nil {
+		return 1
+	}
+	return m.list.NumMembers()
+}
+
+// join contacts the configured addresses, with a growing pause, while this gateway knows no other member.
 func (m *Members) join(ctx context.Context) {
-	for wait := 100 * time.Millisecond; ; wait = min(2*wait, 5*time.Second) {
+	for backoff := minJoinBackoff; ; backoff = min(2*backoff, maxJoinBackoff) {
 		if m.list.NumMembers() < 2 && len(m.conf.Join) > 0 {
 			if n, err := m.list.Join(m.conf.Join); n == 0 && err != nil {
-				m.conf.Log.Debug().Err(err).Msg("fleet: nobody of join answers yet")
+				m.conf.Log.Debug().Err(err).Dur("backoff_ms", backoff).Msg("membership: no join address answers, retrying")
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(wait):
+		case <-time.After(backoff):
 		}
 	}
 }
 
-// Close leaves the fleet in order: the others do not count this gateway any more.
+// Close leaves the fleet in order: the others do not count this gateway as a member any more.
 func (m *Members) Close() {
 	m.stop()
 	m.wg.Wait()
-	_ = m.list.Leave(200 * time.Millisecond)
-	_ = m.list.Shutdown()
+	if err := m.list.Leave(leaveTimeout); err != nil {
+		m.conf.Log.Debug().Err(err).Msg("membership: leaving failed")
+	}
+	if err := m.list.Shutdown(); err != nil {
+		m.conf.Log.Debug().Err(err).Msg("membership: shutdown failed")
+	}
 }
 
-// Roll is who belongs to the fleet. Those that died stay on it for the time after which they are forgotten.
-func (m *Members) Roll() agreement.Members {
-	roll := agreement.Members{}
-	for _, n := range m.list.Members() {
-		roll[n.Name] = true
+// Snapshot returns the members. Those that died count as members until DeadRetention is over.
+func (m *Members) Snapshot() agreement.Members {
+	members := agreement.Members{}
+	for _, node := range m.list.Members() {
+		members[node.Name] = true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for name, at := range m.gone {
-		if time.Since(at) > m.conf.Forget {
-			delete(m.gone, name)
-		} else if !roll[name] {
-			roll[name] = false
-		}
-	}
-	return roll
-}
-
-// Tell spreads a message to all; of two with one key the later one stands for both.
-func (m *Members) Tell(key string, b []byte) { m.queue.QueueBroadcast(&news{key, b}) }
-
-// Send sends a message to one member, reliably; it may take some time.
-func (m *Members) Send(name string, b []byte) error {
-	for _, n := range m.list.Members() {
-		if n.Name == name {
-			if err := m.list.SendReliable(n, m.wrap(b)); err != nil {
-				return fmt.Errorf("member: to %s: %w", name, err)
-			}
-			return nil
+	for name, at := range m.diedAt {
+		if time.Since(at) > m.conf.DeadRetention {
+			delete(m.diedAt, name)
+		} else if !members[name] {
+			members[name] = false
 		}
 	}
-	return fmt.Errorf("member: %s is not there", name)
-}
-
-// Waiting is how many messages have yet to be spread.
-func (m *Members) Waiting() int { return m.queue.NumQueued() }
-
-// wrap puts the sender's name before a message.
-func (m *Members) wrap(b []byte) []byte {
-	return append(append([]byte{byte(len(m.conf.Name))}, m.conf.Name...), b...)
-}
-
-// news is a message that is being spread.
-type news struct {
-	key string
-	b   []byte
+	return members
 }
 
-// Invalidates implements memberlist.Broadcast.
-func (n *news) Invalidates(o memberlist.Broadcast) bool {
-	other, ok := o.(*news)
-	return ok && other.key == n.key
+// Broadcast spreads a message to all members; a message replaces an earlier one of its key that is still queued.
+func (m *Members) Broadcast(key string, message []byte) {
+	m.queue.QueueBroadcast(&keyedBroadcast{key, message})
 }
 
-// Message implements memberlist.Broadcast.
-func (n *news) Message() []byte { return n.b }
-
-// Finished implements memberlist.Broadcast.
-func (n *news) Finished() {}
-
-// delegate is what the library asks of this package.
-type delegate Members
-
-func (d *delegate) NodeMeta(int) []byte { return nil }
-
-func (d *delegate) NotifyMsg(b []byte) {
-	if len(b) == 0 || len(b) < 1+int(b[0]) {
-		return
-	}
-	n := 1 + int(b[0])
-	d.conf.Heard(string(b[1:n]), append([]byte(nil), b[n:]...))
-}
-
-func (d *delegate) GetBroadcasts(overhead, limit int) (out [][]byte) {
-	m := (*Members)(d)
-	head := 1 + len(m.conf.Name)
-	for _, b := range m.queue.GetBroadcasts(overhead+head, limit) {
-		out = append(out, m.wrap(b))
-	}
-	return out
-}
-
-func (d *delegate) LocalState(bool) []byte        { return nil }
-func (d *delegate) MergeRemoteState([]byte, bool) {}
-
-// events notes who is gone.
-type events Members
-
-func (e *events) NotifyJoin(n *memberlist.Node) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	delete(e.gone, n.Name)
-}
-
-func (e *events) NotifyLeave(n *memberlist.Node) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if n.State == memberlist.StateLeft {
-		delete(e.gone, n.Name)
-		return
-	}
-	e.gone[n.Name] = time.Now()
-}
-
-func (e *events) NotifyUpdate(*memberlist.Node) {}
-
-// conflicts hears of two processes under one name.
-type conflicts Members
-
-func (c *conflicts) NotifyConflict(_, other *memberlist.Node) {
-	err := &DuplicateError{other.Name, other.Address()}
-	c.conf.Log.Error().Err(err).Str("remedy", err.Remedy()).Msg("fleet: a name is used twice")
-}
-
-// lines passes the library's log on, at debug level: what an operator should know is said by this package.
-type lines struct{ log zerolog.Logger }
-
-func (l lines) Write(b []byte) (int, error) {
-	l.log.Debug().Str("library", "memberlist").Msg(string(b))
-	return len(b), nil
-}
-
-// transport sends everything to a relay first, if there is one: the address of the receiver goes before it.
-type transport struct {
-	*memberlist.NetTransport
-	relay string
-}
-
-func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	if t.relay == "" {
-		return t.NetTransport.WriteTo(b, addr)
-	}
-	return t.NetTransport.WriteTo(append(append([]byte{byte(len(addr))}, addr...), b...), t.relay)
-}
-
-func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	if t.relay == "" {
-		return t.NetTransport.DialTimeout(addr, timeout)
-	}
-	c, err := t.NetTransport.DialTimeout(t.relay, timeout)
-	if err != nil {
-		return nil, err
-	}
-	_ = c.SetDeadline(time.Now().Add(timeout))
-	if _, err := io.WriteString(c, addr+"\n"); err != nil {
-		_ = c.Close()
-		return nil, err
+// Send sends a message to one member over TCP, and waits for the connection. A member that is not alive gives an
+// *UnknownMemberError.
+func (m *Members) Send(name string, message []byte) error {
+	for _, node := range m.list.Members() {
+		if node.Name != name {
+			continue
+		}
+		if err := m.list.SendReliable(node, m.withSender(message)); err != nil {
+			return fmt.Errorf("membership: send to %s: %w", name, err)
+		}
+		return nil
 	}
-	return c, nil
-}
-
-// WriteToAddress and DialAddressTimeout stand before the library's own, which would pass the relay by.
-func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	return t.WriteTo(b, a.Addr)
+	return &UnknownMemberError{name}
 }
 
-func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	return t.DialTimeout(a.Addr, timeout)
+// withSender puts the sender's name, after its length, before a message.
+func (m *Members) withSender(message []byte) []byte {
+	b := append([]byte{byte(len(m.conf.Name))}, m.conf.Name...)
+	return append(b, message...)
 }
