--- a/internal/agreement/decisions_test.go
+++ b/internal/agreement/decisions_test.go
@@ -29,9 +29,9 @@
 
 // member is one gateway of the storm.
 type member struct {
-	name    string
-	state   *crdt.State
-	council *agreement.Council
+	name        string
+	state       *crdt.State
+	participant *agreement.Participant
 }
 
 type fleet struct {
@@ -43,31 +43,31 @@
 
 func newFleet(majority bool, seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(2026, seed)), now: 1_700_000_000 * second, answers: golden.NewHash()}
-	forms := map[crdt.Kind]crdt.Form{kindVotes: {Name: "votes", Rule: crdt.Newest, Keep: 60 * second, Most: 16},
-		kindDecided: {Name: "decided", Rule: crdt.Decided, Keep: 20 * second, Most: 64}}
+	forms := map[crdt.Kind]crdt.KindConfig{kindVotes: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 16},
+		kindDecided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: 20 * second, MaxValueSize: 64}}
 	for i := range 5 {
 		name := "n" + strconv.Itoa(i)
-		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, Ahead: 5 * second, Forms: forms})
-		council := agreement.New(agreement.Config{Self: name, Votes: kindVotes, Decided: kindDecided, Delay: second, Turn: second / 5,
-			Fresh: 5 * second, Hold: 20 * second, Majority: majority}, state)
-		f.members = append(f.members, &member{name, state, council})
+		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: forms})
+		participant := agreement.New(agreement.Config{Self: name, VoteKind: kindVotes, DecisionKind: kindDecided, EffectDelay: second, ProposerDelay: second / 5,
+			VoteTTL: 5 * second, DecisionTTL: 20 * second, RequireQuorum: majority}, state)
+		f.members = append(f.members, &member{name, state, participant})
 	}
 	return f
 }
 
 func (f *fleet) entry(entry crdt.Entry) {
-	f.answers.Numbers(int64(entry.Kind), int64(entry.Incarnation), int64(entry.Sequence), entry.Stamp)
+	f.answers.Numbers(int64(entry.Kind), int64(entry.Incarnation), int64(entry.Sequence), entry.Timestamp)
 	f.answers.Text(entry.Name)
 	f.answers.Text(entry.Origin)
-	f.answers.Bool(entry.Dead)
+	f.answers.Bool(entry.Deleted)
 	f.answers.Text(string(entry.Value))
 }
 
 func (f *fleet) decision(decision agreement.Decision) {
-	f.answers.Numbers(int64(decision.Epoch), decision.From)
-	f.answers.Text(string(decision.Choice))
+	f.answers.Numbers(int64(decision.Epoch), decision.EffectiveAt)
+	f.answers.Text(string(decision.Value))
 	f.answers.Text(string(decision.Previous))
-	f.answers.Text(decision.By)
+	f.answers.Text(decision.Proposer)
 }
 
 // tell writes down an entry that is to be told, and has most others hear it.
@@ -85,15 +85,15 @@
 }
 
 func (f *fleet) hear(m *member, entry crdt.Entry) {
-	for _, decision := range m.council.Heard(f.now+int64(f.random.IntN(int(2*second))), m.state.Merge(f.now, entry)) {
+	for _, decision := range m.participant.Apply(f.now+int64(f.random.IntN(int(2*second))), m.state.Merge(f.now, entry)) {
 		f.decision(decision)
 	}
-	late := m.council.Lateness()
-	f.answers.Numbers(int64(late.Heard), int64(late.Late), late.Most)
+	late := m.participant.Lateness()
+	f.answers.Numbers(int64(late.Decisions), int64(late.Late), late.Max)
 }
 
-func (f *fleet) roll(m *member) agreement.Roll {
-	roll := agreement.Roll{}
+func (f *fleet) newMembers(m *member) agreement.Members {
+	roll := agreement.Members{}
 	for _, other := range f.members {
 		if f.random.IntN(20) > 0 {
 			roll[other.name] = other == m || f.random.IntN(10) < 7
@@ -103,17 +103,17 @@
 }
 
 // ask writes down what a member says when asked.
-func (f *fleet) ask(m *member, members agreement.Roll) {
-	for _, vote := range m.council.Votes(f.now, topic, members) {
-		f.answers.Text(vote.Name)
+func (f *fleet) ask(m *member, members agreement.Members) {
+	for _, vote := range m.participant.Votes(f.now, topic, members) {
+		f.answers.Text(vote.Member)
 		f.answers.Text(string(vote.Body))
 	}
-	f.answers.Numbers(int64(members.Alive()))
-	f.answers.Bool(m.council.Majority(members))
-	decision, ok := m.council.Latest(topic)
+	f.answers.Numbers(int64(members.AliveCount()))
+	f.answers.Bool(m.participant.HasQuorum(members))
+	decision, ok := m.participant.Latest(topic)
 	f.answers.Bool(ok)
 	f.decision(decision)
-	choice, epoch := m.council.InForce(f.now, topic, none)
+	choice, epoch := m.participant.InEffect(f.now, topic, none)
 	f.answers.Text(string(choice))
 	f.answers.Numbers(int64(epoch))
 }
@@ -121,33 +121,33 @@
 func (f *fleet) step() {
 	f.now += int64(f.random.IntN(int(second / 10)))
 	m := f.members[f.random.IntN(len(f.members))]
-	if decision, ok := m.council.Latest(topic); ok && f.now < decision.From && f.random.IntN(20) == 0 {
-		f.now = decision.From // the very moment of its effect
-		f.ask(m, f.roll(m))
+	if decision, ok := m.participant.Latest(topic); ok && f.now < decision.EffectiveAt && f.random.IntN(20) == 0 {
+		f.now = decision.EffectiveAt // the very moment of its effect
+		f.ask(m, f.newMembers(m))
 	}
-	members := f.roll(m)
+	members := f.newMembers(m)
 	choice := []byte{byte(f.now / (3 * second) % 3), byte(f.random.IntN(8) / 7)}
 	switch f.random.IntN(12) {
 	case 0, 1:
-		entry, ok := m.council.Vote(f.now, topic, choice[:1])
+		entry, ok := m.participant.Vote(f.now, topic, choice[:1])
 		f.tell(m, entry, ok)
 	case 2, 3, 4, 5:
 		if f.now/(60*second)%2 == 1 {
 			return // a calm minute, in which nothing is due
 		}
-		entry, ok := m.council.Propose(f.now, topic, choice, none, members)
+		entry, ok := m.participant.Propose(f.now, topic, choice, none, members)
 		f.tell(m, entry, ok)
 	case 6:
-		entry, ok := m.council.Again(f.now, topic, members)
+		entry, ok := m.participant.Resend(f.now, topic, members)
 		f.tell(m, entry, ok)
 	case 7:
 		if f.random.IntN(5) == 0 {
-			m.council.Settle(topic)
+			m.participant.Withdraw(topic)
 		}
 	case 8:
-		m.state.Upkeep(f.now)
+		m.state.Expire(f.now)
 	case 9: // what is no decision, for a topic of its own
-		broken := crdt.Entry{Kind: kindDecided, Name: "broken", Sequence: uint64(f.random.IntN(9)), Stamp: f.now, Value: []byte{9, 9}}
+		broken := crdt.Entry{Kind: kindDecided, Name: "broken", Sequence: uint64(f.random.IntN(9)), Timestamp: f.now, Value: []byte{9, 9}}
 		f.hear(m, broken)
 	default:
 		f.ask(m, members)
--- /dev/null
+++ b/internal/crdt/state_test.go
@@ -0,0 +1,191 @@
+package crdt
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+	"pgregory.net/rapid"
+)
+
+const (
+	lastWriterWins Kind = iota + 1
+	maxValue
+	highestEpoch
+	second int64 = 1e6
+	start        = 1000 * second
+)
+
+var kindConfigs = map[Kind]KindConfig{
+	lastWriterWins: {"newest", LastWriterWins, 60 * second, 16},
+	maxValue:       {"highest", MaxValue, 60 * second, 8},
+	highestEpoch:   {"decided", HighestEpoch, 600 * second, 16},
+}
+
+func newState(self string) *State {
+	return New(Config{Self: self, Incarnation: 1, Kinds: kindConfigs, MaxClockSkew: 5 * second})
+}
+
+// drawEntries draws entries of few keys, so that they conflict.
+func drawEntries() *rapid.Generator[[]Entry] {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry {
+		e := Entry{Kind: Kind(rapid.IntRange(1, 3).Draw(t, "kind")), Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
+			Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"), Sequence: rapid.Uint64Range(1, 4).Draw(t, "sequence"),
+			Timestamp: start + rapid.Int64Range(-3, 3).Draw(t, "stamp")*second, Deleted: rapid.IntRange(0, 4).Draw(t, "dead") == 0,
+			Value: []byte{byte(rapid.IntRange(0, 3).Draw(t, "value"))}}
+		if e.Kind == lastWriterWins {
+			e.Origin = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "origin")
+		}
+		if e.Kind == maxValue {
+			e.Value = binary.BigEndian.AppendUint64(nil, uint64(e.Value[0]))
+		}
+		return e
+	}), 0, 30)
+}
+
+func allEntries(s *State) (all []Entry) {
+	s.entries.Scan(func(_ string, e *Entry) bool {
+		all = append(all, *e)
+		return true
+	})
+	return all
+}
+
+var equal = cmp.Options{cmpopts.EquateEmpty(), cmpopts.IgnoreUnexported(Entry{})}
+
+// In whatever order, how often and in whatever parts entries are merged, the state and its digest are the same.
+func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		all := drawEntries().Draw(t, "entries")
+		a, b, c := newState("g"), newState("h"), newState("i")
+		a.Merge(start, all...)
+		b.Merge(start, rapid.Permutation(all).Draw(t, "order")...)
+		b.Merge(start, rapid.Permutation(all).Draw(t, "again")...)
+		cut := rapid.IntRange(0, len(all)).Draw(t, "cut")
+		d := newState("j")
+		c.Merge(start, all[cut:]...)
+		d.Merge(start, all[:cut]...)
+		c.Merge(start, allEntries(d)...) // what was merged elsewhere is merged here
+		for _, other := range []*State{b, c} {
+			if diff := cmp.Diff(allEntries(a), allEntries(other), equal); diff != "" || a.digest != other.digest || a.bucketSizes != other.bucketSizes || a.memoryBytes != other.memoryBytes {
+				t.Fatalf("states differ: %s", diff)
+			}
+		}
+	})
+}
+
+// A merged number never falls, nor does an epoch, nor the incarnation of a writer.
+func TestEntriesNeverGoBack(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := newState("g")
+		previous := map[Key]Entry{}
+		for _, e := range drawEntries().Draw(t, "entries") {
+			s.Merge(start, e)
+			for _, merged := range allEntries(s) {
+				if old, ok := previous[merged.Key()]; ok && isBefore(&merged, &old) {
+					t.Fatalf("%+v after %+v", merged, old)
+				}
+				previous[merged.Key()] = merged
+			}
+		}
+	})
+}
+
+// isBefore tells whether an entry has gone back behind another one of its key.
+func isBefore(e, other *Entry) bool {
+	switch kindConfigs[e.Kind].Rule {
+	case MaxValue:
+		return e.numericValue() < other.numericValue()
+	case HighestEpoch:
+		return e.Sequence < other.Sequence
+	case LastWriterWins:
+		return e.Incarnation < other.Incarnation
+	}
+	return false
+}
+
+// A deleted entry does not come back with an older copy, however late that arrives, and everything expires.
+func TestDeletedEntryStaysDeletedUntilItExpires(t *testing.T) {
+	s, far := newState("g"), newState("h")
+	old := s.Put(start, lastWriterWins, "a", []byte("v"))
+	gone := s.Delete(start+second, lastWriterWins, "a")
+	far.Merge(start+2*second, gone)
+	for at := start; at < start+200*second; at += second {
+		for _, o := range []*State{s, far} {
+			o.Expire(at)
+			o.Merge(at, old)
+			if _, ok := o.Get(old.Key()); ok && at >= start+2*second {
+				t.Fatalf("the deleted entry is back after %d s", (at-start)/second)
+			}
+		}
+	}
+	if s.Len()+far.Len() != 0 || s.MemoryBytes()+far.MemoryBytes() != 0 || s.digest != [digestGroups][bucketsPerGroup]uint64{} {
+		t.Errorf("%d entries, %d bytes remain", s.Len(), s.MemoryBytes())
+	}
+}
+
+// A writer's own entries are returned for refresh before others drop them; those of a crashed writer expire.
+func TestOwnEntriesAreRefreshedBeforeTheyExpire(t *testing.T) {
+	s, o := newState("g"), newState("h")
+	o.Merge(start, s.Put(start, lastWriterWins, "a", []byte("v")))
+	for at := start; at < start+200*second; at += second {
+		for _, e := range s.Expire(at) {
+			o.Merge(at, s.Put(at, e.Kind, e.Name, e.Value))
+		}
+		o.Expire(at)
+		if o.Len() != 1 {
+			t.Fatalf("dropped after %d s", (at-start)/second)
+		}
+	}
+	o.Expire(start + 300*second)
+	if o.Len() != 0 {
+		t.Error("the entries of a crashed writer never expire")
+	}
+}
+
+// Entries from the future, from long ago, of unknown kind, too long or without an origin are rejected and counted.
+func TestInvalidEntriesAreRejectedAndCounted(t *testing.T) {
+	s := newState("g")
+	good := Entry{Kind: lastWriterWins, Name: "a", Origin: "x", Timestamp: start, Value: []byte("v")}
+	for _, change := range []func(*Entry){
+		func(e *Entry) { e.Timestamp = start + 3600*second }, func(e *Entry) { e.Timestamp = start - 3600*second }, func(e *Entry) { e.Kind = 99 },
+		func(e *Entry) { e.Value = make([]byte, 17) }, func(e *Entry) { e.Origin = "" }, func(e *Entry) { e.Kind = highestEpoch }, func(e *Entry) { e.Kind, e.Origin = maxValue, "" },
+	} {
+		e := good
+		change(&e)
+		if len(s.Merge(start, e)) != 0 {
+			t.Errorf("merged %+v", e)
+		}
+	}
+	if c := s.Counts(); c.FromFuture != 1 || c.Expired != 1 || c.UnknownKind != 1 || c.Malformed != 4 {
+		t.Errorf("%+v", c)
+	}
+}
+
+// Of two processes under one name the older one detects the other; a copy of an earlier process's entry is no conflict.
+func TestConflictingOriginIsDetected(t *testing.T) {
+	a, b := newState("g"), New(Config{Self: "g", Incarnation: 2, Kinds: kindConfigs, MaxClockSkew: 5 * second})
+	a.Merge(start, b.Put(start, lastWriterWins, "a", []byte("2")))
+	if f := a.TakeConflictingOrigin(); f == nil || f.Remedy() == "" || errors.Is(f, nil) {
+		t.Errorf("no conflict was detected: %v", f)
+	}
+	b.Merge(start, a.Put(start, lastWriterWins, "a", []byte("1")))
+	if b.TakeConflictingOrigin() != nil {
+		t.Error("a copy of an earlier process's entry is taken for a conflict")
+	}
+}
+
+// The time of a merge and the memory with ten entries of each of a thousand gateways.
+func BenchmarkThousandGateways(b *testing.B) {
+	s := newState("g")
+	for i := range 10000 {
+		s.Merge(start, Entry{Kind: lastWriterWins, Name: fmt.Sprint("zone-", i%10), Origin: fmt.Sprint("n", i/10), Incarnation: 1, Sequence: 1, Timestamp: start, Value: make([]byte, 16)})
+	}
+	for i := 0; b.Loop(); i++ {
+		s.Merge(start, Entry{Kind: lastWriterWins, Name: "zone-1", Origin: "n1", Incarnation: 1, Sequence: uint64(i + 2), Timestamp: start, Value: make([]byte, 16)})
+	}
+	b.ReportMetric(float64(s.MemoryBytes())/1e6, "MB")
+}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -112,7 +112,7 @@
 // ReadShare implements balance.View.
 func (v *view) ReadShare(zone int) float64 {
 	if s := v.shares.Load(); zone < len(*s) {
-		return float64((*s)[zone]) / zonefailover.Whole
+		return float64((*s)[zone]) / zonefailover.FullShare
 	}
 	return 1
 }
@@ -141,9 +141,9 @@
 
 	// What follows belongs to the core's goroutine.
 	state   *crdt.State
-	council *agreement.Council
+	council *agreement.Participant
 	zonal   *zonefailover.State
-	sight   *zonefailover.Sight
+	sight   *zonefailover.EvidenceCollector
 	hosts   map[string]place
 	round   uint64
 	behind  bool
@@ -199,7 +199,7 @@
 	}
 	var err error
 	if p.members, err = membership.Open(membership.Config{Name: p.conf.Name, Listen: p.set.Listen, Join: p.set.Join, Relay: p.set.Relay, Log: p.log,
-		Heard: func(from string, b []byte) { p.in.put(letter{name: from, b: b}) }}); err != nil {
+		OnMessage: func(from string, b []byte) { p.in.put(letter{name: from, b: b}) }}); err != nil {
 		log := p.log.Error().Err(err)
 		if r, ok := err.(interface{ Remedy() string }); ok {
 			log = log.Str("remedy", r.Remedy())
@@ -208,7 +208,7 @@
 		return
 	}
 	p.start(z)
-	whole := slices.Repeat([]byte{zonefailover.Whole}, len(p.unit))
+	whole := slices.Repeat([]byte{zonefailover.FullShare}, len(p.unit))
 	p.view.shares.Store(&whole)
 	g.SetZoneShares(&p.view)
 	g.ObserveOutcomes(func(host string, class int, o gateway.Outcome) {
@@ -238,33 +238,33 @@
 	taken := func(what string) bool { return slices.Contains(z.Without, what) }
 	incarnation := uint64(time.Now().UnixMicro())
 	hold := 10 * 60 * second
-	p.state = crdt.New(crdt.Config{Self: p.conf.Name, Incarnation: incarnation, Ahead: 5 * second, Forms: map[crdt.Kind]crdt.Form{
-		votes:   {Name: "votes", Rule: crdt.Newest, Keep: 60 * second, Most: 1 + 4*255},
-		decided: {Name: "decided", Rule: crdt.Decided, Keep: hold, Most: 1024},
+	p.state = crdt.New(crdt.Config{Self: p.conf.Name, Incarnation: incarnation, MaxClockSkew: 5 * second, Kinds: map[crdt.Kind]crdt.KindConfig{
+		votes:   {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 1 + 4*255},
+		decided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: hold, MaxValueSize: 1024},
 	}})
-	p.council = agreement.New(agreement.Config{Self: p.conf.Name, Votes: votes, Decided: decided, Delay: int64(z.DelayMS) * 1000, Turn: 200_000,
-		Fresh: 30 * second, Hold: hold, Majority: !taken("quorum")}, p.state)
+	p.council = agreement.New(agreement.Config{Self: p.conf.Name, VoteKind: votes, DecisionKind: decided, EffectDelay: int64(z.DelayMS) * 1000, ProposerDelay: 200_000,
+		VoteTTL: 30 * second, DecisionTTL: hold, RequireQuorum: !taken("quorum")}, p.state)
 	own := -1
 	if p.conf.Settings.Zone < len(p.unit) {
 		own = p.unit[p.conf.Settings.Zone]
 	}
-	conf := zonefailover.Config{Zones: p.units, Own: own, AtOnce: z.AtOnce, Bad: 0.6, Views: min(3, max(1, p.conf.Gateways/3)), Bear: 0.6,
-		Steps: []byte{2, 5, 10, 20, 40, 70, zonefailover.Whole}, Step: int64(z.StepMS) * 1000, Away: int64(z.AwayMS) * 1000, AwayMax: 300 * second, Calm: 600 * second,
-		Pace: !taken("pace"), Capacity: !taken("capacity")}
+	conf := zonefailover.Config{Zones: p.units, OwnZone: own, MaxEvacuated: z.AtOnce, RequiredShare: 0.6, MinViews: min(3, max(1, p.conf.Gateways/3)), MaxLatencyShare: 0.6,
+		RecoverySteps: []byte{2, 5, 10, 20, 40, 70, zonefailover.FullShare}, StepDuration: int64(z.StepMS) * 1000, EvacuationTime: int64(z.AwayMS) * 1000, MaxEvacuationTime: 300 * second, BackoffReset: 600 * second,
+		PacedRecovery: !taken("pace"), CheckCapacity: !taken("capacity")}
 	if z.StepMS == 0 { // as many steps as a host takes to be warm
-		conf.Step = max(second, p.conf.Settings.SlowStartDuration/int64(len(conf.Steps)))
+		conf.StepDuration = max(second, p.conf.Settings.SlowStartDuration/int64(len(conf.RecoverySteps)))
 	}
 	if taken("quorum") {
-		conf.Views = 1
+		conf.MinViews = 1
 	}
 	p.zonal = zonefailover.New(conf, p.council)
-	p.sight = zonefailover.NewSight(zonefailover.SightConfig{Zones: len(p.units), Window: 4 * second, Least: 3, Groups: 2, Part: 0.6})
+	p.sight = zonefailover.NewEvidenceCollector(zonefailover.EvidenceConfig{Zones: len(p.units), Window: 4 * second, MinHosts: 3, MinFailingGroups: 2, FailingShare: 0.6})
 	p.pin(z.Pin)
 }
 
 func (p *Component) pin(pins map[string]string) {
 	for i := range p.units {
-		p.zonal.Pin(i, zonefailover.Free)
+		p.zonal.SetOverride(i, zonefailover.NoOverride)
 	}
 	for zone, how := range pins {
 		i := slices.Index(p.units, zone)
@@ -273,7 +273,7 @@
 			p.log.Error().Err(err).Str("remedy", err.Remedy()).Msg("the pin is passed over")
 			continue
 		}
-		p.zonal.Pin(i, map[string]zonefailover.Pin{"kept": zonefailover.Kept, "left": zonefailover.Left}[how])
+		p.zonal.SetOverride(i, map[string]zonefailover.Override{"kept": zonefailover.ForceInUse, "left": zonefailover.ForceEvacuated}[how])
 		p.log.Info().Str("zone", zone).Str("pin", how).Msg("pinned")
 	}
 }
@@ -296,7 +296,7 @@
 			return
 		case l := <-p.out.c:
 			if l.name == "" {
-				p.members.Tell(l.key, l.b)
+				p.members.Broadcast(l.key, l.b)
 			} else if err := p.members.Send(l.name, l.b); err != nil {
 				p.log.Debug().Err(err).Msg("a message was not sent")
 			}
@@ -327,19 +327,19 @@
 		if gap := now.Sub(last); gap > stalled { // what it last knew of the others is old, and what it saw was its own stop
 			p.log.Warn().Dur("gap_ms", gap).Msg("this process stood still: it says nothing before it has caught up")
 			p.behind, asked = true, time.Time{}
-			p.sight = zonefailover.NewSight(zonefailover.SightConfig{Zones: len(p.units), Window: 4 * second, Least: 3, Groups: 2, Part: 0.6})
+			p.sight = zonefailover.NewEvidenceCollector(zonefailover.EvidenceConfig{Zones: len(p.units), Window: 4 * second, MinHosts: 3, MinFailingGroups: 2, FailingShare: 0.6})
 		}
 		last = now
 		if now.Sub(listed) > time.Second {
 			listed = now
 			p.list()
 		}
-		roll := p.members.Roll()
+		roll := p.members.Snapshot()
 		if wait := rounds; now.Sub(asked) > wait || p.behind && now.Sub(asked) > wait/5 {
 			asked = now
 			p.ask(roll)
 		}
-		if p.behind && (p.state.CaughtUp() == p.round || roll.Alive() < 2) {
+		if p.behind && (p.state.CaughtUpRound() == p.round || roll.AliveCount() < 2) {
 			p.behind = false
 			p.log.Info().Msg("caught up")
 		}
@@ -369,11 +369,11 @@
 	if !known {
 		return
 	}
-	seen := zonefailover.End{Host: e.host, Zone: at.unit, Group: at.group, Probe: e.class == gateway.HealthCheckClass, At: e.at.UnixMicro()}
+	seen := zonefailover.Observation{Host: e.host, Zone: at.unit, Group: at.group, HealthCheck: e.class == gateway.HealthCheckClass, At: e.at.UnixMicro()}
 	switch e.result {
 	case balance.Succeeded:
-		if !seen.Probe && e.class < len(p.conf.Settings.Classes) {
-			seen.Used = float64(e.took) / float64(p.conf.Settings.Classes[e.class].LatencyObjective)
+		if !seen.HealthCheck && e.class < len(p.conf.Settings.Classes) {
+			seen.LatencyShare = float64(e.took) / float64(p.conf.Settings.Classes[e.class].LatencyObjective)
 		}
 	case balance.NotPrimary, balance.Overloaded: // it is there, and says so
 	case balance.Failed, balance.TimedOut, balance.ConnectionRefused, balance.ConnectionReset:
@@ -381,7 +381,7 @@
 	default: // ended from this side
 		return
 	}
-	p.sight.See(seen)
+	p.sight.Observe(seen)
 }
 
 func (p *Component) hear(l letter) {
@@ -391,18 +391,18 @@
 		return
 	}
 	now := time.Now().UnixMicro()
-	answers, changed := p.state.Hear(now, m)
-	for _, d := range p.council.Heard(now, changed) {
-		ahead := d.From - now
-		p.log.Info().Uint64("epoch", d.Epoch).Ints("shares", ints(d.Choice)).Str("by", d.By).Int64("ahead_ms", ahead/1000).Msg("agreed")
+	answers, changed := p.state.Receive(now, m)
+	for _, d := range p.council.Apply(now, changed) {
+		ahead := d.EffectiveAt - now
+		p.log.Info().Uint64("epoch", d.Epoch).Ints("shares", ints(d.Value)).Str("by", d.Proposer).Int64("ahead_ms", ahead/1000).Msg("agreed")
 	}
-	if len(m.Top) == 0 && m.Round == 0 { // news: the others hear it from here, too
+	if len(m.GroupDigests) == 0 && m.Round == 0 { // news: the others hear it from here, too
 		p.tell(changed...)
 	}
 	for _, a := range answers {
 		p.send(l.name, a)
 	}
-	if f := p.state.Foreign(); f != nil {
+	if f := p.state.TakeConflictingOrigin(); f != nil {
 		p.log.Error().Err(f).Str("remedy", f.Remedy()).Msg("a name is used twice")
 	}
 }
@@ -430,7 +430,7 @@
 }
 
 // ask begins a round with a member drawn at random.
-func (p *Component) ask(roll agreement.Roll) {
+func (p *Component) ask(roll agreement.Members) {
 	var others []string
 	for name, alive := range roll {
 		if alive && name != p.conf.Name {
@@ -439,22 +439,22 @@
 	}
 	if len(others) > 0 {
 		p.round++
-		p.send(others[rand.IntN(len(others))], p.state.Ask(p.round))
+		p.send(others[rand.IntN(len(others))], p.state.StartRound(p.round))
 	}
 }
 
-func (p *Component) decide(now int64, roll agreement.Roll) {
-	if e, ok := p.zonal.Vote(now, p.sight.Views(now, p.zonal.Own())); ok {
+func (p *Component) decide(now int64, roll agreement.Members) {
+	if e, ok := p.zonal.Vote(now, p.sight.Assess(now, p.zonal.OwnZone())); ok {
 		p.tell(e)
 	}
 	p.tell(p.zonal.Decide(now, roll)...)
-	p.state.Upkeep(now)
-	for _, l := range p.zonal.Lines() {
-		ev := p.log.Info().Str("zone", l.Zone).Uint64("epoch", l.Epoch).Int("share", int(l.Share)).Int("members", len(roll)).Int("alive", roll.Alive())
-		if l.Next > 0 {
-			ev = ev.Dur("next_ms", l.Next)
+	p.state.Expire(now)
+	for _, l := range p.zonal.TakeLog() {
+		ev := p.log.Info().Str("zone", l.Zone).Uint64("epoch", l.Epoch).Int("share", int(l.Share)).Int("members", len(roll)).Int("alive", roll.AliveCount())
+		if l.NextStepIn > 0 {
+			ev = ev.Dur("next_ms", l.NextStepIn)
 		}
-		ev.Msg(l.Text)
+		ev.Msg(l.Message)
 	}
 	if lost := int(p.ends.lost.Load() + p.in.lost.Load() + p.out.lost.Load()); lost > p.late {
 		p.log.Warn().Int("lost", lost-p.late).Msg("rings were full: the oldest of what was in them is lost")
@@ -470,8 +470,8 @@
 	}
 	was := p.view.shares.Load()
 	if !slices.Equal(*was, shares) {
-		_, epoch := p.zonal.Epoch(now)
+		_, epoch := p.zonal.InEffect(now)
 		p.view.shares.Store(&shares)
-		p.log.Info().Ints("shares", ints(shares)).Uint64("epoch", epoch).Int64("late_ms", p.zonal.Late(now)/1000).Msg("in force")
+		p.log.Info().Ints("shares", ints(shares)).Uint64("epoch", epoch).Int64("late_ms", p.zonal.InEffectFor(now)/1000).Msg("in force")
 	}
 }
