--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,7 @@
-// Package gateway keeps the live requests. It tells the decision module what happens and carries out what the
-// module answers; it knows no protocol and decides nothing. Clients and hosts are behind small interfaces, so
-// that another protocol enters through the same decisions and the same rules.
+// Package gateway keeps the requests in flight between clients and database hosts. It reports every event to the
+// decision module (package balance) and carries out the actions that the module returns; it knows no protocol and
+// takes no decision of its own. Frontends, backends, discovery and other gateways are behind small interfaces, so
+// that a second protocol is subject to the same decisions.
 package gateway
 
 import (
@@ -9,78 +10,8 @@
 	"cloverrock/balance"
 )
 
-// Body is what a host is sent for a request. What it holds is between the frontend and the backend.
-type Body any
-
-// Client is told the one final answer of its request. It may not call back before it returns.
-type Client interface {
-	Serve(value []byte) // the answer as a host gave it
-	Reject(after int64) // nothing ran, or may run again: come back after so many microseconds; 0: any time
-	Fail()              // it may have run
-	Disconnected() bool // nobody waits for the answer any more, whether or not the gateway was told
-}
-
-// Request is a request as a frontend read it. Times are microseconds on the loop's clock.
-type Request struct {
-	Class       int
-	Group       int64
-	Key         int64
-	HasKey      bool
-	Write       bool
-	MinPosition int64 // position that it must see; 0 if none
-	Deadline    int64 // when the client gives up
-	Body        Body
-	Client      Client
-}
-
-// Attempt is one sending of a request to a host.
-type Attempt struct {
-	Request  int64
-	Number   int
-	Host     string
-	Write    bool
-	Deadline int64 // when to stop waiting
-	Body     Body
-	// Aged tells, just before the first byte is written, that the rules no longer allow the sending: the
-	// decision was taken before a connection was there.
-	Expired func() bool
-}
-
-// Outcome is how an attempt or a probe ended.
-type Outcome struct {
-	Result   balance.Result
-	Latency  int64
-	Role     balance.Role
-	Position int64
-	Report   balance.HostReport
-	Value    []byte // what a served request is answered with
-}
-
-// Hosts carries attempts to hosts. Each Send and Probe is followed by exactly one outcome, told to the gateway
-// after the call has returned.
-type Hosts interface {
-	Send(a Attempt)
-	Cancel(request int64, number int)
-	CheckHealth(host string)
-	CloseIdle(host string)
-}
-
-// Endpoints asks discovery.
-type Endpoints interface {
-	Subscribe()
-	Poll()
-}
-
-// Peers sends to other gateways; peer -1 is all of them.
-type Peers interface {
-	Send(peer int, data []byte)
-}
-
-// Clock gives the time and calls back at one.
-type Clock interface {
-	Now() int64
-	CallAt(at int64, f func())
-}
+// HealthCheckClass is passed to observers in place of a request's class where the outcome is that of a health check.
+const HealthCheckClass = -1
 
 // Counts is what a gateway has done since its start.
 type Counts struct {
@@ -91,253 +22,85 @@
 	GossipSent, GossipBytesSent, GossipReceived int // messages to and from other gateways
 }
 
-// Gateway owns the live requests. All of it belongs to one goroutine.
+// Gateway owns the requests in flight. It is not safe for concurrent use: all of its methods belong to the goroutine
+// of the event loop.
 type Gateway struct {
-	router *balance.Router
-	clock  Clock
-	hosts  Hosts
-	list   Endpoints
-	peers  Peers
-	log    zerolog.Logger
-
-	counts  Counts
-	last    int64 // id of the last request
-	live    map[int64]*live
-	known   bool // a list has been told
-	events  []balance.Event
-	acts    []balance.Action
-	running bool
-
-	watch []func(host string, class int, o Outcome)
-}
-
-// live is a request that is owed an answer, or whose attempt is still out.
-type live struct {
+	router    *balance.Router
+	clock     Clock
+	hosts     Hosts
+	endpoints Endpoints
+	peers     Peers
+	log       zerolog.Logger
+
+	counts         Counts
+	lastRequest    int64                     // id of the latest request
+	requests       map[int64]*pendingRequest // by id
+	endpointsKnown bool                      // an endpoint list has been received
+	observers      []func(host string, class int, outcome Outcome)
+
+	events   []balance.Event  // not handled yet, in the order in which they occurred
+	actions  []balance.Action // of the event that is being handled; kept to reuse its memory
+	handling bool             // an event is being handled
+}
+
+// pendingRequest is a request whose final answer is still due, or whose attempt is still in flight.
+type pendingRequest struct {
 	Request
-	attempts int
-	out      bool // an attempt is out
-	over     bool // the final answer was given, or the client is gone
+	attempts        int  // attempts begun so far
+	attemptInFlight bool // at most one attempt is in flight
+	finished        bool // the final answer was given, or the client has disconnected
 }
 
-// New returns a gateway round a router. Connect must follow before the first event.
+// New returns a gateway around a router. Connect must be called before the first event.
 func New(router *balance.Router, clock Clock, log zerolog.Logger) *Gateway {
-	return &Gateway{router: router, clock: clock, log: log, live: map[int64]*live{}}
+	return &Gateway{router: router, clock: clock, log: log, requests: map[int64]*pendingRequest{}}
 }
 
-// Connect gives the gateway what its router's actions go to.
-func (g *Gateway) Connect(hosts Hosts, list Endpoints, peers Peers) {
-	g.hosts, g.list, g.peers = hosts, list, peers
+// Connect sets the receivers of the router's actions.
+func (g *Gateway) Connect(hosts Hosts, endpoints Endpoints, peers Peers) {
+	g.hosts = hosts
+	g.endpoints = endpoints
+	g.peers = peers
 }
 
-// Ready tells whether a list of hosts is known.
-func (g *Gateway) Ready() bool { return g.known }
+// Ready reports whether an endpoint list is known.
+func (g *Gateway) Ready() bool { return g.endpointsKnown }
 
-// InFlight is the number of requests whose final answer is still to come.
+// InFlight returns the number of requests whose final answer is still due.
 func (g *Gateway) InFlight() int {
 	n := 0
-	for _, q := range g.live {
-		if !q.over {
+	for _, req := range g.requests {
+		if !req.finished {
 			n++
 		}
 	}
 	return n
 }
 
-// Counts tells what was done so far.
+// Counts returns what was done so far.
 func (g *Gateway) Counts() Counts { return g.counts }
 
-// Accept takes a request and returns its id.
-func (g *Gateway) Accept(q Request) int64 {
-	g.last++
-	g.counts.Requests++
-	g.live[g.last] = &live{Request: q}
-	ev := balance.Event{
-		Kind: balance.RequestEvent, Request: g.last, Class: q.Class, Group: q.Group,
-		Key: q.Key, HasKey: q.HasKey, Deadline: q.Deadline,
-	}
-	if q.MinPosition > 0 {
-		// A commit is rounded up, so it may lie a little ahead of the clock: the age is negative then. An age
-		// of 0 means that there is none.
-		if ev.SessionWriteAge = g.clock.Now() - q.MinPosition; ev.SessionWriteAge == 0 {
-			ev.SessionWriteAge = 1
-		}
-	}
-	g.tell(ev)
-	return g.last
-}
-
-// ClientDisconnected tells that the client of a request has left.
-func (g *Gateway) ClientDisconnected(id int64) {
-	if q := g.live[id]; q != nil && !q.over {
-		g.finish(id, q)
-		g.tell(balance.Event{Kind: balance.ClientDisconnectedEvent, Request: id})
-	}
-}
-
-// left looks at the client itself, just before the first byte of an attempt: word that it has gone may lie behind much else.
-func (g *Gateway) left(id int64) bool {
-	q := g.live[id]
-	if q != nil && !q.over && q.Client.Disconnected() {
-		g.ClientDisconnected(id)
-	}
-	return q == nil || q.over
-}
-
-// AttemptFinished takes the outcome of an attempt. The first that is served goes to the client.
-func (g *Gateway) AttemptFinished(a Attempt, o Outcome) {
-	q := g.live[a.Request]
-	if q == nil {
-		return
-	}
-	q.out = false
-	g.counts.Outcomes[o.Result]++
-	for _, f := range g.watch {
-		f(a.Host, q.Class, o)
-	}
-	if o.Result == balance.Succeeded && !q.over {
-		q.Client.Serve(o.Value)
-		g.finish(a.Request, q)
-	}
-	over := q.over
-	if over {
-		delete(g.live, a.Request)
-	}
-	g.tell(balance.Event{
-		Kind: balance.OutcomeEvent, Request: a.Request, Attempt: a.Number, Host: a.Host, Result: o.Result, Finished: over,
-		Latency: o.Latency, Role: o.Role, Position: o.Position, Report: o.Report,
-	})
+// ObserveOutcomes registers a function that is called with the host, class and outcome of each attempt and health
+// check. It is called on the event loop and must not block.
+func (g *Gateway) ObserveOutcomes(observer func(host string, class int, outcome Outcome)) {
+	g.observers = append(g.observers, observer)
 }
 
-// HealthCheckFinished takes the outcome of a probe.
-func (g *Gateway) HealthCheckFinished(host string, o Outcome) {
-	if !o.Result.Answered() {
-		g.counts.HealthChecksFailed++
+func (g *Gateway) notifyObservers(host string, class int, outcome Outcome) {
+	for _, observer := range g.observers {
+		observer(host, class, outcome)
 	}
-	for _, f := range g.watch {
-		f(host, HealthCheckClass, o)
-	}
-	g.tell(balance.Event{Kind: balance.HealthCheckEvent, Host: host, Result: o.Result, Latency: o.Latency, Report: o.Report})
-}
-
-// EndpointsUpdated takes a list of hosts, or the changes of one.
-func (g *Gateway) EndpointsUpdated(entries []balance.Endpoint, full bool) {
-	g.known = true
-	g.tell(balance.Event{Kind: balance.EndpointsEvent, Endpoints: entries, Complete: full})
-}
-
-// EndpointsPollFailed tells that asking for the list failed.
-func (g *Gateway) EndpointsPollFailed() {
-	g.tell(balance.Event{Kind: balance.EndpointsEvent, PollFailed: true})
-}
-
-// GossipReceived takes a message from another gateway.
-func (g *Gateway) GossipReceived(peer int, data []byte) {
-	g.counts.GossipReceived++
-	g.tell(balance.Event{Kind: balance.GossipEvent, Peer: peer, Data: data})
-}
-
-// HealthCheckClass stands for a probe where a request's class is told.
-const HealthCheckClass = -1
-
-// ObserveOutcomes has f told each attempt's and probe's host, class and end. It may not wait.
-func (g *Gateway) ObserveOutcomes(f func(host string, class int, o Outcome)) {
-	g.watch = append(g.watch, f)
 }
 
-// SetZoneShares has the module go by what a fleet agrees on.
-func (g *Gateway) SetZoneShares(v balance.ZoneShares) { g.router.SetZoneShares(v) }
+// SetZoneShares gives the router the shares of the zones that the fleet has agreed on.
+func (g *Gateway) SetZoneShares(shares balance.ZoneShares) { g.router.SetZoneShares(shares) }
 
-// Snapshot is what the module knows and a fresh one would need.
+// Snapshot returns the router's state that a new router can start from.
 func (g *Gateway) Snapshot() balance.Snapshot { return g.router.Snapshot() }
 
-// Restore gives the module facts that another has learned.
-func (g *Gateway) Restore(f balance.Snapshot) {
-	for _, a := range g.router.Restore(g.clock.Now(), f, nil) {
-		g.act(&a)
-	}
-}
-
-// tell hands events to the module one at a time, each in a round of its own: what an action brings about at
-// once waits until the actions of its round are done.
-func (g *Gateway) tell(ev balance.Event) {
-	g.events = append(g.events, ev)
-	if g.running {
-		return
-	}
-	g.running = true
-	for len(g.events) > 0 {
-		ev := g.events[0]
-		g.events = g.events[1:]
-		g.acts = g.router.Handle(g.clock.Now(), ev, g.acts[:0])
-		for i := range g.acts {
-			g.act(&g.acts[i])
-		}
-	}
-	g.events = nil
-	g.running = false
-}
-
-func (g *Gateway) act(a *balance.Action) {
-	q := g.live[a.Request]
-	switch a.Kind {
-	case balance.SendAction:
-		if q == nil || q.over || q.out { // the rules bind the module; this keeps a fault of it from doing harm
-			g.log.Error().Int64("request", a.Request).Str("host", a.Host).Msg("send for a request that is closed or out")
-			return
-		}
-		id, until := a.Request, q.Deadline
-		if a.Timeout != 0 {
-			until = min(until, g.clock.Now()+a.Timeout)
-		}
-		at := Attempt{
-			Request: id, Number: q.attempts, Host: a.Host, Write: q.Write, Deadline: until, Body: q.Body,
-			Expired: func() bool { return g.left(id) || !g.router.AttemptStillValid(g.clock.Now(), id) },
-		}
-		if q.attempts++; q.attempts > 1 {
-			g.counts.Retries++
-		}
-		q.out = true
-		g.hosts.Send(at)
-	case balance.CancelAction:
-		g.hosts.Cancel(a.Request, a.Attempt)
-	case balance.RejectAction:
-		if q != nil && !q.over {
-			g.counts.Rejected++
-			q.Client.Reject(a.RetryAfter)
-			g.finish(a.Request, q)
-		}
-	case balance.FailAction:
-		if q != nil && !q.over {
-			g.counts.Failed++
-			q.Client.Fail()
-			g.finish(a.Request, q)
-		}
-	case balance.TimerAction:
-		token := a.Token
-		g.clock.CallAt(a.At, func() { g.tell(balance.Event{Kind: balance.TimerEvent, Token: token}) })
-	case balance.HealthCheckAction:
-		g.counts.HealthChecks++
-		g.hosts.CheckHealth(a.Host)
-	case balance.CloseIdleAction:
-		g.hosts.CloseIdle(a.Host)
-	case balance.GossipAction:
-		g.counts.GossipSent++
-		g.counts.GossipBytesSent += len(a.Data)
-		g.peers.Send(a.Peer, a.Data)
-	case balance.LogAction:
-		g.log.Info().Msg(a.Text)
-	case balance.SubscribeAction:
-		g.list.Subscribe()
-	case balance.PollEndpointsAction:
-		g.list.Poll()
-	}
-}
-
-// finish closes a request; it is forgotten once its attempt has come back.
-func (g *Gateway) finish(id int64, q *live) {
-	q.over = true
-	q.Client, q.Body = nil, nil
-	if !q.out {
-		delete(g.live, id)
+// Restore gives the router the state that another one has learned.
+func (g *Gateway) Restore(snapshot balance.Snapshot) {
+	for _, action := range g.router.Restore(g.clock.Now(), snapshot, nil) {
+		g.execute(&action)
 	}
 }
