--- /dev/null
+++ b/internal/frontend/cancel.go
@@ -0,0 +1,31 @@
+package frontend
+
+import (
+	"crypto/rand"
+	"crypto/subtle"
+	"encoding/binary"
+
+	"cloverrock/internal/pgwire"
+)
+
+// assignCancelKey draws the number and the secret by which the client may cancel its request on another connection.
+func (c *client) assignCancelKey() {
+	var b [8]byte
+	for c.cancelID == 0 || c.server.cancelKeys[c.cancelID] != nil {
+		_, _ = rand.Read(b[:])                          // never fails
+		c.cancelID = binary.BigEndian.Uint32(b[:]) >> 1 // clients read it as a signed number
+	}
+	c.cancelSecret = [4]byte(b[4:])
+	c.server.cancelKeys[c.cancelID] = c
+}
+
+// cancelRequest ends the request in flight of the client with that number, if the secret matches. The connection that
+// asks for it gets no answer.
+func (s *Server) cancelRequest(cancelID uint32, secret [4]byte) {
+	c := s.cancelKeys[cancelID]
+	if c == nil || subtle.ConstantTimeCompare(secret[:], c.cancelSecret[:]) == 0 || !c.awaitingAnswer {
+		return
+	}
+	c.abandonRequest()
+	c.answer(errorResponse(pgwire.CodeQueryCanceled, "canceled at the client's request; the statement may have run"))
+}
--- /dev/null
+++ b/internal/frontend/pipeline.go
@@ -0,0 +1,225 @@
+package frontend
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+
+	"cloverrock/internal/gateway"
+	"cloverrock/internal/pgwire"
+)
+
+const (
+	// maxUnsent is the number of bytes of answers that a client has not read before its next command waits.
+	maxUnsent = 64 << 10
+
+	// maxCommitLead is how far ahead of our clock, in microseconds, a commit may lie that a read must see: clocks differ.
+	maxCommitLead = 60e6
+)
+
+var (
+	errCommitInFuture = errors.New("comment: after: lies in the future")
+	// Hosts tell requests apart by their id: forwarded, the second would disturb the first.
+	errRequestIDInUse = errors.New("comment: id: another request has it, and is not answered yet")
+)
+
+// processPipeline takes commands in their order, up to a request that must be answered before the next.
+func (c *client) processPipeline() {
+	for !c.awaitingAnswer && !c.closed && len(c.pipeline) > 0 {
+		if c.conn.UnsentBytes() > maxUnsent {
+			c.retryLater(c.processPipeline)
+			return
+		}
+		cmd := c.pipeline[0]
+		if cmd.err != nil {
+			c.failConnection(pgwire.CodeProtocolViolation, cmd.err.Error())
+			return
+		}
+		c.pipeline = c.pipeline[1:]
+		c.execute(cmd)
+	}
+	if c.closed || c.awaitingAnswer || c.terminated {
+		return
+	}
+	c.pipeline = nil
+	c.updateHeldBytes()
+	if c.server.shuttingDown && len(c.partial) == 0 {
+		c.closeWhenFlushed()
+		return
+	}
+	c.markIdle() // also with an incomplete message: that is no request yet
+}
+
+func (c *client) execute(cmd command) {
+	if c.skipUntilSync && cmd.kind != pgwire.MsgSync && cmd.kind != pgwire.MsgTerminate {
+		return
+	}
+	switch cmd.kind {
+	case pgwire.MsgQuery:
+		c.executeQuery(cmd)
+	case pgwire.MsgTerminate:
+		c.terminate() // earlier answers may still be on their way
+	case pgwire.MsgSync:
+		c.skipUntilSync = false
+		c.conn.Write(pgwire.AppendReadyForQuery(nil))
+	case pgwire.MsgParse, pgwire.MsgBind, pgwire.MsgDescribe, pgwire.MsgExecute, pgwire.MsgClose:
+		c.skipUntilSync = true
+		c.conn.Write(errorResponse(pgwire.CodeNotSupported, "extended queries are not supported"))
+	case pgwire.MsgFunctionCall:
+		c.failQuery(pgwire.CodeNotSupported, "function calls are not supported")
+	case pgwire.MsgFlush, pgwire.MsgCopyData, pgwire.MsgCopyDone, pgwire.MsgCopyFail:
+		// Nothing to flush, and no copy is under way.
+	default:
+		c.failConnection(pgwire.CodeProtocolViolation, fmt.Sprintf("unknown message %q", cmd.kind))
+	}
+}
+
+func (c *client) executeQuery(cmd command) {
+	text, _, terminated := pgwire.CString(cmd.text)
+	if !terminated || len(text) != len(cmd.text)-1 {
+		c.failConnection(pgwire.CodeProtocolViolation, "the query is not one string")
+		return
+	}
+	if c.overLimit {
+		c.failConnection(pgwire.CodeTooManyConnections, "too many connections")
+		return
+	}
+	if c.answerLocally(text) {
+		return
+	}
+	query, err := pgwire.ParseQuery(cmd.text[:len(text)])
+	if err != nil {
+		c.failQuery(pgwire.CodeSyntaxError, err.Error())
+		return
+	}
+	class, err := c.server.checkQuery(query)
+	if err != nil {
+		c.failQuery(pgwire.CodeSyntaxError, err.Error())
+		return
+	}
+	c.submit(query, class, cmd)
+}
+
+// answerLocally answers statements that need no host: the empty one, which shows whether the gateway is ready, and
+// those that change settings of a session, which have no effect here.
+func (c *client) answerLocally(text string) bool {
+	switch word := pgwire.Command(text); word {
+	case "":
+		if !c.server.gateway.Ready() {
+			c.failQuery(pgwire.CodeCannotConnectNow, "the list of hosts is not known yet")
+			return true
+		}
+		c.conn.Write(pgwire.AppendReadyForQuery(pgwire.AppendEmptyQuery(nil)))
+		return true
+	case "SET", "RESET", "DISCARD":
+		c.conn.Write(pgwire.AppendReadyForQuery(pgwire.AppendCommandComplete(nil, word)))
+		return true
+	}
+	return false
+}
+
+// checkQuery returns the class of a query, or why the query can't be taken. The errors are for the client.
+func (s *Server) checkQuery(query *pgwire.Query) (Class, error) {
+	class, known := s.classes[query.Class]
+	if !known {
+		return Class{}, fmt.Errorf("comment: c: no class %q", query.Class)
+	}
+	reads := query.Command() == "SELECT"
+	if reads == class.Write {
+		return Class{}, fmt.Errorf("a statement of class %q can't begin with %q", query.Class, query.Command())
+	}
+	if query.After > s.loop.Now()+maxCommitLead {
+		return Class{}, errCommitInFuture
+	}
+	if _, inUse := s.openRequestIDs[query.ID]; inUse {
+		return Class{}, errRequestIDInUse
+	}
+	return class, nil
+}
+
+// submit passes a request to the gateway, which may answer it before Accept returns.
+func (c *client) submit(query *pgwire.Query, class Class, cmd command) {
+	if query.Wait < 0 || query.Wait > class.Deadline { // no client of the class waits longer
+		query.Wait = class.Deadline
+	}
+	c.server.openRequestIDs[query.ID] = struct{}{}
+	if !c.active {
+		c.server.activeClients++
+	}
+	c.active = true
+	c.awaitingAnswer = true
+	c.requestID = 0
+	c.clientRequestID = query.ID
+	c.requestBytes = len(cmd.text)
+	id := c.server.gateway.Accept(gateway.Request{
+		Class: class.Index, Group: query.Cluster, Key: query.KeyID(), HasKey: query.HasKey, Write: class.Write,
+		MinPosition: query.After, Deadline: cmd.receivedAt + query.Wait, Body: query, Client: c,
+	})
+	if c.awaitingAnswer {
+		c.requestID = id
+	}
+}
+
+// clearRequest notes that the request in flight has its final answer, or is abandoned.
+func (c *client) clearRequest() {
+	c.awaitingAnswer = false
+	c.requestBytes = 0
+	delete(c.server.openRequestIDs, c.clientRequestID)
+}
+
+// abandonRequest gives up the request in flight.
+func (c *client) abandonRequest() {
+	if c.awaitingAnswer {
+		c.clearRequest()
+		c.server.gateway.ClientDisconnected(c.requestID)
+	}
+}
+
+// answer writes the final answer of the request in flight.
+func (c *client) answer(answer []byte) {
+	if c.closed {
+		return
+	}
+	if c.awaitingAnswer {
+		c.clearRequest()
+	}
+	c.conn.Write(pgwire.AppendReadyForQuery(answer))
+	c.server.loop.Post(c.processPipeline) // the gateway must not be called from here
+}
+
+// Serve implements gateway.Client.
+func (c *client) Serve(value []byte) { c.answer(value) }
+
+// Reject implements gateway.Client. The error's detail is the time to retry after in milliseconds, rounded up.
+func (c *client) Reject(retryAfter int64) {
+	rejection := pgwire.Error{
+		Severity: "ERROR", Code: pgwire.CodeTooManyConnections, Message: "refused; trying again is harmless",
+	}
+	if retryAfter > 0 {
+		rejection.Detail = strconv.FormatInt((retryAfter+999)/1000, 10)
+	}
+	c.answer(pgwire.AppendError(nil, rejection))
+}
+
+// Fail implements gateway.Client.
+func (c *client) Fail() {
+	c.answer(errorResponse(pgwire.CodeSystemError, "no host has answered; the statement may have run"))
+}
+
+// Disconnected implements gateway.Client. It looks into the socket: the event of the end may still be queued.
+func (c *client) Disconnected() bool { return c.closed || c.conn.PeerClosed() }
+
+// failQuery answers a query that can't be taken; the connection stays open.
+func (c *client) failQuery(code, message string) {
+	c.conn.Write(pgwire.AppendReadyForQuery(errorResponse(code, message)))
+}
+
+// failConnection reports why the connection ends, and ends it.
+func (c *client) failConnection(code, message string) {
+	c.conn.Write(pgwire.AppendError(nil, pgwire.Error{Severity: "FATAL", Code: code, Message: message}))
+	c.terminate()
+}
+
+func errorResponse(code, message string) []byte {
+	return pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: code, Message: message})
+}
--- /dev/null
+++ b/internal/frontend/server_test.go
@@ -0,0 +1,68 @@
+package frontend
+
+import (
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cloverrock/internal/eventloop"
+	"cloverrock/internal/gateway"
+	"cloverrock/internal/pgwire"
+)
+
+// testTimeout ends a test that hangs; no verdict depends on how soon anything happens.
+const testTimeout = 30 * time.Second
+
+// acceptedRequests is a gateway that passes the clients of the requests that it accepts to the test.
+type acceptedRequests chan gateway.Client
+
+func (a acceptedRequests) Accept(request gateway.Request) int64 { a <- request.Client; return 1 }
+func (acceptedRequests) ClientDisconnected(int64)               {}
+func (acceptedRequests) Ready() bool                            { return true }
+
+// next waits for a request.
+func (a acceptedRequests) next(t *testing.T) *client {
+	t.Helper()
+	select {
+	case c := <-a:
+		return c.(*client)
+	case <-time.After(testTimeout):
+		t.Fatal("the request is not accepted")
+		return nil
+	}
+}
+
+// startServer starts a server with a gateway that the test plays, and returns a client's connection to it.
+func startServer(t *testing.T) (*eventloop.Loop, *Server, acceptedRequests, net.Conn) {
+	t.Helper()
+	loop := eventloop.New(64, 1<<20, zerolog.Nop())
+	requests := make(acceptedRequests, 2)
+	classes := map[string]Class{"look": {Deadline: testTimeout.Microseconds()}}
+	limits := Limits{Connections: 4, ActiveConnections: 4, Bytes: 1 << 20, MessageTimeout: 3600e6, IdleTimeout: 3600e6}
+	server := New(loop, requests, classes, limits, zerolog.Nop())
+	if err := loop.Start("127.0.0.1:0", 4, server.Accept); err != nil {
+		t.Fatal(err)
+	}
+	go loop.Run()
+	t.Cleanup(loop.Close)
+	peer, err := net.Dial("tcp4", loop.Address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = peer.Close() }) // the server may have closed it first
+	if err := peer.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	return loop, server, requests, peer
+}
+
+func appendLookQuery(b []byte, id int) []byte {
+	return pgwire.AppendQuery(b, fmt.Sprintf("/* id=%d,c=look,d=9000,cluster=1 */ SELECT body FROM objects WHERE oid = 'k'", id))
+}
+
+func serveValue(c gateway.Client, value string) {
+	c.Serve(pgwire.AppendCommandComplete(pgwire.AppendRow(nil, "body", value), "SELECT 1"))
+}
