--- /dev/null
+++ b/internal/backend/answer.go
@@ -0,0 +1,254 @@
+package backend
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strings"
+
+	"cloverrock/balance"
+	"cloverrock/internal/gateway"
+	"cloverrock/internal/pgwire"
+)
+
+// Names and values in which hosts report their state.
+const (
+	healthCheckQuery = "SHOW vitals"
+
+	parameterRole     = "rank"
+	parameterPosition = "as_of"  // milliseconds since 1970
+	parameterReport   = "vitals" // pairs of names and values
+
+	rolePrimary = "source"
+	roleReplica = "copy"
+
+	reportPosition = "x0" // seconds since 1970
+	reportPrimary  = "x1" // 1 for a primary, 0 for a replica
+)
+
+// maxPositionLead is how far ahead of our clock a position may lie, in microseconds. Hosts and gateways read the same
+// clock, so one further ahead is invalid; to believe it would make a replica count as up to date whatever it holds.
+const maxPositionLead = 1e6
+
+// authenticationOk is the body of an Authentication message that asks for no password.
+const authenticationOk = "\x00\x00\x00\x00"
+
+var (
+	errUnexpectedMessage = errors.New("not allowed at this point")
+	errMalformedMessage  = errors.New("malformed")
+)
+
+// answer is what has been received of the answer to the attempt in flight.
+type answer struct {
+	raw         []byte        // row description, row and completion, as they came
+	lastMessage byte          // type of the last message that belongs to the answer; 0 if none has come
+	value       []byte        // the row's column
+	hostError   *pgwire.Error // nil if there is none
+	role        string        // of the host, as reported
+	position    string        // of the host, as reported
+	report      string        // of the host, as reported
+}
+
+// complete reports whether nothing but ReadyForQuery is missing.
+func (a *answer) complete() bool {
+	switch a.lastMessage {
+	case pgwire.MsgCommandComplete, pgwire.MsgErrorResponse, pgwire.MsgEmptyQueryResponse:
+		return true
+	}
+	return false
+}
+
+// precedingMessage holds, for each message of a result, the one that must come directly before it; 0: none.
+var precedingMessage = map[byte]byte{
+	pgwire.MsgRowDescription:     0,
+	pgwire.MsgDataRow:            pgwire.MsgRowDescription,
+	pgwire.MsgCommandComplete:    pgwire.MsgDataRow,
+	pgwire.MsgEmptyQueryResponse: 0,
+}
+
+// handleMessage takes the next message; more reports that the host has sent something behind it.
+func (c *conn) handleMessage(message pgwire.Message, more bool) error {
+	before := c.answer.lastMessage
+	if err := c.dispatchMessage(message, more); err != nil {
+		return fmt.Errorf("message %q after %q: %w", message.Type, before, err)
+	}
+	return nil
+}
+
+func (c *conn) dispatchMessage(message pgwire.Message, more bool) error {
+	switch message.Type {
+	case pgwire.MsgRowDescription, pgwire.MsgDataRow, pgwire.MsgCommandComplete, pgwire.MsgEmptyQueryResponse:
+		return c.handleResult(message)
+	case pgwire.MsgErrorResponse:
+		return c.handleError(message, more)
+	case pgwire.MsgParameterStatus:
+		c.answer.setParameter(message.Body)
+	case pgwire.MsgAuthentication:
+		if c.state != dialing || string(message.Body) != authenticationOk {
+			return errUnexpectedMessage
+		}
+	case pgwire.MsgReadyForQuery:
+		outsideTransaction := message.Body[0] == 'I'
+		if !outsideTransaction || c.state == busy && !c.answer.complete() {
+			return errUnexpectedMessage
+		}
+		c.ready(more)
+	case pgwire.MsgBackendKeyData, pgwire.MsgNegotiateVersion:
+		if c.state != dialing {
+			return errUnexpectedMessage
+		}
+	}
+	return nil // notices and notifications are ignored
+}
+
+// handleResult takes a message of the one row that an answer consists of.
+func (c *conn) handleResult(message pgwire.Message) error {
+	a := &c.answer
+	if c.state != busy || a.lastMessage != precedingMessage[message.Type] {
+		return errUnexpectedMessage
+	}
+	valid := true
+	switch message.Type {
+	case pgwire.MsgRowDescription:
+		valid = pgwire.OneColumn(message.Body)
+	case pgwire.MsgDataRow:
+		a.value, valid = pgwire.OnlyColumn(message.Body)
+	case pgwire.MsgCommandComplete:
+		valid = bytes.IndexByte(message.Body, 0) == len(message.Body)-1
+	}
+	if !valid {
+		return errMalformedMessage
+	}
+	a.lastMessage = message.Type
+	a.raw = append(a.raw, message.Raw...)
+	return nil
+}
+
+func (c *conn) handleError(message pgwire.Message, more bool) error {
+	hostError, valid := pgwire.ParseError(message.Body)
+	if !valid {
+		return errMalformedMessage
+	}
+	if c.answer.complete() {
+		return errUnexpectedMessage
+	}
+	c.answer.lastMessage = pgwire.MsgErrorResponse
+	c.answer.hostError = &hostError
+	if hostError.Severity != "FATAL" && hostError.Severity != "PANIC" {
+		return nil
+	}
+	// The host closes the connection after it, so nothing may follow.
+	if more && c.state == busy {
+		return errUnexpectedMessage
+	}
+	c.end(c.outcome())
+	return nil
+}
+
+// setParameter takes the body of a ParameterStatus. A malformed one is ignored.
+func (a *answer) setParameter(body []byte) {
+	name, rest, ok := pgwire.CString(body)
+	if !ok {
+		return
+	}
+	value, rest, ok := pgwire.CString(rest)
+	if !ok || len(rest) > 0 {
+		return
+	}
+	switch name {
+	case parameterRole:
+		a.role = value
+	case parameterPosition:
+		a.position = value
+	case parameterReport:
+		a.report = value
+	}
+}
+
+// outcome returns the outcome that a complete answer stands for.
+func (c *conn) outcome() gateway.Outcome {
+	a := &c.answer
+	outcome := gateway.Outcome{Result: c.answerResult()}
+	if outcome.Result == balance.Succeeded {
+		outcome.Value = a.raw
+	}
+	switch a.role {
+	case rolePrimary:
+		outcome.Role = balance.Primary
+	case roleReplica:
+		outcome.Role = balance.Replica
+	}
+	latest := c.pool.loop.Now() + maxPositionLead
+	// The position in a write's answer is that of its commit. It is rounded up: only a position that is no less has
+	// reached the commit.
+	isCommit := c.attempt != nil && c.attempt.Write && a.hostError == nil
+	position, err := pgwire.Decimal(a.position, 3, isCommit)
+	if err == nil && position <= latest {
+		outcome.Position = position
+	}
+	report := a.report
+	if c.attempt != nil && c.attempt.healthCheck && outcome.Result == balance.Succeeded {
+		report = string(a.value)
+	}
+	outcome.Report = parseReport(report, latest)
+	return outcome
+}
+
+// answerResult returns the result that a complete answer stands for.
+func (c *conn) answerResult() balance.Result {
+	a := &c.answer
+	if a.hostError == nil {
+		if a.lastMessage == pgwire.MsgCommandComplete {
+			return balance.Succeeded
+		}
+		c.pool.log.Warn().Str("host", c.host.id).Msg("backend: host answered without a row")
+		return balance.Failed
+	}
+	result := resultOfError(a.hostError.Code)
+	if result != balance.Failed {
+		return result
+	}
+	c.pool.log.Warn().Str("host", c.host.id).Str("code", a.hostError.Code).Str("message", a.hostError.Message).
+		Msg("backend: host answered with an error")
+	if c.state == dialing {
+		return balance.ConnectionRefused // nothing was sent yet
+	}
+	return balance.Failed
+}
+
+// resultOfError returns what a host's error proves.
+func resultOfError(code string) balance.Result {
+	switch code {
+	case pgwire.CodeReadOnly, pgwire.CodeSnapshotTooOld:
+		return balance.NotPrimary
+	case pgwire.CodeTooManyConnections, pgwire.CodeCannotConnectNow:
+		return balance.Overloaded
+	}
+	return balance.Failed
+}
+
+// parseReport parses the names and values of a host's report; unknown names are ignored. A report that is malformed in
+// any part, or has a position after latest (microseconds), is ignored as a whole.
+func parseReport(text string, latest int64) (report balance.HostReport) {
+	for text != "" {
+		var part string
+		part, text, _ = strings.Cut(text, ",")
+		name, value, _ := strings.Cut(part, "=")
+		micros, err := pgwire.Decimal(strings.TrimSpace(value), 6, false)
+		if err != nil {
+			return balance.HostReport{}
+		}
+		switch strings.TrimSpace(name) {
+		case reportPosition:
+			if micros > latest {
+				return balance.HostReport{}
+			}
+			report.HasPosition = true
+			report.Position = micros
+		case reportPrimary:
+			report.HasRole = true
+			report.Primary = micros >= 5e5 // at least a half
+		}
+	}
+	return report
+}
--- /dev/null
+++ b/internal/backend/attempt_test.go
@@ -0,0 +1,63 @@
+package backend
+
+import (
+	"testing"
+	"time"
+
+	"cloverrock/balance"
+)
+
+// Where all connections that the limit allows are in use, this says nothing of a host. Attempts and health checks wait as
+// long as a dial may take, and then end as not sent: any other result would mark the host as suspect.
+func TestConnectionLimitEndsWaitingAttemptsAsNotSent(t *testing.T) {
+	h, host, other := startPool(t, 1, time.Second), startHost(t), startHost(t)
+	h.setEndpoints(map[string]string{"h": host.address(), "other": other.address()})
+	h.send(1, "h")
+	conn := receive(t, host.conns, "the connection")
+	welcome(t, conn) // and never answer
+	h.onLoop(func() {
+		h.pool.CheckHealth("h")
+		h.pool.CheckHealth("other")
+	})
+	h.send(2, "h")
+	h.send(3, "other")
+	for range 4 {
+		got := receive(t, h.outcomes, "an outcome")
+		if got.request == 1 || got.result != balance.NotSent {
+			t.Errorf("%d ended as %d, want %d", got.request, got.result, balance.NotSent)
+		}
+	}
+	h.onLoop(func() {
+		waiting := len(h.pool.awaitingSlot) + len(h.pool.hosts["h"].waiting)
+		if waiting > 0 || len(h.pool.conns) != 1 {
+			t.Errorf("%d wait, %d connections", waiting, len(h.pool.conns))
+		}
+	})
+}
+
+// An attempt that waits for a connection slot gets the first connection that is free, whether it becomes
+// idle, ends or breaks, in the order in which the attempts came.
+func TestWaitingAttemptsGetTheFirstFreeConnectionInOrder(t *testing.T) {
+	h, host, other := startPool(t, 1, testTimeout), startHost(t), startHost(t)
+	h.setEndpoints(map[string]string{"h": host.address(), "other": other.address()})
+	h.send(1, "h")
+	conn := receive(t, host.conns, "the connection")
+	welcome(t, conn)
+	h.send(2, "other")
+	h.send(3, "h") // it came later, but needs no new connection
+	reply(conn)
+	h.wantOutcome(reportedOutcome{1, balance.Succeeded})
+	readQuery(t, conn)
+	reply(conn)
+	h.wantOutcome(reportedOutcome{3, balance.Succeeded})
+
+	otherConn := receive(t, other.conns, "the connection to the other") // the first is idle, and evicted
+	welcome(t, otherConn)
+	h.send(4, "h")
+	_ = otherConn.Close() // the outcome shows a failure
+	h.wantOutcome(reportedOutcome{2, balance.ConnectionReset})
+	replacement := receive(t, host.conns, "a connection in its place")
+	welcome(t, replacement)
+	reply(replacement)
+	h.wantOutcome(reportedOutcome{4, balance.Succeeded})
+}
