--- /dev/null
+++ b/internal/eventloop/acceptlimiter_test.go
@@ -0,0 +1,57 @@
+package eventloop
+
+import (
+	"net"
+	"testing"
+
+	"github.com/lesismal/nbio"
+)
+
+// However many connections come at once, no more are accepted than the limit allows; the others are accepted when there is
+// room.
+func TestAcceptLimitHoldsBackConnectionsUntilThereIsRoom(t *testing.T) {
+	const limit, all = 4, 12
+	conns := make(chan *Conn, all)
+	l := startLimitedLoop(t, limit, func(c *Conn) Handler { conns <- c; return newTestHandler() })
+	for range all {
+		connect(t, l)
+	}
+	for range all {
+		c := receive(t, conns, "accept")
+		l.acceptLimiter.mu.Lock()
+		if l.acceptLimiter.open > limit {
+			t.Errorf("%d are open, want %d at most", l.acceptLimiter.open, limit)
+		}
+		l.acceptLimiter.mu.Unlock()
+		l.onLoop(c.Close)
+	}
+}
+
+// What the system has accepted when the listening ends is accepted here, and done is called behind it.
+func TestStopListeningAcceptsPendingConnections(t *testing.T) {
+	conns := make(chan *Conn, 4)
+	accept := func(c *Conn) Handler { conns <- c; return newTestHandler() }
+	l := startLoop(t, accept)
+	entered, release := make(chan struct{}, 4), make(chan struct{})
+	l.onLoop(func() {
+		l.engine.OnOpen(func(nb *nbio.Conn) { // the engine accepts the next one after it
+			entered <- struct{}{}
+			<-release
+			l.engineOpened(nb, accept)
+		})
+	})
+	for range 3 {
+		connect(t, l)
+	}
+	receive(t, entered, "the first")
+	done := make(chan int, 1)
+	l.onLoop(func() { l.StopListening(func() { done <- len(conns) }) })
+	close(release)
+	if n := receive(t, done, "done"); n != 3 {
+		t.Errorf("%d of 3 were accepted when the listening had ended", n)
+	}
+	if conn, err := net.Dial("tcp4", l.Address()); err == nil {
+		_ = conn.Close()
+		t.Error("still listening")
+	}
+}
--- /dev/null
+++ b/internal/eventloop/engine.go
@@ -0,0 +1,125 @@
+package eventloop
+
+import (
+	"net"
+
+	"github.com/lesismal/nbio"
+	"github.com/rs/zerolog"
+)
+
+// maxPackets bounds the datagrams that are read before connections have their turn.
+const maxPackets = 3
+
+// engineOpened is called by the engine, on the goroutine that accepts, for a new connection.
+func (l *Loop) engineOpened(nb *nbio.Conn, accept func(*Conn) Handler) {
+	_, isUDP := nb.RemoteAddr().(*net.UDPAddr)
+	isDialed := nb.Session() != nil
+	if isUDP || isDialed {
+		return
+	}
+	c := &Conn{loop: l, nb: nb, accepted: true}
+	nb.SetSession(c)
+	l.syncWithEngine()
+	l.acceptLimiter.opened()
+	l.post(event{call: func() { c.handler = accept(c) }})
+}
+
+// engineReadable is called by the engine, on its goroutine, when data has arrived or the peer has ended its side. It reads
+// everything that is there: where the peer has ended, the engine closes the socket afterwards, whatever was not read.
+func (l *Loop) engineReadable(nb *nbio.Conn) {
+	l.syncWithEngine()
+	c, ok := nb.Session().(*Conn)
+	if !ok {
+		l.receivePackets(nb)
+		return
+	}
+	for {
+		n, err := c.read(l.readBuffer)
+		if n == 0 {
+			if err != nil {
+				l.post(event{conn: c, kind: closedEvent, err: err})
+			}
+			return
+		}
+		l.post(event{conn: c, kind: readEvent, data: append([]byte(nil), l.readBuffer[:n]...)})
+	}
+}
+
+// engineClosed is called by the engine when it has closed a socket.
+func (l *Loop) engineClosed(nb *nbio.Conn, err error) {
+	c, ok := nb.Session().(*Conn)
+	if !ok {
+		return
+	}
+	if c.accepted {
+		l.acceptLimiter.closed()
+	}
+	l.post(event{conn: c, kind: closedEvent, err: err})
+}
+
+// engineWritten is called by the engine when the kernel has taken n bytes.
+func engineWritten(nb *nbio.Conn, _ []byte, n int) {
+	if c, ok := nb.Session().(*Conn); ok {
+		c.writtenBytes.Add(int64(n))
+	}
+}
+
+// syncWithEngine orders the making of a connection before the engine's first use of it: the engine's table of connections
+// has no lock.
+func (l *Loop) syncWithEngine() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+}
+
+func (l *Loop) receivePackets(nb *nbio.Conn) {
+	for range maxPackets {
+		buffer := l.readBuffer
+		from, n, err := nb.ReadAndGetConn(&buffer)
+		if err != nil || n <= 0 {
+			return
+		}
+		data := append([]byte(nil), buffer[:n]...)
+		if addr, isUDP := from.RemoteAddr().(*net.UDPAddr); isUDP {
+			l.post(event{call: func() { l.onPacket(addr, data) }})
+		}
+	}
+}
+
+// waitForEngine waits until the engine's goroutines run. As they begin they reset the flag that ends them: if it was set
+// earlier, they would run forever.
+func (l *Loop) waitForEngine() {
+	if l.acceptLimiter != nil {
+		<-l.acceptLimiter.engineStarted
+	}
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		return
+	}
+	defer func() { _ = listener.Close() }() // it was of use already
+	closed := closeSignal(make(chan struct{}))
+	l.Post(func() { l.Dial(listener.Addr().String(), closed) })
+	go func() {
+		if conn, err := listener.Accept(); err == nil {
+			_ = conn.Close() // the engine sees the end of the connection in any case
+		}
+	}()
+	select {
+	case <-closed:
+	case <-l.done: // the engine has run
+	}
+}
+
+// closeSignal is a Handler that signals the end of its connection.
+type closeSignal chan struct{}
+
+func (closeSignal) Data([]byte)    {}
+func (s closeSignal) Closed(error) { close(s) }
+
+// engineLog writes the engine's log lines to the program's log.
+type engineLog struct{ log zerolog.Logger }
+
+func (e engineLog) Debug(string, ...any)          {}
+func (e engineLog) Info(format string, v ...any)  { e.log.Debug().Msgf(format, v...) }
+func (e engineLog) Warn(format string, v ...any)  { e.log.Warn().Msgf(format, v...) }
+func (e engineLog) Error(format string, v ...any) { e.log.Error().Msgf(format, v...) }
+func (e engineLog) SetLevel(int)                  {}
--- /dev/null
+++ b/internal/eventloop/packet_test.go
@@ -0,0 +1,43 @@
+package eventloop
+
+import (
+	"net"
+	"net/netip"
+	"testing"
+)
+
+// A datagram goes out from the socket's own address, and the answer to it is received with its sender's.
+func TestPacketsAreSentAndReceivedOnOneSocket(t *testing.T) {
+	l := startLoop(t, nil)
+	peer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = peer.Close() }()
+	setTestDeadline(t, peer)
+	received := make(chan string, 4)
+	var socket *PacketConn
+	l.onLoop(func() {
+		socket, err = l.ListenPacket("127.0.0.1:0", func(from net.Addr, b []byte) {
+			received <- from.String() + " " + string(b)
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	l.onLoop(func() { err = socket.Send(netip.MustParseAddrPort(peer.LocalAddr().String()), []byte("hello")) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	buf := make([]byte, 64)
+	n, from, err := peer.ReadFromUDP(buf)
+	if err != nil || string(buf[:n]) != "hello" {
+		t.Fatalf("got %q, %v", buf[:n], err)
+	}
+	if _, err := peer.WriteToUDP([]byte("back"), from); err != nil {
+		t.Fatal(err)
+	}
+	if got := receive(t, received, "datagram"); got != peer.LocalAddr().String()+" back" {
+		t.Errorf("received %q", got)
+	}
+}
--- /dev/null
+++ b/internal/eventloop/timer.go
@@ -0,0 +1,53 @@
+package eventloop
+
+import "container/heap"
+
+// Timer is one call that is due in the future.
+type Timer struct {
+	loop  *Loop
+	at    int64 // microseconds on the loop's clock
+	index int   // in the heap; -1 once it has run or was stopped
+	call  func()
+}
+
+// CallAt calls f on the loop's goroutine at the given time, in microseconds, or as soon as possible after it.
+func (l *Loop) CallAt(at int64, f func()) *Timer {
+	t := &Timer{loop: l, at: at, call: f}
+	heap.Push(&l.timers, t)
+	return t
+}
+
+// Stop prevents the call; a nil timer or one that has run is left alone.
+func (t *Timer) Stop() {
+	if t != nil && t.index >= 0 {
+		heap.Remove(&t.loop.timers, t.index)
+	}
+}
+
+// timers is a heap by time; equal times are in no fixed order.
+type timers []*Timer
+
+func (h timers) Len() int           { return len(h) }
+func (h timers) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timers) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index = i
+	h[j].index = j
+}
+
+// Push implements heap.Interface.
+func (h *timers) Push(x any) {
+	t := x.(*Timer)
+	t.index = len(*h)
+	*h = append(*h, t)
+}
+
+// Pop implements heap.Interface.
+func (h *timers) Pop() any {
+	last := len(*h) - 1
+	t := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	t.index = -1
+	return t
+}
--- /dev/null
+++ b/internal/eventloop/timer_test.go
@@ -0,0 +1,30 @@
+package eventloop
+
+import (
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// Timers run in the order of their times, and not at all once they are stopped; Stop may be called again, or on nil.
+func TestTimersRunInOrderUnlessStopped(t *testing.T) {
+	l := startLoop(t, nil)
+	var got []string
+	done := make(chan struct{})
+	l.onLoop(func() {
+		now := l.Now()
+		add := func(at int64, name string) *Timer { return l.CallAt(at, func() { got = append(got, name) }) }
+		add(now+3, "third")
+		stopped := add(now+2, "never")
+		add(now-5, "first")
+		add(now+1, "second")
+		stopped.Stop()
+		stopped.Stop()
+		(*Timer)(nil).Stop()
+		l.CallAt(now+4, func() { close(done) })
+	})
+	receive(t, done, "timers")
+	if d := cmp.Diff([]string{"first", "second", "third"}, got); d != "" {
+		t.Error(d)
+	}
+}
