--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,51 +11,66 @@
 	"cloverrock/internal/eventloop"
 )
 
-// A message goes to the gateway of that number or to the address of all; one that comes is told with its sender's
-// number, and one from an address that is no gateway's is not told.
-func TestMessages(t *testing.T) {
-	l := eventloop.New(1024, 1<<20, zerolog.Nop())
-	if err := l.Start("", 0, nil); err != nil {
+// testTimeout ends a test that hangs; no verdict depends on how soon anything happens.
+const testTimeout = 30 * time.Second
+
+type message struct {
+	peer int
+	text string
+}
+
+// startLoop starts an event loop, and returns a function that runs another on it.
+func startLoop(t *testing.T) (loop *eventloop.Loop, onLoop func(f func())) {
+	t.Helper()
+	loop = eventloop.New(1024, 1<<20, zerolog.Nop())
+	if err := loop.Start("", 0, nil); err != nil {
 		t.Fatal(err)
 	}
-	go l.Run()
-	defer l.Close()
-	open := func() (*net.UDPConn, netip.AddrPort) {
-		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		_ = c.SetDeadline(time.Now().Add(30 * time.Second))
-		return c, netip.MustParseAddrPort(c.LocalAddr().String())
-	}
-	zero, zeroAddr := open()
-	one, oneAddr := open()
-	all, allAddr := open()
-	type message struct {
-		peer int
-		text string
-	}
-	heard := make(chan message, 8)
-	var p *Peers
-	var err error
-	do := func(f func()) {
+	go loop.Run()
+	t.Cleanup(loop.Close)
+	return loop, func(f func()) {
 		done := make(chan struct{})
-		l.Post(func() { f(); close(done) })
+		loop.Post(func() { f(); close(done) })
 		<-done
 	}
-	do(func() {
-		p, err = Open(l, Config{Listen: "127.0.0.1:0", Peers: []netip.AddrPort{zeroAddr, oneAddr}, All: allAddr},
-			func(peer int, data []byte) { heard <- message{peer, string(data)} }, zerolog.Nop())
+}
+
+// openSocket opens the socket of another gateway.
+func openSocket(t *testing.T) (*net.UDPConn, netip.AddrPort) {
+	t.Helper()
+	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = socket.Close() }) // it was of use already
+	if err := socket.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	return socket, netip.MustParseAddrPort(socket.LocalAddr().String())
+}
+
+// A message goes to the gateway of that number or to the address of all; one that arrives is delivered with its sender's
+// number, and one from an address that is no gateway's is not delivered.
+func TestMessagesGoByNumberAndUnknownSendersAreDropped(t *testing.T) {
+	loop, onLoop := startLoop(t)
+	zero, zeroAddress := openSocket(t)
+	one, oneAddress := openSocket(t)
+	all, allAddress := openSocket(t)
+	received := make(chan message, 8)
+	var peers *Peers
+	var err error
+	onLoop(func() {
+		config := Config{Listen: "127.0.0.1:0", Peers: []netip.AddrPort{zeroAddress, oneAddress}, All: allAddress}
+		peers, err = Open(loop, config, func(peer int, data []byte) { received <- message{peer, string(data)} }, zerolog.Nop())
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	do(func() {
-		p.Send(1, make([]byte, MaxMessage+1)) // too long: dropped
-		p.Send(7, []byte("nobody"))
-		p.Send(1, []byte("to one"))
-		p.Send(-1, []byte("to all"))
+	onLoop(func() {
+		peers.Send(1, make([]byte, MaxMessage+1)) // too long: dropped
+		peers.Send(7, []byte("nobody"))
+		peers.Send(1, []byte("to one"))
+		peers.Send(-1, []byte("to all"))
 	})
 	buf := make([]byte, 512)
 	n, from, err := one.ReadFromUDP(buf)
@@ -65,19 +80,19 @@
 	if n, _, err := all.ReadFromUDP(buf); err != nil || string(buf[:n]) != "to all" {
 		t.Fatalf("all got %q, %v", buf[:n], err)
 	}
-	for _, c := range []*net.UDPConn{all, zero, one} { // all's address is no gateway's
-		if _, err := c.WriteToUDP([]byte("hello"), from); err != nil {
+	for _, socket := range []*net.UDPConn{all, zero, one} { // all's address is no gateway's
+		if _, err := socket.WriteToUDP([]byte("hello"), from); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, want := range []message{{0, "hello"}, {1, "hello"}} {
 		select {
-		case got := <-heard:
+		case got := <-received:
 			if got != want {
-				t.Errorf("heard %+v, want %+v", got, want)
+				t.Errorf("received %+v, want %+v", got, want)
 			}
-		case <-time.After(30 * time.Second):
-			t.Fatal("nothing heard")
+		case <-time.After(testTimeout):
+			t.Fatal("nothing received")
 		}
 	}
 }
