--- a/internal/app/serve_test.go
+++ b/internal/app/serve_test.go
@@ -168,7 +168,7 @@
 
 // told tells whether the gateway has read the list of that generation.
 func (r *rig) told(generation int64) (told bool) {
-	r.do(func() { told = r.s.watch.Generation >= generation })
+	r.do(func() { told = r.s.list.Generation >= generation })
 	return told
 }
 
--- /dev/null
+++ b/internal/discovery/backoff.go
@@ -0,0 +1,93 @@
+package discovery
+
+import "cloverrock/internal/random"
+
+// Backoff decides when a gateway calls the discovery service and how long it waits for the answer. A gateway that is
+// alone, or has a discovery agent of its own, calls at once and retries soon.
+//
+// Where many gateways share one service it handles their calls in turn. Calls that arrive faster than it works time out,
+// and the work spent on them is lost, so that in the end no gateway gets an answer. Each therefore waits for a random
+// part of the time that the calls of all take, and longer after each failure.
+//
+// Backoff does no I/O and reads no clock. All times are microseconds. It is not safe for concurrent use.
+type Backoff struct {
+	firstCallWindow  int64 // the first call is made at a random time within it; 0: at once
+	minWait, maxWait int64
+	nextWait         int64 // mean wait after the next failure
+	initialTimeout   int64
+	responseTimeout  int64 // of the next call
+	rand             random.Source
+}
+
+// All in microseconds.
+const (
+	minRetryWait = 5e4
+	maxRetryWait = 5e5
+	// An answer has to begin within minResponseTimeout at first; the time doubles after each failure.
+	minResponseTimeout = 4e5
+	maxResponseTimeout = 2e6
+	// maxMeanWait keeps the next call within updateDeadline of the moment at which the service is reachable again: the
+	// call before may just have begun to wait for its answer, and a wait is up to half as long again as its mean.
+	maxMeanWait = (updateDeadline - maxResponseTimeout - minResponseTimeout) * 2 / 3
+	// callCost is a conservative estimate of the service's time for one call.
+	callCost = 6e4
+)
+
+// NewBackoff returns the backoff of one of a number of gateways. shared says that all of them call one service, rather
+// than each an agent of its own.
+func NewBackoff(gateways int, shared bool, seed uint64) *Backoff {
+	b := &Backoff{
+		minWait:        minRetryWait,
+		maxWait:        maxRetryWait,
+		initialTimeout: minResponseTimeout,
+		rand:           random.Source(seed),
+	}
+	if shared && gateways > 1 {
+		b.spread(int64(gateways) * callCost)
+	}
+	b.RecordSuccess()
+	return b
+}
+
+// spread adapts the times to a service that needs allCalls for one call of each gateway.
+func (b *Backoff) spread(allCalls int64) {
+	b.firstCallWindow = allCalls
+	b.minWait = max(minRetryWait, allCalls/4)
+	b.maxWait = max(maxRetryWait, 2*allCalls)
+	b.initialTimeout = min(max(minResponseTimeout, allCalls), maxResponseTimeout)
+	if allCalls > updateDeadline {
+		return // too many for all to be updated in time: shorter waits would only overload the service
+	}
+	b.firstCallWindow = min(b.firstCallWindow, updateDeadline/2)
+	b.minWait = min(b.minWait, maxMeanWait)
+	b.maxWait = min(b.maxWait, maxMeanWait)
+}
+
+// BeforeFirstCall returns the wait before the first call: none for a gateway that has no list to work with.
+func (b *Backoff) BeforeFirstCall(hasList bool) int64 {
+	if !hasList || b.firstCallWindow == 0 {
+		return 0
+	}
+	return b.rand.Below(b.firstCallWindow)
+}
+
+// ResponseTimeout returns the time within which the answer to the next call has to begin.
+func (b *Backoff) ResponseTimeout() int64 { return b.responseTimeout }
+
+// AfterWatchEnded returns the wait after a watch that had worked and then ended. It is short: usually only that one
+// connection is at fault, and changes from now on have to arrive within updateDeadline.
+func (b *Backoff) AfterWatchEnded() int64 { return b.rand.Below(min(b.minWait, maxRetryWait)) }
+
+// AfterFailure returns the wait after a call that brought no sign of life, and lengthens the next wait and timeout.
+func (b *Backoff) AfterFailure() int64 {
+	wait := b.nextWait/2 + b.rand.Below(b.nextWait)
+	b.nextWait = min(2*b.nextWait, b.maxWait)
+	b.responseTimeout = min(2*b.responseTimeout, maxResponseTimeout)
+	return wait
+}
+
+// RecordSuccess notes that the service has answered: waits and timeouts begin anew.
+func (b *Backoff) RecordSuccess() {
+	b.nextWait = b.minWait
+	b.responseTimeout = b.initialTimeout
+}
--- /dev/null
+++ b/internal/discovery/liveness.go
@@ -0,0 +1,56 @@
+package discovery
+
+import (
+	"io"
+	"unicode"
+)
+
+// livenessReader passes the body of an answer on and reports signs of life in it: the end of a line between lists, the
+// first byte of a list, and its end. Within a list nothing counts, so that a list which arrives byte by byte or stops
+// half way ends the watch in time.
+type livenessReader struct {
+	body       io.Reader
+	onAlive    func()
+	insideList bool
+	size       int // bytes since the last list, or of the one that has begun
+}
+
+// Read implements io.Reader. It fails with a *SizeError at a list that is too large.
+func (r *livenessReader) Read(b []byte) (int, error) {
+	n, err := r.body.Read(b)
+	r.scan(b[:n])
+	if r.size > maxListBytes {
+		return 0, &SizeError{maxListBytes}
+	}
+	return n, err
+}
+
+func (r *livenessReader) scan(b []byte) {
+	for i, c := range b {
+		if r.insideList {
+			r.size += len(b) - i
+			return
+		}
+		switch {
+		case c == '\n':
+			r.onAlive()
+		case !unicode.IsSpace(rune(c)):
+			r.insideList = true
+			r.size++
+			r.onAlive()
+		}
+	}
+}
+
+// listEnded notes that a list is complete; rest holds the bytes that were read behind it.
+func (r *livenessReader) listEnded(rest io.Reader) error {
+	b, err := io.ReadAll(rest)
+	if err != nil {
+		return err
+	}
+	r.insideList = false
+	r.size = 0
+	r.onAlive()
+	r.scan(b)
+	return nil
+}
--- /dev/null
+++ b/internal/discovery/testwatch_test.go
@@ -0,0 +1,142 @@
+package discovery
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cloverrock/internal/eventloop"
+)
+
+const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
+
+const (
+	indentedList = `{
+  "generation": 41, "reset": true,
+  "instances": [
+    {
+      "instanceId": "s-1", "hostPort": "10.1.0.18:6543",
+      "cell": 3, "lifecycle": "SERVING"
+    }
+  ]
+}`
+	oneLineChange = `{"generation":42,"instances":[{"instanceId":"s-1","cell":3,"lifecycle":"DELETED"}]}`
+)
+
+// listOfGeneration is indentedList with another generation.
+func listOfGeneration(generation int) string {
+	return strings.Replace(indentedList, `"generation": 41`, fmt.Sprintf(`"generation": %d`, generation), 1)
+}
+
+// serverCall is the service's side of one call.
+type serverCall struct {
+	net.Conn
+	request string
+}
+
+// write reports whether the call is still open.
+func (c *serverCall) write(text string) bool {
+	_, err := io.WriteString(c, text)
+	return err == nil
+}
+
+// writeChunk sends text as one chunk.
+func (c *serverCall) writeChunk(text string) {
+	c.write(fmt.Sprintf("%x\r\n%s\n\r\n", len(text)+1, text))
+}
+
+// beginChunked begins an answer of chunks.
+func (c *serverCall) beginChunked() { c.write(responseHead + "Transfer-Encoding: chunked\r\n\r\n") }
+
+// writeSlowly sends a part each second; a single part byte by byte, over and over for 40 bytes at least.
+func (c *serverCall) writeSlowly(parts ...string) {
+	if len(parts) == 1 {
+		parts = strings.Split(strings.Repeat(parts[0], 1+40/len(parts[0])), "")
+	}
+	for _, part := range parts {
+		if !c.write(fmt.Sprintf("%x\r\n%s\r\n", len(part), part)) {
+			return
+		}
+		time.Sleep(time.Second) // of the bubble's time
+	}
+}
+
+// testWatch is a watch in a bubble whose time moves only while all wait: no result depends on the machine's speed.
+type testWatch struct {
+	watch      *Watch
+	calls      chan *serverCall
+	lists      chan EndpointList
+	start      time.Time
+	loop       *eventloop.Loop
+	lastError  error // why the last call ended
+	background sync.WaitGroup
+	serverEnds []net.Conn
+}
+
+// endReason returns why the last call ended; nil if none has.
+func (s *testWatch) endReason() error {
+	synctest.Wait()
+	c := make(chan error)
+	s.loop.Post(func() { c <- s.lastError })
+	return <-c
+}
+
+// dial returns a pipe whose other end reports the request that comes.
+func (s *testWatch) dial(context.Context, string, string) (net.Conn, error) {
+	client, server := net.Pipe()
+	s.serverEnds = append(s.serverEnds, server)
+	go func() {
+		rd := bufio.NewReader(server)
+		if req, err := http.ReadRequest(rd); err == nil {
+			s.calls <- &serverCall{server, req.URL.RequestURI()}
+			_, _ = io.Copy(io.Discard, rd) // until the call ends, however it does
+		}
+	}()
+	return client, nil
+}
+
+// runWatch runs f beside a watch that goes on from a generation.
+func runWatch(t *testing.T, backoff *Backoff, generation int64, f func(*testWatch), change ...func(*Watch)) {
+	t.Helper()
+	synctest.Test(t, func(*testing.T) {
+		s := &testWatch{
+			calls: make(chan *serverCall, 64),
+			lists: make(chan EndpointList, 64),
+			start: time.Now(),
+			loop:  eventloop.New(64, 1<<20, zerolog.Nop()),
+		}
+		s.watch = New(s.loop, Config{
+			Address:    "192.0.2.1:8500",
+			Generation: generation,
+			Backoff:    backoff,
+			Log:        zerolog.Nop(),
+			Updated:    func(l EndpointList) { s.lists <- l },
+			Failed:     func(err *WatchError) { s.lastError = err },
+			Dial:       s.dial,
+		})
+		for _, f := range change {
+			f(s.watch)
+		}
+		done := make(chan struct{})
+		go func() { defer close(done); s.loop.Run() }()
+		s.loop.Post(s.watch.Subscribe)
+		f(s)
+		s.loop.Post(func() { s.watch.Close(); s.loop.Stop() })
+		<-done
+		for _, c := range s.serverEnds {
+			_ = c.Close() // may be closed already
+		}
+		s.background.Wait()
+		synctest.Wait()
+	})
+}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"net"
 	"net/http"
 	"time"
 
@@ -13,157 +11,167 @@
 	"cloverrock/internal/eventloop"
 )
 
-// toldWithin is the protocol's one clock for silence: what a watch that has fallen silent misses counts as told so long
-// after it fell silent, whether or not it arrived.
-const toldWithin = 6e6
+// updateDeadline (µs) is the protocol's limit for silence: what a silent watch misses counts as delivered so long after
+// the silence began, whether or not it arrived.
+const updateDeadline = 6e6
 
-// silence is when nobody is there: an empty line comes every 2 s while nothing changes, and then two are missing. What
-// is left of toldWithin is for the new watch: two tries may go unanswered, and the third still begins within it.
-const silence = 4.2e6
+// silenceTimeout (µs) ends a watch: the service sends an empty line every 2 s while nothing changes, so two are missing.
+// The rest of updateDeadline is for the next watch: two calls may stay unanswered, and the third still begins in time.
+const silenceTimeout = 4.2e6
 
-// Config says what to follow, and whom to tell.
+// Config says what to follow and whom to notify.
 type Config struct {
-	Address      string
+	Address      string // host:port of the service or its agent
 	Names        Names
 	Generation   int64 // of the list to go on from
-	HasEndpoints bool  // there is a list to go on with while the first call waits
-	// Whole has the whole list asked for by a call of its own before the watch: what a watch tells first are the changes
-	// since a generation, and of the list that they belong to a new process may know nothing, or what is long past.
+	HasEndpoints bool  // there is a list to work with while the first call waits
+	// PollFirst has the complete list requested by a call of its own before the watch. A watch reports the changes since
+	// a generation first, and a new process may not have the list to which they belong.
 	PollFirst bool
 	Backoff   *Backoff
 	Updated   func(EndpointList) // on the loop's goroutine, like Failed
 	Failed    func(*WatchError)
-	Dial      func(ctx context.Context, network, address string) (net.Conn, error) // nil: TCP
+	Dial      dialFunc // nil: TCP
 	Log       zerolog.Logger
 }
 
-// Watch follows the list by one call at a time, and calls again when that ends. The last list holds until a new one
-// comes. It belongs to the loop's goroutine; the calls are read beside it.
+// Watch follows the list by one call at a time and reconnects when that ends; the last list holds meanwhile. It belongs
+// to the loop's goroutine; the calls are read beside it.
 type Watch struct {
-	Config
-	loop      *eventloop.Loop
-	transport *http.Transport
-	begun     bool
-	hang      context.CancelCauseFunc // ends the call that is current
-	call      int                     // its number
-	heard     bool                    // it has given a sign of life
+	config     Config
+	loop       *eventloop.Loop
+	transport  *http.Transport
+	subscribed bool
+	cancelCall context.CancelCauseFunc // of the current call; nil before the first
+	callNumber int                     // of the current call: what comes from others is dropped
+	alive      bool                    // the current call has given a sign of life
 }
 
-// New returns a watch that has not begun.
+// New returns a watch that makes no call before Subscribe.
 func New(l *eventloop.Loop, c Config) *Watch {
-	return &Watch{Config: c, loop: l, transport: newTransport(c.Dial)}
+	return &Watch{config: c, loop: l, transport: newTransport(c.Dial)}
 }
 
-// Subscribe starts to follow, if that has not begun: in a while, where many may start at once and there is a list to go
-// on with.
+// Subscribe starts to follow the list, unless it has begun: after a wait where many gateways may start at once and there
+// is a list to work with.
 func (w *Watch) Subscribe() {
-	if w.begun {
+	if w.subscribed {
 		return
 	}
-	w.begun = true
-	w.connectIn(w.Backoff.BeforeFirstCall(w.HasEndpoints))
+	w.subscribed = true
+	w.connectAfter(w.config.Backoff.BeforeFirstCall(w.config.HasEndpoints))
 }
 
-// Poll asks for the whole list anew.
+// Poll requests the complete list anew, and then goes on with the watch.
 func (w *Watch) Poll() {
-	w.PollFirst = true
+	w.config.PollFirst = true
 	w.connect()
 }
 
-// errLeft ends a call that nobody waits for any more.
-var errLeft = errors.New("given up")
-
-// Close ends the watch; nothing more is told.
+// Close ends the watch; nothing more is reported.
 func (w *Watch) Close() {
-	w.call++
-	if w.hang != nil {
-		w.hang(errLeft)
-	}
+	w.callNumber++
+	w.cancelCurrent()
 }
 
-// SetAddress follows the list at another address from now on. What was told stays, and the new watch goes on from
-// there; the old one is not waited for, since it may close without telling the last changes.
+// SetAddress follows the list at another address from now on, going on from the generation that was reported last. The
+// old call is not waited for, since it may end without its last changes.
 func (w *Watch) SetAddress(address string) {
-	if address == w.Address {
+	if address == w.config.Address {
 		return
 	}
-	w.Log.Info().Str("from", w.Address).Str("to", address).Msg("discovery: moving")
-	w.Address = address
-	w.Backoff.RecordSuccess()
-	if w.hang != nil {
+	w.config.Log.Info().Str("from", w.config.Address).Str("to", address).Msg("discovery: address changed")
+	w.config.Address = address
+	w.config.Backoff.RecordSuccess()
+	if w.cancelCall != nil {
 		w.connect()
 	}
 }
 
-// connectIn calls after a wait, unless another call is made before.
-func (w *Watch) connectIn(wait int64) {
+// connectAfter makes a call after a wait in microseconds, unless another call is made before.
+func (w *Watch) connectAfter(wait int64) {
 	if wait == 0 {
 		w.connect()
 		return
 	}
-	n := w.call
+	number := w.callNumber
 	w.loop.CallAt(w.loop.Now()+wait, func() {
-		if w.call == n {
+		if w.callNumber == number {
 			w.connect()
 		}
 	})
 }
 
-func (w *Watch) connect() {
-	if w.hang != nil {
-		w.hang(errLeft)
+func (w *Watch) cancelCurrent() {
+	if w.cancelCall != nil {
+		w.cancelCall(errSuperseded)
 	}
-	ctx, hang := context.WithCancelCause(context.Background())
-	w.hang, w.heard = hang, false
-	w.call++
-	n, address := w.call, w.Address
-	s := &stream{
-		names: w.Names, silence: silence * time.Microsecond, answer: time.Duration(w.Backoff.ResponseTimeout()) * time.Microsecond,
-		told:  func(l EndpointList) { w.loop.Post(func() { w.told(n, l) }) },
-		alive: func() { w.loop.Post(func() { w.lives(n) }) },
+}
+
+// connect replaces the current call by a new one.
+func (w *Watch) connect() {
+	w.cancelCurrent()
+	w.alive = false
+	w.callNumber++
+	number := w.callNumber
+	address := w.config.Address
+	ctx, cancel := context.WithCancelCause(context.Background())
+	w.cancelCall = cancel
+	call := &stream{
+		names:           w.config.Names,
+		responseTimeout: time.Duration(w.config.Backoff.ResponseTimeout()) * time.Microsecond,
+		silenceTimeout:  silenceTimeout * time.Microsecond,
+		onList:          func(l EndpointList) { w.loop.Post(func() { w.listReceived(number, l) }) },
+		onAlive:         func() { w.loop.Post(func() { w.callAlive(number) }) },
+		onEnd: func(err error) {
+			cancel(nil)
+			w.loop.Post(func() { w.callEnded(number, &WatchError{address, err}) })
+		},
 	}
-	url := fmt.Sprintf("http://%s/api/targets?stream=1&index=%d", address, w.Generation)
-	if w.PollFirst {
-		url = fmt.Sprintf("http://%s/api/targets", address)
+	go call.run(ctx, w.transport, w.url())
+}
+
+func (w *Watch) url() string {
+	url := fmt.Sprintf("http://%s/api/targets", w.config.Address)
+	if w.config.PollFirst {
+		return url
 	}
-	go func() {
-		err := s.follow(ctx, w.transport, url)
-		hang(nil)
-		w.loop.Post(func() { w.ended(n, &WatchError{address, err}) })
-	}()
+	return fmt.Sprintf("%s?stream=1&index=%d", url, w.config.Generation)
 }
 
-// lives notes the current call's first sign of life.
-func (w *Watch) lives(call int) {
-	if call == w.call {
-		w.heard = true
-		w.Backoff.RecordSuccess()
+// callAlive notes the first sign of life of a call.
+func (w *Watch) callAlive(number int) {
+	if number != w.callNumber {
+		return
 	}
+	w.alive = true
+	w.config.Backoff.RecordSuccess()
 }
 
-// told takes a list of the current call.
-func (w *Watch) told(call int, l EndpointList) {
-	if call != w.call {
+// listReceived passes a list of the current call on. A call for the complete list is followed by the watch.
+func (w *Watch) listReceived(number int, l EndpointList) {
+	if number != w.callNumber {
 		return
 	}
-	w.Generation, l.Complete = l.Generation, l.Complete || w.PollFirst
-	w.Updated(l)
-	if w.PollFirst {
-		w.PollFirst = false
+	l.Complete = l.Complete || w.config.PollFirst
+	w.config.Generation = l.Generation
+	w.config.Updated(l)
+	if w.config.PollFirst {
+		w.config.PollFirst = false
 		w.connect()
 	}
 }
 
-// ended comes back a little later.
-func (w *Watch) ended(call int, err *WatchError) {
-	if call != w.call {
+// callEnded reports the end of the current call and reconnects after a wait.
+func (w *Watch) callEnded(number int, err *WatchError) {
+	if number != w.callNumber {
 		return
 	}
-	w.Log.Warn().Err(err).Str("remedy", err.Remedy()).Msg("discovery: watch ended, connecting again")
-	w.Failed(err)
-	if w.heard {
-		w.connectIn(w.Backoff.AfterWatchEnded())
-	} else {
-		w.connectIn(w.Backoff.AfterFailure())
+	w.config.Log.Warn().Err(err).Str("remedy", err.Remedy()).Msg("discovery: watch ended, reconnecting")
+	w.config.Failed(err)
+	if w.alive {
+		w.connectAfter(w.config.Backoff.AfterWatchEnded())
+		return
 	}
+	w.connectAfter(w.config.Backoff.AfterFailure())
 }
