--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -14,10 +14,11 @@
 	`"limits":{"cancel":true,"maxAttempts":4,"probes":true,"maxRetryAfterMs":500},` +
 	`"obligations":{"coldFrom":0.2,"coldMs":1000,"fallMultiple":2,"overloadForMs":1000},"tickMs":5.0,"zones":["z"],"unheardOf":[1]}`
 
-func play(t *testing.T, in string) (string, string) {
+// runAdapter runs the adapter on an input and returns its output and its diagnostics.
+func runAdapter(t *testing.T, input string) (output, diagnostics string) {
 	t.Helper()
 	var out, diag bytes.Buffer
-	if err := run(strings.NewReader(in), &out, &diag); err != nil {
+	if err := run(strings.NewReader(input), &out, &diag); err != nil {
 		t.Fatal(err)
 	}
 	return out.String(), diag.String()
@@ -38,17 +39,19 @@
 	}
 }
 
-func lines(s string, who int) []string {
-	var l []string
-	for _, x := range strings.Split(s, "\n") {
-		if strings.Contains(x, fmt.Sprintf("who=%d ", who)) {
-			l = append(l, x)
+// linesOf returns the lines that name an instance.
+func linesOf(output string, instance int) []string {
+	var found []string
+	for line := range strings.SplitSeq(output, "\n") {
+		if strings.Contains(line, fmt.Sprintf("who=%d ", instance)) {
+			found = append(found, line)
 		}
 	}
-	return l
+	return found
 }
 
-func TestTogetherAsApart(t *testing.T) {
+// Instances that share a process decide as each does alone.
+func TestInstancesActTogetherAsAlone(t *testing.T) {
 	session := func(whos ...int) string {
 		var b strings.Builder
 		b.WriteString("turn wallMs=8000\n")
@@ -65,14 +68,16 @@
 		}
 		return b.String()
 	}
-	both, diag := play(t, session(1, 2))
+	both, diag := runAdapter(t, session(1, 2))
 	if diag != "" {
 		t.Fatal(diag)
 	}
 	for _, who := range []int{1, 2} {
-		alone, _ := play(t, session(who))
-		if got, want := lines(both, who), lines(alone, who); strings.Join(got, "\n") != strings.Join(want, "\n") {
-			t.Errorf("instance %d acts otherwise in company:\n%v\n%v", who, got, want)
+		alone, _ := runAdapter(t, session(who))
+		got := strings.Join(linesOf(both, who), "\n")
+		want := strings.Join(linesOf(alone, who), "\n")
+		if got != want {
+			t.Errorf("instance %d acts otherwise in company:\n%s\n%s", who, got, want)
 		}
 		if !strings.Contains(alone, fmt.Sprintf("issue who=%d ticket=%d host=h-a\n", who, 10+who)) {
 			t.Errorf("the write was not sent to the listed primary:\n%s", alone)
@@ -80,13 +85,13 @@
 	}
 }
 
-func TestMalformedInputIsReported(t *testing.T) {
+func TestFaultyLinesAreReportedAndSkipped(t *testing.T) {
 	for _, bad := range []string{
 		"call who=1 ticket=x service=0", "call ticket=4", "call who=77 ticket=4", "topology who=1 buffer=99 scope=1",
 		"completed who=1 ticket=4 status=strange host=h-a", "m host=h-z", "roster buffer=40 records=1",
 		"start who=9 entropy=1 options={", "start who=9 entropy=1 options={}", "message who=1 from=0 contents=zz",
 	} {
-		out, diag := play(t, "turn wallMs=8000\n"+start(1)+"end\nturn wallMs=8001\n"+bad+"\n"+
+		out, diag := runAdapter(t, "turn wallMs=8000\n"+start(1)+"end\nturn wallMs=8001\n"+bad+"\n"+
 			"call who=1 ticket=6 service=1 session=5 shard=3 dropDeadMs=9000\nend\n")
 		if diag == "" {
 			t.Errorf("%q: nothing on standard error", bad)
@@ -95,21 +100,21 @@
 			t.Errorf("%q: the rest of the batch was not answered:\n%s", bad, out)
 		}
 	}
-	if _, diag := play(t, "turn wallMs=8000\n"+start(1)+"whatever who=1 a=b\nend\n"); diag != "" {
+	if _, diag := runAdapter(t, "turn wallMs=8000\n"+start(1)+"whatever who=1 a=b\nend\n"); diag != "" {
 		t.Errorf("an unknown message is to be skipped, got %q", diag)
 	}
 }
 
-func TestListsAreResolvedInEventOrder(t *testing.T) {
+func TestListNumbersAreResolvedWhenTheEventIsRead(t *testing.T) {
 	in := "turn wallMs=8000\n" + start(1) +
 		"roster buffer=0 records=1\nm host=h-q phase=1 isPrimary=1 cluster=3 units=1\n" +
 		strings.SplitAfter(start(2), "\n")[0] + "topology who=2 epoch=1 buffer=0 scope=2\nend\n" +
 		"turn wallMs=8005\n" + events(1)[0] + events(2)[0] + "end\n"
-	out, _ := play(t, in)
+	out, _ := runAdapter(t, in)
 	var sent []string
-	for _, l := range strings.Split(out, "\n") {
-		if strings.HasPrefix(l, "issue") {
-			sent = append(sent, l)
+	for line := range strings.SplitSeq(out, "\n") {
+		if strings.HasPrefix(line, "issue") {
+			sent = append(sent, line)
 		}
 	}
 	sort.Strings(sent)
@@ -118,8 +123,8 @@
 	}
 }
 
-func TestRestartInOneBatch(t *testing.T) {
-	out, diag := play(t, "turn wallMs=8000\n"+start(1)+events(1)[0]+"teardown who=1\n"+start(1)+
+func TestInstanceRestartsWithinABatch(t *testing.T) {
+	out, diag := runAdapter(t, "turn wallMs=8000\n"+start(1)+events(1)[0]+"teardown who=1\n"+start(1)+
 		strings.ReplaceAll(events(1)[0], "11", "31")+"end\n")
 	if diag != "" || !strings.Contains(out, "ticket=31 host=h-a") {
 		t.Fatal(out, diag)
--- /dev/null
+++ b/cmd/simadapter/simulation.go
@@ -0,0 +1,133 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+
+	"cloverrock/balance"
+	"cloverrock/internal/simprotocol"
+)
+
+// instance is one simulated gateway.
+type instance struct {
+	router         *balance.Router
+	positionOrigin int64 // µs on the simulator's clock
+}
+
+// simulation holds the instances and what spans the lines of a batch.
+type simulation struct {
+	codec       *simprotocol.Codec
+	instances   map[int]*instance
+	diagnostics io.Writer
+	now         int64 // µs; the clock of the batch
+	event       balance.Event
+	actions     []balance.Action
+	reply       []byte // to the batch
+}
+
+func newSimulation(diagnostics io.Writer) *simulation {
+	return &simulation{codec: simprotocol.NewCodec(), instances: map[int]*instance{}, diagnostics: diagnostics}
+}
+
+// report writes an error to the diagnostics, unless it is nil.
+func (s *simulation) report(err error) {
+	if err != nil {
+		_, _ = fmt.Fprintln(s.diagnostics, "simadapter:", err) // there is no other place to report to
+	}
+}
+
+// writeReply ends the reply to a batch and sends it.
+func (s *simulation) writeReply(out *bufio.Writer) error {
+	s.reply = append(s.reply, "end\n"...)
+	if _, err := out.Write(s.reply); err != nil {
+		return err
+	}
+	s.reply = s.reply[:0]
+	return out.Flush()
+}
+
+// handleLine handles one line and reports whether it ended a batch.
+func (s *simulation) handleLine(b []byte) (endOfBatch bool) {
+	line := simprotocol.ParseLine(b)
+	switch string(line.Word) {
+	case "end":
+		return true
+	case "turn":
+		s.setClock(line)
+	case "roster":
+		s.report(s.codec.BeginList(line))
+	case "m":
+		s.report(s.codec.AddEndpoint(line))
+	default:
+		s.report(s.handleMessage(line))
+	}
+	return false
+}
+
+func (s *simulation) setClock(line simprotocol.Line) {
+	now, err := simprotocol.ParseClock(line)
+	if err != nil {
+		s.report(err)
+		return
+	}
+	s.now = now
+}
+
+// handleMessage handles a line that is addressed to an instance.
+func (s *simulation) handleMessage(line simprotocol.Line) error {
+	number, err := simprotocol.ParseInstance(line)
+	if err != nil {
+		return err
+	}
+	switch string(line.Word) {
+	case "start":
+		return s.start(number, line)
+	case "teardown":
+		delete(s.instances, number)
+		return nil
+	}
+	inst := s.instances[number]
+	if inst == nil {
+		return fmt.Errorf("%s: no instance %d", line.Word, number)
+	}
+	err = s.codec.ParseEvent(line, inst.positionOrigin, &s.event)
+	if errors.Is(err, simprotocol.ErrUnknownMessage) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	s.decide(number, inst)
+	return nil
+}
+
+// start begins an instance anew. One that can't be started is gone.
+func (s *simulation) start(number int, line simprotocol.Line) error {
+	delete(s.instances, number)
+	settings, seed, positionOrigin, err := simprotocol.ParseStart(line)
+	if err != nil {
+		return err
+	}
+	router, err := balance.New(settings, seed)
+	if err != nil {
+		return err
+	}
+	s.instances[number] = &instance{router, positionOrigin}
+	return nil
+}
+
+// decide has the instance handle the event. A panic in the module ends that instance alone, by an exception.
+func (s *simulation) decide(number int, inst *instance) {
+	defer func() {
+		if p := recover(); p != nil {
+			delete(s.instances, number)
+			s.reply = simprotocol.AppendException(s.reply, number, fmt.Sprint("panic: ", p))
+		}
+	}()
+	s.actions = inst.router.Handle(s.now, s.event, s.actions[:0])
+	for i := range s.actions {
+		s.reply = simprotocol.AppendAction(s.reply, number, &s.actions[i])
+	}
+}
--- /dev/null
+++ b/internal/config/overlay.go
@@ -0,0 +1,42 @@
+package config
+
+import "encoding/json"
+
+// instancesKey is the document's key for what holds for single instances only.
+const instancesKey = "instances"
+
+type keyValues map[string]json.RawMessage
+
+// Overlay puts a document of the store over a configuration file and returns the result as JSON. The document's keys
+// override the file's; those under instances hold only for the instance of that name. name is this instance's; if empty,
+// the file's is used. The error is an *Error.
+func Overlay(file, document []byte, name string) ([]byte, error) {
+	var keys, forAll keyValues
+	if err := json.Unmarshal(file, &keys); err != nil {
+		return nil, decodeError("", err)
+	}
+	if err := json.Unmarshal(document, &forAll); err != nil {
+		return nil, &Error{"document", err}
+	}
+	if name == "" {
+		_ = json.Unmarshal(keys["name"], &name) // a faulty name is reported when the result is parsed
+	}
+	var byInstance map[string]keyValues
+	if raw, ok := forAll[instancesKey]; ok {
+		if err := json.Unmarshal(raw, &byInstance); err != nil {
+			return nil, &Error{"document.instances", err}
+		}
+	}
+	for _, layer := range []keyValues{forAll, byInstance[name]} {
+		for key, value := range layer {
+			if key != instancesKey {
+				keys[key] = value
+			}
+		}
+	}
+	b, err := json.Marshal(keys)
+	if err != nil {
+		return nil, &Error{"document", err}
+	}
+	return b, nil
+}
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // Each kind of action is written as the same line as ever.
-func TestGoldenActions(t *testing.T) {
+func TestActionsKeepTheirForm(t *testing.T) {
 	actions := []struct {
 		name   string
 		action balance.Action
@@ -39,7 +39,7 @@
 }
 
 // Each kind of line is read as the same event as ever: what a line says under each of its names, and nothing else.
-func TestGoldenEvents(t *testing.T) {
+func TestEventsKeepTheirForm(t *testing.T) {
 	entries := []balance.Endpoint{{Host: "h", Zone: 1, Group: 2, Kind: 3, State: balance.Draining, Primary: true, Weight: 2.5, StartedAt: 1500}}
 	report := balance.HostReport{HasPosition: true, Position: 1_500_007, HasRole: true, Primary: true}
 	tests := []struct {
@@ -69,15 +69,15 @@
 		{"message from=0 contents=-", balance.Event{Kind: balance.GossipEvent}},
 	}
 	c := NewCodec()
-	if err := c.Roster(Split([]byte("roster buffer=2 records=1"))); err != nil {
+	if err := c.BeginList(ParseLine([]byte("roster buffer=2 records=1"))); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Entry(Split([]byte("m host=h rackZone=1 cluster=2 generationHw=3 phase=2 isPrimary=1 units=2.5 bornMs=1.5"))); err != nil {
+	if err := c.AddEndpoint(ParseLine([]byte("m host=h rackZone=1 cluster=2 generationHw=3 phase=2 isPrimary=1 units=2.5 bornMs=1.5"))); err != nil {
 		t.Fatal(err)
 	}
 	for _, test := range tests {
 		var read balance.Event
-		if err := c.Event(Split([]byte(test.line)), 7, &read); err != nil || !reflect.DeepEqual(read, test.want) {
+		if err := c.ParseEvent(ParseLine([]byte(test.line)), 7, &read); err != nil || !reflect.DeepEqual(read, test.want) {
 			t.Errorf("%s is read as %v, %v", test.line, read, err)
 		}
 	}
@@ -85,7 +85,7 @@
 
 // Each name of a start line's options has the same effect as ever. The names are those that the simulator writes, whatever
 // our code calls them.
-func TestGoldenStart(t *testing.T) {
+func TestStartOptionsKeepTheirEffect(t *testing.T) {
 	line := `start who=1 entropy=18446744073709551615 options={"zone":1,"zones":["a","b"],"hostTypes":["x"],"tickMs":5,"discovery":"subscribe",` +
 		`"classes":[{"name":"n","aimMs":1,"deadlineMs":2,"windowMs":3,"worth":4,"lateWorth":0.5,"aimStretch":6,"repeat":"idempotency_key","group":"cell"},` +
 		`{"repeat":"non_idempotent","group":"zone"},{},{},{}],"balancers":3,"ordinal":2,"costs":{"crossZone":7,"peer":8},` +
@@ -97,14 +97,14 @@
 		Gateways: 3, Ordinal: 2, GossipBytesPerRequest: 1.92, Classes: []balance.Class{
 			{LatencyObjective: 1000, Deadline: 2000, DeduplicationWindow: 3000, PriorityWeight: 4, LatePriorityWeight: 0.5, ObjectivePerWork: 6, RetrySafety: balance.IdempotencyKey, DeduplicationScope: balance.ScopeGroup, Consistency: balance.BoundedStaleness, MaxStaleness: 10_000},
 			{RetrySafety: balance.NonIdempotent, DeduplicationScope: balance.ScopeZone, Consistency: balance.ReadYourWrites}, {Consistency: balance.Linearizable}, {Consistency: balance.Write}, {}}}
-	read, seed, origin, err := Start(Split([]byte(line)))
+	read, seed, origin, err := ParseStart(ParseLine([]byte(line)))
 	if err != nil || seed != 1<<64-1 || origin != 9000 || !reflect.DeepEqual(read, want) {
 		t.Errorf("read as %v, %d, %d, %v\nwant %v", read, seed, origin, err, want)
 	}
-	if clock, err := Turn(Split([]byte("turn wallMs=1.0005"))); err != nil || clock != 1001 {
+	if clock, err := ParseClock(ParseLine([]byte("turn wallMs=1.0005"))); err != nil || clock != 1001 {
 		t.Errorf("the clock is read as %d, %v", clock, err)
 	}
-	if who, err := Instance(Split([]byte("left who=3"))); err != nil || who != 3 {
+	if who, err := ParseInstance(ParseLine([]byte("left who=3"))); err != nil || who != 3 {
 		t.Errorf("the instance is read as %d, %v", who, err)
 	}
 }
