--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,21 +17,33 @@
   "classes":[{"name":"lookup","aimMs":300,"deadlineMs":750,"repeat":"read_like"},{"name":"change","aimMs":500,"deadlineMs":3000,"repeat":"non_idempotent"}],
   "extra":{"classRead":["recent","update"],"stalenessBoundMs":[500,0]}}}`
 
-func none(string) string { return "" }
+func noEnvironment(string) string { return "" }
 
-func TestParse(t *testing.T) {
-	c, err := Parse([]byte(good), func(k string) string { return map[string]string{"EDGE_NAME": "n4"}[k] })
+// environment returns a getenv that knows the variables of a map.
+func environment(variables map[string]string) func(string) string {
+	return func(key string) string { return variables[key] }
+}
+
+func TestParseReadsFileAndEnvironment(t *testing.T) {
+	c, err := Parse([]byte(good), environment(map[string]string{"EDGE_NAME": "n4"}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n4" || c.Seed != 0x8c1f30d27a5be964 || c.Settings.DialTimeout != 250e3 || c.IdleClose != 20e6 ||
-		c.LongestDeadline != 3e6 || !c.Classes["change"].Write || c.Classes["lookup"].Write || c.Settings.Classes[0].MaxStaleness != 500e3 ||
-		c.KnownEndpoints == nil || !c.KnownEndpoints.Complete || c.KnownEndpoints.Endpoints[0].Zone != 1 || len(c.Peer.Peers) != 1 {
+	if c.Name != "n4" || c.Seed != 0x8c1f30d27a5be964 || c.Settings.DialTimeout != 250e3 || c.IdleClose != 20e6 {
 		t.Errorf("read as %+v", c)
 	}
+	if c.LongestDeadline != 3e6 || !c.Classes["change"].Write || c.Classes["lookup"].Write || c.Settings.Classes[0].MaxStaleness != 500e3 {
+		t.Errorf("classes read as %+v", c)
+	}
+	if c.KnownEndpoints == nil || !c.KnownEndpoints.Complete || c.KnownEndpoints.Endpoints[0].Zone != 1 {
+		t.Errorf("known endpoints read as %+v", c.KnownEndpoints)
+	}
+	if len(c.Peer.Peers) != 1 {
+		t.Errorf("peers read as %+v", c.Peer)
+	}
 }
 
-func TestFaultsNameTheirKey(t *testing.T) {
+func TestErrorsNameTheFaultyKey(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{`"listen":"127.0.0.4:6543"`, `"listen":""`, "listen"},
 		{`"listen":"127.0.0.4:6543"`, `"listen":"here"`, "listen"},
@@ -63,23 +75,21 @@
 		{good, `{`, "EDGE_CONFIG"},
 	} {
 		text := strings.Replace(good, c.old, c.new, 1)
-		_, err := Parse([]byte(text), none)
+		_, err := Parse([]byte(text), noEnvironment)
 		var e *Error
 		if text == good || !errors.As(err, &e) || e.Key != c.key {
 			t.Errorf("%s: got %v, want a fault of %s", c.new, err, c.key)
 		}
 	}
-	if _, err := Load(none); err == nil || !strings.Contains(err.Error(), "EDGE_CONFIG") {
+	if _, err := Load(noEnvironment); err == nil || !strings.Contains(err.Error(), "EDGE_CONFIG") {
 		t.Errorf("without EDGE_CONFIG: %v", err)
 	}
 }
 
-// At the start EDGE_DISCOVERY goes first; a reload follows the file, for the environment can't have changed.
-func TestReloadFollowsTheFile(t *testing.T) {
+// At the start EDGE_DISCOVERY overrides the file; a reload follows the file, for the environment can't have changed.
+func TestReloadUsesDiscoveryOfTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	env := func(k string) string {
-		return map[string]string{"EDGE_CONFIG": path, "EDGE_DISCOVERY": "127.9.0.1:1", "EDGE_NAME": "n9"}[k]
-	}
+	getenv := environment(map[string]string{"EDGE_CONFIG": path, "EDGE_DISCOVERY": "127.9.0.1:1", "EDGE_NAME": "n9"})
 	for _, c := range []struct{ old, new, loaded, reloaded string }{
 		{"", "", "127.9.0.1:1", "127.0.0.1:8500"},
 		{`"discovery":"127.0.0.1:8500",`, ``, "127.9.0.1:1", "127.9.0.1:1"},
@@ -87,34 +97,50 @@
 		if err := os.WriteFile(path, []byte(strings.Replace(good, c.old, c.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		a, err := Load(env)
-		b, err2 := Reload(env)
-		if err != nil || err2 != nil || a.Discovery != c.loaded || b.Discovery != c.reloaded || b.Name != "n9" {
-			t.Errorf("%q: %+v, %+v, %v, %v", c.new, a, b, err, err2)
+		loaded, err := Load(getenv)
+		if err != nil || loaded.Discovery != c.loaded {
+			t.Fatalf("%q: loaded as %+v, %v", c.new, loaded, err)
 		}
-		if keys := a.RestartOnlyChanges(b); len(keys) > 0 {
+		reloaded, err := Reload(getenv)
+		if err != nil || reloaded.Discovery != c.reloaded || reloaded.Name != "n9" {
+			t.Fatalf("%q: reloaded as %+v, %v", c.new, reloaded, err)
+		}
+		if keys := loaded.RestartOnlyChanges(reloaded); len(keys) > 0 {
 			t.Errorf("%q: %v differ", c.new, keys)
 		}
 	}
-	a, _ := Parse([]byte(good), none)
-	b, _ := Parse([]byte(strings.NewReplacer("127.0.0.4:6543", "127.0.0.5:6543", `"aimMs":500`, `"aimMs":501`, "127.3.0.1", "127.3.0.2", "1024", "512").Replace(good)), none)
-	if got := strings.Join(a.RestartOnlyChanges(b), "; "); got != "listen; limits; peer_listen, peers or peers_all; settings" {
-		t.Errorf("fixed: %s", got)
+}
+
+func TestRestartOnlyChangesNamesTheKeys(t *testing.T) {
+	before, err := Parse([]byte(good), noEnvironment)
+	if err != nil {
+		t.Fatal(err)
+	}
+	changes := strings.NewReplacer("127.0.0.4:6543", "127.0.0.5:6543", `"aimMs":500`, `"aimMs":501`, "127.3.0.1", "127.3.0.2", "1024", "512")
+	after, err := Parse([]byte(changes.Replace(good)), noEnvironment)
+	if err != nil {
+		t.Fatal(err)
+	}
+	keys := strings.Join(before.RestartOnlyChanges(after), "; ")
+	if keys != "listen; limits; peer_listen, peers or peers_all; settings" {
+		t.Errorf("named: %s", keys)
 	}
 }
 
 // The number of gateways may be left out, but not contradict the list of peers.
-func TestNumberOfGateways(t *testing.T) {
-	const conf = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","peer_listen":"127.0.0.1:3","peers_all":"127.0.0.1:4",
-		"peers":["127.0.0.1:3","127.0.0.1:5"],"settings":{%s"limits":{"maxAttempts":3,"mayTell":true},"tickMs":1,"classes":[{"name":"a","aimMs":1,"deadlineMs":2,"repeat":"read_like"}],"extra":{"classRead":["loose"]}}}`
-	none := func(string) string { return "" }
+func TestNumberOfGatewaysFitsThePeers(t *testing.T) {
+	const form = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","peer_listen":"127.0.0.1:3","peers_all":"127.0.0.1:4",
+		"peers":["127.0.0.1:3","127.0.0.1:5"],"settings":{%s"limits":{"maxAttempts":3,"mayTell":true},"tickMs":1,
+		"classes":[{"name":"a","aimMs":1,"deadlineMs":2,"repeat":"read_like"}],"extra":{"classRead":["loose"]}}}`
 	for text, want := range map[string]int{"": 2, `"balancers":2,`: 2, `"balancers":0,`: 2, `"balancers":80,`: 0, `"balancers":-1,`: 0} {
-		c, err := Parse([]byte(fmt.Sprintf(conf, text)), none)
+		c, err := Parse(fmt.Appendf(nil, form, text), noEnvironment)
 		if want == 0 {
 			if err == nil || !strings.Contains(err.Error(), "settings.balancers") {
 				t.Errorf("%q: %v", text, err)
 			}
-		} else if err != nil || c.Gateways != want || c.Settings.Gateways != want {
+			continue
+		}
+		if err != nil || c.Gateways != want || c.Settings.Gateways != want {
 			t.Errorf("%q: %v, %+v", text, err, c)
 		}
 	}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
-// Package golden compares what code produces with files that were written by an earlier version: encodings on the wire
-// and on disk, and hashes of decisions. Only tests import it.
+// Package golden compares what code produces with golden files, which an earlier version has written: encodings on the
+// wire and on disk, and hashes of decisions. Only tests import it.
 //
-// A test run with -update writes its files anew; that is only right where a change of the form is intended.
+// A test run with -update writes its golden files anew; that is only right where a change of a form is intended.
 package golden
 
 import (
@@ -17,11 +17,12 @@
 	"testing"
 )
 
+// directory holds the golden files of the package under test.
 const directory = "testdata"
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// Case is one named encoding. It must not contain a line break.
+// Case is one named encoding. Neither part may contain a line break, nor Name a tab.
 type Case struct{ Name, Form string }
 
 // Check compares cases with those of testdata/file: the same cases in the same order, each with the same form. It
@@ -32,16 +33,17 @@
 	for _, c := range cases {
 		lines = append(lines, c.Name+"\t"+c.Form)
 	}
-	return compare(t, file, "\t", lines)
+	return formsByName(t, file, "\t", CheckText(t, file, lines))
 }
 
-// CheckLines is Check for lines of a name, a space and the form.
+// CheckLines is Check for lines of a name without blanks, a blank and the form.
 func CheckLines(t *testing.T, file string, lines []string) map[string]string {
 	t.Helper()
-	return compare(t, file, " ", lines)
+	return formsByName(t, file, " ", CheckText(t, file, lines))
 }
 
-func compare(t *testing.T, file, separator string, lines []string) map[string]string {
+// CheckText compares lines with those of testdata/file, and returns the stored lines.
+func CheckText(t *testing.T, file string, lines []string) (stored []string) {
 	t.Helper()
 	path := filepath.Join(directory, file)
 	if *update {
@@ -51,24 +53,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
-	if len(want) != len(lines) {
-		t.Errorf("%s has %d cases, the test %d", path, len(want), len(lines))
+	stored = strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	if len(stored) != len(lines) {
+		t.Errorf("%s has %d cases, the test %d", path, len(stored), len(lines))
 	}
-	stored := map[string]string{}
-	for i, line := range want {
-		name, form, _ := strings.Cut(line, separator)
+	for i, line := range stored {
 		if i < len(lines) && lines[i] != line {
 			t.Errorf("%s:%d: the form has changed\n got %s\nwant %s", path, i+1, lines[i], line)
 		}
-		if _, twice := stored[name]; twice {
-			t.Errorf("%s names %s twice", path, name)
-		}
-		stored[name] = form
 	}
 	return stored
 }
 
+// formsByName splits lines into names and forms. A name that occurs twice is an error.
+func formsByName(t *testing.T, file, separator string, lines []string) map[string]string {
+	t.Helper()
+	forms := map[string]string{}
+	for _, line := range lines {
+		name, form, _ := strings.Cut(line, separator)
+		if _, twice := forms[name]; twice {
+			t.Errorf("%s names %s twice", file, name)
+		}
+		forms[name] = form
+	}
+	return forms
+}
+
 func write(t *testing.T, path string, lines []string) {
 	t.Helper()
 	if err := os.MkdirAll(directory, 0o755); err != nil {
@@ -79,13 +89,13 @@
 	}
 }
 
-// Hash hashes the values of a module's answers. Names of fields, types and constants don't enter it.
+// Hash is a SHA-256 hash of the values of a module's answers. Names of fields, types and constants don't enter it.
 type Hash struct{ sum hash.Hash }
 
-// NewHash returns the hash of nothing.
+// NewHash returns the hash of no values.
 func NewHash() *Hash { return &Hash{sha256.New()} }
 
-// Numbers adds integers.
+// Numbers adds integers, 8 bytes each.
 func (h *Hash) Numbers(values ...int64) {
 	for _, value := range values {
 		h.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(value)))
@@ -101,7 +111,7 @@
 	h.sum.Write([]byte(value))
 }
 
-// Bool adds a truth value.
+// Bool adds 1 for true and 0 for false.
 func (h *Hash) Bool(value bool) {
 	if value {
 		h.Numbers(1)
