--- a/internal/app/counts.go
+++ b/internal/app/counts.go
@@ -7,70 +7,105 @@
 	"cloverrock/internal/gateway"
 )
 
-// countEvery is how often a gateway that logs at debug level says what it has done meanwhile.
-const countEvery = 1_000_000
+// countsInterval is how often counts are logged, in microseconds.
+const countsInterval = 1_000_000
 
-// CountsMessage marks the lines; cloverrock-lab fleet adds them up over many gateways.
+// CountsMessage marks the lines of counts, which `cloverrock-lab fleet` adds up over many gateways by their fields.
 const CountsMessage = "counts"
 
-// count logs once a second what the gateway did since the last time, hosts by their attempts included. At any other
-// level nothing is counted beyond a few numbers.
-func (s *server) count() {
+// resultFields are the fields for the results of attempts, by balance.Result.
+var resultFields = [...]string{"served", "errored", "full", "timed_out", "refused_dial", "reset", "cancelled", "skipped", "missed"}
+
+// countsLogger logs what the gateway did since the last line.
+type countsLogger struct {
+	server          *server
+	hosts           map[string]*hostOutcomes // since the last line
+	lastCounts      gateway.Counts
+	lastDials       int
+	lastFailedDials int
+}
+
+// logCounts logs counts once a second, if lines of debug level are logged at all.
+func (s *server) logCounts() {
 	if s.log.GetLevel() > zerolog.DebugLevel {
 		return
 	}
-	hosts := map[string]*tally{}
-	s.gateway.ObserveOutcomes(func(host string, class int, o gateway.Outcome) {
-		if class == gateway.HealthCheckClass {
-			return
-		}
-		if hosts[host] == nil {
-			hosts[host] = &tally{}
-		}
-		hosts[host].add(o)
+	c := &countsLogger{server: s, hosts: map[string]*hostOutcomes{}, lastCounts: s.gateway.Counts()}
+	s.gateway.ObserveOutcomes(c.record)
+	c.schedule()
+}
+
+func (c *countsLogger) schedule() {
+	loop := c.server.loop
+	loop.CallAt(loop.Now()+countsInterval, func() {
+		c.log()
+		c.schedule()
 	})
-	last, dials, broken := s.gateway.Counts(), 0, 0
-	var again func()
-	again = func() {
-		c := s.gateway.Counts()
-		d, b := s.pool.Dials()
-		attempts := zerolog.Dict()
-		for h, n := range hosts {
-			attempts.Ints(h, []int{n.served, n.errored, n.timedOut, n.other, n.ms / max(n.served, 1)})
-		}
-		e := s.log.Debug().Int("requests", c.Requests-last.Requests).Int("refused", c.Rejected-last.Rejected).Int("failed", c.Failed-last.Failed).
-			Int("again", c.Retries-last.Retries).Int("probes", c.HealthChecks-last.HealthChecks).Int("probes_failed", c.HealthChecksFailed-last.HealthChecksFailed).
-			Int("told", c.GossipSent-last.GossipSent).Int("told_bytes", c.GossipBytesSent-last.GossipBytesSent).Int("heard", c.GossipReceived-last.GossipReceived).
-			Int("dials", d-dials).Int("dials_failed", b-broken)
-		for i, name := range results {
-			if n := c.Outcomes[i] - last.Outcomes[i]; n > 0 {
-				e = e.Int(name, n)
-			}
+}
+
+// record counts an attempt; health checks are none.
+func (c *countsLogger) record(host string, class int, o gateway.Outcome) {
+	if class == gateway.HealthCheckClass {
+		return
+	}
+	if c.hosts[host] == nil {
+		c.hosts[host] = &hostOutcomes{}
+	}
+	c.hosts[host].add(o)
+}
+
+func (c *countsLogger) log() {
+	now, last := c.server.gateway.Counts(), &c.lastCounts
+	dials, failedDials := c.server.pool.Dials()
+	line := c.server.log.Debug().
+		Int("requests", now.Requests-last.Requests).
+		Int("refused", now.Rejected-last.Rejected).
+		Int("failed", now.Failed-last.Failed).
+		Int("again", now.Retries-last.Retries).
+		Int("probes", now.HealthChecks-last.HealthChecks).
+		Int("probes_failed", now.HealthChecksFailed-last.HealthChecksFailed).
+		Int("told", now.GossipSent-last.GossipSent).
+		Int("told_bytes", now.GossipBytesSent-last.GossipBytesSent).
+		Int("heard", now.GossipReceived-last.GossipReceived).
+		Int("dials", dials-c.lastDials).
+		Int("dials_failed", failedDials-c.lastFailedDials)
+	for result, field := range resultFields {
+		if n := now.Outcomes[result] - last.Outcomes[result]; n > 0 {
+			line = line.Int(field, n)
 		}
-		e.Dict("attempts", attempts).Msg(CountsMessage)
-		last, dials, broken = c, d, b
-		clear(hosts)
-		s.loop.CallAt(s.loop.Now()+countEvery, again)
 	}
-	s.loop.CallAt(s.loop.Now()+countEvery, again)
+	attempts := zerolog.Dict()
+	for host, outcomes := range c.hosts {
+		attempts.Ints(host, outcomes.values())
+	}
+	line.Dict("attempts", attempts).Msg(CountsMessage)
+	c.lastCounts = now
+	c.lastDials = dials
+	c.lastFailedDials = failedDials
+	clear(c.hosts)
 }
 
-// tally is what became of a second's attempts at one host.
-type tally struct{ served, errored, timedOut, other, ms int }
+// hostOutcomes counts the attempts at one host.
+type hostOutcomes struct {
+	succeeded, failed, timedOut, other int
+	latencyMs                          int // of the succeeded ones, added up
+}
 
-func (t *tally) add(o gateway.Outcome) {
+func (n *hostOutcomes) add(o gateway.Outcome) {
 	switch o.Result {
 	case balance.Succeeded:
-		t.served++
-		t.ms += int(o.Latency / 1000)
+		n.succeeded++
+		n.latencyMs += int(o.Latency / 1000)
 	case balance.Failed:
-		t.errored++
+		n.failed++
 	case balance.TimedOut:
-		t.timedOut++
+		n.timedOut++
 	default:
-		t.other++
+		n.other++
 	}
 }
 
-// results names the outcomes of attempts, in the module's order.
-var results = [...]string{"served", "errored", "full", "timed_out", "refused_dial", "reset", "cancelled", "skipped", "missed"}
+// values returns the counts and the mean latency in the order in which the line has them.
+func (n *hostOutcomes) values() []int {
+	return []int{n.succeeded, n.failed, n.timedOut, n.other, n.latencyMs / max(n.succeeded, 1)}
+}
--- a/internal/app/process_test.go
+++ b/internal/app/process_test.go
@@ -18,8 +18,8 @@
 	"cloverrock/internal/pgwire"
 )
 
-// program builds the gateway.
-func program(t *testing.T) string {
+// buildProgram builds the gateway.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "cloverrock")
 	if b, err := exec.Command("go", "build", "-o", path, "cloverrock/cmd/cloverrock").CombinedOutput(); err != nil {
@@ -28,26 +28,26 @@
 	return path
 }
 
-// record is a process's log.
-type record struct {
+// logBuffer is a process's log.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *record) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(b)
 }
 
-func (l *record) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
 }
 
-// unused is an address at which nobody listens.
-func unused(t *testing.T) string {
+// unusedAddress is an address at which nobody listens.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -57,22 +57,22 @@
 	return ln.Addr().String()
 }
 
-// process is a gateway of the rig's as a program of its own, with so many descriptors.
-func (r *rig) process(sockets int, known bool) (*exec.Cmd, *record) {
+// startProcess is a gateway of the rig's as a program of its own, with so many descriptors.
+func (r *harness) startProcess(sockets int, known bool) (*exec.Cmd, *logBuffer) {
 	t := r.t
 	t.Helper()
-	r.address = unused(t)
+	r.address = unusedAddress(t)
 	file := filepath.Join(t.TempDir(), "config.json")
-	conf := strings.Replace(string(r.file(r.disc.Addr())), `{"listen":"127.0.0.1:0"`, fmt.Sprintf(`{"listen":%q,"limits":{"memory_mb":64,"sockets":%d}`, r.address, sockets), 1)
+	conf := strings.Replace(string(r.configFile(r.discoveryListener.Addr())), `{"listen":"127.0.0.1:0"`, fmt.Sprintf(`{"listen":%q,"limits":{"memory_mb":64,"sockets":%d}`, r.address, sockets), 1)
 	if !known {
 		conf = strings.Replace(conf, `"known"`, `"unknown"`, 1)
 	}
 	if err := os.WriteFile(file, []byte(conf), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", sockets, program(t)))
+	cmd := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", sockets, buildProgram(t)))
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+file)
-	log := &record{}
+	log := &logBuffer{}
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -81,32 +81,32 @@
 	return cmd, log
 }
 
-// asked waits for the next call to discovery, which is not answered.
-func (r *rig) asked() {
+// expectDiscoveryCall waits for the next call to discovery, which is not answered.
+func (r *harness) expectDiscoveryCall() {
 	r.t.Helper()
 	select {
-	case <-r.conns:
-	case <-time.After(limit):
+	case <-r.discoveryCalls:
+	case <-time.After(testTimeout):
 		r.t.Fatal("discovery is not asked")
 	}
 }
 
-// ready waits until the gateway goes by a list.
-func (r *rig) ready() {
+// waitUntilReady waits until the gateway goes by a list.
+func (r *harness) waitUntilReady() {
 	r.t.Helper()
 	cl := r.connect()
 	for got := ""; got != "empty"; got = cl.answer() {
 		cl.query("")
 	}
-	cl.c.Close()
+	cl.conn.Close()
 }
 
 // A process that is told to end before it has a list, told so again, and told to read its configuration meanwhile, ends in
 // order: what was asked of it is answered.
-func TestEndsBeforeItIsReady(t *testing.T) {
-	r := play(t, 0)
-	cmd, log := r.process(1024, false)
-	r.asked()
+func TestProcessDrainsBeforeItIsReady(t *testing.T) {
+	r := newHarness(t, 0)
+	cmd, log := r.startProcess(1024, false)
+	r.expectDiscoveryCall()
 	cl := r.connect()
 	for _, s := range []os.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
 		if err := cmd.Process.Signal(s); err != nil {
@@ -115,35 +115,35 @@
 	}
 	cl.query("")
 	cl.want("error 57P03")
-	cl.query(text(writeText, 1))
+	cl.query(queryText(writeForm, 1))
 	cl.want("error 53300 after 1000")
 	cl.want("closed")
-	cl.c.Close()
+	cl.conn.Close()
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("%v:\n%s", err, log)
 	}
-	if n := strings.Count(log.String(), "told to end"); n != 1 {
-		t.Errorf("told to end %d times:\n%s", n, log)
+	if n := strings.Count(log.String(), "app: draining"); n != 1 {
+		t.Errorf("%d lines say that it drains:\n%s", n, log)
 	}
 }
 
 // A process that may hold 128 descriptors, with discovery silent, and many more clients than that which say nothing or
 // stop in their startup: the watch is begun again and again, hosts are dialled, and the clients that ask are served.
-func TestIdleClientsLeaveDescriptors(t *testing.T) {
+func TestIdleClientsLeaveDescriptorsForHostsAndDiscovery(t *testing.T) {
 	const idle = 1000
-	r := play(t, 0)
-	_, log := r.process(128, true)
-	r.asked()
+	r := newHarness(t, 0)
+	_, log := r.startProcess(128, true)
+	r.expectDiscoveryCall()
 	startup := pgwire.AppendStartup(nil, "user", "worker")
 	for i := range idle {
 		r.dial().write(startup[:i%len(startup)])
 	}
 	for range 3 {
-		r.asked()
+		r.expectDiscoveryCall()
 	}
 	cl := r.connect()
-	cl.query(text(writeText, 1))
-	r.hosts[0].next().answer("v")
+	cl.query(queryText(writeForm, 1))
+	r.hosts[0].nextQuery().answer("v")
 	cl.want("value v")
 	if s := log.String(); strings.Contains(s, "too many open files") {
 		t.Errorf("out of descriptors:\n%s", s)
@@ -151,9 +151,9 @@
 }
 
 // A configuration with a fault ends the program at its start, with the faulty key named and a code that is not 0.
-func TestBadConfigurationEndsTheStart(t *testing.T) {
-	r, bin := play(t, 0), program(t)
-	good := string(r.file(r.disc.Addr()))
+func TestFaultyConfigurationEndsTheStart(t *testing.T) {
+	r, bin := newHarness(t, 0), buildProgram(t)
+	good := string(r.configFile(r.discoveryListener.Addr()))
 	for _, c := range []struct{ old, new, key string }{
 		{`"listen":"127.0.0.1:0"`, `"lisen":"127.0.0.1:0"`, "listen: missing"},
 		{`"tickMs":5`, `"tickMs":"soon"`, "settings.tickMs"},
@@ -170,7 +170,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		ctx, cancel := context.WithTimeout(t.Context(), limit)
+		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		cmd := exec.CommandContext(ctx, bin)
 		cmd.Env = append(os.Environ(), "EDGE_CONFIG="+file)
 		b, err := cmd.CombinedOutput()
@@ -182,8 +182,8 @@
 	}
 }
 
-// peak is the most memory that a process has held, in MB.
-func peak(t *testing.T, pid int) int {
+// peakMemoryMB is the most memory that a process has held, in MB.
+func peakMemoryMB(t *testing.T, pid int) int {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -199,14 +199,14 @@
 
 // Many clients that send much and go, whole requests, endless ones and what is none, take no more memory than there is, and
 // who asks in due form is answered meanwhile, each time within the request's own time.
-func TestFloods(t *testing.T) {
+func TestFloodsStayWithinTheMemoryLimit(t *testing.T) {
 	const answered = 3 * time.Second // the time that a request has: later it would be refused
-	r := play(t, 0)
-	cmd, log := r.process(1024, true)
-	r.asked()
-	r.ready()
+	r := newHarness(t, 0)
+	cmd, log := r.startProcess(1024, true)
+	r.expectDiscoveryCall()
+	r.waitUntilReady()
 	startup := pgwire.AppendStartup(nil, "user", "worker")
-	large := strings.Replace(text(writeText, 7), "VALUES", strings.Repeat(" ", 256<<10)+"VALUES", 1)
+	large := strings.Replace(queryText(writeForm, 7), "VALUES", strings.Repeat(" ", 256<<10)+"VALUES", 1)
 	floods := [][]byte{
 		bytes.Repeat(pgwire.AppendQuery(nil, large), 32),
 		append([]byte("Q\x00\x0f\xff\xff"), bytes.Repeat([]byte("x"), 8<<20)...),
@@ -216,8 +216,8 @@
 	for i := range 48 {
 		cl := r.dial()
 		side.Go(func() {
-			_, _ = cl.c.Write(append(bytes.Clone(startup), floods[i%len(floods)]...)) // until it is cut off, or all was taken
-			cl.c.Close()
+			_, _ = cl.conn.Write(append(bytes.Clone(startup), floods[i%len(floods)]...)) // until it is cut off, or all was taken
+			cl.conn.Close()
 		})
 	}
 	over := make(chan struct{})
@@ -230,7 +230,7 @@
 	cl, asked, longest := r.connect(), 0, time.Duration(0)
 	for done := false; !done || asked < 20; asked++ {
 		began := time.Now()
-		cl.query(fmt.Sprintf(writeText, 100+asked, answered.Milliseconds()))
+		cl.query(fmt.Sprintf(writeForm, 100+asked, answered.Milliseconds()))
 		if got := cl.answer(); got != "value v" {
 			t.Fatalf("request %d was answered %q:\n%s", asked, got, log)
 		}
@@ -241,7 +241,7 @@
 		default:
 		}
 	}
-	if mb := peak(t, cmd.Process.Pid); mb > 64 {
+	if mb := peakMemoryMB(t, cmd.Process.Pid); mb > 64 {
 		t.Errorf("%d MB of 64 after %d requests:\n%s", mb, asked, log)
 	} else {
 		t.Logf("%d MB of 64, %d requests answered meanwhile, the slowest in %v", mb, asked, longest)
--- /dev/null
+++ b/internal/app/serve.go
@@ -0,0 +1,55 @@
+package app
+
+import (
+	"os"
+	"os/signal"
+	"syscall"
+
+	"github.com/spf13/cobra"
+
+	"cloverrock/internal/config"
+)
+
+// signalQueue holds signals that are not handled yet: a SIGTERM behind some SIGHUPs must not be dropped.
+const signalQueue = 8
+
+// serve runs the gateway, with its component if a settings file is named, until it has drained.
+func (c *commandLine) serve(cmd *cobra.Command, _ []string) error {
+	conf, err := config.Load(c.getenv)
+	if err != nil {
+		return err
+	}
+	log, err := Logger(cmd.ErrOrStderr(), c.logLevel, conf.Name)
+	if err != nil {
+		return err
+	}
+	signals := make(chan os.Signal, signalQueue)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
+	defer signal.Stop(signals)
+
+	var component Component
+	if c.settingsPath != "" {
+		component, err = c.ext.Open(c.settingsPath, c.getenv, log)
+		if err != nil {
+			return err
+		}
+		defer component.Close()
+		conf = component.OverlayConfig(conf)
+	}
+	t := timeouts{message: messageTimeout, idle: idleTimeout, firstList: firstListTimeout}
+	s, err := newServer(conf, t, component != nil, log)
+	if err != nil {
+		log.Error().Err(err).Msg("app: start failed")
+		return err
+	}
+	readConfig := func() (*config.Config, error) { return config.Reload(c.getenv) }
+	if component != nil {
+		component.Attach(s)
+		readConfig = component.ReloadConfig
+	}
+	go s.handleSignals(signals, readConfig)
+	log.Info().Str("version", Version()).Str("listen", s.loop.Address()).Msg("app: serving")
+	s.loop.Run()
+	log.Info().Msg("app: ended")
+	return nil
+}
