--- a/internal/app/clients_test.go
+++ b/internal/app/clients_test.go
@@ -4,37 +4,29 @@
 	"bytes"
 	"strings"
 	"testing"
-	"time"
 
 	"cloverrock/internal/config"
 	"cloverrock/internal/pgwire"
 )
 
-// When its client leaves, an attempt's connection is closed: its late answer must meet nobody else.
+// When its client disconnects, an attempt's connection is closed: its late answer must not reach anybody else.
 func TestAttemptOfADisconnectedClientIsClosed(t *testing.T) {
-	r := startGateway(t, 0)
-	cl := r.connect()
-	cl.query(queryText(writeForm, 1))
-	q := r.hosts[0].nextQuery()
-	cl.conn.Close()
-	select {
-	case <-r.hosts[0].closed:
-	case <-time.After(testTimeout):
-		t.Fatal("the connection stays open")
-	}
-	q.answer("late")
-	cl = r.connect()
-	cl.query(queryText(writeForm, 2))
-	r.hosts[0].nextQuery().answer("own")
-	cl.want("value own")
+	gw := startGateway(t, 0)
+	client := gw.connect()
+	client.query(queryText(writeForm, 1))
+	query := gw.hosts[0].nextQuery()
+	client.close()
+	gw.hosts[0].wantClosed()
+	query.answer("late")
+	client = gw.connect()
+	gw.exchange(client, 2, "own")
 }
 
-// Bad input gets a plain error; the connection ends only where framing is lost, and the gateway serves on.
+// Faulty input gets a plain error; the connection ends only where framing is lost, and the gateway serves on.
 func TestFaultyInputGetsAPlainError(t *testing.T) {
-	r := startGateway(t, 0)
+	gw := startGateway(t, 0)
 	message := func(kind byte, body string) []byte {
-		b := append([]byte{kind, 0, 0, 0, byte(4 + len(body))}, body...)
-		return b
+		return append([]byte{kind, 0, 0, 0, byte(4 + len(body))}, body...)
 	}
 	for name, c := range map[string]struct {
 		raw  []byte // in place of a startup
@@ -64,48 +56,49 @@
 		"leaves in silence": {in: pgwire.AppendTerminate(nil), want: []string{"closed"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var cl *pgClient
+			var client *pgClient
 			if c.raw != nil {
-				cl = r.dial()
-				cl.write(c.raw)
+				client = gw.dial()
+				client.write(c.raw)
 			} else {
-				cl = r.connect()
-				cl.write(c.in)
+				client = gw.connect()
+				client.write(c.in)
 			}
-			cl.t = t
+			client.t = t
 			for _, want := range c.want {
 				if want == "ends" {
-					cl.wantEnd()
+					client.wantEnd()
 				} else {
-					cl.want(want)
+					client.want(want)
 				}
 			}
-			cl.conn.Close()
+			client.close()
 		})
 	}
-	cl := r.connect()
-	cl.query(queryText(readForm, 99))
+	client := gw.connect()
+	client.query(queryText(readForm, 99))
 	for { // what the clients above left behind comes first
-		q := r.hosts[0].nextQuery()
-		q.answer("v")
-		if strings.Contains(q.text, "id=99,") {
+		query := gw.hosts[0].nextQuery()
+		query.answer("v")
+		if strings.Contains(query.text, "id=99,") {
 			break
 		}
 	}
-	cl.want("value v")
+	client.want("value v")
 }
 
-// Connections beyond the limit: one that rests makes room; if none does, the new one is told.
+// A connection beyond the limit takes the place of an idle one; if there is none, it is rejected.
 func TestIdleConnectionMakesRoomBeyondTheLimit(t *testing.T) {
-	r := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 4 }) // 2 clients
-	first, second := r.connect(), r.connect()
+	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 4 }) // 2 clients
+	first := gw.connect()
+	second := gw.connect()
 	first.query(queryText(writeForm, 1))
-	held := r.hosts[0].nextQuery()
-	third := r.connect() // second was resting
+	held := gw.hosts[0].nextQuery()
+	third := gw.connect() // in place of second, which is idle
 	second.want("closed")
 	third.query(queryText(writeForm, 2))
-	also := r.hosts[0].nextQuery()
-	fourth := r.connect()
+	also := gw.hosts[0].nextQuery()
+	fourth := gw.connect()
 	fourth.query(queryText(writeForm, 3))
 	fourth.want("error 53300 closed")
 	held.answer("v")
@@ -114,166 +107,166 @@
 	third.want("value w")
 }
 
-// Clients that say nothing, stop in their startup or in a message are closed, and so is one that rests too long; a
-// request under way goes on.
+// Clients that send nothing, or stop in their startup or in a message, are closed, and so is one that is idle too long. A
+// request in flight is finished.
 func TestSilentClientsAreClosed(t *testing.T) {
-	r := newHarness(t, 0)
-	r.timeouts = timeouts{50e3, 100e3, 0}
-	r.start()
-	busy := r.dial() // its query comes with the startup: a later one might find the time over
+	gw := newHarness(t, 0)
+	gw.timeouts = timeouts{message: 50e3, idle: 100e3}
+	gw.start()
+	busy := gw.dial() // its query comes with the startup: a later one might find the time over
 	busy.write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "user", "worker"), queryText(writeForm, 1)))
 	busy.want("")
-	held := r.hosts[0].nextQuery()
+	held := gw.hosts[0].nextQuery()
 	startup := pgwire.AppendStartup(nil, "user", "worker")
 	for _, said := range [][]byte{nil, startup[:9], startup, append(startup, "Q\x00\x00\x00\x20/* id"...)} {
-		cl := r.dial()
-		cl.write(said)
+		client := gw.dial()
+		client.write(said)
 		if len(said) >= len(startup) {
-			cl.want("")
+			client.want("")
 		}
-		cl.want("closed")
+		client.want("closed")
 	}
 	held.answer("v")
 	busy.want("value v")
 	busy.want("closed")
 }
 
-// Any number of silent connections leaves the clients that ask theirs.
+// Any number of silent connections displaces no client that sends requests.
 func TestSilentClientsDisplaceNoActiveOnes(t *testing.T) {
-	r := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 8 }) // 4 clients
+	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 8 }) // 4 clients
 	var usual []*pgClient
-	for id := 0; id < 2; id++ {
-		usual = append(usual, r.connect())
-		usual[id].query(queryText(writeForm, id))
-		r.hosts[0].nextQuery().answer("v")
-		usual[id].want("value v")
+	for id := range 2 {
+		usual = append(usual, gw.connect())
+		gw.exchange(usual[id], id, "v")
 	}
-	silent := []*pgClient{r.connect(), r.connect()}
+	silent := []*pgClient{gw.connect(), gw.connect()}
 	for range 10 {
-		silent = append(silent, r.connect())
+		silent = append(silent, gw.connect())
 		silent[0].want("closed")
 		silent = silent[1:]
 	}
-	for id, cl := range usual {
-		cl.query(queryText(writeForm, 10+id))
-		r.hosts[0].nextQuery().answer("w")
-		cl.want("value w")
+	for id, client := range usual {
+		gw.exchange(client, 10+id, "w")
 	}
 }
 
-// Clients that asked once and stay make room for new ones, however slowly those come to their first query.
+// Clients that sent one request and stay make room for new ones, however slowly those come to their first query.
 func TestIdleClientsMakeRoomForNewOnes(t *testing.T) {
-	r := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 8 }) // 4 clients
+	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 8 }) // 4 clients
 	var stay []*pgClient
-	for id := 0; id < 4; id++ {
-		stay = append(stay, r.connect())
-		stay[id].query(queryText(writeForm, id))
-		r.hosts[0].nextQuery().answer("v")
-		stay[id].want("value v")
+	for id := range 4 {
+		stay = append(stay, gw.connect())
+		gw.exchange(stay[id], id, "v")
 	}
-	slow := []*pgClient{r.connect(), r.connect()}
+	slow := []*pgClient{gw.connect(), gw.connect()}
 	stay[0].want("closed")
 	stay[1].want("closed")
-	for id, cl := range slow {
-		cl.query(queryText(writeForm, 10+id))
-		r.hosts[0].nextQuery().answer("w")
-		cl.want("value w")
+	for id, client := range slow {
+		gw.exchange(client, 10+id, "w")
 	}
 }
 
-// Clients that asked once and stay are closed beyond a quarter of the descriptors, the longest resting first, though
-// there is room here: their side has only so many.
+// Clients that sent a request and stay are closed beyond a quarter of the descriptors, the longest idle first, though there
+// is capacity here: the load balancer in front has only so many connections.
 func TestIdleClientsAreLimitedToAQuarterOfTheDescriptors(t *testing.T) {
-	r := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 64 }) // 35 clients, of which 26 may have asked
+	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 64 }) // 35 clients, 26 of them active
 	var stay []*pgClient
-	for id := 0; id < 27; id++ {
-		stay = append(stay, r.connect())
-		stay[id].query(queryText(writeForm, id))
-		r.hosts[0].nextQuery().answer("v")
-		stay[id].want("value v")
+	for id := range 27 {
+		stay = append(stay, gw.connect())
+		gw.exchange(stay[id], id, "v")
 	}
 	stay[0].want("closed")
 	stay[1].query("")
 	stay[1].want("empty")
 }
 
-// What clients have begun and not ended is bounded in all: the one that holds most has to go, not the one that comes.
+// unfinishedMessage is the first 160 KiB of a query of 256 KiB.
+func unfinishedMessage() []byte {
+	return append([]byte("Q\x00\x03\xff\x00"), bytes.Repeat([]byte("x"), 160<<10)...)
+}
+
+// The bytes of unfinished messages are bounded over all clients: the one that has sent most is closed, not the newest.
 func TestBytesOfUnfinishedMessagesAreBounded(t *testing.T) {
-	r := startGateway(t, 0, func(c *config.Config) { c.MemoryMB = 1 }) // 128 KiB
-	usual, large := r.connect(), r.connect()
+	gw := startGateway(t, 0, func(c *config.Config) { c.MemoryMB = 1 }) // 128 KiB
+	usual := gw.connect()
+	large := gw.connect()
 	usual.query(queryText(writeForm, 1))
-	held := r.hosts[0].nextQuery()
-	large.write(append([]byte("Q\x00\x03\xff\x00"), bytes.Repeat([]byte("x"), 160<<10)...))
+	held := gw.hosts[0].nextQuery()
+	large.write(unfinishedMessage())
 	large.wantEnd()
 	held.answer("v")
 	usual.want("value v")
 }
 
-// A client may leave while its request waits for a connection, and word of it may lie behind much else. The last look is
-// at its own socket: nothing is sent for it.
+// A client may disconnect while its request waits for a host's connection, with the event behind many others in the queue.
+// Its socket is checked last: nothing is sent for it.
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
-	r := newHarness(t, 0)
-	r.hosts[0].startupGate = make(chan struct{})
-	r.start(func(c *config.Config) { c.MemoryMB = 1 }) // 64 KiB that are not handled make the engine wait
-	cl, flood := r.connect(), r.connect()
-	cl.query(queryText(writeForm, 1))
-	if q := r.hosts[0].nextQuery(); q != nil {
-		t.Fatal("a query before the welcome")
+	gw := newHarness(t, 0)
+	gw.hosts[0].startupGate = make(chan struct{})
+	gw.start(func(c *config.Config) { c.MemoryMB = 1 }) // 64 KiB that are not handled make the engine wait
+	client := gw.connect()
+	flood := gw.connect()
+	client.query(queryText(writeForm, 1))
+	if query := gw.hosts[0].nextQuery(); query != nil {
+		t.Fatal("a query before the host was ready")
 	}
-	r.onLoop(func() {
-		close(r.hosts[0].startupGate)
-		<-r.hosts[0].startedUp
-		flood.write(append([]byte("Q\x00\x03\xff\x00"), bytes.Repeat([]byte("x"), 160<<10)...)) // the engine waits behind the welcome
-		cl.conn.Close()
+	gw.onLoop(func() {
+		close(gw.hosts[0].startupGate)
+		<-gw.hosts[0].startedUp
+		// The engine reads nothing more behind this.
+		flood.write(unfinishedMessage())
+		client.close()
 	})
-	next := r.connect()
+	next := gw.connect()
 	next.query(queryText(writeForm, 2))
-	q := r.hosts[0].nextQueryAfterStartups()
-	if !strings.Contains(q.text, "id=2,") {
-		t.Fatalf("sent for nobody: %s", q.text)
+	query := gw.hosts[0].nextQueryAfterStartups()
+	if !strings.Contains(query.text, "id=2,") {
+		t.Fatalf("sent for a disconnected client: %s", query.text)
 	}
-	q.answer("w")
+	query.answer("w")
 	next.want("value w")
 }
 
-// A request is cancelled from another connection by number and secret: it ends at once, and is not sent on. Nothing else
+// cancel sends a cancel request.
+func (gw *harness) cancel(key []byte) {
+	gw.t.Helper()
+	client := gw.dial()
+	client.write(append([]byte("\x00\x00\x00\x10\x04\xd2\x16\x2e"), key...))
+	client.want("closed")
+}
+
+// A request is canceled from another connection by number and secret: it ends at once and is not forwarded. Nothing else
 // cancels it.
 func TestCancelRequestNeedsTheKeyAndEndsTheQuery(t *testing.T) {
-	r := newHarness(t, 0)
-	r.hosts[0].startupGate = make(chan struct{})
-	r.start()
-	cl := r.dial()
-	cl.write(pgwire.AppendStartup(nil, "user", "worker"))
-	key := cl.cancelKey()
-	cl.query(queryText(writeForm, 1))
-	if q := r.hosts[0].nextQuery(); q != nil {
-		t.Fatal("a query before the welcome")
+	gw := newHarness(t, 0)
+	gw.hosts[0].startupGate = make(chan struct{})
+	gw.start()
+	client := gw.dial()
+	client.write(pgwire.AppendStartup(nil, "user", "worker"))
+	key := client.cancelKey()
+	client.query(queryText(writeForm, 1))
+	if query := gw.hosts[0].nextQuery(); query != nil {
+		t.Fatal("a query before the host was ready")
 	}
-	for i := range len(key) {
+	for i := range key {
 		wrong := bytes.Clone(key)
 		wrong[i] ^= 1
-		other := r.dial()
-		other.write(append([]byte("\x00\x00\x00\x10\x04\xd2\x16\x2e"), wrong...))
-		other.want("closed")
+		gw.cancel(wrong)
 	}
-	if !r.inFlight() {
-		t.Fatal("cancelled by a wrong key")
+	if !gw.hasInFlight() {
+		t.Fatal("canceled by a wrong key")
 	}
-	other := r.dial()
-	other.write(append([]byte("\x00\x00\x00\x10\x04\xd2\x16\x2e"), key...))
-	other.want("closed")
-	cl.want("error 57014")
-	close(r.hosts[0].startupGate)
-	cl.query(queryText(writeForm, 2))
-	q := r.hosts[0].nextQueryAfterStartups()
-	if !strings.Contains(q.text, "id=2,") {
-		t.Fatalf("sent although cancelled: %s", q.text)
+	gw.cancel(key)
+	client.want("error 57014")
+	close(gw.hosts[0].startupGate)
+	client.query(queryText(writeForm, 2))
+	query := gw.hosts[0].nextQueryAfterStartups()
+	if !strings.Contains(query.text, "id=2,") {
+		t.Fatalf("sent although canceled: %s", query.text)
 	}
-	q.answer("w")
-	cl.want("value w")
-	other = r.dial() // with nothing under way it cancels nothing
-	other.write(append([]byte("\x00\x00\x00\x10\x04\xd2\x16\x2e"), key...))
-	other.want("closed")
-	cl.query("")
-	cl.want("empty")
+	query.answer("w")
+	client.want("value w")
+	gw.cancel(key) // nothing is in flight any more
+	client.query("")
+	client.want("empty")
 }
--- a/internal/app/commands_test.go
+++ b/internal/app/commands_test.go
@@ -15,14 +15,14 @@
 	"github.com/spf13/cobra"
 )
 
-// noExtension is a gateway without the parts of a larger build.
+// noExtension is an Extension without commands and components.
 type noExtension struct{}
 
 func (noExtension) Commands(func(string) string) []*cobra.Command { return nil }
 func (noExtension) Check(string) error                            { return nil }
 func (noExtension) ExitCode(error) int                            { return ExitFailed }
 func (noExtension) Open(string, func(string) string, zerolog.Logger) (Component, error) {
-	return nil, errors.New("no such part")
+	return nil, errors.New("no such component")
 }
 
 func TestCommandsExitWithTheirCodes(t *testing.T) {
@@ -32,20 +32,30 @@
 		code int
 		want string
 	}{
-		{"version", 0, "cloverrock "}, {"help", 0, "Usage"}, {"check", 1, "EDGE_CONFIG"}, {"serve", 1, "EDGE_CONFIG"},
-		{"", 1, "EDGE_CONFIG"}, {"serve -x", 2, "Usage"}, {"version now", 2, "no arguments"}, {"dance", 2, "Usage"},
+		{"version", 0, "cloverrock "},
+		{"help", 0, "Usage"},
+		{"check", 1, "EDGE_CONFIG"},
+		{"serve", 1, "EDGE_CONFIG"},
+		{"", 1, "EDGE_CONFIG"},
+		{"serve -x", 2, "Usage"},
+		{"version now", 2, "no arguments"},
+		{"unknown", 2, "Usage"},
 	} {
 		var out bytes.Buffer
-		if code := Main(strings.Fields(c.args), env, io.MultiWriter(&out), &out, noExtension{}); code != c.code || !strings.Contains(out.String(), c.want) {
+		code := Main(strings.Fields(c.args), env, &out, &out, noExtension{})
+		if code != c.code || !strings.Contains(out.String(), c.want) {
 			t.Errorf("%q: %d, %q", c.args, code, out.String())
 		}
 	}
 }
 
-// logLines hands on the log lines of a program.
+// logLines receives the log lines of a program.
 type logLines chan string
 
-func (l logLines) Write(b []byte) (int, error) { l <- string(b); return len(b), nil }
+func (l logLines) Write(b []byte) (int, error) {
+	l <- string(b)
+	return len(b), nil
+}
 
 // until waits for a line that holds a text.
 func (l logLines) until(t *testing.T, text string) string {
@@ -62,10 +72,31 @@
 	}
 }
 
-// On SIGHUP the file is read again: a bad one changes nothing and its key is logged, a good one moves the watch on
-// from the list as it stands, with a request under way. SIGTERM beside a SIGHUP still ends the program in order.
+// signalSelf sends a signal to the test's own process.
+func signalSelf(t *testing.T, sig syscall.Signal) {
+	t.Helper()
+	if err := syscall.Kill(os.Getpid(), sig); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// runMain runs the program within this process, with a configuration file, and returns its log and its exit code to come.
+func (gw *harness) runMain(t *testing.T, path string) (log logLines, code <-chan int) {
+	t.Helper()
+	variables := map[string]string{"EDGE_CONFIG": path, "EDGE_DISCOVERY": gw.discoveryListener.Addr().String()}
+	getenv := func(key string) string { return variables[key] }
+	log = make(logLines, 1024)
+	ended := make(chan int, 1)
+	go func() { ended <- Main(nil, getenv, io.Discard, log, noExtension{}) }()
+	_, rest, _ := strings.Cut(log.until(t, `"app: serving"`), `"listen":"`)
+	gw.address, _, _ = strings.Cut(rest, `"`)
+	return log, ended
+}
+
+// On SIGHUP the file is read again: a faulty one changes nothing and its key is logged; a good one moves the watch to the
+// new address from the current generation on, with a request in flight. SIGTERM beside a SIGHUP still drains.
 func TestSignalsReloadAndDrain(t *testing.T) {
-	r := newHarness(t, 0)
+	gw := newHarness(t, 0)
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(b []byte) {
 		t.Helper()
@@ -73,38 +104,34 @@
 			t.Fatal(err)
 		}
 	}
-	write(r.configFile(r.discoveryListener.Addr()))
-	log, code := make(logLines, 1024), make(chan int, 1)
-	go func() {
-		code <- Main(nil, func(k string) string {
-			return map[string]string{"EDGE_CONFIG": path, "EDGE_DISCOVERY": r.discoveryListener.Addr().String()}[k]
-		}, io.Discard, log, noExtension{})
-	}()
-	_, rest, _ := strings.Cut(log.until(t, `"app: serving"`), `"listen":"`)
-	r.address, _, _ = strings.Cut(rest, `"`)
-	r.nextWatch().writeChunk(`{"generation":8,"instances":` + r.instances() + `}`)
-	cl := r.connect()
-	cl.query(queryText(writeForm, 1))
-	held := r.hosts[0].nextQuery()
+	write(gw.configFile(gw.discoveryListener.Addr()))
+	log, code := gw.runMain(t, path)
+	gw.nextWatch().writeChunk(`{"generation":8,"instances":` + gw.instances() + `}`)
+	client := gw.connect()
+	client.query(queryText(writeForm, 1))
+	held := gw.hosts[0].nextQuery()
 
 	write([]byte(`{"listen":7}`))
-	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
+	signalSelf(t, syscall.SIGHUP)
 	log.until(t, "listen: is a number")
-	r.discoveryListener.Close()
-	write(r.configFile(r.listenDiscovery().Addr()))
-	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	if a := r.nextWatch(); !strings.HasPrefix(a.request, "GET /api/targets?stream=1&index=") || strings.Contains(a.request, "index=0 ") {
-		t.Errorf("asked %q", a.request)
+	if err := gw.discoveryListener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	write(gw.configFile(gw.listenDiscovery().Addr()))
+	signalSelf(t, syscall.SIGHUP)
+	request := gw.nextWatch().request
+	if !strings.HasPrefix(request, "GET /api/targets?stream=1&index=") || strings.Contains(request, "index=0 ") {
+		t.Errorf("requested %q", request)
 	}
 	held.answer("v")
-	cl.want("value v")
-	cl.query(queryText(writeForm, 2))
-	held = r.hosts[0].nextQuery()
-	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	_ = syscall.Kill(os.Getpid(), syscall.SIGTERM)
+	client.want("value v")
+	client.query(queryText(writeForm, 2))
+	held = gw.hosts[0].nextQuery()
+	signalSelf(t, syscall.SIGHUP)
+	signalSelf(t, syscall.SIGTERM)
 	log.until(t, "app: draining")
 	held.answer("w")
-	cl.want("value w")
+	client.want("value w")
 	select {
 	case c := <-code:
 		if c != 0 {
--- a/internal/app/fakehost_test.go
+++ b/internal/app/fakehost_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"net"
+	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -13,7 +14,7 @@
 	"cloverrock/internal/pgwire"
 )
 
-// readMessage takes one message off a connection.
+// readMessage reads one message off a connection.
 func readMessage(rd *bufio.Reader) (pgwire.Message, error) {
 	head, err := rd.Peek(5)
 	if err != nil {
@@ -28,21 +29,18 @@
 	return m, err
 }
 
-// fakeHost is a database host that a test plays: it answers the startup and the module's probes, and hands each
-// query to the test.
+// fakeHost is a database host played by a test: it answers startups and health checks, and hands each query to the test.
 type fakeHost struct {
 	t           *testing.T
 	listener    net.Listener
-	queries     chan *hostQuery
-	startupGate chan struct{} // if not nil, no connection is welcomed before it is closed
-	closed      chan struct{} // a token for each connection that the gateway has closed
-	// welcomed has a token for each connection that was held and then welcomed.
-	startedUp chan struct{}
-
-	mu sync.Mutex
-	// what it says of itself
+	queries     chan *hostQuery // nil: a startup that is held at the gate
+	startupGate chan struct{}   // if not nil, no connection is ready before it is closed
+	closed      chan struct{}   // a token for each connection that the gateway has closed
+	startedUp   chan struct{}   // a token for each connection that was held at the gate and is ready
+
+	mu       sync.Mutex
 	primary  bool
-	position int64 // position in milliseconds; 0: now
+	position int64 // ms; 0: now
 }
 
 // hostQuery is a query that came to a host.
@@ -52,30 +50,53 @@
 	text string
 }
 
-func newFakeHost(t *testing.T, primary bool) *fakeHost {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+// serveConnections accepts connections until the test ends and hands each to serve, one after the other.
+func serveConnections(t *testing.T, serve func(net.Conn)) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &fakeHost{t: t, listener: ln, primary: primary, queries: make(chan *hostQuery, 64), closed: make(chan struct{}, 64), startedUp: make(chan struct{}, 64)}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = listener.Close() }) // may be closed already
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go h.serve(c)
+			// At the end of the test: the gateway's loop leaves open sockets to its process.
+			t.Cleanup(func() { _ = conn.Close() })
+			serve(conn)
 		}
 	}()
+	return listener
+}
+
+func newFakeHost(t *testing.T, primary bool) *fakeHost {
+	t.Helper()
+	h := &fakeHost{
+		t:         t,
+		primary:   primary,
+		queries:   make(chan *hostQuery, 64),
+		closed:    make(chan struct{}, 64),
+		startedUp: make(chan struct{}, 64),
+	}
+	h.listener = serveConnections(t, func(conn net.Conn) { go h.serve(conn) })
 	return h
 }
 
-func (h *fakeHost) serve(c net.Conn) {
-	h.t.Cleanup(func() { c.Close() }) // the gateway's end goes with it: its loop leaves sockets to the process
+// stopListening has connections to the host refused.
+func (h *fakeHost) stopListening() {
+	h.t.Helper()
+	if err := h.listener.Close(); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+func (h *fakeHost) serve(conn net.Conn) {
 	defer func() { h.closed <- struct{}{} }()
-	defer c.Close()
-	rd := bufio.NewReader(c)
+	defer func() { _ = conn.Close() }() // the test may have closed it
+	rd := bufio.NewReader(conn)
 	head, err := rd.Peek(4)
 	if err != nil {
 		return
@@ -87,7 +108,7 @@
 		h.queries <- nil
 		<-h.startupGate
 	}
-	_, _ = c.Write(pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil)))
+	_, _ = conn.Write(pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil))) // the gateway may have left
 	if h.startupGate != nil {
 		h.startedUp <- struct{}{}
 	}
@@ -96,21 +117,22 @@
 		if err != nil || m.Type != 'Q' {
 			return
 		}
-		text := strings.TrimSuffix(string(m.Body), "\x00")
-		if text == "SHOW vitals" {
+		query := &hostQuery{h, conn, strings.TrimSuffix(string(m.Body), "\x00")}
+		if query.text == "SHOW vitals" {
 			role, position := h.report()
-			q := hostQuery{host: h, conn: c}
-			q.answer(fmt.Sprintf("x0=%d.%03d,x1=%d", position/1000, position%1000, role))
+			query.answer(fmt.Sprintf("x0=%d.%03d,x1=%d", position/1000, position%1000, role))
 			continue
 		}
-		h.queries <- &hostQuery{h, c, text}
+		h.queries <- query
 	}
 }
 
+// report returns what the host says of itself; the role is 1 for a primary.
 func (h *fakeHost) report() (role int, position int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if position = h.position; position == 0 {
+	position = h.position
+	if position == 0 {
 		position = time.Now().UnixMilli()
 	}
 	if h.primary {
@@ -132,36 +154,46 @@
 	h.mu.Unlock()
 }
 
-// nextQuery waits for the next query.
+// nextQuery waits for the next query, or for the next startup that is held at the gate, which is nil.
 func (h *fakeHost) nextQuery() *hostQuery {
 	h.t.Helper()
 	select {
-	case q := <-h.queries:
-		return q
+	case query := <-h.queries:
+		return query
 	case <-time.After(testTimeout):
 		h.t.Fatal("no query came")
 		return nil
 	}
 }
 
-// nextQueryAfterStartups waits for the next query, past connections that are held.
-func (h *fakeHost) nextQueryAfterStartups() (q *hostQuery) {
+// nextQueryAfterStartups waits for the next query, past startups that were held at the gate.
+func (h *fakeHost) nextQueryAfterStartups() (query *hostQuery) {
 	h.t.Helper()
-	for q == nil {
-		q = h.nextQuery()
+	for query == nil {
+		query = h.nextQuery()
 	}
-	return q
+	return query
 }
 
-// writeEnd is what a host says of itself before it is ready again.
+// wantClosed waits until the gateway has closed a connection to the host.
+func (h *fakeHost) wantClosed() {
+	h.t.Helper()
+	select {
+	case <-h.closed:
+	case <-time.After(testTimeout):
+		h.t.Fatal("the connection stays open")
+	}
+}
+
+// writeEnd writes what a host says of itself behind an answer, and that it is ready again.
 func (q *hostQuery) writeEnd(b []byte) {
 	role, position := q.host.report()
 	b = pgwire.AppendParameterStatus(b, "rank", [...]string{"copy", "source"}[role])
-	b = pgwire.AppendParameterStatus(b, "as_of", fmt.Sprint(position))
-	_, _ = q.conn.Write(pgwire.AppendReadyForQuery(b))
+	b = pgwire.AppendParameterStatus(b, "as_of", strconv.FormatInt(position, 10))
+	_, _ = q.conn.Write(pgwire.AppendReadyForQuery(b)) // the gateway may have closed the connection
 }
 
-// rowMessages is a value up to its completion.
+// rowMessages are the messages of an answer with one value, up to its completion.
 func rowMessages(value string) []byte {
 	return pgwire.AppendCommandComplete(pgwire.AppendRow(nil, "body", value), "SELECT 1")
 }
@@ -171,3 +203,10 @@
 func (q *hostQuery) answerError(code string) {
 	q.writeEnd(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: code, Message: "no"}))
 }
+
+// reset closes the connection without an answer.
+func (q *hostQuery) reset() {
+	if err := q.conn.Close(); err != nil {
+		q.host.t.Error(err)
+	}
+}
--- a/internal/app/harness_test.go
+++ b/internal/app/harness_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"fmt"
+	"io"
 	"net"
 	"strings"
 	"testing"
@@ -14,137 +15,62 @@
 	"cloverrock/internal/pgwire"
 )
 
-// hasGeneration tells whether the gateway has read the list of that generation.
-func (r *harness) hasGeneration(generation int64) (told bool) {
-	r.onLoop(func() { told = r.server.endpoints.Generation >= generation })
-	return told
-}
-
-func (r *harness) inFlight() (owed bool) {
-	r.onLoop(func() { owed = r.server.gateway.InFlight() > 0 })
-	return owed
-}
-
-// hasUnsentBytes tells whether a client has left more unread than its next command may find.
-func (r *harness) hasUnsentBytes() (unread bool) {
-	r.onLoop(func() { unread = r.server.frontend.UnsentBytes() > 64<<10 })
-	return unread
-}
-
-// testTimeout ends a test that hangs; no verdict depends on how soon anything happens.
+// testTimeout ends a test that hangs; no result depends on how soon anything happens.
 const testTimeout = 30 * time.Second
 
-func (r *harness) dial() *pgClient {
-	r.t.Helper()
-	if r.server != nil {
-		r.address = r.server.loop.Address()
-	}
-	c, err := net.Dial("tcp4", r.address)
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	r.t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	return &pgClient{r.t, c, bufio.NewReader(c)}
-}
-
-// connect dials and goes through the startup.
-func (r *harness) connect() *pgClient {
-	r.t.Helper()
-	cl := r.dial()
-	cl.write(pgwire.AppendStartup(nil, "user", "worker", "database", "catalog"))
-	if got := cl.answer(); got != "" {
-		r.t.Fatalf("startup answered %q", got)
-	}
-	return cl
-}
+// noTimeout is a timeout (µs) that no test reaches.
+const noTimeout = 3600e6
 
-// harness is a gateway with hosts and a discovery that the test plays.
+// harness is a gateway with hosts and a discovery service that the test plays.
 type harness struct {
 	t                 *testing.T
 	server            *server // nil where a test runs the whole program
 	address           string
-	timeouts          timeouts // endless, unless a test is about it
+	timeouts          timeouts // those of clients are never reached, unless a test is about them
 	ended             chan struct{}
 	discoveryListener net.Listener
 	discoveryCalls    chan *discoveryCall
 	hosts             []*fakeHost
 }
 
-// discoveryCall is discovery's end of one watch.
+// discoveryCall is the service's end of one call.
 type discoveryCall struct {
 	net.Conn
 	request string
 }
 
-// writeChunk sends one line as one chunk.
-func (a *discoveryCall) writeChunk(text string) { fmt.Fprintf(a, "%x\r\n%s\n\r\n", len(text)+1, text) }
-
-// nextWatch waits for the gateway's next watch and begins the answer.
-func (r *harness) nextWatch() *discoveryCall {
-	r.t.Helper()
-	select {
-	case a := <-r.discoveryCalls:
-		fmt.Fprint(a, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		return a
-	case <-time.After(testTimeout):
-		r.t.Fatal("no watch came")
-		return nil
-	}
+// writeChunk sends one line as one chunk. The gateway may have left: what it then misses, the test sees.
+func (c *discoveryCall) writeChunk(text string) {
+	_, _ = fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(text)+1, text)
 }
 
-// instances is the list of all hosts, with the states given for the first few.
-func (r *harness) instances(states ...string) string {
-	var all []string
-	for i, h := range r.hosts {
-		state := "SERVING"
-		if i < len(states) {
-			state = states[i]
-		}
-		rank := "copy"
-		if i == 0 {
-			rank = "source"
-		}
-		all = append(all, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":%q,"cell":1,"lifecycle":%q,"rank":%q}`, i, h.listener.Addr(), state, rank))
-	}
-	return "[" + strings.Join(all, ",") + "]"
-}
-
-// newHarness sets up one primary, s-0, so many replicas, and discovery, without a gateway.
+// newHarness sets up one primary, s-0, some replicas, and discovery, without a gateway.
 func newHarness(t *testing.T, replicas int) *harness {
 	t.Helper()
-	r := &harness{t: t, ended: make(chan struct{}), discoveryCalls: make(chan *discoveryCall, 16), timeouts: timeouts{3600e6, 3600e6, 0}}
-	for i := 0; i <= replicas; i++ {
-		r.hosts = append(r.hosts, newFakeHost(t, i == 0))
+	gw := &harness{
+		t:              t,
+		ended:          make(chan struct{}),
+		discoveryCalls: make(chan *discoveryCall, 16),
+		timeouts:       timeouts{message: noTimeout, idle: noTimeout},
+	}
+	for i := range replicas + 1 {
+		gw.hosts = append(gw.hosts, newFakeHost(t, i == 0))
 	}
-	r.discoveryListener = r.listenDiscovery()
-	return r
+	gw.discoveryListener = gw.listenDiscovery()
+	return gw
 }
 
-// listenDiscovery listens for watches.
-func (r *harness) listenDiscovery() net.Listener {
-	r.t.Helper()
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	r.t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			r.t.Cleanup(func() { c.Close() })
-			request, _ := bufio.NewReader(c).ReadString('\n')
-			r.discoveryCalls <- &discoveryCall{c, strings.TrimSpace(request)}
-		}
-	}()
-	return ln
+// listenDiscovery listens for calls to discovery.
+func (gw *harness) listenDiscovery() net.Listener {
+	gw.t.Helper()
+	return serveConnections(gw.t, func(conn net.Conn) {
+		request, _ := bufio.NewReader(conn).ReadString('\n') // a call that breaks off is one, too
+		gw.discoveryCalls <- &discoveryCall{conn, strings.TrimSpace(request)}
+	})
 }
 
-// configFile is the configuration of a gateway with discovery at an address.
-func (r *harness) configFile(discovery net.Addr) []byte {
+// configFile returns the configuration of a gateway with discovery at an address.
+func (gw *harness) configFile(discovery net.Addr) []byte {
 	return fmt.Appendf(nil, `{"listen":"127.0.0.1:0","discovery":%q,"known":{"generation":7,"instances":%s},
 		"settings":{"tickMs":5,"limits":{"maxAttempts":10,"cancel":true,"probes":true,"dialTimeoutMs":20000,"maxRetryAfterMs":1000},
 		"report":{"fields":["x0","x1"]},"classes":[
@@ -153,39 +79,146 @@
 			{"name":"change","aimMs":30000,"deadlineMs":60000,"repeat":"non_idempotent","worth":3,"lateWorth":0.7}],
 		"extra":{"classRead":["recent","own_writes","update"],"stalenessBoundMs":[60000,0,0],"tokens":"client","serverChecks":"none"},
 		"obligations":{"coldFrom":0.25,"coldMs":16000,"fallMultiple":4,"overloadForMs":1500}}}`,
-		discovery, r.instances())
+		discovery, gw.instances())
 }
 
-// startGateway runs a gateway before one primary, s-0, and so many replicas.
+// instances returns the list of all hosts, with the states given for the first few.
+func (gw *harness) instances(states ...string) string {
+	var all []string
+	for i, h := range gw.hosts {
+		state := "SERVING"
+		if i < len(states) {
+			state = states[i]
+		}
+		rank := "copy"
+		if i == 0 {
+			rank = "source"
+		}
+		all = append(all, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":%q,"cell":1,"lifecycle":%q,"rank":%q}`,
+			i, h.listener.Addr(), state, rank))
+	}
+	return "[" + strings.Join(all, ",") + "]"
+}
+
+// startGateway runs a gateway before one primary, s-0, and some replicas.
 func startGateway(t *testing.T, replicas int, change ...func(*config.Config)) *harness {
 	t.Helper()
 	return newHarness(t, replicas).start(change...)
 }
 
-func (r *harness) start(change ...func(*config.Config)) *harness {
-	t := r.t
-	t.Helper()
-	conf, err := config.Parse(r.configFile(r.discoveryListener.Addr()), func(string) string { return "" })
+func (gw *harness) start(change ...func(*config.Config)) *harness {
+	gw.t.Helper()
+	conf, err := config.Parse(gw.configFile(gw.discoveryListener.Addr()), func(string) string { return "" })
 	if err != nil {
-		t.Fatal(err)
+		gw.t.Fatal(err)
 	}
 	for _, f := range change {
 		f(conf)
 	}
-	if r.server, err = newServer(conf, r.timeouts, false, zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.ErrorLevel)); err != nil {
-		t.Fatal(err)
+	log := zerolog.New(zerolog.NewTestWriter(gw.t)).Level(zerolog.ErrorLevel)
+	gw.server, err = newServer(conf, gw.timeouts, false, log)
+	if err != nil {
+		gw.t.Fatal(err)
 	}
 	go func() {
-		defer close(r.ended)
-		r.server.loop.Run()
+		defer close(gw.ended)
+		gw.server.loop.Run()
 	}()
-	t.Cleanup(r.server.loop.Close)
-	return r
+	gw.t.Cleanup(gw.server.loop.Close)
+	return gw
 }
 
-// onLoop runs f on the gateway's own goroutine.
-func (r *harness) onLoop(f func()) {
+// onLoop runs f on the gateway's goroutine and waits for it.
+func (gw *harness) onLoop(f func()) {
 	done := make(chan struct{})
-	r.server.loop.Post(func() { f(); close(done) })
+	gw.server.loop.Post(func() {
+		f()
+		close(done)
+	})
 	<-done
 }
+
+// waitForGeneration waits until the gateway uses the list of a generation.
+func (gw *harness) waitForGeneration(generation int64) {
+	for current := int64(0); current < generation; {
+		gw.onLoop(func() { current = gw.server.endpoints.Generation })
+	}
+}
+
+// hasInFlight reports whether a request is owed an answer.
+func (gw *harness) hasInFlight() (inFlight bool) {
+	gw.onLoop(func() { inFlight = gw.server.gateway.InFlight() > 0 })
+	return inFlight
+}
+
+// hasUnsentBytes reports whether a client has left more unread than its next command may find.
+func (gw *harness) hasUnsentBytes() (unsent bool) {
+	gw.onLoop(func() { unsent = gw.server.frontend.UnsentBytes() > 64<<10 })
+	return unsent
+}
+
+// wantEnded waits until the gateway has ended.
+func (gw *harness) wantEnded() {
+	gw.t.Helper()
+	select {
+	case <-gw.ended:
+	case <-time.After(testTimeout):
+		gw.t.Fatal("does not end")
+	}
+}
+
+// nextCall waits for the next call to discovery, which is not answered yet.
+func (gw *harness) nextCall() *discoveryCall {
+	gw.t.Helper()
+	select {
+	case call := <-gw.discoveryCalls:
+		return call
+	case <-time.After(testTimeout):
+		gw.t.Fatal("no call to discovery came")
+		return nil
+	}
+}
+
+// nextWatch waits for the next call to discovery and begins its answer.
+func (gw *harness) nextWatch() *discoveryCall {
+	gw.t.Helper()
+	call := gw.nextCall()
+	_, _ = io.WriteString(call, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // like writeChunk
+	return call
+}
+
+// dial opens a connection of a client, which says nothing yet.
+func (gw *harness) dial() *pgClient {
+	gw.t.Helper()
+	if gw.server != nil {
+		gw.address = gw.server.loop.Address()
+	}
+	conn, err := net.Dial("tcp4", gw.address)
+	if err != nil {
+		gw.t.Fatal(err)
+	}
+	gw.t.Cleanup(func() { _ = conn.Close() }) // may be closed already
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		gw.t.Fatal(err)
+	}
+	return &pgClient{gw.t, conn, bufio.NewReader(conn)}
+}
+
+// connect dials and goes through the startup.
+func (gw *harness) connect() *pgClient {
+	gw.t.Helper()
+	client := gw.dial()
+	client.write(pgwire.AppendStartup(nil, "user", "worker", "database", "catalog"))
+	if got := client.answer(); got != "" {
+		gw.t.Fatalf("startup answered %q", got)
+	}
+	return client
+}
+
+// exchange has a client send a write, which the primary answers by a value.
+func (gw *harness) exchange(client *pgClient, id int, value string) {
+	client.t.Helper()
+	client.query(queryText(writeForm, id))
+	gw.hosts[0].nextQuery().answer(value)
+	client.want("value " + value)
+}
--- a/internal/app/hosts_test.go
+++ b/internal/app/hosts_test.go
@@ -4,30 +4,23 @@
 	"fmt"
 	"strings"
 	"testing"
-	"time"
 
 	"cloverrock/internal/config"
 	"cloverrock/internal/pgwire"
 )
 
-// A write that finds its idle connection closed by the host may not end as a reset: idle ones go sooner.
+// A write must not meet a connection that the host is just closing as idle: the gateway closes idle ones sooner.
 func TestIdleConnectionsCloseBeforeTheHostsDo(t *testing.T) {
-	r := startGateway(t, 0, func(c *config.Config) { c.IdleClose = 40_000 })
-	cl := r.connect()
-	cl.query(queryText(writeForm, 1))
-	r.hosts[0].nextQuery().answer("v")
-	cl.want("value v")
-	select {
-	case <-r.hosts[0].closed:
-	case <-time.After(testTimeout):
-		t.Fatal("the idle connection stays open")
-	}
+	gw := startGateway(t, 0, func(c *config.Config) { c.IdleClose = 40_000 })
+	client := gw.connect()
+	gw.exchange(client, 1, "v")
+	gw.hosts[0].wantClosed()
 }
 
-// An answer ends where it ends. Whatever a host sends besides, its connection is not used again; a good answer
-// before it counts, a spoilt one has failed and may have run, and the next request gets its own answer.
+// Whatever a host sends beside an answer, its connection is not used again. A good answer before it counts; a faulty one
+// is a failure that may have run. The next request gets its own answer.
 func TestFaultyAnswersFailAndEndTheirConnection(t *testing.T) {
-	r := startGateway(t, 0, func(c *config.Config) { c.Settings.DialTimeout = 200e3 })
+	gw := startGateway(t, 0, func(c *config.Config) { c.Settings.DialTimeout = 200e3 })
 	ready := string(pgwire.AppendReadyForQuery(nil))
 	good, failed := "value v", "error "+pgwire.CodeSystemError
 	whole := string(rowMessages("v"))
@@ -55,105 +48,94 @@
 		"an answer without end":    {whole[:len(whole)-3], failed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cl := r.connect()
-			cl.query(queryText(writeForm, 1))
-			if _, err := r.hosts[0].nextQuery().conn.Write([]byte(c.sent)); err != nil {
+			client := gw.connect()
+			client.query(queryText(writeForm, 1))
+			if _, err := gw.hosts[0].nextQuery().conn.Write([]byte(c.sent)); err != nil {
 				t.Fatal(err)
 			}
-			cl.want(c.want)
+			client.want(c.want)
 			if name != "a report without sense" {
-				select {
-				case <-r.hosts[0].closed:
-				case <-time.After(testTimeout):
-					t.Fatal("the connection stays open")
-				}
+				gw.hosts[0].wantClosed()
 			}
-			cl.query(queryText(writeForm, 2))
-			r.hosts[0].nextQuery().answer("own")
-			cl.want("value own")
-			cl.conn.Close()
+			gw.exchange(client, 2, "own")
+			client.close()
 		})
 	}
 }
 
-// What a host sends while its connection rests is nobody's answer.
+// What a host sends on an idle connection is nobody's answer.
 func TestBytesOnAnIdleConnectionAreNobodysAnswer(t *testing.T) {
-	r := startGateway(t, 0)
-	cl := r.connect()
-	cl.query(queryText(writeForm, 1))
-	q := r.hosts[0].nextQuery()
-	q.answer("v")
-	cl.want("value v")
-	_, _ = q.conn.Write(append(rowMessages("late"), pgwire.AppendReadyForQuery(nil)...))
-	cl.query(queryText(writeForm, 2))
-	r.hosts[0].nextQuery().answer("own")
-	cl.want("value own")
+	gw := startGateway(t, 0)
+	client := gw.connect()
+	client.query(queryText(writeForm, 1))
+	query := gw.hosts[0].nextQuery()
+	query.answer("v")
+	client.want("value v")
+	late := append(rowMessages("late"), pgwire.AppendReadyForQuery(nil)...)
+	if _, err := query.conn.Write(late); err != nil {
+		t.Fatal(err)
+	}
+	gw.exchange(client, 2, "own")
 }
 
-// A host moves while a connection to its old address opens: what waits for that goes to the new one.
+// A host moves while a connection to its old address opens: an attempt that waits for it goes to the new address.
 func TestAttemptFollowsAHostThatMovesWhileItDials(t *testing.T) {
-	r := newHarness(t, 0)
-	r.hosts[0].startupGate = make(chan struct{})
-	r.start()
-	cl := r.connect()
-	cl.query(queryText(writeForm, 1))
-	r.hosts[0].nextQuery() // its startup is here
+	gw := newHarness(t, 0)
+	gw.hosts[0].startupGate = make(chan struct{})
+	gw.start()
+	client := gw.connect()
+	client.query(queryText(writeForm, 1))
+	gw.hosts[0].nextQuery() // its startup is here
 	moved := newFakeHost(t, true)
-	r.nextWatch().writeChunk(fmt.Sprintf(`{"generation":8,"instances":[{"instanceId":"s-0","hostPort":%q,"cell":1,"lifecycle":"SERVING"}]}`, moved.listener.Addr()))
-	for !r.hasGeneration(8) {
-	}
-	close(r.hosts[0].startupGate)
+	list := `{"generation":8,"instances":[{"instanceId":"s-0","hostPort":%q,"cell":1,"lifecycle":"SERVING"}]}`
+	gw.nextWatch().writeChunk(fmt.Sprintf(list, moved.listener.Addr()))
+	gw.waitForGeneration(8)
+	close(gw.hosts[0].startupGate)
 	moved.nextQuery().answer("v")
-	cl.want("value v")
+	client.want("value v")
 }
 
-// A host whose connections come up long after they were given up, again and again, is dialled ever less often; no attempt
-// stays behind a dial that was given up, and once the host welcomes in time it is found.
+// A host whose connections are always ready too late is dialed ever less often. No attempt waits for a dial that was given
+// up, and once the host is ready in time it is found.
 func TestHostThatConnectsTooLateIsDialedLessOften(t *testing.T) {
-	const given = 1500 // ms
-	r := newHarness(t, 0)
-	r.hosts[0].startupGate = make(chan struct{})
-	r.start(func(c *config.Config) { c.Settings.DialTimeout = 50e3 })
+	const deadline = 1500 // ms
+	gw := newHarness(t, 0)
+	gw.hosts[0].startupGate = make(chan struct{})
+	gw.start(func(c *config.Config) { c.Settings.DialTimeout = 50e3 })
 	var clients []*pgClient
 	for id := range 8 {
-		cl := r.connect()
-		cl.query(fmt.Sprintf(writeForm, id, given))
-		clients = append(clients, cl)
+		client := gw.connect()
+		client.query(fmt.Sprintf(writeForm, id, deadline))
+		clients = append(clients, client)
 	}
-	for _, cl := range clients {
-		if got := cl.answer(); !strings.HasPrefix(got, "error 53300") {
+	for _, client := range clients {
+		if got := client.answer(); !strings.HasPrefix(got, "error 53300") {
 			t.Errorf("answered %q", got)
 		}
 	}
 	var begun int
-	r.onLoop(func() { begun, _ = r.server.pool.Dials() })
-	t.Logf("%d dials in %d ms", begun, given)
-	if begun > 10 { // four at once, and then probes that grow rarer; 8 were seen
+	gw.onLoop(func() { begun, _ = gw.server.pool.Dials() })
+	t.Logf("%d dials in %d ms", begun, deadline)
+	if begun > 10 { // four at once, and then health checks with backoff
 		t.Errorf("%d dials, want 10 at most", begun)
 	}
-	close(r.hosts[0].startupGate)
-	cl := r.connect()
-	cl.query(queryText(writeForm, 100))
-	r.hosts[0].nextQueryAfterStartups().answer("v")
-	cl.want("value v")
+	close(gw.hosts[0].startupGate)
+	client := gw.connect()
+	client.query(queryText(writeForm, 100))
+	gw.hosts[0].nextQueryAfterStartups().answer("v")
+	client.want("value v")
 }
 
-// Hosts that the list has dropped are forgotten with their connections.
+// Hosts that the list has removed are forgotten with their connections.
 func TestRemovedHostsAreForgotten(t *testing.T) {
-	r := startGateway(t, 1)
-	cl := r.connect()
-	cl.query(queryText(writeForm, 1))
-	r.hosts[0].nextQuery().answer("v")
-	cl.want("value v")
-	a := r.nextWatch()
-	a.writeChunk(`{"generation":8,"instances":[{"instanceId":"s-0","lifecycle":"DELETED","cell":1}]}`)
-	select {
-	case <-r.hosts[0].closed:
-	case <-time.After(testTimeout):
-		t.Fatal("the connection stays open")
-	}
-	a.writeChunk(`{"generation":9,"reset":true,"instances":[]}`)
+	gw := startGateway(t, 1)
+	client := gw.connect()
+	gw.exchange(client, 1, "v")
+	watch := gw.nextWatch()
+	watch.writeChunk(`{"generation":8,"instances":[{"instanceId":"s-0","lifecycle":"DELETED","cell":1}]}`)
+	gw.hosts[0].wantClosed()
+	watch.writeChunk(`{"generation":9,"reset":true,"instances":[]}`)
 	for known := 2; known > 0; {
-		r.onLoop(func() { known = r.server.pool.KnownHosts() })
+		gw.onLoop(func() { known = gw.server.pool.KnownHosts() })
 	}
 }
--- a/internal/app/pgclient_test.go
+++ b/internal/app/pgclient_test.go
@@ -20,36 +20,40 @@
 	reader *bufio.Reader
 }
 
-func (cl *pgClient) write(b []byte) {
-	cl.t.Helper()
-	if _, err := cl.conn.Write(b); err != nil {
-		cl.t.Fatal(err)
+func (c *pgClient) write(b []byte) {
+	c.t.Helper()
+	if _, err := c.conn.Write(b); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
-func (cl *pgClient) query(text string) { cl.t.Helper(); cl.write(pgwire.AppendQuery(nil, text)) }
+func (c *pgClient) query(text string) {
+	c.t.Helper()
+	c.write(pgwire.AppendQuery(nil, text))
+}
 
 // answer reads until the gateway is ready, or closes, and puts what came into words.
-func (cl *pgClient) answer() string {
-	cl.t.Helper()
+func (c *pgClient) answer() string {
+	c.t.Helper()
 	var got []string
 	for {
-		m, err := readMessage(cl.reader)
-		if err == io.EOF {
+		m, err := readMessage(c.reader)
+		if errors.Is(err, io.EOF) {
 			return strings.Join(append(got, "closed"), " ")
 		}
 		if err != nil {
-			cl.t.Fatal(err)
+			c.t.Fatal(err)
 		}
 		switch m.Type {
 		case 'D':
-			v, _ := pgwire.OnlyColumn(m.Body)
-			got = append(got, "value", string(v))
+			value, _ := pgwire.OnlyColumn(m.Body) // a faulty row is no value, which the test sees
+			got = append(got, "value", string(value))
 		case 'I':
 			got = append(got, "empty")
 		case 'E':
-			e, _ := pgwire.ParseError(m.Body)
-			if got = append(got, "error", e.Code); e.Detail != "" {
+			e, _ := pgwire.ParseError(m.Body) // a faulty error has no code, which the test sees
+			got = append(got, "error", e.Code)
+			if e.Detail != "" {
 				got = append(got, "after", e.Detail)
 			}
 		case 'Z':
@@ -58,13 +62,13 @@
 	}
 }
 
-// cancelKey reads the answer to the startup and returns the number and secret by which requests are cancelled.
-func (cl *pgClient) cancelKey() (key []byte) {
-	cl.t.Helper()
+// cancelKey reads the answer to the startup and returns the number and secret by which requests are canceled.
+func (c *pgClient) cancelKey() (key []byte) {
+	c.t.Helper()
 	for {
-		m, err := readMessage(cl.reader)
+		m, err := readMessage(c.reader)
 		if err != nil {
-			cl.t.Fatal(err)
+			c.t.Fatal(err)
 		}
 		switch m.Type {
 		case 'K':
@@ -76,17 +80,25 @@
 }
 
 // wantEnd waits for the end. A client that went on sending may see a reset, which takes with it what was said last.
-func (cl *pgClient) wantEnd() {
-	cl.t.Helper()
-	if _, err := io.Copy(io.Discard, cl.reader); errors.Is(err, os.ErrDeadlineExceeded) {
-		cl.t.Fatal("the connection stays open")
+func (c *pgClient) wantEnd() {
+	c.t.Helper()
+	if _, err := io.Copy(io.Discard, c.reader); errors.Is(err, os.ErrDeadlineExceeded) {
+		c.t.Fatal("the connection stays open")
+	}
+}
+
+// close closes the connection at once.
+func (c *pgClient) close() {
+	c.t.Helper()
+	if err := c.conn.Close(); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
 // want fails the test unless the next answer is the given one.
-func (cl *pgClient) want(answer string) {
-	cl.t.Helper()
-	if got := cl.answer(); got != answer {
-		cl.t.Fatalf("answered %q, want %q", got, answer)
+func (c *pgClient) want(answer string) {
+	c.t.Helper()
+	if got := c.answer(); got != answer {
+		c.t.Fatalf("answered %q, want %q", got, answer)
 	}
 }
--- a/internal/app/process_test.go
+++ b/internal/app/process_test.go
@@ -18,7 +18,7 @@
 	"cloverrock/internal/pgwire"
 )
 
-// buildProgram builds the gateway.
+// buildProgram builds the gateway and returns the path of the program.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "cloverrock")
@@ -28,7 +28,7 @@
 	return path
 }
 
-// logBuffer is a process's log.
+// logBuffer receives the log of a process.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -46,24 +46,31 @@
 	return l.buf.String()
 }
 
-// unusedAddress is an address at which nobody listens.
+// unusedAddress returns an address at which nobody listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	return ln.Addr().String()
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return listener.Addr().String()
 }
 
-// startProcess is a gateway of the rig's as a program of its own, with so many descriptors.
-func (r *harness) startProcess(sockets int, known bool) (*exec.Cmd, *logBuffer) {
-	t := r.t
+// processMemoryMB is the memory limit in the configuration of processes.
+const processMemoryMB = 64
+
+// startProcess runs the gateway as a program of its own with a number of descriptors, with or without a known list.
+func (gw *harness) startProcess(sockets int, known bool) (*exec.Cmd, *logBuffer) {
+	t := gw.t
 	t.Helper()
-	r.address = unusedAddress(t)
+	gw.address = unusedAddress(t)
 	file := filepath.Join(t.TempDir(), "config.json")
-	conf := strings.Replace(string(r.configFile(r.discoveryListener.Addr())), `{"listen":"127.0.0.1:0"`, fmt.Sprintf(`{"listen":%q,"limits":{"memory_mb":64,"sockets":%d}`, r.address, sockets), 1)
+	conf := string(gw.configFile(gw.discoveryListener.Addr()))
+	limits := fmt.Sprintf(`{"listen":%q,"limits":{"memory_mb":%d,"sockets":%d}`, gw.address, processMemoryMB, sockets)
+	conf = strings.Replace(conf, `{"listen":"127.0.0.1:0"`, limits, 1)
 	if !known {
 		conf = strings.Replace(conf, `"known"`, `"unknown"`, 1)
 	}
@@ -77,48 +84,40 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = cmd.Process.Kill(); _ = cmd.Wait() })
+	t.Cleanup(func() { // it may have ended already
+		_ = cmd.Process.Kill()
+		_ = cmd.Wait()
+	})
 	return cmd, log
 }
 
-// expectDiscoveryCall waits for the next call to discovery, which is not answered.
-func (r *harness) expectDiscoveryCall() {
-	r.t.Helper()
-	select {
-	case <-r.discoveryCalls:
-	case <-time.After(testTimeout):
-		r.t.Fatal("discovery is not asked")
+// waitUntilReady waits until the gateway has an endpoint list.
+func (gw *harness) waitUntilReady() {
+	gw.t.Helper()
+	client := gw.connect()
+	for got := ""; got != "empty"; got = client.answer() {
+		client.query("")
 	}
+	client.close()
 }
 
-// waitUntilReady waits until the gateway goes by a list.
-func (r *harness) waitUntilReady() {
-	r.t.Helper()
-	cl := r.connect()
-	for got := ""; got != "empty"; got = cl.answer() {
-		cl.query("")
-	}
-	cl.conn.Close()
-}
-
-// A process that is told to end before it has a list, told so again, and told to read its configuration meanwhile, ends in
-// order: what was asked of it is answered.
+// A process that gets SIGTERM before it has a list, and again, with SIGHUP in between, drains: requests are answered.
 func TestProcessDrainsBeforeItIsReady(t *testing.T) {
-	r := newHarness(t, 0)
-	cmd, log := r.startProcess(1024, false)
-	r.expectDiscoveryCall()
-	cl := r.connect()
+	gw := newHarness(t, 0)
+	cmd, log := gw.startProcess(1024, false)
+	gw.nextCall()
+	client := gw.connect()
 	for _, s := range []os.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
 		if err := cmd.Process.Signal(s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	cl.query("")
-	cl.want("error 57P03")
-	cl.query(queryText(writeForm, 1))
-	cl.want("error 53300 after 1000")
-	cl.want("closed")
-	cl.conn.Close()
+	client.query("")
+	client.want("error 57P03")
+	client.query(queryText(writeForm, 1))
+	client.want("error 53300 after 1000")
+	client.want("closed")
+	client.close()
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("%v:\n%s", err, log)
 	}
@@ -127,37 +126,35 @@
 	}
 }
 
-// A process that may hold 128 descriptors, with discovery silent, and many more clients than that which say nothing or
-// stop in their startup: the watch is begun again and again, hosts are dialled, and the clients that ask are served.
+// A process that may have 128 descriptors open, with a silent discovery and many more clients than that, which send nothing or
+// stop in their startup, goes on calling discovery and dialing hosts, and serves the clients that send requests.
 func TestIdleClientsLeaveDescriptorsForHostsAndDiscovery(t *testing.T) {
 	const idle = 1000
-	r := newHarness(t, 0)
-	_, log := r.startProcess(128, true)
-	r.expectDiscoveryCall()
+	gw := newHarness(t, 0)
+	_, log := gw.startProcess(128, true)
+	gw.nextCall()
 	startup := pgwire.AppendStartup(nil, "user", "worker")
 	for i := range idle {
-		r.dial().write(startup[:i%len(startup)])
+		gw.dial().write(startup[:i%len(startup)])
 	}
 	for range 3 {
-		r.expectDiscoveryCall()
+		gw.nextCall()
 	}
-	cl := r.connect()
-	cl.query(queryText(writeForm, 1))
-	r.hosts[0].nextQuery().answer("v")
-	cl.want("value v")
+	gw.exchange(gw.connect(), 1, "v")
 	if s := log.String(); strings.Contains(s, "too many open files") {
 		t.Errorf("out of descriptors:\n%s", s)
 	}
 }
 
-// A configuration with a fault ends the program at its start, with the faulty key named and a code that is not 0.
+// A faulty configuration ends the program at its start, with the faulty key named and ExitFailed.
 func TestFaultyConfigurationEndsTheStart(t *testing.T) {
-	r, bin := newHarness(t, 0), buildProgram(t)
-	good := string(r.configFile(r.discoveryListener.Addr()))
+	gw := newHarness(t, 0)
+	program := buildProgram(t)
+	good := string(gw.configFile(gw.discoveryListener.Addr()))
 	for _, c := range []struct{ old, new, key string }{
 		{`"listen":"127.0.0.1:0"`, `"lisen":"127.0.0.1:0"`, "listen: missing"},
 		{`"tickMs":5`, `"tickMs":"soon"`, "settings.tickMs"},
-		{`"aimMs":30000,"deadlineMs":60000,"repeat":"non_idempotent"`, `"aimMs":30000,"deadlineMs":-1,"repeat":"non_idempotent"`, "settings.classes[2].deadlineMs"},
+		{`"deadlineMs":60000,"repeat":"non_idempotent"`, `"deadlineMs":-1,"repeat":"non_idempotent"`, "settings.classes[2].deadlineMs"},
 		{`["recent","own_writes","update"]`, `["recent","own_writes","update","update"]`, "settings.extra.classRead"},
 		{`"lifecycle":"SERVING"`, `"lifecycle":"AWAY"`, "known: list of hosts: instances[0].lifecycle"},
 		{`"settings":{`, `"settings":`, "EDGE_CONFIG"},
@@ -171,40 +168,35 @@
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
-		cmd := exec.CommandContext(ctx, bin)
+		cmd := exec.CommandContext(ctx, program)
 		cmd.Env = append(os.Environ(), "EDGE_CONFIG="+file)
-		b, err := cmd.CombinedOutput()
-		var exit *exec.ExitError
-		if !errors.As(err, &exit) || exit.ExitCode() != ExitFailed || !strings.Contains(string(b), c.key) {
-			t.Errorf("%s: %v, %s", c.new, err, b)
-		}
+		output, err := cmd.CombinedOutput()
 		cancel()
+		exit, ok := errors.AsType[*exec.ExitError](err)
+		if !ok || exit.ExitCode() != ExitFailed || !strings.Contains(string(output), c.key) {
+			t.Errorf("%s: %v, %s", c.new, err, output)
+		}
 	}
 }
 
-// peakMemoryMB is the most memory that a process has held, in MB.
+// peakMemoryMB returns the most memory that a process has held, in MiB.
 func peakMemoryMB(t *testing.T, pid int) int {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var kb int
 	_, rest, _ := strings.Cut(string(b), "VmHWM:")
-	if _, err := fmt.Sscan(rest, &kb); err != nil {
+	var kib int
+	if _, err := fmt.Sscan(rest, &kib); err != nil {
 		t.Fatal(err)
 	}
-	return kb >> 10
+	return kib >> 10
 }
 
-// Many clients that send much and go, whole requests, endless ones and what is none, take no more memory than there is, and
-// who asks in due form is answered meanwhile, each time within the request's own time.
-func TestFloodsStayWithinTheMemoryLimit(t *testing.T) {
-	const answered = 3 * time.Second // the time that a request has: later it would be refused
-	r := newHarness(t, 0)
-	cmd, log := r.startProcess(1024, true)
-	r.expectDiscoveryCall()
-	r.waitUntilReady()
+// flood has clients send whole requests, endless ones and what is none. done is closed once they have gone.
+func (gw *harness) flood(clients int) (done <-chan struct{}) {
+	gw.t.Helper()
 	startup := pgwire.AppendStartup(nil, "user", "worker")
 	large := strings.Replace(queryText(writeForm, 7), "VALUES", strings.Repeat(" ", 256<<10)+"VALUES", 1)
 	floods := [][]byte{
@@ -212,38 +204,56 @@
 		append([]byte("Q\x00\x0f\xff\xff"), bytes.Repeat([]byte("x"), 8<<20)...),
 		bytes.Repeat([]byte("\xff\x00GET / HTTP/1.1\r\n"), 1<<19),
 	}
-	var side sync.WaitGroup
-	for i := range 48 {
-		cl := r.dial()
-		side.Go(func() {
-			_, _ = cl.conn.Write(append(bytes.Clone(startup), floods[i%len(floods)]...)) // until it is cut off, or all was taken
-			cl.conn.Close()
+	var sending sync.WaitGroup
+	for i := range clients {
+		client := gw.dial()
+		sending.Go(func() {
+			sent := append(bytes.Clone(startup), floods[i%len(floods)]...)
+			_, _ = client.conn.Write(sent) // until it is cut off, or all was taken
+			_ = client.conn.Close()
 		})
 	}
-	over := make(chan struct{})
-	go func() { side.Wait(); close(over) }()
+	ended := make(chan struct{})
+	go func() {
+		sending.Wait()
+		close(ended)
+	}()
+	return ended
+}
+
+// Clients that send much and go take no more memory than there is, and one that sends proper requests is answered
+// meanwhile, each time within the request's own time.
+func TestFloodsStayWithinTheMemoryLimit(t *testing.T) {
+	const deadline = 3 * time.Second // of a request: later it would be rejected
+	gw := newHarness(t, 0)
+	cmd, log := gw.startProcess(1024, true)
+	gw.nextCall()
+	gw.waitUntilReady()
+	flood := gw.flood(48)
 	go func() {
-		for q := range r.hosts[0].queries {
-			q.answer("v")
+		for query := range gw.hosts[0].queries {
+			query.answer("v")
 		}
 	}()
-	cl, asked, longest := r.connect(), 0, time.Duration(0)
-	for done := false; !done || asked < 20; asked++ {
+	client := gw.connect()
+	sent := 0
+	longest := time.Duration(0)
+	for flooding := true; flooding || sent < 20; sent++ {
 		began := time.Now()
-		cl.query(fmt.Sprintf(writeForm, 100+asked, answered.Milliseconds()))
-		if got := cl.answer(); got != "value v" {
-			t.Fatalf("request %d was answered %q:\n%s", asked, got, log)
+		client.query(fmt.Sprintf(writeForm, 100+sent, deadline.Milliseconds()))
+		if got := client.answer(); got != "value v" {
+			t.Fatalf("request %d was answered %q:\n%s", sent, got, log)
 		}
 		longest = max(longest, time.Since(began))
 		select {
-		case <-over:
-			done = true
+		case <-flood:
+			flooding = false
 		default:
 		}
 	}
-	if mb := peakMemoryMB(t, cmd.Process.Pid); mb > 64 {
-		t.Errorf("%d MB of 64 after %d requests:\n%s", mb, asked, log)
-	} else {
-		t.Logf("%d MB of 64, %d requests answered meanwhile, the slowest in %v", mb, asked, longest)
+	mb := peakMemoryMB(t, cmd.Process.Pid)
+	if mb > processMemoryMB {
+		t.Errorf("%d MB of %d after %d requests:\n%s", mb, processMemoryMB, sent, log)
 	}
+	t.Logf("%d MB of %d, %d requests answered meanwhile, the slowest in %v", mb, processMemoryMB, sent, longest)
 }
--- a/internal/app/shutdown_test.go
+++ b/internal/app/shutdown_test.go
@@ -9,38 +9,87 @@
 	"cloverrock/internal/pgwire"
 )
 
-// Told to end, the gateway takes what still comes, answers all that it holds and then ends.
+// A draining gateway accepts requests for a while, answers all that are in flight and then ends.
 func TestDrainAnswersWhatIsInFlight(t *testing.T) {
-	r := startGateway(t, 0)
-	cl, resting := r.connect(), r.connect()
-	cl.query(queryText(writeForm, 1))
-	held := r.hosts[0].nextQuery()
-	r.onLoop(func() {
-		if r.server.drainDelay != 700e3 { // for so long requests come to it, and later ones would count as lost
-			t.Errorf("takes requests for %d us", r.server.drainDelay)
+	gw := startGateway(t, 0)
+	client := gw.connect()
+	idle := gw.connect()
+	client.query(queryText(writeForm, 1))
+	held := gw.hosts[0].nextQuery()
+	gw.onLoop(func() {
+		if gw.server.drainDelay != 700e3 { // µs; later requests count as lost
+			t.Errorf("accepts requests for %d us", gw.server.drainDelay)
 		}
-		r.server.drainDelay = testTimeout.Microseconds() // it is ended by hand, when the late request has come
-		r.server.drain()
+		gw.server.drainDelay = testTimeout.Microseconds() // the test ends it, when the late request has come
+		gw.server.drain()
 	})
-	late := r.connect()
-	late.query(queryText(writeForm, 2))
-	r.hosts[0].nextQuery().answer("late")
-	late.want("value late")
-	r.onLoop(r.server.stopAccepting)
-	resting.want("closed")
+	late := gw.connect()
+	gw.exchange(late, 2, "late")
+	gw.onLoop(gw.server.stopAccepting)
+	idle.want("closed")
 	late.want("closed")
 	held.answer("v")
-	cl.want("value v")
-	cl.want("closed")
-	select {
-	case <-r.ended:
-	case <-time.After(testTimeout):
-		t.Fatal("does not end")
+	client.want("value v")
+	client.want("closed")
+	gw.wantEnded()
+}
+
+// shutdownCase is what a client sends around the moment at which its connection ends.
+type shutdownCase struct {
+	silent bool // the connection has sent nothing before
+	sent   []byte
+	before int // bytes of it that are in the socket at that moment
+	want   []string
+}
+
+// run ends a gateway while a client sends.
+func (c *shutdownCase) run(t *testing.T, startup []byte) {
+	t.Helper()
+	gw := startGateway(t, 0)
+	client := gw.dial()
+	if !c.silent {
+		client.write(startup)
+		client.want("")
+	}
+	gw.connect() // its round trip shows that the loop has the first connection, too
+	gw.onLoop(func() {
+		if c.before > 0 {
+			client.write(c.sent[:c.before])
+			gw.waitForInput()
+		}
+		gw.server.stopAccepting()
+	})
+	go gw.answerQueries(len(c.want))
+	if c.before < len(c.sent) {
+		client.write(c.sent[c.before:])
+	}
+	for _, want := range c.want {
+		client.want(want)
+	}
+	client.want("closed")
+	gw.wantEnded()
+}
+
+// waitForInput waits on the loop's goroutine until a client's bytes are in a socket.
+func (gw *harness) waitForInput() {
+	for began := time.Now(); gw.server.frontend.InputDrained() && time.Since(began) < testTimeout; {
 	}
 }
 
-// Clients go on sending after SIGTERM. What is in a connection's socket at the moment of its end is taken and answered:
-// a request, half of one, the first half of several, a startup with its query behind it. Then the connection ends.
+// answerQueries has the primary answer a number of queries at most.
+func (gw *harness) answerQueries(n int) {
+	for range n {
+		select {
+		case query := <-gw.hosts[0].queries:
+			query.answer("v")
+		case <-time.After(testTimeout):
+			return
+		}
+	}
+}
+
+// Clients go on sending after SIGTERM. What is in a connection's socket when it ends is read and answered: a request, half
+// of one, the first half of several, a startup with its query behind it.
 func TestShutdownAnswersWhatIsInTheSocket(t *testing.T) {
 	startup := pgwire.AppendStartup(nil, "user", "worker")
 	query := func(ids ...int) (b []byte) {
@@ -49,85 +98,44 @@
 		}
 		return b
 	}
-	for name, c := range map[string]struct {
-		fresh bool // the connection has said nothing yet
-		sent  []byte
-		first int // bytes of it that are there at the end
-		want  []string
-	}{
-		"a request":             {sent: query(1), first: len(query(1)), want: []string{"value v"}},
-		"half a request":        {sent: query(1), first: 9, want: []string{"value v"}},
-		"several, cut":          {sent: query(1, 2, 3), first: len(query(1)) + 7, want: []string{"value v", "value v", "value v"}},
-		"a startup and query":   {fresh: true, sent: append(startup, query(1)...), first: len(startup), want: []string{"", "value v"}},
-		"half a startup":        {fresh: true, sent: append(startup, query(1)...), first: 3, want: []string{"", "value v"}},
+	three := []string{"value v", "value v", "value v"}
+	for name, c := range map[string]shutdownCase{
+		"a request":             {sent: query(1), before: len(query(1)), want: []string{"value v"}},
+		"half a request":        {sent: query(1), before: 9, want: []string{"value v"}},
+		"several, cut":          {sent: query(1, 2, 3), before: len(query(1)) + 7, want: three},
+		"a startup and query":   {silent: true, sent: append(startup, query(1)...), before: len(startup), want: []string{"", "value v"}},
+		"half a startup":        {silent: true, sent: append(startup, query(1)...), before: 3, want: []string{"", "value v"}},
 		"nothing":               {want: nil},
-		"nothing since it came": {fresh: true, want: nil},
+		"nothing since it came": {silent: true, want: nil},
 	} {
-		t.Run(name, func(t *testing.T) {
-			r := startGateway(t, 0)
-			cl := r.dial()
-			if !c.fresh {
-				cl.write(startup)
-				cl.want("")
-			}
-			r.connect() // its round trip shows that the loop has the first one, too
-			r.onLoop(func() {
-				if c.first > 0 {
-					cl.write(c.sent[:c.first])
-					for began := time.Now(); r.server.frontend.InputDrained() && time.Since(began) < testTimeout; { // until it is there
-					}
-				}
-				r.server.stopAccepting()
-			})
-			go func() {
-				for range c.want {
-					select {
-					case q := <-r.hosts[0].queries:
-						q.answer("v")
-					case <-time.After(testTimeout):
-						return
-					}
-				}
-			}()
-			if c.first < len(c.sent) {
-				cl.write(c.sent[c.first:])
-			}
-			for _, want := range c.want {
-				cl.want(want)
-			}
-			cl.want("closed")
-			select {
-			case <-r.ended:
-			case <-time.After(testTimeout):
-				t.Fatal("does not end")
-			}
-		})
+		t.Run(name, func(t *testing.T) { c.run(t, startup) })
 	}
 }
 
-// A client that reads slowly rests with its answer half written: neither a new client nor the end may cut it off.
+// A client that reads slowly is idle with its answer half written: neither a new client nor the shutdown cuts it off.
 func TestSlowReaderGetsItsWholeAnswer(t *testing.T) {
-	r := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 4 }) // 2 clients
-	slow, other := r.connect(), r.connect()
+	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 4 }) // 2 clients
+	slow := gw.connect()
+	other := gw.connect()
 	value := strings.Repeat("v", 64<<10)
 	id := 0
-	for ; !r.hasUnsentBytes(); id++ {
+	for ; !gw.hasUnsentBytes(); id++ {
 		if id == 1000 {
 			t.Fatal("64 MB were written to a client that reads nothing")
 		}
 		slow.query(queryText(writeForm, id))
-		r.hosts[0].nextQuery().answer(value)
-		for r.inFlight() {
+		gw.hosts[0].nextQuery().answer(value)
+		for gw.hasInFlight() {
 		}
 	}
-	other.query("") // so that slow has rested longer
+	other.query("") // so that slow has been idle longer
 	other.want("empty")
-	r.connect().conn.Close()
+	gw.connect().close()
 	other.want("closed")
-	r.onLoop(func() {
-		r.server.drainDelay = testTimeout.Microseconds()
-		r.server.drain()
-		r.server.stopAccepting()
+	gw.onLoop(func() {
+		gw.server.drainDelay = testTimeout.Microseconds()
+		gw.server.drain()
+		gw.server.stopAccepting()
 	})
 	for ; id > 0; id-- {
 		slow.want("value " + value)
@@ -135,31 +143,25 @@
 	slow.want("closed")
 }
 
-// A connection that rests is ended by a lingering close: what its client is just sending is never sent on, and resets
-// nothing. The client that does not end its side holds up the end for a moment only.
+// An idle connection is ended by a lingering close: what its client is just sending is never forwarded, and causes no reset.
+// A client that does not end its side delays the shutdown for a moment only.
 func TestIdleClientIsClosedWithoutAReset(t *testing.T) {
 	for name, ends := range map[string]bool{"ends its side": true, "stays": false} {
 		t.Run(name, func(t *testing.T) {
-			r := startGateway(t, 0)
-			cl := r.connect()
-			cl.query(queryText(writeForm, 1))
-			r.hosts[0].nextQuery().answer("v")
-			cl.want("value v")
-			r.onLoop(func() { r.server.frontend.Shutdown(r.server.loop.Stop) })
+			gw := startGateway(t, 0)
+			client := gw.connect()
+			gw.exchange(client, 1, "v")
+			gw.onLoop(func() { gw.server.frontend.Shutdown(gw.server.loop.Stop) })
 			for id := range 50 { // a reset would fail one of these
-				cl.query(queryText(writeForm, 10+id))
+				client.query(queryText(writeForm, 10+id))
 			}
-			cl.want("closed")
+			client.want("closed")
 			if ends {
-				cl.conn.Close()
-			}
-			select {
-			case <-r.ended:
-			case <-time.After(testTimeout):
-				t.Fatal("does not end")
+				client.close()
 			}
-			if n := len(r.hosts[0].queries); n > 0 {
-				t.Errorf("%d requests were sent on after the end", n)
+			gw.wantEnded()
+			if n := len(gw.hosts[0].queries); n > 0 {
+				t.Errorf("%d requests were forwarded after the end", n)
 			}
 		})
 	}
