--- a/cmd/cloverrock/main.go
+++ b/cmd/cloverrock/main.go
@@ -14,11 +14,14 @@
 	"cloverrock/internal/launcher"
 )
 
+// fullProgram is the program with the store.
+const fullProgram = "cloverrockd"
+
 func main() {
-	larger := launcher.To("cloverrockd")
-	if err := larger.Completes(os.Args[1:]); err != nil {
+	store := launcher.New(fullProgram)
+	if err := store.HandleCompletion(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "cloverrock:", err)
 		os.Exit(app.ExitFailed)
 	}
-	os.Exit(app.Main(os.Args[1:], os.Getenv, os.Stdout, os.Stderr, larger))
+	os.Exit(app.Main(os.Args[1:], os.Getenv, os.Stdout, os.Stderr, store))
 }
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -1,6 +1,6 @@
-// Package handover stands for the parts that the lean gateway does not hold: where one is asked for, the process
-// becomes the larger program beside it, under the same id and with the same words. So the store costs nothing where it
-// is off: with it in the one program, an idle gateway took 4.9 MB more.
+// Package launcher stands for the store in the gateway's program, which does not contain it: where the store is asked
+// for, the process executes a larger program that does, under the same process id and with the same arguments. So the store
+// takes no memory where it is not used.
 package launcher
 
 import (
@@ -16,44 +16,58 @@
 	"cloverrock/internal/app"
 )
 
-// Program is the name of the larger one.
-type Program struct{ name string }
+// Launcher is an app.Extension that executes the larger program for whatever it is asked.
+type Launcher struct{ program string }
 
-// To hands over to a program in the directory of this one.
-func To(name string) Program { return Program{name} }
+// New returns a launcher of a program in the directory of the running one.
+func New(program string) Launcher { return Launcher{program} }
 
-// Completes hands over where a shell asks for completions: only the larger program knows all commands.
-func (p Program) Completes(args []string) error {
-	if len(args) > 0 && (args[0] == "completion" || strings.HasPrefix(args[0], "__complete")) || len(args) > 1 && args[0] == "help" && args[1] == "store" {
-		return p.become()
+// HandleCompletion executes the larger program if a shell asks for completions, or for help on the store: only that program
+// knows all commands. args are those of the command line. It returns nil if there is nothing to do.
+func (l Launcher) HandleCompletion(args []string) error {
+	if isCompletion(args) || isStoreHelp(args) {
+		return l.exec()
 	}
 	return nil
 }
 
-// become replaces the process. It returns only if it cannot.
-func (p Program) become() error {
+func isCompletion(args []string) bool {
+	return len(args) > 0 && (args[0] == "completion" || strings.HasPrefix(args[0], "__complete"))
+}
+
+func isStoreHelp(args []string) bool {
+	return len(args) > 1 && args[0] == "help" && args[1] == "store"
+}
+
+// exec replaces the process by the larger program. It returns only if that fails.
+func (l Launcher) exec() error {
 	self, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("find %s: %w", p.name, err)
+		return fmt.Errorf("find %s: %w", l.program, err)
 	}
-	path := filepath.Join(filepath.Dir(self), p.name)
-	err = syscall.Exec(path, append([]string{p.name}, os.Args[1:]...), os.Environ())
+	path := filepath.Join(filepath.Dir(self), l.program)
+	args := append([]string{l.program}, os.Args[1:]...)
+	err = syscall.Exec(path, args, os.Environ())
 	return fmt.Errorf("this needs %s, which is built with the gateway: %w", path, err)
 }
 
 // Commands implements app.Extension.
-func (p Program) Commands(func(string) string) []*cobra.Command {
-	return []*cobra.Command{{Use: "store", Short: "Found, look after and use the replicated store", DisableFlagParsing: true,
-		RunE: func(*cobra.Command, []string) error { return p.become() }}}
+func (l Launcher) Commands(func(string) string) []*cobra.Command {
+	return []*cobra.Command{{
+		Use:                "store",
+		Short:              "Found, look after and use the replicated store",
+		DisableFlagParsing: true,
+		RunE:               func(*cobra.Command, []string) error { return l.exec() },
+	}}
 }
 
 // Check implements app.Extension.
-func (p Program) Check(string) error { return p.become() }
+func (l Launcher) Check(string) error { return l.exec() }
 
 // Open implements app.Extension.
-func (p Program) Open(string, func(string) string, zerolog.Logger) (app.Component, error) {
-	return nil, p.become()
+func (l Launcher) Open(string, func(string) string, zerolog.Logger) (app.Component, error) {
+	return nil, l.exec()
 }
 
 // ExitCode implements app.Extension.
-func (Program) ExitCode(error) int { return app.ExitFailed }
+func (Launcher) ExitCode(error) int { return app.ExitFailed }
--- a/internal/random/random.go
+++ b/internal/random/random.go
@@ -1,10 +1,12 @@
-// Package random is the one source of random numbers for modules that must act the same for the same seed.
+// Package random is the source of random numbers for modules that must act the same for the same seed.
 package random
 
-// Source is a generator (splitmix64); its value is its seed.
+// Source is a splitmix64 generator (Steele, Lea and Flood, "Fast splittable pseudorandom number generators", 2014). Its
+// value is its state; the initial one is the seed. It is not safe for concurrent use.
 type Source uint64
 
-// Below returns a number below n, or 0.
+// Below returns a number from 0 up to, but not including, n. For n of 1 or less it returns 0, and draws all the same.
+// Its bias towards small numbers is negligible for n far below 2^64.
 func (s *Source) Below(n int64) int64 {
 	*s += 0x9e3779b97f4a7c15
 	z := uint64(*s)
--- /dev/null
+++ b/internal/random/random_test.go
@@ -0,0 +1,27 @@
+package random
+
+import "testing"
+
+// Decisions and their golden files depend on the numbers for a seed. These are the published first ones of splitmix64 for
+// the seed 1234567.
+func TestSequenceForASeedIsFixed(t *testing.T) {
+	source := Source(1234567)
+	for i, want := range []uint64{6457827717110365317, 3203168211198807973, 9817491932198370423, 4593380528125082431} {
+		const modulus = 1_000_003
+		if got := source.Below(modulus); got != int64(want%modulus) {
+			t.Errorf("number %d is %d, want %d", i, got, want%modulus)
+		}
+	}
+}
+
+func TestBelowReturnsZeroWithoutARange(t *testing.T) {
+	source := Source(1)
+	for _, n := range []int64{1, 0, -5} {
+		if got := source.Below(n); got != 0 {
+			t.Errorf("below %d: %d", n, got)
+		}
+	}
+	if source != Source(1)+3*0x9e3779b97f4a7c15&(1<<64-1) {
+		t.Error("a draw without a range did not advance the source")
+	}
+}
