--- /dev/null
+++ b/internal/app/clients_test.go
@@ -0,0 +1,272 @@
+package app
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+
+	"cloverrock/internal/config"
+	"cloverrock/internal/pgwire"
+)
+
+// When its client disconnects, an attempt's connection is closed: its late answer must not reach anybody else.
+func TestAttemptOfADisconnectedClientIsClosed(t *testing.T) {
+	gw := startGateway(t, 0)
+	client := gw.connect()
+	client.query(queryText(writeForm, 1))
+	query := gw.hosts[0].nextQuery()
+	client.close()
+	gw.hosts[0].wantClosed()
+	query.answer("late")
+	client = gw.connect()
+	gw.exchange(client, 2, "own")
+}
+
+// Faulty input gets a plain error; the connection ends only where framing is lost, and the gateway serves on.
+func TestFaultyInputGetsAPlainError(t *testing.T) {
+	gw := startGateway(t, 0)
+	message := func(kind byte, body string) []byte {
+		return append([]byte{kind, 0, 0, 0, byte(4 + len(body))}, body...)
+	}
+	for name, c := range map[string]struct {
+		raw  []byte // in place of a startup
+		in   []byte
+		want []string
+	}{
+		"no comment":        {in: pgwire.AppendQuery(nil, "SELECT 1"), want: []string{"error 42601"}},
+		"unknown class":     {in: pgwire.AppendQuery(nil, "/* id=1,c=x,cluster=1 */ SELECT 1"), want: []string{"error 42601"}},
+		"unknown group":     {in: pgwire.AppendQuery(nil, "/* id=1,c=lookup,cluster=9 */ SELECT 1"), want: []string{"error 53300 after 1000"}},
+		"write that reads":  {in: pgwire.AppendQuery(nil, "/* id=1,c=change,cluster=1 */ SELECT 1"), want: []string{"error 42601"}},
+		"read that writes":  {in: pgwire.AppendQuery(nil, "/* id=1,c=lookup,cluster=1 */ INSERT INTO objects VALUES ('k')"), want: []string{"error 42601"}},
+		"commit to come":    {in: pgwire.AppendQuery(nil, "/* id=1,c=own,cluster=1,after=99999999999999 */ SELECT 1"), want: []string{"error 42601"}},
+		"extended query":    {in: bytes.Join([][]byte{message('P', "\x00\x00\x00\x00"), message('E', "\x00\x00\x00\x00\x00"), message('S', "")}, nil), want: []string{"error 0A000"}},
+		"function call":     {in: message('F', ""), want: []string{"error 0A000"}},
+		"setting":           {in: pgwire.AppendQuery(nil, "SET a = 1"), want: []string{""}},
+		"unterminated":      {in: message('Q', "abc"), want: []string{"error 08P01 closed"}},
+		"two strings":       {in: message('Q', "a\x00b\x00"), want: []string{"error 08P01 closed"}},
+		"unknown message":   {in: message('?', ""), want: []string{"error 08P01 closed"}},
+		"too long":          {in: []byte("Q\x7f\xff\xff\xff"), want: []string{"error 08P01 closed"}},
+		"too short":         {in: []byte("Q\x00\x00\x00\x01"), want: []string{"error 08P01 closed"}},
+		"after an answer":   {in: append(pgwire.AppendQuery(nil, ""), "Q\x00\x00\x00\x01"...), want: []string{"empty", "error 08P01 closed"}},
+		"startup too long":  {raw: []byte("GET / HTTP/1.1\r\n\r\n"), want: []string{"error 08P01 closed"}},
+		"old protocol":      {raw: []byte("\x00\x00\x00\x08\x00\x02\x00\x00"), want: []string{"error 0A000 closed"}},
+		"cancel":            {raw: []byte("\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x00\x00\x00\x00\x00"), want: []string{"closed"}},
+		"newer minor":       {raw: []byte("\x00\x00\x00\x09\x00\x03\x00\x02\x00"), want: []string{""}},
+		"too many at once":  {in: bytes.Repeat(pgwire.AppendQuery(nil, queryText(writeForm, 1)), 400), want: []string{"ends"}},
+		"leaves in silence": {in: pgwire.AppendTerminate(nil), want: []string{"closed"}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var client *pgClient
+			if c.raw != nil {
+				client = gw.dial()
+				client.write(c.raw)
+			} else {
+				client = gw.connect()
+				client.write(c.in)
+			}
+			client.t = t
+			for _, want := range c.want {
+				if want == "ends" {
+					client.wantEnd()
+				} else {
+					client.want(want)
+				}
+			}
+			client.close()
+		})
+	}
+	client := gw.connect()
+	client.query(queryText(readForm, 99))
+	for { // what the clients above left behind comes first
+		query := gw.hosts[0].nextQuery()
+		query.answer("v")
+		if strings.Contains(query.text, "id=99,") {
+			break
+		}
+	}
+	client.want("value v")
+}
+
+// A connection beyond the limit takes the place of an idle one; if there is none, it is rejected.
+func TestIdleConnectionMakesRoomBeyondTheLimit(t *testing.T) {
+	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 4 }) // 2 clients
+	first := gw.connect()
+	second := gw.connect()
+	first.query(queryText(writeForm, 1))
+	held := gw.hosts[0].nextQuery()
+	third := gw.connect() // in place of second, which is idle
+	second.want("closed")
+	third.query(queryText(writeForm, 2))
+	also := gw.hosts[0].nextQuery()
+	fourth := gw.connect()
+	fourth.query(queryText(writeForm, 3))
+	fourth.want("error 53300 closed")
+	held.answer("v")
+	also.answer("w")
+	first.want("value v")
+	third.want("value w")
+}
+
+// Clients that send nothing, or stop in their startup or in a message, are closed, and so is one that is idle too long. A
+// request in flight is finished.
+func TestSilentClientsAreClosed(t *testing.T) {
+	gw := newHarness(t, 0)
+	gw.timeouts = timeouts{message: 50e3, idle: 100e3}
+	gw.start()
+	busy := gw.dial() // its query comes with the startup: a later one might find the time over
+	busy.write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "user", "worker"), queryText(writeForm, 1)))
+	busy.want("")
+	held := gw.hosts[0].nextQuery()
+	startup := pgwire.AppendStartup(nil, "user", "worker")
+	for _, said := range [][]byte{nil, startup[:9], startup, append(startup, "Q\x00\x00\x00\x20/* id"...)} {
+		client := gw.dial()
+		client.write(said)
+		if len(said) >= len(startup) {
+			client.want("")
+		}
+		client.want("closed")
+	}
+	held.answer("v")
+	busy.want("value v")
+	busy.want("closed")
+}
+
+// Any number of silent connections displaces no client that sends requests.
+func TestSilentClientsDisplaceNoActiveOnes(t *testing.T) {
+	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 8 }) // 4 clients
+	var usual []*pgClient
+	for id := range 2 {
+		usual = append(usual, gw.connect())
+		gw.exchange(usual[id], id, "v")
+	}
+	silent := []*pgClient{gw.connect(), gw.connect()}
+	for range 10 {
+		silent = append(silent, gw.connect())
+		silent[0].want("closed")
+		silent = silent[1:]
+	}
+	for id, client := range usual {
+		gw.exchange(client, 10+id, "w")
+	}
+}
+
+// Clients that sent one request and stay make room for new ones, however slowly those come to their first query.
+func TestIdleClientsMakeRoomForNewOnes(t *testing.T) {
+	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 8 }) // 4 clients
+	var stay []*pgClient
+	for id := range 4 {
+		stay = append(stay, gw.connect())
+		gw.exchange(stay[id], id, "v")
+	}
+	slow := []*pgClient{gw.connect(), gw.connect()}
+	stay[0].want("closed")
+	stay[1].want("closed")
+	for id, client := range slow {
+		gw.exchange(client, 10+id, "w")
+	}
+}
+
+// Clients that sent a request and stay are closed beyond a quarter of the descriptors, the longest idle first, though there
+// is capacity here: the load balancer in front has only so many connections.
+func TestIdleClientsAreLimitedToAQuarterOfTheDescriptors(t *testing.T) {
+	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 64 }) // 35 clients, 26 of them active
+	var stay []*pgClient
+	for id := range 27 {
+		stay = append(stay, gw.connect())
+		gw.exchange(stay[id], id, "v")
+	}
+	stay[0].want("closed")
+	stay[1].query("")
+	stay[1].want("empty")
+}
+
+// unfinishedMessage is the first 160 KiB of a query of 256 KiB.
+func unfinishedMessage() []byte {
+	return append([]byte("Q\x00\x03\xff\x00"), bytes.Repeat([]byte("x"), 160<<10)...)
+}
+
+// The bytes of unfinished messages are bounded over all clients: the one that has sent most is closed, not the newest.
+func TestBytesOfUnfinishedMessagesAreBounded(t *testing.T) {
+	gw := startGateway(t, 0, func(c *config.Config) { c.MemoryMB = 1 }) // 128 KiB
+	usual := gw.connect()
+	large := gw.connect()
+	usual.query(queryText(writeForm, 1))
+	held := gw.hosts[0].nextQuery()
+	large.write(unfinishedMessage())
+	large.wantEnd()
+	held.answer("v")
+	usual.want("value v")
+}
+
+// A client may disconnect while its request waits for a host's connection, with the event behind many others in the queue.
+// Its socket is checked last: nothing is sent for it.
+func TestNothingIsSentForADisconnectedClient(t *testing.T) {
+	gw := newHarness(t, 0)
+	gw.hosts[0].startupGate = make(chan struct{})
+	gw.start(func(c *config.Config) { c.MemoryMB = 1 }) // 64 KiB that are not handled make the engine wait
+	client := gw.connect()
+	flood := gw.connect()
+	client.query(queryText(writeForm, 1))
+	if query := gw.hosts[0].nextQuery(); query != nil {
+		t.Fatal("a query before the host was ready")
+	}
+	gw.onLoop(func() {
+		close(gw.hosts[0].startupGate)
+		<-gw.hosts[0].startedUp
+		// The engine reads nothing more behind this.
+		flood.write(unfinishedMessage())
+		client.close()
+	})
+	next := gw.connect()
+	next.query(queryText(writeForm, 2))
+	query := gw.hosts[0].nextQueryAfterStartups()
+	if !strings.Contains(query.text, "id=2,") {
+		t.Fatalf("sent for a disconnected client: %s", query.text)
+	}
+	query.answer("w")
+	next.want("value w")
+}
+
+// cancel sends a cancel request.
+func (gw *harness) cancel(key []byte) {
+	gw.t.Helper()
+	client := gw.dial()
+	client.write(append([]byte("\x00\x00\x00\x10\x04\xd2\x16\x2e"), key...))
+	client.want("closed")
+}
+
+// A request is canceled from another connection by number and secret: it ends at once and is not forwarded. Nothing else
+// cancels it.
+func TestCancelRequestNeedsTheKeyAndEndsTheQuery(t *testing.T) {
+	gw := newHarness(t, 0)
+	gw.hosts[0].startupGate = make(chan struct{})
+	gw.start()
+	client := gw.dial()
+	client.write(pgwire.AppendStartup(nil, "user", "worker"))
+	key := client.cancelKey()
+	client.query(queryText(writeForm, 1))
+	if query := gw.hosts[0].nextQuery(); query != nil {
+		t.Fatal("a query before the host was ready")
+	}
+	for i := range key {
+		wrong := bytes.Clone(key)
+		wrong[i] ^= 1
+		gw.cancel(wrong)
+	}
+	if !gw.hasInFlight() {
+		t.Fatal("canceled by a wrong key")
+	}
+	gw.cancel(key)
+	client.want("error 57014")
+	close(gw.hosts[0].startupGate)
+	client.query(queryText(writeForm, 2))
+	query := gw.hosts[0].nextQueryAfterStartups()
+	if !strings.Contains(query.text, "id=2,") {
+		t.Fatalf("sent although canceled: %s", query.text)
+	}
+	query.answer("w")
+	client.want("value w")
+	gw.cancel(key) // nothing is in flight any more
+	client.query("")
+	client.want("empty")
+}
--- /dev/null
+++ b/internal/app/hosts_test.go
@@ -0,0 +1,141 @@
+package app
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"cloverrock/internal/config"
+	"cloverrock/internal/pgwire"
+)
+
+// A write must not meet a connection that the host is just closing as idle: the gateway closes idle ones sooner.
+func TestIdleConnectionsCloseBeforeTheHostsDo(t *testing.T) {
+	gw := startGateway(t, 0, func(c *config.Config) { c.IdleClose = 40_000 })
+	client := gw.connect()
+	gw.exchange(client, 1, "v")
+	gw.hosts[0].wantClosed()
+}
+
+// Whatever a host sends beside an answer, its connection is not used again. A good answer before it counts; a faulty one
+// is a failure that may have run. The next request gets its own answer.
+func TestFaultyAnswersFailAndEndTheirConnection(t *testing.T) {
+	gw := startGateway(t, 0, func(c *config.Config) { c.Settings.DialTimeout = 200e3 })
+	ready := string(pgwire.AppendReadyForQuery(nil))
+	good, failed := "value v", "error "+pgwire.CodeSystemError
+	whole := string(rowMessages("v"))
+	full := string(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: pgwire.CodeTooManyConnections, Message: "no"}))
+	status := func(name, value string) string { return string(pgwire.AppendParameterStatus(nil, name, value)) }
+	for name, c := range map[string]struct{ sent, want string }{
+		"a second copy":            {whole + ready + whole + ready, good},
+		"noise behind":             {whole + ready + "\xff\x00noise", good},
+		"one byte behind":          {whole + ready + "T", good},
+		"a refusal behind":         {whole + ready + full + ready, good},
+		"a report without sense":   {status("vitals", "x0=?,x1=1") + status("as_of", "-1e9") + "S\x00\x00\x00\x08open" + whole + ready, good},
+		"noise":                    {"\xde\xad\xbe\xef", failed},
+		"a line":                   {"HTTP/1.1 200 OK\r\n", failed},
+		"noise before the row":     {"!" + whole + ready, failed},
+		"noise for the end":        {whole + "!", failed},
+		"two rows":                 {whole + whole + ready, failed},
+		"a row without its head":   {whole[strings.IndexByte(whole, 'D'):] + ready, failed},
+		"no row":                   {string(pgwire.AppendCommandComplete(nil, "SELECT 0")) + ready, failed},
+		"nothing but ready":        {ready, failed},
+		"3 GB":                     {whole[:strings.IndexByte(whole, 'D')] + "D\xb2\xd0\x5e\x00\x00\x01\xb2\xd0\x5d\xf6vvvv", failed},
+		"length below 4":           {"D\x00\x00\x00\x00", failed},
+		"a value cut short":        {strings.Replace(whole, "\x00\x00\x00\x01v", "\x00\x00\x00\x00v", 1) + ready, failed},
+		"an error without its end": {"E\x00\x00\x00\x0cC53300\x00S" + ready, failed},
+		"a refusal and more":       {full + "T" + ready, failed},
+		"an answer without end":    {whole[:len(whole)-3], failed},
+	} {
+		t.Run(name, func(t *testing.T) {
+			client := gw.connect()
+			client.query(queryText(writeForm, 1))
+			if _, err := gw.hosts[0].nextQuery().conn.Write([]byte(c.sent)); err != nil {
+				t.Fatal(err)
+			}
+			client.want(c.want)
+			if name != "a report without sense" {
+				gw.hosts[0].wantClosed()
+			}
+			gw.exchange(client, 2, "own")
+			client.close()
+		})
+	}
+}
+
+// What a host sends on an idle connection is nobody's answer.
+func TestBytesOnAnIdleConnectionAreNobodysAnswer(t *testing.T) {
+	gw := startGateway(t, 0)
+	client := gw.connect()
+	client.query(queryText(writeForm, 1))
+	query := gw.hosts[0].nextQuery()
+	query.answer("v")
+	client.want("value v")
+	late := append(rowMessages("late"), pgwire.AppendReadyForQuery(nil)...)
+	if _, err := query.conn.Write(late); err != nil {
+		t.Fatal(err)
+	}
+	gw.exchange(client, 2, "own")
+}
+
+// A host moves while a connection to its old address opens: an attempt that waits for it goes to the new address.
+func TestAttemptFollowsAHostThatMovesWhileItDials(t *testing.T) {
+	gw := newHarness(t, 0)
+	gw.hosts[0].startupGate = make(chan struct{})
+	gw.start()
+	client := gw.connect()
+	client.query(queryText(writeForm, 1))
+	gw.hosts[0].nextQuery() // its startup is here
+	moved := newFakeHost(t, true)
+	list := `{"generation":8,"instances":[{"instanceId":"s-0","hostPort":%q,"cell":1,"lifecycle":"SERVING"}]}`
+	gw.nextWatch().writeChunk(fmt.Sprintf(list, moved.listener.Addr()))
+	gw.waitForGeneration(8)
+	close(gw.hosts[0].startupGate)
+	moved.nextQuery().answer("v")
+	client.want("value v")
+}
+
+// A host whose connections are always ready too late is dialed ever less often. No attempt waits for a dial that was given
+// up, and once the host is ready in time it is found.
+func TestHostThatConnectsTooLateIsDialedLessOften(t *testing.T) {
+	const deadline = 1500 // ms
+	gw := newHarness(t, 0)
+	gw.hosts[0].startupGate = make(chan struct{})
+	gw.start(func(c *config.Config) { c.Settings.DialTimeout = 50e3 })
+	var clients []*pgClient
+	for id := range 8 {
+		client := gw.connect()
+		client.query(fmt.Sprintf(writeForm, id, deadline))
+		clients = append(clients, client)
+	}
+	for _, client := range clients {
+		if got := client.answer(); !strings.HasPrefix(got, "error 53300") {
+			t.Errorf("answered %q", got)
+		}
+	}
+	var begun int
+	gw.onLoop(func() { begun, _ = gw.server.pool.Dials() })
+	t.Logf("%d dials in %d ms", begun, deadline)
+	if begun > 10 { // four at once, and then health checks with backoff
+		t.Errorf("%d dials, want 10 at most", begun)
+	}
+	close(gw.hosts[0].startupGate)
+	client := gw.connect()
+	client.query(queryText(writeForm, 100))
+	gw.hosts[0].nextQueryAfterStartups().answer("v")
+	client.want("value v")
+}
+
+// Hosts that the list has removed are forgotten with their connections.
+func TestRemovedHostsAreForgotten(t *testing.T) {
+	gw := startGateway(t, 1)
+	client := gw.connect()
+	gw.exchange(client, 1, "v")
+	watch := gw.nextWatch()
+	watch.writeChunk(`{"generation":8,"instances":[{"instanceId":"s-0","lifecycle":"DELETED","cell":1}]}`)
+	gw.hosts[0].wantClosed()
+	watch.writeChunk(`{"generation":9,"reset":true,"instances":[]}`)
+	for known := 2; known > 0; {
+		gw.onLoop(func() { known = gw.server.pool.KnownHosts() })
+	}
+}
--- /dev/null
+++ b/internal/app/requests_test.go
@@ -0,0 +1,193 @@
+package app
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"cloverrock/internal/pgwire"
+)
+
+// Queries with an id and the milliseconds for which their client waits.
+const (
+	readForm  = "/* id=%d,c=lookup,d=%d,cluster=1 */ SELECT body FROM objects WHERE oid = 'k'"
+	writeForm = "/* id=%d,c=change,d=%d,cluster=1 */ INSERT INTO objects VALUES ('k')"
+)
+
+// queryText is a query whose client waits for a minute.
+func queryText(form string, id int) string { return fmt.Sprintf(form, id, 60000) }
+
+// The value comes back as the host gave it; statement and id go out unchanged, d as the time that is left.
+func TestValueAndStatementAreForwardedUnchanged(t *testing.T) {
+	gw := startGateway(t, 0)
+	client := gw.connect()
+	client.query(queryText(writeForm, 41))
+	query := gw.hosts[0].nextQuery()
+	head, rest, _ := strings.Cut(query.text, ",d=")
+	left, rest, _ := strings.Cut(rest, ",")
+	wait, err := strconv.Atoi(left)
+	if err != nil || wait > 60000 || wait < 1 {
+		t.Errorf("d is %q", left)
+	}
+	if got := head + ",d=60000," + rest; got != queryText(writeForm, 41) {
+		t.Errorf("the host got %q", query.text)
+	}
+	value := strings.Repeat("\x00\xff'v", 120<<10) // 480 KiB: more than a socket gives at once
+	query.answer(value)
+	client.want("value " + value)
+}
+
+// A client may send ahead, its first query with the startup; answers keep the order and no request is lost.
+func TestAnswersKeepTheOrderOfPipelinedQueries(t *testing.T) {
+	gw := startGateway(t, 0)
+	client := gw.dial()
+	b := pgwire.AppendStartup(nil, "user", "worker")
+	for id := 1; id <= 3; id++ {
+		b = pgwire.AppendQuery(pgwire.AppendQuery(b, queryText(writeForm, id)), "")
+	}
+	for _, ch := range b { // byte by byte: no cut may matter
+		client.write([]byte{ch})
+	}
+	client.want("")
+	for id := 1; id <= 3; id++ {
+		query := gw.hosts[0].nextQuery()
+		head, _, _ := strings.Cut(query.text, ",")
+		query.answer(head)
+		client.want(fmt.Sprintf("value /* id=%d", id))
+		client.want("empty")
+	}
+}
+
+// A write that was written whole may have run: it fails and goes nowhere else. Its connection is not used again.
+func TestWriteThatMayHaveRunIsNotRetried(t *testing.T) {
+	for name, end := range map[string]func(*hostQuery){
+		"reset": func(query *hostQuery) { query.reset() },
+		"error": func(query *hostQuery) { query.answerError("XX000") },
+	} {
+		t.Run(name, func(t *testing.T) {
+			gw := startGateway(t, 2)
+			client := gw.connect()
+			client.query(queryText(writeForm, 1))
+			end(gw.hosts[0].nextQuery())
+			client.want("error " + pgwire.CodeSystemError)
+			for i, h := range gw.hosts {
+				if len(h.queries) != 0 {
+					t.Errorf("s-%d got the write again", i)
+				}
+			}
+		})
+	}
+}
+
+// A refused connection proves that nothing ran, and so does the error of a host that is no primary: the write is retried at
+// the next member of the list.
+func TestWriteTriesTheNextMemberWhenNothingRan(t *testing.T) {
+	gw := startGateway(t, 2)
+	gw.hosts[0].stopListening()
+	gw.hosts[1].setPrimary(false)
+	gw.hosts[2].setPrimary(true)
+	client := gw.connect()
+	client.query(queryText(writeForm, 1))
+	for {
+		select {
+		case query := <-gw.hosts[1].queries:
+			query.answerError(pgwire.CodeReadOnly)
+			continue
+		case query := <-gw.hosts[2].queries:
+			query.answer("done")
+		case <-time.After(testTimeout):
+			t.Fatal("the write went nowhere")
+		}
+		break
+	}
+	client.want("value done")
+}
+
+// While no host reports that it is primary a write waits unsent; it is sent once one does.
+func TestWriteWaitsForAPrimary(t *testing.T) {
+	gw := startGateway(t, 1)
+	gw.hosts[0].setPrimary(false)
+	client := gw.connect()
+	client.query(queryText(writeForm, 1))
+	for range 2 {
+		select {
+		case query := <-gw.hosts[0].queries:
+			query.answerError(pgwire.CodeReadOnly)
+		case query := <-gw.hosts[1].queries:
+			query.answerError(pgwire.CodeReadOnly)
+		case <-time.After(testTimeout):
+			t.Fatal("the write was not retried")
+		}
+	}
+	gw.hosts[1].setPrimary(true) // reported by a health check
+	gw.hosts[1].nextQuery().answer("done")
+	client.want("value done")
+}
+
+// A rejection says when to retry.
+func TestRejectionCarriesRetryAfter(t *testing.T) {
+	gw := startGateway(t, 0)
+	gw.hosts[0].stopListening()
+	client := gw.connect()
+	client.query(fmt.Sprintf(readForm, 1, 30))
+	client.want("error 53300 after 1000")
+}
+
+// A draining host gets no new requests, and what it has in flight is finished.
+func TestDrainingHostGetsNoNewRequests(t *testing.T) {
+	gw := startGateway(t, 2)
+	client := gw.connect()
+	client.query(queryText(writeForm, 1))
+	held := gw.hosts[0].nextQuery()
+	gw.nextWatch().writeChunk(`{"generation":8,"instances":` + gw.instances("DRAINING", "DRAINING") + `}`)
+	other := gw.connect()
+	gw.waitForGeneration(8)
+	for id := 2; id < 12; id++ {
+		other.query(queryText(readForm, id))
+		gw.hosts[2].nextQuery().answer("v")
+		other.want("value v")
+	}
+	held.answer("done")
+	client.want("value done")
+	if n := len(gw.hosts[0].queries) + len(gw.hosts[1].queries); n != 0 {
+		t.Errorf("%d sent to draining hosts", n)
+	}
+}
+
+// No read is answered from data older than its class allows: the primary takes it if the replica lags too much.
+func TestStaleReplicaGetsNoRead(t *testing.T) {
+	gw := startGateway(t, 1)
+	gw.hosts[1].setPosition(time.Now().Add(-2 * time.Minute)) // the bound is 1 min
+	client := gw.connect()
+	for id := 1; id <= 5; id++ {
+		client.query(queryText(readForm, id))
+		gw.hosts[0].nextQuery().answer("fresh")
+		client.want("value fresh")
+	}
+	gw.hosts[1].setPosition(time.Now())
+	after := time.Now().UnixMilli() + 1000 // no replica has reached it
+	client.query(fmt.Sprintf("/* id=9,c=own,d=60000,cluster=1,after=%d */ SELECT body FROM objects WHERE oid = 'k'", after))
+	gw.hosts[0].nextQuery().answer("own")
+	client.want("value own")
+	if len(gw.hosts[1].queries) != 0 {
+		t.Error("the replica got a read")
+	}
+}
+
+// The id of a request that is owed an answer belongs to it: another under it gets an error and goes to no host.
+func TestIDInFlightIsRejected(t *testing.T) {
+	gw := startGateway(t, 0)
+	client := gw.connect()
+	other := gw.connect()
+	client.query(queryText(writeForm, 1))
+	held := gw.hosts[0].nextQuery()
+	other.query(queryText(writeForm, 1))
+	other.want("error 42601")
+	held.answer("v")
+	client.want("value v")
+	other.query(queryText(writeForm, 1)) // it is free again
+	gw.hosts[0].nextQuery().answer("w")
+	other.want("value w")
+}
--- /dev/null
+++ b/internal/app/shutdown_test.go
@@ -0,0 +1,168 @@
+package app
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"cloverrock/internal/config"
+	"cloverrock/internal/pgwire"
+)
+
+// A draining gateway accepts requests for a while, answers all that are in flight and then ends.
+func TestDrainAnswersWhatIsInFlight(t *testing.T) {
+	gw := startGateway(t, 0)
+	client := gw.connect()
+	idle := gw.connect()
+	client.query(queryText(writeForm, 1))
+	held := gw.hosts[0].nextQuery()
+	gw.onLoop(func() {
+		if gw.server.drainDelay != 700e3 { // µs; later requests count as lost
+			t.Errorf("accepts requests for %d us", gw.server.drainDelay)
+		}
+		gw.server.drainDelay = testTimeout.Microseconds() // the test ends it, when the late request has come
+		gw.server.drain()
+	})
+	late := gw.connect()
+	gw.exchange(late, 2, "late")
+	gw.onLoop(gw.server.stopAccepting)
+	idle.want("closed")
+	late.want("closed")
+	held.answer("v")
+	client.want("value v")
+	client.want("closed")
+	gw.wantEnded()
+}
+
+// shutdownCase is what a client sends around the moment at which its connection ends.
+type shutdownCase struct {
+	silent bool // the connection has sent nothing before
+	sent   []byte
+	before int // bytes of it that are in the socket at that moment
+	want   []string
+}
+
+// run ends a gateway while a client sends.
+func (c *shutdownCase) run(t *testing.T, startup []byte) {
+	t.Helper()
+	gw := startGateway(t, 0)
+	client := gw.dial()
+	if !c.silent {
+		client.write(startup)
+		client.want("")
+	}
+	gw.connect() // its round trip shows that the loop has the first connection, too
+	gw.onLoop(func() {
+		if c.before > 0 {
+			client.write(c.sent[:c.before])
+			gw.waitForInput()
+		}
+		gw.server.stopAccepting()
+	})
+	go gw.answerQueries(len(c.want))
+	if c.before < len(c.sent) {
+		client.write(c.sent[c.before:])
+	}
+	for _, want := range c.want {
+		client.want(want)
+	}
+	client.want("closed")
+	gw.wantEnded()
+}
+
+// waitForInput waits on the loop's goroutine until a client's bytes are in a socket.
+func (gw *harness) waitForInput() {
+	for began := time.Now(); gw.server.frontend.InputDrained() && time.Since(began) < testTimeout; {
+	}
+}
+
+// answerQueries has the primary answer a number of queries at most.
+func (gw *harness) answerQueries(n int) {
+	for range n {
+		select {
+		case query := <-gw.hosts[0].queries:
+			query.answer("v")
+		case <-time.After(testTimeout):
+			return
+		}
+	}
+}
+
+// Clients go on sending after SIGTERM. What is in a connection's socket when it ends is read and answered: a request, half
+// of one, the first half of several, a startup with its query behind it.
+func TestShutdownAnswersWhatIsInTheSocket(t *testing.T) {
+	startup := pgwire.AppendStartup(nil, "user", "worker")
+	query := func(ids ...int) (b []byte) {
+		for _, id := range ids {
+			b = pgwire.AppendQuery(b, queryText(writeForm, id))
+		}
+		return b
+	}
+	three := []string{"value v", "value v", "value v"}
+	for name, c := range map[string]shutdownCase{
+		"a request":             {sent: query(1), before: len(query(1)), want: []string{"value v"}},
+		"half a request":        {sent: query(1), before: 9, want: []string{"value v"}},
+		"several, cut":          {sent: query(1, 2, 3), before: len(query(1)) + 7, want: three},
+		"a startup and query":   {silent: true, sent: append(startup, query(1)...), before: len(startup), want: []string{"", "value v"}},
+		"half a startup":        {silent: true, sent: append(startup, query(1)...), before: 3, want: []string{"", "value v"}},
+		"nothing":               {want: nil},
+		"nothing since it came": {silent: true, want: nil},
+	} {
+		t.Run(name, func(t *testing.T) { c.run(t, startup) })
+	}
+}
+
+// A client that reads slowly is idle with its answer half written: neither a new client nor the shutdown cuts it off.
+func TestSlowReaderGetsItsWholeAnswer(t *testing.T) {
+	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 4 }) // 2 clients
+	slow := gw.connect()
+	other := gw.connect()
+	value := strings.Repeat("v", 64<<10)
+	id := 0
+	for ; !gw.hasUnsentBytes(); id++ {
+		if id == 1000 {
+			t.Fatal("64 MB were written to a client that reads nothing")
+		}
+		slow.query(queryText(writeForm, id))
+		gw.hosts[0].nextQuery().answer(value)
+		for gw.hasInFlight() {
+		}
+	}
+	other.query("") // so that slow has been idle longer
+	other.want("empty")
+	gw.connect().close()
+	other.want("closed")
+	gw.onLoop(func() {
+		gw.server.drainDelay = testTimeout.Microseconds()
+		gw.server.drain()
+		gw.server.stopAccepting()
+	})
+	for ; id > 0; id-- {
+		slow.want("value " + value)
+	}
+	slow.want("closed")
+}
+
+// An idle connection is ended by a lingering close: what its client is just sending is never forwarded, and causes no reset.
+// A client that does not end its side delays the shutdown for a moment only.
+func TestIdleClientIsClosedWithoutAReset(t *testing.T) {
+	for name, ends := range map[string]bool{"ends its side": true, "stays": false} {
+		t.Run(name, func(t *testing.T) {
+			gw := startGateway(t, 0)
+			client := gw.connect()
+			gw.exchange(client, 1, "v")
+			gw.onLoop(func() { gw.server.frontend.Shutdown(gw.server.loop.Stop) })
+			for id := range 50 { // a reset would fail one of these
+				client.query(queryText(writeForm, 10+id))
+			}
+			client.want("closed")
+			if ends {
+				client.close()
+			}
+			gw.wantEnded()
+			if n := len(gw.hosts[0].queries); n > 0 {
+				t.Errorf("%d requests were forwarded after the end", n)
+			}
+		})
+	}
+}
