--- a/balance/replicas.go
+++ b/balance/replicas.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// longReadHosts is the number of members that long reads go to: as many as their part of all work asks for, but
-// neither the primary nor the last replica. A long read may keep its host from applying the log; spread over
-// all replicas they would leave none fresh.
+// longReadHosts is the number of members that long reads go to: as many as their part of all work asks for,
+// but neither the primary nor the last replica. A long read may keep its host from applying the log; spread
+// over all replicas they would leave none fresh.
 func (r *Router) longReadHosts(group *groupState) int {
 	available := float64(len(group.members) - 2)
 	return max(1, int(r.traffic.longReadShare*available))
