--- /dev/null
+++ b/internal/fleet/errors_test.go
@@ -0,0 +1,16 @@
+package fleet
+
+import (
+	"errors"
+	"testing"
+)
+
+// Each error says what an operator can do.
+func TestErrorsSayWhatAnOperatorCanDo(t *testing.T) {
+	for _, err := range []error{&ZonesError{1}, &PinError{"x", []string{"a", "b"}}} {
+		var remedied interface{ Remedy() string }
+		if !errors.As(err, &remedied) || remedied.Remedy() == "" || err.Error() == "" {
+			t.Errorf("%v has no remedy", err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/modules.go
@@ -0,0 +1,130 @@
+package fleet
+
+import (
+	"slices"
+	"time"
+
+	"cloverrock/internal/agreement"
+	"cloverrock/internal/crdt"
+	"cloverrock/internal/settings"
+	"cloverrock/internal/zonefailover"
+)
+
+const second = int64(1e6) // microseconds
+
+// Times in microseconds.
+const (
+	maxClockSkew      = 5 * second
+	voteEntryTTL      = 60 * second  // how long a vote is kept
+	voteTTL           = 30 * second  // how long a vote counts
+	decisionTTL       = 600 * second // without a quorum
+	proposerDelay     = second / 5
+	maxEvacuationTime = 300 * second
+	backoffReset      = 600 * second
+	minStepDuration   = second
+	evidenceWindow    = 4 * second
+)
+
+const (
+	maxVoteSize      = 1 + 4*255 // bytes: a vote on 255 zones
+	maxDecisionSize  = 1024      // bytes
+	requiredShare    = 0.6       // of the gateways that know a zone's health, for a decision
+	maxMinViews      = 3         // gateways that must know a zone's health, in fleets of nine or more
+	maxLatencyShare  = 0.6       // of the latency objective
+	minEvidenceHosts = 3
+	minFailingGroups = 2
+	minFailingShare  = 0.6 // of a zone's hosts
+)
+
+// What the setting zones.without turns off, for experiments.
+const (
+	withoutQuorum   = "quorum"
+	withoutPace     = "pace"
+	withoutCapacity = "capacity"
+)
+
+// startModules creates the modules that decide.
+func (c *Component) startModules(set *settings.Zones) {
+	isOn := func(what string) bool { return !slices.Contains(set.Without, what) }
+	c.state = crdt.New(crdt.Config{
+		Self:         c.conf.Name,
+		Incarnation:  uint64(time.Now().UnixMicro()),
+		MaxClockSkew: maxClockSkew,
+		Kinds: map[crdt.Kind]crdt.KindConfig{
+			voteKind:     {Name: "votes", Rule: crdt.LastWriterWins, TTL: voteEntryTTL, MaxValueSize: maxVoteSize},
+			decisionKind: {Name: "decided", Rule: crdt.HighestEpoch, TTL: decisionTTL, MaxValueSize: maxDecisionSize},
+		},
+	})
+	c.agreement = agreement.New(agreement.Config{
+		Self:          c.conf.Name,
+		VoteKind:      voteKind,
+		DecisionKind:  decisionKind,
+		EffectDelay:   milliseconds(set.DelayMS),
+		ProposerDelay: proposerDelay,
+		VoteTTL:       voteTTL,
+		DecisionTTL:   decisionTTL,
+		RequireQuorum: isOn(withoutQuorum),
+	}, c.state)
+	conf := zonefailover.Config{
+		Zones:             c.unitNames,
+		OwnZone:           c.ownUnit(),
+		MaxEvacuated:      set.AtOnce,
+		RequiredShare:     requiredShare,
+		MinViews:          min(maxMinViews, max(1, c.conf.Gateways/3)),
+		MaxLatencyShare:   maxLatencyShare,
+		RecoverySteps:     []byte{2, 5, 10, 20, 40, 70, zonefailover.FullShare},
+		StepDuration:      milliseconds(set.StepMS),
+		EvacuationTime:    milliseconds(set.AwayMS),
+		MaxEvacuationTime: maxEvacuationTime,
+		BackoffReset:      backoffReset,
+		PacedRecovery:     isOn(withoutPace),
+		CheckCapacity:     isOn(withoutCapacity),
+	}
+	if set.StepMS == 0 { // all steps together take as long as a host's slow start
+		conf.StepDuration = max(minStepDuration, c.conf.Settings.SlowStartDuration/int64(len(conf.RecoverySteps)))
+	}
+	if !isOn(withoutQuorum) {
+		conf.MinViews = 1
+	}
+	c.zones = zonefailover.New(conf, c.agreement)
+	c.evidence = c.newEvidence()
+	c.setOverrides(set.Pin)
+}
+
+func (c *Component) newEvidence() *zonefailover.EvidenceCollector {
+	return zonefailover.NewEvidenceCollector(zonefailover.EvidenceConfig{
+		Zones:            len(c.unitNames),
+		Window:           evidenceWindow,
+		MinHosts:         minEvidenceHosts,
+		MinFailingGroups: minFailingGroups,
+		FailingShare:     minFailingShare,
+	})
+}
+
+// milliseconds converts to microseconds.
+func milliseconds(ms int) int64 { return int64(ms) * 1000 }
+
+// ownUnit is the unit of this gateway's zone; -1 if it has none.
+func (c *Component) ownUnit() int {
+	if zone := c.conf.Settings.Zone; zone < len(c.unitOfZone) {
+		return c.unitOfZone[zone]
+	}
+	return -1
+}
+
+// setOverrides puts the operators' overrides, as in the settings, in place of the previous ones.
+func (c *Component) setOverrides(pins map[string]string) {
+	for unit := range c.unitNames {
+		c.zones.SetOverride(unit, zonefailover.NoOverride)
+	}
+	byName := map[string]zonefailover.Override{"kept": zonefailover.ForceInUse, "left": zonefailover.ForceEvacuated}
+	for zone, pin := range pins {
+		unit := slices.Index(c.unitNames, zone)
+		if unit < 0 {
+			c.logError(&PinError{zone, c.unitNames}, "fleet: zone override ignored")
+			continue
+		}
+		c.zones.SetOverride(unit, byName[pin])
+		c.log.Info().Str("zone", zone).Str("pin", pin).Msg("fleet: zone override set")
+	}
+}
--- a/internal/storecli/daemon.go
+++ b/internal/storecli/daemon.go
@@ -135,7 +135,7 @@
 		part = startDaemon(set, getenv, log)
 	}
 	if set.Fleet != nil {
-		part = fleet.Join(part, set.Fleet, func() (*settings.Settings, error) { return settings.Load(path) }, log)
+		part = fleet.Wrap(part, set.Fleet, func() (*settings.Settings, error) { return settings.Load(path) }, log)
 	}
 	return part, nil
 }
