--- /dev/null
+++ b/internal/pgwire/encode.go
@@ -0,0 +1,106 @@
+package pgwire
+
+import "encoding/binary"
+
+// Fields of a RowDescription for a column of type text that belongs to no table.
+const (
+	textTypeOID      = 25
+	variableTypeSize = 0xffff
+	noTypeModifier   = 0xffffffff
+)
+
+// beginMessage appends a message's type and room for its length, and returns where the length stands. endMessage fills it
+// in.
+func beginMessage(b []byte, kind byte) (extended []byte, lengthAt int) {
+	return append(b, kind, 0, 0, 0, 0), len(b) + 1
+}
+
+func endMessage(b []byte, lengthAt int) []byte {
+	binary.BigEndian.PutUint32(b[lengthAt:], uint32(len(b)-lengthAt))
+	return b
+}
+
+func appendCString(b []byte, s string) []byte { return append(append(b, s...), 0) }
+
+// AppendStartup appends a startup message with pairs of names and values.
+func AppendStartup(b []byte, pairs ...string) []byte {
+	lengthAt := len(b)
+	b = binary.BigEndian.AppendUint32(append(b, 0, 0, 0, 0), ProtocolVersion)
+	for _, s := range pairs {
+		b = appendCString(b, s)
+	}
+	return endMessage(append(b, 0), lengthAt)
+}
+
+// AppendQuery appends a simple query.
+func AppendQuery(b []byte, sql string) []byte {
+	b, lengthAt := beginMessage(b, MsgQuery)
+	return endMessage(appendCString(b, sql), lengthAt)
+}
+
+// AppendTerminate appends the message with which a client ends its connection.
+func AppendTerminate(b []byte) []byte {
+	b, lengthAt := beginMessage(b, MsgTerminate)
+	return endMessage(b, lengthAt)
+}
+
+// AppendAuthenticationOk appends the message that accepts a client without a password.
+func AppendAuthenticationOk(b []byte) []byte {
+	b, lengthAt := beginMessage(b, MsgAuthentication)
+	return endMessage(append(b, 0, 0, 0, 0), lengthAt)
+}
+
+// AppendNegotiate appends the message that tells a client which asked for a newer minor version that 3.0 is used.
+func AppendNegotiate(b []byte) []byte {
+	b, lengthAt := beginMessage(b, MsgNegotiateVersion)
+	return endMessage(append(b, 0, 0, 0, 0, 0, 0, 0, 0), lengthAt)
+}
+
+// AppendParameterStatus appends the value of a setting.
+func AppendParameterStatus(b []byte, name, value string) []byte {
+	b, lengthAt := beginMessage(b, MsgParameterStatus)
+	return endMessage(appendCString(appendCString(b, name), value), lengthAt)
+}
+
+// AppendBackendKeyData appends the process number and the secret by which a query of this connection can be cancelled.
+func AppendBackendKeyData(b []byte, pid uint32, secret [4]byte) []byte {
+	b, lengthAt := beginMessage(b, MsgBackendKeyData)
+	return endMessage(append(binary.BigEndian.AppendUint32(b, pid), secret[:]...), lengthAt)
+}
+
+// AppendReadyForQuery appends the end of an answer, outside any transaction.
+func AppendReadyForQuery(b []byte) []byte {
+	b, lengthAt := beginMessage(b, MsgReadyForQuery)
+	return endMessage(append(b, 'I'), lengthAt)
+}
+
+// AppendEmptyQuery appends the answer to an empty query.
+func AppendEmptyQuery(b []byte) []byte {
+	b, lengthAt := beginMessage(b, MsgEmptyQueryResponse)
+	return endMessage(b, lengthAt)
+}
+
+// AppendCommandComplete appends the end of a statement.
+func AppendCommandComplete(b []byte, tag string) []byte {
+	b, lengthAt := beginMessage(b, MsgCommandComplete)
+	return endMessage(appendCString(b, tag), lengthAt)
+}
+
+// AppendRow appends the description of a single text column and one row of it.
+func AppendRow(b []byte, column, value string) []byte {
+	const oneColumn = 1
+	b, lengthAt := beginMessage(b, MsgRowDescription)
+	b = binary.BigEndian.AppendUint16(b, oneColumn)
+	b = appendCString(b, column)
+	b = append(b, 0, 0, 0, 0, 0, 0) // neither a table nor a column of one
+	b = binary.BigEndian.AppendUint32(b, textTypeOID)
+	b = binary.BigEndian.AppendUint16(b, variableTypeSize)
+	b = binary.BigEndian.AppendUint32(b, noTypeModifier)
+	b = append(b, 0, 0) // text format
+	b = endMessage(b, lengthAt)
+
+	b, lengthAt = beginMessage(b, MsgDataRow)
+	b = binary.BigEndian.AppendUint16(b, oneColumn)
+	b = binary.BigEndian.AppendUint32(b, uint32(len(value)))
+	return endMessage(append(b, value...), lengthAt)
+}
--- a/internal/pgwire/golden_test.go
+++ b/internal/pgwire/golden_test.go
@@ -8,13 +8,36 @@
 	"cloverrock/internal/golden"
 )
 
-// Each message has the same bytes as ever, and is cut off as one message of its type, with nothing left.
+// Each message has the same bytes as ever, and is split off as one message of its type, with nothing left.
 func TestGoldenMessages(t *testing.T) {
+	cases := encodedMessages(t)
+	stored := golden.Check(t, "messages.golden", cases)
+	message := func(name string) []byte {
+		b, err := hex.DecodeString(stored[name])
+		if err != nil {
+			t.Fatal(err)
+		}
+		return b
+	}
+	for _, c := range cases {
+		if c.Name != "startup" {
+			wantOneMessage(t, c.Name, message(c.Name))
+		}
+	}
+	if read, ok := ParseError(message("E")[headerSize:]); !ok || read != goldenError {
+		t.Errorf("the error is read as %v, %v", read, ok)
+	}
+	wantStartup(t, message("startup"))
+}
+
+var goldenError = Error{"FATAL", CodeTooManyConnections, "message", "detail"}
+
+func encodedMessages(t *testing.T) []golden.Case {
+	t.Helper()
 	query, err := ParseQuery([]byte("/*id=r-1,c=read,d=80.5,cluster=7,after=1.0005*/ GET 'ff'"))
 	if err != nil || query.ID != "r-1" || query.Class != "read" || query.Wait != 80_500 || query.Cluster != 7 || query.After != 1001 || query.KeyID() != 255 {
 		t.Fatalf("read as %v, %v", query, err)
 	}
-	failed := Error{"FATAL", CodeTooManyConnections, "message", "detail"}
 	cases := []golden.Case{
 		{Name: "Q", Form: string(AppendQuery(nil, "select ü"))},
 		{Name: "Q with another wait", Form: string(query.Append(nil, 12_345))},
@@ -28,46 +51,60 @@
 		{Name: "C", Form: string(AppendCommandComplete(nil, "SELECT 1"))},
 		{Name: "T and D", Form: string(AppendRow(nil, "column", "value"))},
 		{Name: "T and D, empty", Form: string(AppendRow(nil, "", ""))},
-		{Name: "E", Form: string(AppendError(nil, failed))},
+		{Name: "E", Form: string(AppendError(nil, goldenError))},
 		{Name: "E without detail", Form: string(AppendError(nil, Error{Severity: "ERROR", Code: CodeReadOnly, Message: "m"}))},
 		{Name: "startup", Form: string(AppendStartup(nil, "user", "u", "database", "d"))},
 	}
 	for i := range cases {
 		cases[i].Form = hex.EncodeToString([]byte(cases[i].Form))
 	}
-	stored := golden.Check(t, "messages.golden", cases)
-	message := func(name string) []byte {
-		b, err := hex.DecodeString(stored[name])
-		if err != nil {
-			t.Fatal(err)
-		}
-		return b
+	return cases
+}
+
+// wantOneMessage checks that b is one message of the type that its name begins with, or a description with one row.
+func wantOneMessage(t *testing.T, name string, b []byte) {
+	t.Helper()
+	message, rest, complete, err := Next(b)
+	if err != nil || !complete || message.Type != name[0] {
+		t.Errorf("%s is split into %v, %v, %v", name, message, complete, err)
 	}
-	for _, c := range cases[:len(cases)-1] {
-		m, rest, whole, err := Next(message(c.Name))
-		if err != nil || !whole || m.Type != c.Name[0] {
-			t.Errorf("%s is cut as %v, %v, %v", c.Name, m, whole, err)
-		}
-		if m.Type == 'T' {
-			row, left, whole, err := NextHost(rest)
-			value, only := OnlyColumn(row.Body)
-			if rest = left; err != nil || !whole || row.Type != 'D' || !only || !bytes.Equal(value, []byte("value")) && len(value) != 0 || !OneColumn(m.Body) {
-				t.Errorf("%s has the row %v, %v, %v", c.Name, row, whole, err)
-			}
-		}
-		if len(rest) != 0 {
-			t.Errorf("%s leaves %x", c.Name, rest)
+	if message.Type == MsgRowDescription {
+		if !OneColumn(message.Body) {
+			t.Errorf("%s is not of one column", name)
 		}
+		rest = wantRow(t, name, rest)
+	}
+	if len(rest) != 0 {
+		t.Errorf("%s leaves %x", name, rest)
+	}
+}
+
+// wantRow checks that b begins with a row of one column, and returns the rest.
+func wantRow(t *testing.T, name string, b []byte) (rest []byte) {
+	t.Helper()
+	row, rest, complete, err := NextHost(b)
+	if err != nil || !complete || row.Type != MsgDataRow {
+		t.Errorf("%s has the row %v, %v, %v", name, row, complete, err)
+	}
+	value, ok := OnlyColumn(row.Body)
+	if !ok || len(value) != 0 && !bytes.Equal(value, []byte("value")) {
+		t.Errorf("%s has the value %q, %v", name, value, ok)
 	}
-	if read, whole := ParseError(message("E")[5:]); !whole || read != failed {
-		t.Errorf("the error is read as %v, %v", read, whole)
+	return rest
+}
+
+// wantStartup checks that b is the startup message, and that a cancel request is read as one.
+func wantStartup(t *testing.T, b []byte) {
+	t.Helper()
+	startup, rest, complete, err := NextStartup(b)
+	if err != nil || !complete || len(rest) != 0 {
+		t.Errorf("the startup is split into %v, %x, %v, %v", startup, rest, complete, err)
 	}
-	startup, rest, whole, err := NextStartup(message("startup"))
-	if err != nil || !whole || len(rest) != 0 || startup.Code != ProtocolVersion || startup.Params["user"] != "u" || startup.Params["database"] != "d" {
-		t.Errorf("the startup is read as %v, %v, %v", startup, whole, err)
+	if startup.Code != ProtocolVersion || startup.Params["user"] != "u" || startup.Params["database"] != "d" {
+		t.Errorf("the startup is read as %v", startup)
 	}
-	cancel, _, whole, err := NextStartup([]byte{0, 0, 0, 16, 4, 210, 22, 46, 1, 2, 3, 4, 5, 6, 7, 8})
-	if err != nil || !whole || cancel.Code != CancelRequest || cancel.PID != 0x01020304 || cancel.Secret != [4]byte{5, 6, 7, 8} {
-		t.Errorf("the cancel request is read as %v, %v, %v", cancel, whole, err)
+	cancel, _, complete, err := NextStartup([]byte{0, 0, 0, 16, 4, 210, 22, 46, 1, 2, 3, 4, 5, 6, 7, 8})
+	if err != nil || !complete || cancel.Code != CancelRequest || cancel.PID != 0x01020304 || cancel.Secret != [4]byte{5, 6, 7, 8} {
+		t.Errorf("the cancel request is read as %v, %v, %v", cancel, complete, err)
 	}
 }
--- a/internal/pgwire/types.go
+++ b/internal/pgwire/types.go
@@ -1,6 +1,6 @@
 package pgwire
 
-// Types of the messages that a client sends, named as in PostgreSQL's protocol.h.
+// Types of the messages that a client sends, named after those in PostgreSQL's protocol.h.
 const (
 	MsgQuery        = 'Q'
 	MsgTerminate    = 'X'
@@ -17,18 +17,18 @@
 	MsgCopyFail     = 'f'
 )
 
-// Types of the messages that a host sends, named as in PostgreSQL's protocol.h.
+// Types of the messages that a host sends, named after those in PostgreSQL's protocol.h.
 const (
-	MsgAuthentication      = 'R'
-	MsgNegotiateVersion    = 'v'
-	MsgParameterStatus     = 'S'
-	MsgBackendKeyData      = 'K'
-	MsgReadyForQuery       = 'Z'
-	MsgRowDescription      = 'T'
-	MsgDataRow             = 'D'
-	MsgCommandComplete     = 'C'
-	MsgEmptyQueryResponse  = 'I'
-	MsgErrorResponse       = 'E'
-	MsgNoticeResponse      = 'N'
-	MsgNotificationMessage = 'A'
+	MsgAuthentication       = 'R'
+	MsgNegotiateVersion     = 'v'
+	MsgParameterStatus      = 'S'
+	MsgBackendKeyData       = 'K'
+	MsgReadyForQuery        = 'Z'
+	MsgRowDescription       = 'T'
+	MsgDataRow              = 'D'
+	MsgCommandComplete      = 'C'
+	MsgEmptyQueryResponse   = 'I'
+	MsgErrorResponse        = 'E'
+	MsgNoticeResponse       = 'N'
+	MsgNotificationResponse = 'A'
 )
