--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -199,7 +199,7 @@
 		op, _ := core.MemberOp(p.id, core.Member{Name: p.name, Format: machine.Format})
 		records = append(records, op)
 	}
-	first, err := core.Founding(voters, records)
+	first, err := core.InitialSnapshot(voters, records)
 	for _, p := range w.places {
 		if err == nil {
 			err = disk.Create(p.disk, disk.Identity{Cluster: 7, Node: p.id, Name: p.name, Voters: voters}, 1, first, w.logOptions())
@@ -266,9 +266,9 @@
 		return
 	}
 	w.nextNonce++
-	p.core, err = core.New(core.Config{ID: p.id, Nonce: w.nextNonce << 24, Every: 60, Keep: 20, Piece: 1 << 10, Rate: 8 << 10, Patience: 30,
-		Log: w.discarding, Observe: func(index, term, chain uint64) { w.observe(p, index, term, chain) }},
-		core.State{Snapshot: got.Snapshot, Name: got.Name, Log: got.Loaded})
+	p.core, err = core.New(core.Config{ID: p.id, Nonce: w.nextNonce << 24, SnapshotInterval: 60, RetainedEntries: 20, ChunkSize: 1 << 10, SnapshotBytesPerTick: 8 << 10, TimeoutTicks: 30,
+		Logger: w.discarding, Observe: func(index, term, chain uint64) { w.observe(p, index, term, chain) }},
+		core.InitialState{Snapshot: got.Snapshot, SnapshotName: got.Name, Log: got.Loaded})
 	if err != nil {
 		w.violated("%s cannot start: %v", p.name, err)
 		return
@@ -296,9 +296,9 @@
 func (w *world) drive(p *instance) {
 	defer w.mortal(p)
 	for p.core != nil {
-		if p.core.WantsSnapshot() {
+		if p.core.NeedsSnapshotData() {
 			b, _, err := disk.LoadSnapshot(p.disk)
-			p.core.Held(b, err)
+			p.core.ProvideSnapshotData(b, err)
 		}
 		if p.stuck && p.disk.full {
 			return
@@ -307,18 +307,18 @@
 		if work == nil {
 			break
 		}
-		w.send(p, work.Early)
+		w.send(p, work.SendBeforeSave)
 		err := error(nil)
-		if work.Install != nil {
+		if work.SnapshotData != nil {
 			w.res.Installs++
-			err = p.store.Install(work.Snap, work.Install)
+			err = p.store.Install(work.SnapshotMeta, work.SnapshotData)
 		}
 		if err == nil {
-			err = p.store.Log.Save(work.Hard, work.Snap, work.Entries)
+			err = p.store.Log.Save(work.HardState, work.SnapshotMeta, work.Entries)
 		}
 		if errors.Is(err, disk.ErrFull) {
 			p.stuck, p.stalled = true, work
-			work.Early = nil
+			work.SendBeforeSave = nil
 			return
 		}
 		if err != nil {
@@ -327,7 +327,7 @@
 			return
 		}
 		p.stuck, p.stalled = false, nil
-		w.send(p, work.Late)
+		w.send(p, work.SendAfterSave)
 		if err := p.core.Done(work); err != nil {
 			w.violated("%s: %v", p.name, err)
 			return
@@ -343,13 +343,13 @@
 			f(a)
 		}
 	}
-	if s := p.core.Due(false); s != nil {
+	if s := p.core.DueSnapshot(false); s != nil {
 		life := p.life
 		w.after(int64(w.rng.IntN(50))*ms, func() { // written in the background: a crash may come before its end
 			defer w.mortal(p)
 			if p.core != nil && p.life == life {
 				err := disk.SaveSnapshot(p.disk, s.Meta.GetIndex(), func(o io.Writer) error { return disk.EncodeSnapshot(o, s.Meta, s.Image.Write) })
-				if release := p.core.Saved(s, err); release > 0 {
+				if release := p.core.SnapshotSaved(s, err); release > 0 {
 					_ = p.store.Log.Release(release)
 					_ = disk.Tidy(p.disk, s.Meta.GetIndex())
 				}
--- a/internal/lab/storesim/world.go
+++ b/internal/lab/storesim/world.go
@@ -98,7 +98,7 @@
 		p.disk.dieIn = 1 + w.rng.IntN(12)
 	case 11:
 		if p.core != nil && !p.stuck {
-			p.core.Transfer()
+			p.core.TransferLeadership()
 			w.drive(p)
 		}
 	}
@@ -190,12 +190,12 @@
 				continue
 			}
 			asked = true
-			change, cmd, err := core.Admit(q.core.Machine(), p.id, core.Member{Name: p.name, Format: machine.Format}, "")
+			change, cmd, err := core.PlanJoin(q.core.Machine(), p.id, core.Member{Name: p.name, Format: machine.Format}, "")
 			if err != nil {
 				w.violated("admit: %v", err)
 				return
 			}
-			q.core.Change(0, change, cmd)
+			q.core.ProposeMembershipChange(0, change, cmd)
 			w.drive(q)
 		}
 	}
@@ -238,7 +238,7 @@
 			done(a)
 		}
 	}
-	w.after(4000*ms, func() { finish(core.Answer{Err: core.ErrUnknown}) })
+	w.after(4000*ms, func() { finish(core.Answer{Err: core.ErrOutcomeUnknown}) })
 	if p.core == nil {
 		w.after(50*ms, func() { finish(core.Answer{Err: core.ErrNoLeader}) })
 		return
--- a/internal/store/core/core.go
+++ b/internal/store/core/core.go
@@ -19,42 +19,42 @@
 
 // Config of one instance. Zero values get defaults.
 type Config struct {
-	ID       uint64
-	Nonce    uint64 // new with each start: marks of an earlier life answer nobody
-	Election int    // ticks without a leader before an election
-	Beat     int    // ticks between heartbeats
-	TickMS   int64  // milliseconds of logical time in a tick
-	Every    uint64 // entries between snapshots
-	Keep     uint64 // entries kept behind a snapshot, for slow followers
-	Patience int    // ticks that a proposal or read may wait
-	Piece    int    // bytes of a snapshot in one message
-	Rate     int    // bytes of snapshots sent in a tick
-	MaxBatch int    // proposals given to raft at once
-	Log      raft.Logger
-	Format   uint8                           // newest form of commands that this build knows
-	Observe  func(index, term, chain uint64) // told each entry applied; for checks, may be nil
-}
-
-func (c *Config) defaults() {
+	ID                   uint64
+	Nonce                uint64 // new with each start: marks of an earlier life answer nobody
+	ElectionTicks        int    // ticks without a leader before an election
+	HeartbeatTicks       int    // ticks between heartbeats
+	TickMS               int64  // milliseconds of logical time in a tick
+	SnapshotInterval     uint64 // entries between snapshots
+	RetainedEntries      uint64 // entries kept behind a snapshot, for slow followers
+	TimeoutTicks         int    // ticks that a proposal or read may wait
+	ChunkSize            int    // bytes of a snapshot in one message
+	SnapshotBytesPerTick int    // bytes of snapshots sent in a tick
+	MaxBatch             int    // proposals given to raft at once
+	Logger               raft.Logger
+	Format               uint8                           // newest form of commands that this build knows
+	Observe              func(index, term, chain uint64) // told each entry applied; for checks, may be nil
+}
+
+func (c *Config) setDefaults() {
 	def := func(v *int, to int) {
 		if *v == 0 {
 			*v = to
 		}
 	}
-	def(&c.Election, 10)
-	def(&c.Beat, 1)
-	def(&c.Patience, 50)
-	def(&c.Piece, 64<<10)
-	def(&c.Rate, 1<<20)
+	def(&c.ElectionTicks, 10)
+	def(&c.HeartbeatTicks, 1)
+	def(&c.TimeoutTicks, 50)
+	def(&c.ChunkSize, 64<<10)
+	def(&c.SnapshotBytesPerTick, 1<<20)
 	def(&c.MaxBatch, 512)
 	if c.TickMS == 0 {
 		c.TickMS = 100
 	}
-	if c.Every == 0 {
-		c.Every = 20000
+	if c.SnapshotInterval == 0 {
+		c.SnapshotInterval = 20000
 	}
-	if c.Keep == 0 {
-		c.Keep = 5000
+	if c.RetainedEntries == 0 {
+		c.RetainedEntries = 5000
 	}
 	if c.Format == 0 {
 		c.Format = machine.Format
@@ -65,16 +65,16 @@
 type Envelope struct {
 	To, From uint64
 	Raft     *raftpb.Message
-	Piece    *Piece
-	Got      *Got
+	Chunk    *SnapshotChunk
+	Ack      *ChunkAck
 }
 
 // Errors that answer a proposal or read.
 var (
-	ErrNoLeader = errors.New("store: no leader is known; nothing was done")
-	ErrUnknown  = errors.New("store: no outcome in time; it may still be done. Retry under the same sequence number")
-	ErrBusy     = errors.New("store: too many proposals wait; nothing was done")
-	ErrHalted   = errors.New("store: this instance has stopped applying")
+	ErrNoLeader       = errors.New("store: no leader is known; nothing was done")
+	ErrOutcomeUnknown = errors.New("store: no outcome in time; it may still be done. Retry under the same sequence number")
+	ErrBusy           = errors.New("store: too many proposals wait; nothing was done")
+	ErrHalted         = errors.New("store: this instance has stopped applying")
 )
 
 // Answer ends a proposal or read.
@@ -86,93 +86,93 @@
 
 // Work is what has to be done, in this order: send Early; save Install, Hard and Entries; send Late; call Done.
 type Work struct {
-	Early, Late []Envelope
-	Install     []byte // an encoded snapshot that replaces the state; nil: none
-	Snap        *raftpb.SnapshotMetadata
-	Hard        *raftpb.HardState // nil: unchanged
-	Entries     []*raftpb.Entry
-	ready       raft.Ready
-	raft        bool // ready is raft's, and is to be acknowledged
+	SendBeforeSave, SendAfterSave []Envelope
+	SnapshotData                  []byte // an encoded snapshot that replaces the state; nil: none
+	SnapshotMeta                  *raftpb.SnapshotMetadata
+	HardState                     *raftpb.HardState // nil: unchanged
+	Entries                       []*raftpb.Entry
+	ready                         raft.Ready
+	needsAdvance                  bool // ready is raft's, and is to be acknowledged
 }
 
-// Save is a snapshot that is due: to be written in the background, and reported by Saved.
-type Save struct {
+// Snapshot is a snapshot that is due: to be written in the background, and reported by Saved.
+type Snapshot struct {
 	Meta  *raftpb.SnapshotMetadata
 	Image *machine.Image
 }
 
 // Core is one instance. It is not safe for concurrent use.
 type Core struct {
-	conf    Config
-	raw     *raft.RawNode
-	log     *raft.MemoryStorage
-	m       *machine.Machine
-	members *raftpb.ConfState
-	now     int64 // ticks
-	applied uint64
-	halted  error
-
-	queue   []*raftpb.Entry
-	reads   []uint64 // tokens that wait for the next read index
-	pending map[uint64]wait
-	asked   []asked
-	reached []reached
-	answers []Answer
-	serial  uint64
-
-	lead, wasLead  uint64
-	freshAt        int64 // the state was the latest at this tick or later; -1: never known
-	saved, saving  uint64
-	out            map[uint64]*transfer
-	in             map[uint64]*arrival
-	wantsSnapshot  bool
-	memberVersion  uint64            // grows when what is noted of members may have changed
-	force          bool              // a snapshot is due now
-	savedMembers   *raftpb.ConfState // as the newest snapshot has them
-	held           []byte            // the encoded snapshot that transfers share
-	heldMeta       *raftpb.SnapshotMetadata
-	envelopes      []Envelope
-	clockAt        int64
-	caught         map[uint64]int
-	heard          map[uint64]int64
-	transferringTo uint64
-}
-
-// wait is a proposal whose result is awaited.
-type wait struct {
+	conf      Config
+	raftNode  *raft.RawNode
+	storage   *raft.MemoryStorage
+	machine   *machine.Machine
+	confState *raftpb.ConfState
+	now       int64 // ticks
+	applied   uint64
+	halted    error
+
+	queuedProposals []*raftpb.Entry
+	queuedReads     []uint64 // tokens that wait for the next read index
+	pending         map[uint64]pendingProposal
+	readRequests    []readRequest
+	confirmedReads  []confirmedRead
+	answers         []Answer
+	serial          uint64
+
+	leader, wasLead            uint64
+	freshAt                    int64 // the state was the latest at this tick or later; -1: never known
+	snapshotIndex, savingIndex uint64
+	outgoing                   map[uint64]*outgoingTransfer
+	incoming                   map[uint64]*incomingTransfer
+	needsSnapshotData          bool
+	memberVersion              uint64            // grows when what is noted of members may have changed
+	snapshotForced             bool              // a snapshot is due now
+	snapshotMembers            *raftpb.ConfState // as the newest snapshot has them
+	held                       []byte            // the encoded snapshot that transfers share
+	heldMeta                   *raftpb.SnapshotMetadata
+	outbox                     []Envelope
+	clockTick                  int64
+	caughtUpChecks             map[uint64]int
+	lastHeard                  map[uint64]int64
+	transferringTo             uint64
+}
+
+// pendingProposal is a proposal whose result is awaited.
+type pendingProposal struct {
 	token, serial uint64
-	until         int64
+	deadline      int64
 }
 
-// asked is a read index that was asked for.
-type asked struct {
-	mark   uint64
-	at     int64
-	tokens []uint64
+// readRequest is a read index that was asked for.
+type readRequest struct {
+	requestID uint64
+	askedAt   int64
+	tokens    []uint64
 }
 
-// reached is a read that waits until the state has come as far as its index.
-type reached struct {
-	index uint64
-	at    int64 // tick at which it was asked for
-	token []uint64
+// confirmedRead is a read that waits until the state has come as far as its index.
+type confirmedRead struct {
+	index   uint64
+	askedAt int64 // tick at which it was asked for
+	tokens  []uint64
 }
 
-// State is what an instance starts from.
-type State struct {
-	Snapshot []byte // encoded; nil for one that has joined and was sent nothing yet
-	Name     string // of the snapshot, for messages
-	Log      *disk.Loaded
+// InitialState is what an instance starts from.
+type InitialState struct {
+	Snapshot     []byte // encoded; nil for one that has joined and was sent nothing yet
+	SnapshotName string // of the snapshot, for messages
+	Log          *disk.Loaded
 }
 
 // New returns an instance in the given state.
-func New(conf Config, s State) (*Core, error) {
-	conf.defaults()
+func New(conf Config, s InitialState) (*Core, error) {
+	conf.setDefaults()
 	meta, m := &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{}}, machine.New()
 	if s.Snapshot != nil {
 		var image io.Reader
 		var err error
-		if meta, image, err = disk.DecodeSnapshot(s.Name, s.Snapshot); err != nil {
+		if meta, image, err = disk.DecodeSnapshot(s.SnapshotName, s.Snapshot); err != nil {
 			return nil, err
 		}
 		if m, err = machine.Restore(image); err != nil {
@@ -180,13 +180,13 @@
 		}
 	}
 	if m.Index() != meta.GetIndex() {
-		return nil, fmt.Errorf("store: snapshot %s holds index %d in a file of index %d", s.Name, m.Index(), meta.GetIndex())
+		return nil, fmt.Errorf("store: snapshot %s holds index %d in a file of index %d", s.SnapshotName, m.Index(), meta.GetIndex())
 	}
-	c := &Core{conf: conf, log: raft.NewMemoryStorage(), m: m.Speaking(conf.Format), members: meta.GetConfState(), savedMembers: meta.GetConfState(), applied: meta.GetIndex(),
-		pending: map[uint64]wait{}, freshAt: -1, saved: meta.GetIndex(), out: map[uint64]*transfer{}, in: map[uint64]*arrival{},
-		caught: map[uint64]int{}, heard: map[uint64]int64{}}
+	c := &Core{conf: conf, storage: raft.NewMemoryStorage(), machine: m.Speaking(conf.Format), confState: meta.GetConfState(), snapshotMembers: meta.GetConfState(), applied: meta.GetIndex(),
+		pending: map[uint64]pendingProposal{}, freshAt: -1, snapshotIndex: meta.GetIndex(), outgoing: map[uint64]*outgoingTransfer{}, incoming: map[uint64]*incomingTransfer{},
+		caughtUpChecks: map[uint64]int{}, lastHeard: map[uint64]int64{}}
 	if s.Snapshot != nil {
-		if err := c.log.ApplySnapshot(&raftpb.Snapshot{Metadata: meta}); err != nil {
+		if err := c.storage.ApplySnapshot(&raftpb.Snapshot{Metadata: meta}); err != nil {
 			return nil, fmt.Errorf("store: start from snapshot: %w", err)
 		}
 	}
@@ -195,11 +195,11 @@
 		if len(entries) > 0 && entries[0].GetIndex() != meta.GetIndex()+1 {
 			return nil, fmt.Errorf("store: the log begins at entry %d and the snapshot ends at %d", entries[0].GetIndex(), meta.GetIndex())
 		}
-		if err := c.log.Append(entries); err != nil {
+		if err := c.storage.Append(entries); err != nil {
 			return nil, fmt.Errorf("store: start from log: %w", err)
 		}
 		hard := proto.Clone(l.Hard).(*raftpb.HardState)
-		last, _ := c.log.LastIndex()
+		last, _ := c.storage.LastIndex()
 		if hard.GetCommit() > last {
 			return nil, fmt.Errorf("store: the log ends at entry %d, and %d was committed: it has lost its end", last, hard.GetCommit())
 		}
@@ -209,15 +209,15 @@
 		if hard.GetTerm() < meta.GetTerm() {
 			hard.Term = proto.Uint64(meta.GetTerm())
 		}
-		if err := c.log.SetHardState(hard); err != nil {
+		if err := c.storage.SetHardState(hard); err != nil {
 			return nil, fmt.Errorf("store: start from hard state: %w", err)
 		}
 	}
 	var err error
-	c.raw, err = raft.NewRawNode(&raft.Config{
-		ID: conf.ID, ElectionTick: conf.Election, HeartbeatTick: conf.Beat, Storage: c.log, Applied: c.applied,
+	c.raftNode, err = raft.NewRawNode(&raft.Config{
+		ID: conf.ID, ElectionTick: conf.ElectionTicks, HeartbeatTick: conf.HeartbeatTicks, Storage: c.storage, Applied: c.applied,
 		MaxSizePerMsg: 512 << 10, MaxInflightMsgs: 64, MaxInflightBytes: 8 << 20, MaxUncommittedEntriesSize: 32 << 20,
-		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, Logger: conf.Log, StepDownOnRemoval: true,
+		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, Logger: conf.Logger, StepDownOnRemoval: true,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("store: start raft: %w", err)
@@ -225,8 +225,8 @@
 	return c, nil
 }
 
-// Founding returns the encoded snapshot that the first members of a new cluster start from: the same bytes at each.
-func Founding(voters []uint64, records []machine.Op) ([]byte, error) {
+// InitialSnapshot returns the encoded snapshot that the first members of a new cluster start from: the same bytes at each.
+func InitialSnapshot(voters []uint64, records []machine.Op) ([]byte, error) {
 	m := machine.New()
 	b, err := machine.Encode(&machine.Command{Kind: machine.TxnKind, Then: records})
 	if err != nil {
@@ -240,11 +240,11 @@
 		return nil, fmt.Errorf("store: found a cluster: %s", res.Code)
 	}
 	voters = slices.Sorted(slices.Values(voters))
-	return Encode(&Save{&raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: voters}}, m.Image()})
+	return EncodeSnapshot(&Snapshot{&raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: voters}}, m.Image()})
 }
 
-// Encode gives a snapshot its form on the disk and between instances.
-func Encode(s *Save) ([]byte, error) {
+// EncodeSnapshot gives a snapshot its form on the disk and between instances.
+func EncodeSnapshot(s *Snapshot) ([]byte, error) {
 	var b writer
 	err := disk.EncodeSnapshot(&b, s.Meta, s.Image.Write)
 	return b, err
@@ -257,35 +257,35 @@
 var _ io.Writer = (*writer)(nil)
 
 // Machine is the state, for reads on the owner's goroutine.
-func (c *Core) Machine() *machine.Machine { return c.m }
+func (c *Core) Machine() *machine.Machine { return c.machine }
 
 // Tick passes one unit of time.
 func (c *Core) Tick() {
 	c.now++
-	c.raw.Tick()
-	c.expire()
-	c.pump()
-	c.policy()
+	c.raftNode.Tick()
+	c.expireWaits()
+	c.sendChunks()
+	c.leaderDuties()
 }
 
 // Step takes a message.
 func (c *Core) Step(e Envelope) {
-	c.heard[e.From] = c.now
+	c.lastHeard[e.From] = c.now
 	switch {
-	case e.Piece != nil:
-		c.piece(e.From, e.Piece)
-	case e.Got != nil:
-		c.got(e.From, e.Got)
+	case e.Chunk != nil:
+		c.receiveChunk(e.From, e.Chunk)
+	case e.Ack != nil:
+		c.receiveAck(e.From, e.Ack)
 	case e.Raft != nil:
 		if raft.IsLocalMsg(e.Raft.GetType()) || e.Raft.GetType() == raftpb.MsgSnap || e.Raft.GetFrom() != e.From {
 			return // a peer that says what only this instance may say
 		}
-		_ = c.raw.Step(e.Raft) // an error says only that the message came too late
+		_ = c.raftNode.Step(e.Raft) // an error says only that the message came too late
 	}
 }
 
-// mark returns a number that no other proposal or read has, in this life or another.
-func (c *Core) mark() uint64 {
+// nextRequestID returns a number that no other proposal or read has, in this life or another.
+func (c *Core) nextRequestID() uint64 {
 	c.serial++
 	return c.conf.Nonce ^ c.serial*0x9e3779b97f4a7c15
 }
@@ -296,28 +296,28 @@
 		c.answer(token, c.halted, machine.Result{})
 		return
 	}
-	if c.lead == raft.None {
+	if c.leader == raft.None {
 		c.answer(token, ErrNoLeader, machine.Result{})
 		return
 	}
-	if len(c.queue) >= 8*c.conf.MaxBatch {
+	if len(c.queuedProposals) >= 8*c.conf.MaxBatch {
 		c.answer(token, ErrBusy, machine.Result{})
 		return
 	}
-	if b := c.enter(token, cmd); b != nil {
-		c.queue = append(c.queue, &raftpb.Entry{Data: b})
+	if b := c.register(token, cmd); b != nil {
+		c.queuedProposals = append(c.queuedProposals, &raftpb.Entry{Data: b})
 	}
 }
 
-// enter encodes a command and waits for its result; nil if it cannot be encoded, which is answered.
-func (c *Core) enter(token uint64, cmd *machine.Command) []byte {
-	cmd.Request = c.mark()
+// register encodes a command and waits for its result; nil if it cannot be encoded, which is answered.
+func (c *Core) register(token uint64, cmd *machine.Command) []byte {
+	cmd.Request = c.nextRequestID()
 	b, err := machine.Encode(cmd)
 	if err != nil {
 		c.answer(token, err, machine.Result{})
 		return nil
 	}
-	c.pending[cmd.Request] = wait{token, c.serial, c.now + int64(c.conf.Patience)}
+	c.pending[cmd.Request] = pendingProposal{token, c.serial, c.now + int64(c.conf.TimeoutTicks)}
 	return b
 }
 
@@ -327,32 +327,32 @@
 		c.answer(token, c.halted, machine.Result{})
 		return
 	}
-	c.reads = append(c.reads, token)
+	c.queuedReads = append(c.queuedReads, token)
 }
 
-// Change proposes a change of the members with a command that notes it.
-func (c *Core) Change(token uint64, change *raftpb.ConfChangeV2, cmd *machine.Command) {
-	if c.lead == raft.None {
+// ProposeMembershipChange proposes a change of the members with a command that notes it.
+func (c *Core) ProposeMembershipChange(token uint64, change *raftpb.ConfChangeV2, cmd *machine.Command) {
+	if c.leader == raft.None {
 		c.answer(token, ErrNoLeader, machine.Result{})
 		return
 	}
-	if change.Context = c.enter(token, cmd); change.Context == nil {
+	if change.Context = c.register(token, cmd); change.Context == nil {
 		return
 	}
-	if err := c.raw.ProposeConfChange(change); err != nil {
+	if err := c.raftNode.ProposeConfChange(change); err != nil {
 		delete(c.pending, cmd.Request)
 		c.answer(token, ErrNoLeader, machine.Result{})
 	}
 }
 
-// Transfer asks the leader, if this instance is it, to hand over: before a planned stop, or with a full disk.
-func (c *Core) Transfer() (to uint64, ok bool) {
-	if !c.Leads() {
+// TransferLeadership asks the leader, if this instance is it, to hand over: before a planned stop, or with a full disk.
+func (c *Core) TransferLeadership() (to uint64, ok bool) {
+	if !c.IsLeader() {
 		return 0, false
 	}
 	best, match := uint64(0), uint64(0)
-	c.raw.WithProgress(func(id uint64, typ raft.ProgressType, pr progress) {
-		if id != c.conf.ID && typ == raft.ProgressTypePeer && c.active(id) && pr.Match >= match {
+	c.raftNode.WithProgress(func(id uint64, typ raft.ProgressType, pr progress) {
+		if id != c.conf.ID && typ == raft.ProgressTypePeer && c.recentlyHeard(id) && pr.Match >= match {
 			best, match = id, pr.Match
 		}
 	})
@@ -360,19 +360,19 @@
 		return 0, false
 	}
 	c.transferringTo = best
-	c.raw.TransferLeader(best)
+	c.raftNode.TransferLeader(best)
 	return best, true
 }
 
 // Leader is the instance that is taken for the leader; 0: none.
-func (c *Core) Leader() uint64 { return c.lead }
+func (c *Core) Leader() uint64 { return c.leader }
 
 // MembersVersion grows when what is noted of the members may have changed.
 func (c *Core) MembersVersion() uint64 { return c.memberVersion }
 
-// Leads tells whether this instance is the leader.
-func (c *Core) Leads() bool {
-	return c.lead == c.conf.ID && c.raw.BasicStatus().RaftState == raft.StateLeader
+// IsLeader tells whether this instance is the leader.
+func (c *Core) IsLeader() bool {
+	return c.leader == c.conf.ID && c.raftNode.BasicStatus().RaftState == raft.StateLeader
 }
 
 func (c *Core) answer(token uint64, err error, res machine.Result) {
@@ -390,82 +390,82 @@
 
 // flush hands what has come in to raft: proposals in one message, reads under one index.
 func (c *Core) flush() {
-	for len(c.queue) > 0 {
-		n := min(len(c.queue), c.conf.MaxBatch)
-		err := c.raw.Step(&raftpb.Message{Type: raftpb.MsgProp.Enum(), From: proto.Uint64(c.conf.ID), Entries: c.queue[:n:n]})
+	for len(c.queuedProposals) > 0 {
+		n := min(len(c.queuedProposals), c.conf.MaxBatch)
+		err := c.raftNode.Step(&raftpb.Message{Type: raftpb.MsgProp.Enum(), From: proto.Uint64(c.conf.ID), Entries: c.queuedProposals[:n:n]})
 		if err != nil { // dropped whole: nothing of it was done
-			for _, e := range c.queue[:n] {
+			for _, e := range c.queuedProposals[:n] {
 				if cmd, bad := machine.Decode(e.GetData(), c.conf.Format); bad == nil {
 					c.answer(c.pending[cmd.Request].token, ErrNoLeader, machine.Result{})
 					delete(c.pending, cmd.Request)
 				}
 			}
 		}
-		c.queue = c.queue[n:]
+		c.queuedProposals = c.queuedProposals[n:]
 	}
-	c.queue = nil
-	if len(c.reads) > 0 && c.lead != raft.None {
-		c.ask(c.reads)
-		c.reads = nil
+	c.queuedProposals = nil
+	if len(c.queuedReads) > 0 && c.leader != raft.None {
+		c.requestReadIndex(c.queuedReads)
+		c.queuedReads = nil
 	}
 }
 
 // Next returns the work that is to be done, or nil.
 func (c *Core) Next() *Work {
 	c.flush()
-	if !c.raw.HasReady() {
-		if len(c.envelopes) == 0 {
+	if !c.raftNode.HasReady() {
+		if len(c.outbox) == 0 {
 			return nil
 		}
-		w := &Work{Early: c.envelopes}
-		c.envelopes = nil
+		w := &Work{SendBeforeSave: c.outbox}
+		c.outbox = nil
 		return w
 	}
-	rd := c.raw.Ready()
-	w := &Work{Entries: rd.Entries, ready: rd, raft: true, Early: c.envelopes}
-	c.envelopes = nil
+	rd := c.raftNode.Ready()
+	w := &Work{Entries: rd.Entries, ready: rd, needsAdvance: true, SendBeforeSave: c.outbox}
+	c.outbox = nil
 	if rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState) {
-		w.Hard = rd.HardState
+		w.HardState = rd.HardState
 	}
 	if rd.Snapshot != nil && !raft.IsEmptySnap(rd.Snapshot) {
-		w.Install, w.Snap = rd.Snapshot.GetData(), rd.Snapshot.GetMetadata()
+		w.SnapshotData, w.SnapshotMeta = rd.Snapshot.GetData(), rd.Snapshot.GetMetadata()
 	}
 	if rd.SoftState != nil {
-		c.led(rd.SoftState.Lead)
+		c.setLeader(rd.SoftState.Lead)
 	}
 	// A leader may send entries while it writes them itself; all else says what is on the disk.
-	early := c.Leads()
+	early := c.IsLeader()
 	for _, m := range rd.Messages {
 		if m.GetType() == raftpb.MsgSnap {
-			c.begin(m)
+			c.beginTransfer(m)
 			continue
 		}
 		e := Envelope{To: m.GetTo(), From: c.conf.ID, Raft: m}
 		if early && (m.GetType() == raftpb.MsgApp || m.GetType() == raftpb.MsgHeartbeat) {
-			w.Early = append(w.Early, e)
+			w.SendBeforeSave = append(w.SendBeforeSave, e)
 		} else {
-			w.Late = append(w.Late, e)
+			w.SendAfterSave = append(w.SendAfterSave, e)
 		}
 	}
 	return w
 }
 
-func (c *Core) led(lead uint64) {
-	if lead != c.lead {
-		c.lead = lead
-		c.clockAt, c.transferringTo = c.now, 0
-		clear(c.caught)
+func (c *Core) setLeader(lead uint64) {
+	if lead != c.leader {
+		c.leader = lead
+		c.clockTick, c.transferringTo = c.now, 0
+		clear(c.caughtUpChecks)
 	}
 }
 
 // Done tells that the work was saved and sent. An error is final: the instance may not go on.
 func (c *Core) Done(w *Work) error {
-	if !w.raft {
+	if !w.needsAdvance {
 		return nil
 	}
 	rd := w.ready
-	if w.Snap != nil {
-		meta, image, err := disk.DecodeSnapshot("a snapshot that was sent", w.Install)
+	if w.SnapshotMeta != nil {
+		meta, image, err := disk.DecodeSnapshot("a snapshot that was sent", w.SnapshotData)
 		if err != nil {
 			return err
 		}
@@ -473,29 +473,29 @@
 		if err != nil {
 			return err
 		}
-		if err := c.log.ApplySnapshot(&raftpb.Snapshot{Metadata: meta}); err != nil {
+		if err := c.storage.ApplySnapshot(&raftpb.Snapshot{Metadata: meta}); err != nil {
 			return fmt.Errorf("store: install snapshot: %w", err)
 		}
-		c.m, c.members, c.applied, c.saved = m.Speaking(c.conf.Format), meta.GetConfState(), meta.GetIndex(), meta.GetIndex()
-		c.savedMembers = meta.GetConfState()
+		c.machine, c.confState, c.applied, c.snapshotIndex = m.Speaking(c.conf.Format), meta.GetConfState(), meta.GetIndex(), meta.GetIndex()
+		c.snapshotMembers = meta.GetConfState()
 		c.memberVersion++
 	}
-	if w.Hard != nil {
-		if err := c.log.SetHardState(w.Hard); err != nil {
+	if w.HardState != nil {
+		if err := c.storage.SetHardState(w.HardState); err != nil {
 			return fmt.Errorf("store: note hard state: %w", err)
 		}
 	}
-	if err := c.log.Append(rd.Entries); err != nil {
+	if err := c.storage.Append(rd.Entries); err != nil {
 		return fmt.Errorf("store: note entries: %w", err)
 	}
 	for _, e := range rd.CommittedEntries {
 		c.apply(e)
 	}
 	for _, rs := range rd.ReadStates {
-		c.indexed(rs)
+		c.readIndexReceived(rs)
 	}
-	c.raw.Advance(rd)
-	c.readReached()
+	c.raftNode.Advance(rd)
+	c.completeReads()
 	return nil
 }
 
@@ -503,33 +503,33 @@
 // the others keep their quorum, but nothing is applied, proposed or read here any more.
 func (c *Core) apply(e *raftpb.Entry) {
 	if e.GetType() == raftpb.EntryConfChangeV2 || e.GetType() == raftpb.EntryConfChange {
-		c.change(e)
+		c.applyConfChange(e)
 		return
 	}
 	if c.halted != nil {
 		return
 	}
 	if len(e.GetData()) == 0 {
-		c.m.Skip(e.GetIndex())
+		c.machine.Skip(e.GetIndex())
 	} else {
-		c.run(e.GetIndex(), e.GetData())
+		c.applyCommand(e.GetIndex(), e.GetData())
 	}
-	c.did(e)
+	c.noteApplied(e)
 }
 
-// did notes that an entry was applied.
-func (c *Core) did(e *raftpb.Entry) {
+// noteApplied notes that an entry was applied.
+func (c *Core) noteApplied(e *raftpb.Entry) {
 	if c.halted != nil {
 		return
 	}
 	c.applied = e.GetIndex()
 	if c.conf.Observe != nil {
-		c.conf.Observe(c.applied, e.GetTerm(), c.m.Chain())
+		c.conf.Observe(c.applied, e.GetTerm(), c.machine.Chain())
 	}
 }
 
-func (c *Core) run(index uint64, data []byte) {
-	res, cmd, err := c.m.Apply(index, data)
+func (c *Core) applyCommand(index uint64, data []byte) {
+	res, cmd, err := c.machine.Apply(index, data)
 	if err != nil {
 		c.halt(fmt.Errorf("%w: entry %d: %w", ErrHalted, index, err))
 		return
@@ -545,14 +545,14 @@
 
 func (c *Core) halt(err error) {
 	c.halted = err
-	c.giveUp(func(wait) bool { return true })
-	for _, r := range c.reached {
-		c.refuse(r.token, err)
+	c.abandonProposals(func(pendingProposal) bool { return true })
+	for _, r := range c.confirmedReads {
+		c.failReads(r.tokens, err)
 	}
-	c.reached = nil
+	c.confirmedReads = nil
 }
 
-func (c *Core) change(e *raftpb.Entry) {
+func (c *Core) applyConfChange(e *raftpb.Entry) {
 	cc := &raftpb.ConfChangeV2{}
 	if e.GetType() == raftpb.EntryConfChange {
 		old := &raftpb.ConfChange{}
@@ -565,67 +565,67 @@
 		c.halt(fmt.Errorf("%w: entry %d: %w", ErrHalted, e.GetIndex(), err))
 		return
 	}
-	c.members = c.raw.ApplyConfChange(cc)
+	c.confState = c.raftNode.ApplyConfChange(cc)
 	if c.halted != nil {
 		return
 	}
 	if len(cc.GetContext()) > 0 {
-		c.run(e.GetIndex(), cc.GetContext())
+		c.applyCommand(e.GetIndex(), cc.GetContext())
 	} else {
-		c.m.Skip(e.GetIndex())
+		c.machine.Skip(e.GetIndex())
 	}
-	c.did(e)
-	for id := range c.out { // a transfer to one that was removed leads nowhere
-		if !has(c.members, id) {
-			delete(c.out, id)
+	c.noteApplied(e)
+	for id := range c.outgoing { // a transfer to one that was removed leads nowhere
+		if !isMember(c.confState, id) {
+			delete(c.outgoing, id)
 		}
 	}
 }
 
-func has(s *raftpb.ConfState, id uint64) bool {
+func isMember(s *raftpb.ConfState, id uint64) bool {
 	return slices.Contains(s.GetVoters(), id) || slices.Contains(s.GetLearners(), id) ||
 		slices.Contains(s.GetVotersOutgoing(), id) || slices.Contains(s.GetLearnersNext(), id)
 }
 
-// Due returns a snapshot that is to be written now, or nil.
-func (c *Core) Due(force bool) *Save {
-	if c.saving != 0 || c.halted != nil || c.applied == c.saved || !force && !c.force && c.applied-c.saved < c.conf.Every {
+// DueSnapshot returns a snapshot that is to be written now, or nil.
+func (c *Core) DueSnapshot(force bool) *Snapshot {
+	if c.savingIndex != 0 || c.halted != nil || c.applied == c.snapshotIndex || !force && !c.snapshotForced && c.applied-c.snapshotIndex < c.conf.SnapshotInterval {
 		return nil
 	}
-	s := c.Frozen()
+	s := c.CurrentSnapshot()
 	if s != nil {
-		c.saving = c.applied
+		c.savingIndex = c.applied
 	}
 	return s
 }
 
-// Frozen returns the present state as a snapshot, for a backup; nil if nothing was applied yet.
-func (c *Core) Frozen() *Save {
-	term, err := c.log.Term(c.applied)
+// CurrentSnapshot returns the present state as a snapshot, for a backup; nil if nothing was applied yet.
+func (c *Core) CurrentSnapshot() *Snapshot {
+	term, err := c.storage.Term(c.applied)
 	if err != nil || c.applied == 0 || c.halted != nil {
 		return nil
 	}
-	return &Save{&raftpb.SnapshotMetadata{Index: proto.Uint64(c.applied), Term: proto.Uint64(term), ConfState: c.members}, c.m.Image()}
+	return &Snapshot{&raftpb.SnapshotMetadata{Index: proto.Uint64(c.applied), Term: proto.Uint64(term), ConfState: c.confState}, c.machine.Image()}
 }
 
-// Saved tells that a snapshot was written, or could not be, and returns the index up to which the log may go.
-func (c *Core) Saved(s *Save, err error) (release uint64) {
+// SnapshotSaved tells that a snapshot was written, or could not be, and returns the index up to which the log may go.
+func (c *Core) SnapshotSaved(s *Snapshot, err error) (release uint64) {
 	index := s.Meta.GetIndex()
-	if c.saving == index {
-		c.saving = 0
+	if c.savingIndex == index {
+		c.savingIndex = 0
 	}
-	if err != nil || index <= c.saved {
+	if err != nil || index <= c.snapshotIndex {
 		return 0
 	}
-	if _, err := c.log.CreateSnapshot(index, s.Meta.GetConfState(), nil); err != nil {
+	if _, err := c.storage.CreateSnapshot(index, s.Meta.GetConfState(), nil); err != nil {
 		return 0
 	}
-	c.saved, c.savedMembers, c.force = index, s.Meta.GetConfState(), false
-	if index <= c.conf.Keep {
+	c.snapshotIndex, c.snapshotMembers, c.snapshotForced = index, s.Meta.GetConfState(), false
+	if index <= c.conf.RetainedEntries {
 		return 0
 	}
-	release = index - c.conf.Keep
-	if err := c.log.Compact(release); err != nil {
+	release = index - c.conf.RetainedEntries
+	if err := c.storage.Compact(release); err != nil {
 		return 0
 	}
 	return release
--- a/internal/store/core/golden_test.go
+++ b/internal/store/core/golden_test.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, err := Founding([]uint64{11}, []machine.Op{record})
+	first, err := InitialSnapshot([]uint64{11}, []machine.Op{record})
 	show("founding", first, err)
 	_, image, err := disk.DecodeSnapshot("founding", first)
 	if err != nil {
@@ -75,7 +75,7 @@
 	if got := Members(m); !reflect.DeepEqual(got, map[uint64]Member{11: a}) {
 		t.Errorf("members are read as %+v", got)
 	}
-	change, command, err := Admit(m, 12, b, "token")
+	change, command, err := PlanJoin(m, 12, b, "token")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	show("admit/change", body, err)
 	body, err = machine.Encode(command)
 	show("admit/command", body, err)
-	change, command = Dismiss(m, 11)
+	change, command = PlanRemoval(m, 11)
 	body, err = proto.Marshal(change)
 	show("dismiss/change", body, err)
 	body, err = machine.Encode(command)
--- a/internal/store/frame/frame.go
+++ b/internal/store/frame/frame.go
@@ -26,14 +26,14 @@
 	HelloKind    Kind = 'h'
 	WelcomeKind  Kind = 'w'
 	RaftKind     Kind = 'r'
-	PieceKind    Kind = 'p'
-	GotKind      Kind = 'g'
+	ChunkKind    Kind = 'p'
+	ChunkAckKind Kind = 'g'
 	RequestKind  Kind = 'q'
 	ResponseKind Kind = 'a'
 )
 
-// ErrLong says that a frame claims more than Max.
-var ErrLong = errors.New("store: a frame is longer than allowed")
+// ErrTooLong says that a frame claims more than Max.
+var ErrTooLong = errors.New("store: a frame is longer than allowed")
 
 // Hello is the first frame of whoever connects.
 type Hello struct {
@@ -66,7 +66,7 @@
 		return b, fmt.Errorf("store: encode frame: %w", err)
 	}
 	if len(body) > Max {
-		return b, ErrLong
+		return b, ErrTooLong
 	}
 	return Append(b, kind, body), nil
 }
@@ -88,7 +88,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:4])
 	if n > uint32(most) {
-		return 0, buf, fmt.Errorf("%w: %d bytes, %d at most", ErrLong, n, most)
+		return 0, buf, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLong, n, most)
 	}
 	buf = buf[:0]
 	for left := int(n); left > 0; { // room grows with what has come
@@ -117,10 +117,10 @@
 // AppendEnvelope adds a message between instances.
 func AppendEnvelope(b []byte, e core.Envelope) ([]byte, error) {
 	switch {
-	case e.Piece != nil:
-		return AppendValue(b, PieceKind, e.Piece)
-	case e.Got != nil:
-		return AppendValue(b, GotKind, e.Got)
+	case e.Chunk != nil:
+		return AppendValue(b, ChunkKind, e.Chunk)
+	case e.Ack != nil:
+		return AppendValue(b, ChunkAckKind, e.Ack)
 	}
 	body, err := proto.Marshal(e.Raft)
 	if err != nil {
@@ -137,12 +137,12 @@
 	case RaftKind:
 		e.Raft = &raftpb.Message{}
 		err = proto.Unmarshal(body, e.Raft)
-	case PieceKind:
-		e.Piece = &core.Piece{}
-		err = Value(body, e.Piece)
-	case GotKind:
-		e.Got = &core.Got{}
-		err = Value(body, e.Got)
+	case ChunkKind:
+		e.Chunk = &core.SnapshotChunk{}
+		err = Value(body, e.Chunk)
+	case ChunkAckKind:
+		e.Ack = &core.ChunkAck{}
+		err = Value(body, e.Ack)
 	default:
 		return e, false, nil
 	}
--- a/internal/store/frame/golden_test.go
+++ b/internal/store/frame/golden_test.go
@@ -74,8 +74,8 @@
 		{"response", ResponseKind, &Response{ID: 1, Code: CodeFailed, Error: "why", Result: machine.Result{Code: machine.NoLease, Holds: true, Revision: 9, ID: 8, KVs: []machine.KV{kv}},
 			Events: []machine.Event{{Revision: 9, Deleted: true, KV: &kv}}, AgeMS: -1, More: true, Body: []byte("body")}, &Response{}},
 		{"response-least", ResponseKind, &Response{ID: 2}, &Response{}},
-		{"piece", PieceKind, &core.Piece{Index: 1, Term: 2, Total: 300, Offset: 4, Data: []byte("data")}, &core.Piece{}},
-		{"got", GotKind, &core.Got{Index: 1, Offset: 300}, &core.Got{}},
+		{"piece", ChunkKind, &core.SnapshotChunk{Index: 1, Term: 2, Total: 300, Offset: 4, Data: []byte("data")}, &core.SnapshotChunk{}},
+		{"got", ChunkAckKind, &core.ChunkAck{Index: 1, Offset: 300}, &core.ChunkAck{}},
 	}
 }
 
@@ -105,7 +105,7 @@
 	}
 	message := &raftpb.Message{Type: raftpb.MsgApp.Enum(), To: proto.Uint64(12), From: proto.Uint64(11), Term: proto.Uint64(2), LogTerm: proto.Uint64(1), Index: proto.Uint64(3),
 		Commit: proto.Uint64(4), Entries: []*raftpb.Entry{{Index: proto.Uint64(4), Term: proto.Uint64(2), Data: []byte("four")}}}
-	for _, e := range []core.Envelope{{Raft: message}, {Piece: &core.Piece{Index: 1}}, {Got: &core.Got{Index: 2}}} {
+	for _, e := range []core.Envelope{{Raft: message}, {Chunk: &core.SnapshotChunk{Index: 1}}, {Ack: &core.ChunkAck{Index: 2}}} {
 		b, err := AppendEnvelope(nil, e)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/store/node/bench_test.go
+++ b/internal/store/node/bench_test.go
@@ -155,7 +155,7 @@
 			b.Fatal(err)
 		}
 		defer dir.Close()
-		s := &core.Save{Meta: &raftpb.SnapshotMetadata{Index: proto.Uint64(m.Index()), Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}, Image: m.Image()}
+		s := &core.Snapshot{Meta: &raftpb.SnapshotMetadata{Index: proto.Uint64(m.Index()), Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}, Image: m.Image()}
 		b.Run(fmt.Sprintf("save/keys=%d", keys), func(b *testing.B) {
 			for range b.N {
 				if err := disk.SaveSnapshot(dir, m.Index(), func(w io.Writer) error { return disk.EncodeSnapshot(w, s.Meta, s.Image.Write) }); err != nil {
@@ -173,7 +173,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if _, err := core.New(core.Config{ID: 1, Log: raftLog{}}, core.State{Snapshot: snap, Name: name, Log: &disk.Loaded{Hard: &raftpb.HardState{}}}); err != nil {
+				if _, err := core.New(core.Config{ID: 1, Logger: raftLog{}}, core.InitialState{Snapshot: snap, SnapshotName: name, Log: &disk.Loaded{Hard: &raftpb.HardState{}}}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/store/node/node.go
+++ b/internal/store/node/node.go
@@ -122,9 +122,9 @@
 		return fail(fmt.Errorf("store: start: %w", err))
 	}
 	n.core, err = core.New(core.Config{ID: store.Identity.Node, Nonce: binary.LittleEndian.Uint64(nonce[:]), TickMS: conf.Tick.Milliseconds(),
-		Election: conf.ElectionTicks, Every: conf.SnapshotEntries, Keep: conf.SnapshotEntries / 4, Patience: max(1, int(3*time.Second/conf.Tick)),
-		Rate: max(64<<10, int(int64(conf.SnapshotRate)*int64(conf.Tick)/int64(time.Second))), Log: raftLog{n.log}},
-		core.State{Snapshot: got.Snapshot, Name: got.Name, Log: got.Loaded})
+		ElectionTicks: conf.ElectionTicks, SnapshotInterval: conf.SnapshotEntries, RetainedEntries: conf.SnapshotEntries / 4, TimeoutTicks: max(1, int(3*time.Second/conf.Tick)),
+		SnapshotBytesPerTick: max(64<<10, int(int64(conf.SnapshotRate)*int64(conf.Tick)/int64(time.Second))), Logger: raftLog{n.log}},
+		core.InitialState{Snapshot: got.Snapshot, SnapshotName: got.Name, Log: got.Loaded})
 	if err != nil {
 		return fail(err)
 	}
@@ -189,13 +189,13 @@
 
 // leave hands over if this instance leads, and tells when another does.
 func (n *Node) leave(done chan struct{}) {
-	if _, led := n.core.Transfer(); !led {
+	if _, led := n.core.TransferLeadership(); !led {
 		close(done)
 		return
 	}
 	var look func()
 	look = func() {
-		if !n.core.Leads() {
+		if !n.core.IsLeader() {
 			close(done)
 			return
 		}
@@ -271,7 +271,7 @@
 	n.net.Close()
 	for token, f := range n.waits {
 		delete(n.waits, token)
-		f(core.Answer{Err: fmt.Errorf("%w: %w", core.ErrUnknown, ErrStopped)})
+		f(core.Answer{Err: fmt.Errorf("%w: %w", core.ErrOutcomeUnknown, ErrStopped)})
 	}
 	n.watches.close()
 	n.saves.Wait()
@@ -284,9 +284,9 @@
 func (n *Node) drive() error {
 	applied := n.core.Machine().Index()
 	for {
-		if n.core.WantsSnapshot() {
+		if n.core.NeedsSnapshotData() {
 			b, _, err := disk.LoadSnapshot(n.dir)
-			n.core.Held(b, err)
+			n.core.ProvideSnapshotData(b, err)
 		}
 		w := n.stalled
 		if w != nil && time.Since(n.stallAt) < time.Second {
@@ -296,14 +296,14 @@
 			if w = n.core.Next(); w == nil {
 				break
 			}
-			n.net.Send(w.Early)
+			n.net.Send(w.SendBeforeSave)
 		}
 		err := error(nil)
-		if w.Install != nil {
-			err = n.store.Install(w.Snap, w.Install)
+		if w.SnapshotData != nil {
+			err = n.store.Install(w.SnapshotMeta, w.SnapshotData)
 		}
 		if err == nil {
-			err = n.store.Log.Save(w.Hard, w.Snap, w.Entries)
+			err = n.store.Log.Save(w.HardState, w.SnapshotMeta, w.Entries)
 		}
 		if errors.Is(err, disk.ErrFull) {
 			// Nothing is acknowledged, no time passes and no heartbeat goes out: the others elect another leader, and
@@ -321,7 +321,7 @@
 			n.log.Info().Msg("store: the disk has room again")
 			n.stalled = nil
 		}
-		n.net.Send(w.Late)
+		n.net.Send(w.SendAfterSave)
 		if err := n.core.Done(w); err != nil {
 			return err
 		}
@@ -336,7 +336,7 @@
 	if now := n.core.Machine().Index(); now != applied {
 		n.watches.wake()
 	}
-	if s := n.core.Due(false); s != nil {
+	if s := n.core.DueSnapshot(false); s != nil {
 		n.saves.Add(1)
 		go func() {
 			defer n.saves.Done()
@@ -347,8 +347,8 @@
 	return nil
 }
 
-func (n *Node) saved(s *core.Save, err error) {
-	release := n.core.Saved(s, err)
+func (n *Node) saved(s *core.Snapshot, err error) {
+	release := n.core.SnapshotSaved(s, err)
 	if err != nil {
 		n.log.Warn().Err(err).Msg("store: a snapshot could not be saved; the log is kept")
 		return
@@ -440,7 +440,7 @@
 	case a := <-answers:
 		return a.Result, a.Err
 	case <-ctx.Done():
-		return machine.Result{}, fmt.Errorf("%w: %w", core.ErrUnknown, ctx.Err())
+		return machine.Result{}, fmt.Errorf("%w: %w", core.ErrOutcomeUnknown, ctx.Err())
 	case <-n.ended:
 		return machine.Result{}, ErrStopped
 	}
@@ -456,7 +456,7 @@
 	ends := make(chan end, 1)
 	look := func() {
 		age := time.Duration(-1)
-		if ticks, known := n.core.Age(); known {
+		if ticks, known := n.core.Staleness(); known {
 			age = time.Duration(ticks) * n.conf.Tick
 		}
 		if !stale {
@@ -528,8 +528,8 @@
 func (n *Node) status() Status {
 	s := Status{Status: n.core.Status(), Name: n.conf.Name, Cluster: fmt.Sprintf("%016x", n.store.Identity.Cluster), Members: map[string]core.Member{},
 		AgeMS: -1, DiskFull: n.stalled != nil, Segments: n.store.Log.Segments(), Clients: n.conns.Load()}
-	if s.AgeTicks >= 0 {
-		s.AgeMS = s.AgeTicks * n.conf.Tick.Milliseconds()
+	if s.StalenessTicks >= 0 {
+		s.AgeMS = s.StalenessTicks * n.conf.Tick.Milliseconds()
 	}
 	for id, m := range core.Members(n.core.Machine()) {
 		s.Members[core.MemberKey(id)] = m
--- a/internal/store/node/node_test.go
+++ b/internal/store/node/node_test.go
@@ -57,7 +57,7 @@
 		r.ok(err)
 		records = append(records, op)
 	}
-	first, err := core.Founding(voters, records)
+	first, err := core.InitialSnapshot(voters, records)
 	r.ok(err)
 	for i := range instances {
 		r.create(i, 1, first)
@@ -213,7 +213,7 @@
 		ages = append(ages, age)
 		return age > 500*time.Millisecond
 	})
-	if _, err := r.nodes[0].Propose(r.ctx, &machine.Command{Kind: machine.OpenKind}); !errors.Is(err, core.ErrNoLeader) && !errors.Is(err, core.ErrUnknown) {
+	if _, err := r.nodes[0].Propose(r.ctx, &machine.Command{Kind: machine.OpenKind}); !errors.Is(err, core.ErrNoLeader) && !errors.Is(err, core.ErrOutcomeUnknown) {
 		t.Errorf("a write without a quorum: %v", err)
 	}
 	if _, err := r.nodes[0].Read(r.ctx, false, func(*machine.Machine) {}); !errors.Is(err, core.ErrNoLeader) {
--- a/internal/store/node/server.go
+++ b/internal/store/node/server.go
@@ -83,7 +83,7 @@
 	rd := bufio.NewReaderSize(c, 32<<10)
 	kind, body, err := frame.Read(rd, nil, 4096)
 	if err != nil || kind != frame.HelloKind {
-		return fmt.Errorf("no hello came: %w", errors.Join(err, frame.ErrLong))
+		return fmt.Errorf("no hello came: %w", errors.Join(err, frame.ErrTooLong))
 	}
 	var h frame.Hello
 	if err := frame.Value(body, &h); err != nil {
@@ -136,7 +136,7 @@
 		_ = c.SetReadDeadline(time.Now().Add(peerSilence))
 		kind, body, err := frame.Read(rd, buf, frame.Max)
 		if err != nil {
-			if errors.Is(err, frame.ErrLong) {
+			if errors.Is(err, frame.ErrTooLong) {
 				return err
 			}
 			return nil // the peer went, as peers do
@@ -179,7 +179,7 @@
 	for {
 		kind, body, err := frame.Read(rd, nil, maxCommand+64<<10)
 		if err != nil {
-			if errors.Is(err, frame.ErrLong) {
+			if errors.Is(err, frame.ErrTooLong) {
 				return err
 			}
 			return nil
@@ -224,7 +224,7 @@
 	switch {
 	case errors.Is(err, core.ErrNoLeader), errors.Is(err, core.ErrBusy), errors.Is(err, core.ErrHalted):
 		return frame.CodeRetry
-	case errors.Is(err, core.ErrUnknown), errors.Is(err, context.DeadlineExceeded), errors.Is(err, ErrStopped):
+	case errors.Is(err, core.ErrOutcomeUnknown), errors.Is(err, context.DeadlineExceeded), errors.Is(err, ErrStopped):
 		return frame.CodeUnknown
 	}
 	return frame.CodeFailed
@@ -386,8 +386,8 @@
 		return no
 	}
 	return n.change(ctx, func() (func(uint64), error) {
-		change, cmd, err := core.Admit(n.core.Machine(), q.Node, core.Member{Name: cl.owner, Address: q.Address, Format: machine.Format}, key)
-		return func(token uint64) { n.core.Change(token, change, cmd) }, err
+		change, cmd, err := core.PlanJoin(n.core.Machine(), q.Node, core.Member{Name: cl.owner, Address: q.Address, Format: machine.Format}, key)
+		return func(token uint64) { n.core.ProposeMembershipChange(token, change, cmd) }, err
 	})
 }
 
@@ -400,19 +400,19 @@
 		if s := n.core.Status(); len(s.Voters) == 1 && s.Voters[0] == id {
 			return nil, refusal{errors.New("store: the last voter cannot be removed")}
 		}
-		if id == n.store.Identity.Node && n.core.Leads() { // it leaves in order: another leads first, and is asked then
-			n.core.Transfer()
+		if id == n.store.Identity.Node && n.core.IsLeader() { // it leaves in order: another leads first, and is asked then
+			n.core.TransferLeadership()
 			return nil, core.ErrNoLeader
 		}
-		change, cmd := core.Dismiss(n.core.Machine(), id)
-		return func(token uint64) { n.core.Change(token, change, cmd) }, nil
+		change, cmd := core.PlanRemoval(n.core.Machine(), id)
+		return func(token uint64) { n.core.ProposeMembershipChange(token, change, cmd) }, nil
 	})
 }
 
 func (n *Node) handOver(ctx context.Context) error {
 	result := make(chan error, 1)
 	if !n.post(func() {
-		if _, led := n.core.Transfer(); !led {
+		if _, led := n.core.TransferLeadership(); !led {
 			result <- fmt.Errorf("%w: this instance does not lead", core.ErrNoLeader)
 			return
 		}
@@ -430,8 +430,8 @@
 
 // backup sends the whole state as a snapshot.
 func (cl *caller) backup(ctx context.Context, q *frame.Request) error {
-	var s *core.Save
-	if _, err := cl.n.Read(ctx, false, func(*machine.Machine) { s = cl.n.core.Frozen() }); err != nil {
+	var s *core.Snapshot
+	if _, err := cl.n.Read(ctx, false, func(*machine.Machine) { s = cl.n.core.CurrentSnapshot() }); err != nil {
 		return err
 	}
 	if s == nil {
--- a/internal/store/transport/golden_test.go
+++ b/internal/store/transport/golden_test.go
@@ -100,7 +100,7 @@
 	peers := New(Config{TLS: config(t, dir, "a"), Hello: hello})
 	defer peers.Close()
 	peers.Know(Member{ID: 12, Name: "b", Address: address})
-	peers.Send([]core.Envelope{{From: 11, To: 12, Got: &core.Got{Index: 3, Offset: 300}}})
+	peers.Send([]core.Envelope{{From: 11, To: 12, Ack: &core.ChunkAck{Index: 3, Offset: 300}}})
 	expect(came, goldenHello)
 	expect(came, goldenGot)
 }
--- a/internal/storecli/admin.go
+++ b/internal/storecli/admin.go
@@ -175,7 +175,7 @@
 		return fmt.Errorf("%s is not among the founding members", set.Name)
 	}
 	id.Voters = voters
-	first, err := core.Founding(voters, records)
+	first, err := core.InitialSnapshot(voters, records)
 	if err != nil {
 		return err
 	}
@@ -386,7 +386,7 @@
 		return id, 0, nil, err
 	}
 	id.Voters = []uint64{id.Node}
-	snapshot, err = core.Encode(&core.Save{Meta: &raftpb.SnapshotMetadata{Index: proto.Uint64(index), Term: proto.Uint64(meta.GetTerm() + 1),
+	snapshot, err = core.EncodeSnapshot(&core.Snapshot{Meta: &raftpb.SnapshotMetadata{Index: proto.Uint64(index), Term: proto.Uint64(meta.GetTerm() + 1),
 		ConfState: &raftpb.ConfState{Voters: id.Voters}}, Image: m.Image()})
 	return id, index, snapshot, err
 }
--- a/internal/storecli/store.go
+++ b/internal/storecli/store.go
@@ -189,7 +189,7 @@
 					if st.AgeMS >= 0 {
 						age = fmt.Sprintf("at most %d ms", st.AgeMS)
 					}
-					fmt.Fprintf(w, "behind\t%s\nlog\tapplied %d of %d, snapshot at %d, %d files\n", age, st.Applied, st.Commit, st.Saved, st.Segments)
+					fmt.Fprintf(w, "behind\t%s\nlog\tapplied %d of %d, snapshot at %d, %d files\n", age, st.Applied, st.Commit, st.SnapshotIndex, st.Segments)
 					if st.Halted != "" {
 						fmt.Fprintf(w, "halted\t%s\n", st.Halted)
 					}
