--- /dev/null
+++ b/internal/store/core/apply_test.go
@@ -0,0 +1,44 @@
+package core
+
+import (
+	"errors"
+	"testing"
+
+	"cloverrock/internal/store/machine"
+)
+
+// The first command of a newer format comes only when all members understand it. An instance that meets one all the
+// same stops applying, says so, and leaves the others their quorum.
+func TestUnknownFormatHaltsOneInstanceAndNotTheOthers(t *testing.T) {
+	cl := newCluster(t, 1, machine.Format+1, machine.Format+1)
+	leader := cl.elect(2)
+	for range 3 * dutyInterval {
+		leader.Tick()
+		cl.runUntilIdle()
+	}
+	if leader.Machine().Level() != 1 {
+		t.Fatal("the format was raised past what a member understands")
+	}
+	leader.Propose(1, &machine.Command{V: machine.Format + 1, Kind: machine.TxnKind})
+	cl.runUntilIdle()
+	if answer := cl.answers[2][1]; answer.Err != nil {
+		t.Fatalf("a newer build: %+v", answer)
+	}
+	old := cl.cores[1]
+	if status := old.Status(); status.Halted == "" || status.Applied >= leader.Status().Applied {
+		t.Errorf("an old build that met a newer command: %+v", status)
+	}
+	old.Propose(2, &machine.Command{Kind: machine.TxnKind})
+	old.Read(3)
+	cl.runUntilIdle()
+	for _, token := range []uint64{2, 3} {
+		if answer := cl.answers[1][token]; !errors.Is(answer.Err, ErrHalted) {
+			t.Errorf("token %d at the old build: %+v", token, answer)
+		}
+	}
+	leader.Propose(4, &machine.Command{Kind: machine.OpenKind})
+	cl.runUntilIdle()
+	if answer := cl.answers[2][4]; answer.Err != nil {
+		t.Errorf("the others do not go on: %+v", answer)
+	}
+}
--- /dev/null
+++ b/internal/store/core/proposals_test.go
@@ -0,0 +1,50 @@
+package core
+
+import (
+	"errors"
+	"testing"
+
+	"cloverrock/internal/store/machine"
+)
+
+func TestFollowerForwardsProposalAndReadSeesIt(t *testing.T) {
+	cl := newCluster(t, 1, 1, 1)
+	cl.elect(1)
+	put := machine.Op{Kind: machine.Put, NS: "n", Key: "k"}
+	cl.cores[3].Propose(1, &machine.Command{Kind: machine.TxnKind, Then: []machine.Op{put}})
+	cl.runUntilIdle()
+	cl.cores[2].Read(2)
+	cl.runUntilIdle()
+	if answer := cl.answers[3][1]; answer.Err != nil || answer.Result.Revision != 2 {
+		t.Errorf("at a follower: %+v", answer)
+	}
+	if answer := cl.answers[2][2]; answer.Err != nil || answer.Result.Revision != 2 {
+		t.Errorf("the read: %+v", answer)
+	}
+	if age, known := cl.cores[2].Staleness(); !known || age != 0 {
+		t.Errorf("age %d, known %t", age, known)
+	}
+}
+
+// Without a quorum a proposal is answered at its deadline, and the age of the state grows.
+func TestWithoutQuorumProposalsTimeOutAndStateAges(t *testing.T) {
+	cl := newCluster(t, 1, 1, 1)
+	c := cl.elect(1)
+	cl.stop(2, 3)
+	c.Propose(1, &machine.Command{Kind: machine.OpenKind})
+	for range c.conf.TimeoutTicks + 1 {
+		c.Tick()
+		cl.runUntilIdle()
+	}
+	if answer := cl.answers[1][1]; !errors.Is(answer.Err, ErrOutcomeUnknown) {
+		t.Errorf("a proposal without a quorum: %+v", answer)
+	}
+	c.Propose(2, &machine.Command{Kind: machine.OpenKind})
+	cl.runUntilIdle()
+	if answer := cl.answers[1][2]; !errors.Is(answer.Err, ErrNoLeader) {
+		t.Errorf("it still takes itself for the leader: %+v", answer)
+	}
+	if age, _ := c.Staleness(); age < int64(c.conf.TimeoutTicks) {
+		t.Errorf("age %d", age)
+	}
+}
--- a/internal/store/core/reads.go
+++ b/internal/store/core/reads.go
@@ -1,9 +1,7 @@
 package core
 
 import (
-	"cmp"
 	"encoding/binary"
-	"slices"
 
 	"go.etcd.io/raft/v3"
 
@@ -11,90 +9,105 @@
 )
 
 const (
-	refreshInterval  = 2  // ticks between the questions by which an instance knows how old its state is
-	readIndexTimeout = 10 // ticks after which a read index that was not answered is asked for again
+	refreshInterval  = 2  // ticks between the requests by which an instance learns how old its state is
+	readIndexTimeout = 10 // ticks after which a read index that was not answered is given up
 )
 
-// requestReadIndex asks the leader for the index that a read must have seen. The leader makes sure by a quorum that it still is.
+// readRequest is a read index that was asked for.
+type readRequest struct {
+	requestID uint64
+	askedAt   int64 // in ticks
+	tokens    []uint64
+}
+
+// confirmedRead is a read that waits until the entry with its index is applied.
+type confirmedRead struct {
+	index   uint64
+	askedAt int64 // in ticks
+	tokens  []uint64
+}
+
+// Read answers the token when the state here holds all that was answered anywhere before the call.
+func (c *Core) Read(token uint64) {
+	if c.halted != nil {
+		c.answer(token, c.halted, machine.Result{})
+		return
+	}
+	c.queuedReads = append(c.queuedReads, token)
+}
+
+// Staleness tells for how many ticks the state here may have been behind, and whether that is known at all.
+func (c *Core) Staleness() (ticks int64, known bool) { return c.now - c.freshAt, c.freshAt >= 0 }
+
+// requestReadIndex asks the leader for the index that a read must have seen. The leader confirms by a quorum that it
+// still is the leader.
 func (c *Core) requestReadIndex(tokens []uint64) {
-	mark := c.nextRequestID()
-	c.readRequests = append(c.readRequests, readRequest{mark, c.now, tokens})
-	c.raftNode.ReadIndex(binary.LittleEndian.AppendUint64(nil, mark))
+	request := c.nextRequestID()
+	c.readRequests = append(c.readRequests, readRequest{request, c.now, tokens})
+	c.raftNode.ReadIndex(binary.LittleEndian.AppendUint64(nil, request))
 }
 
-// readIndexReceived takes the answer.
-func (c *Core) readIndexReceived(rs raft.ReadState) {
-	if len(rs.RequestCtx) != 8 {
+// readIndexReceived takes the leader's answer.
+func (c *Core) readIndexReceived(state raft.ReadState) {
+	if len(state.RequestCtx) != 8 {
 		return
 	}
-	mark := binary.LittleEndian.Uint64(rs.RequestCtx)
-	for i := range c.readRequests {
-		if a := c.readRequests[i]; a.requestID == mark {
+	id := binary.LittleEndian.Uint64(state.RequestCtx)
+	for i, request := range c.readRequests {
+		if request.requestID == id {
 			c.readRequests = append(c.readRequests[:i], c.readRequests[i+1:]...)
-			c.confirmedReads = append(c.confirmedReads, confirmedRead{rs.Index, a.askedAt, a.tokens})
+			c.confirmedReads = append(c.confirmedReads, confirmedRead{state.Index, request.askedAt, request.tokens})
 			return
 		}
 	}
 }
 
-// completeReads answers the reads whose index the state has come to.
+// completeReads answers the reads whose index is applied.
 func (c *Core) completeReads() {
-	kept := c.confirmedReads[:0]
-	for _, r := range c.confirmedReads {
-		if r.index > c.applied {
-			kept = append(kept, r)
+	waiting := c.confirmedReads[:0]
+	for _, read := range c.confirmedReads {
+		if read.index > c.applied {
+			waiting = append(waiting, read)
 			continue
 		}
-		c.freshAt = max(c.freshAt, r.askedAt)
-		for _, t := range r.tokens {
-			c.answer(t, nil, machine.Result{Revision: c.machine.Revision()})
+		c.freshAt = max(c.freshAt, read.askedAt)
+		for _, token := range read.tokens {
+			c.answer(token, nil, machine.Result{Revision: c.machine.Revision()})
 		}
 	}
-	c.confirmedReads = kept
+	c.confirmedReads = waiting
 }
 
 func (c *Core) failReads(tokens []uint64, err error) {
-	for _, t := range tokens {
-		c.answer(t, err, machine.Result{})
+	for _, token := range tokens {
+		c.answer(token, err, machine.Result{})
 	}
 }
 
-// expireWaits ends what has waited too long, and asks again for read indexes: questions get lost.
+// expireWaits ends what has waited too long, and renews the request that tells how old the state is: messages get
+// lost.
 func (c *Core) expireWaits() {
-	c.abandonProposals(func(w pendingProposal) bool { return c.now >= w.deadline })
-	if c.leader == raft.None { // with no leader a read has no answer, and its client may ask another instance
+	c.abandonProposals(func(proposal pendingProposal) bool { return c.now >= proposal.deadline })
+	if c.leader == raft.None { // no answer can come; the client may ask another instance
 		c.failReads(c.queuedReads, ErrNoLeader)
 		c.queuedReads = nil
 	}
-	kept := c.readRequests[:0]
-	for _, a := range c.readRequests {
-		switch {
-		case c.now-a.askedAt < readIndexTimeout:
-			kept = append(kept, a)
-		case len(a.tokens) > 0: // the client is told at once that it may try again: a new question is a new read
-			c.failReads(a.tokens, ErrNoLeader)
-		}
-	}
-	c.readRequests = kept
+	c.expireReadRequests()
 	if c.now%refreshInterval == 0 && c.halted == nil && c.leader != raft.None {
 		c.requestReadIndex(nil)
 	}
 }
 
-// abandonProposals answers proposals whose outcome will not be known here, in the order in which they were made.
-func (c *Core) abandonProposals(which func(pendingProposal) bool) {
-	var over []uint64
-	for request, w := range c.pending {
-		if which(w) {
-			over = append(over, request)
+// expireReadRequests fails reads whose index was not answered in time. They are not asked for again here: a retry
+// by the client is a new read.
+func (c *Core) expireReadRequests() {
+	waiting := c.readRequests[:0]
+	for _, request := range c.readRequests {
+		if c.now-request.askedAt < readIndexTimeout {
+			waiting = append(waiting, request)
+			continue
 		}
+		c.failReads(request.tokens, ErrNoLeader)
 	}
-	slices.SortFunc(over, func(a, b uint64) int { return cmp.Compare(c.pending[a].serial, c.pending[b].serial) })
-	for _, request := range over {
-		c.answer(c.pending[request].token, ErrOutcomeUnknown, machine.Result{})
-		delete(c.pending, request)
-	}
+	c.readRequests = waiting
 }
-
-// Staleness tells for how many ticks the state here may have been behind, and whether that is known at all.
-func (c *Core) Staleness() (ticks int64, known bool) { return c.now - c.freshAt, c.freshAt >= 0 }
--- /dev/null
+++ b/internal/store/core/snapshot.go
@@ -0,0 +1,106 @@
+package core
+
+import (
+	"bytes"
+	"fmt"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"cloverrock/internal/store/disk"
+	"cloverrock/internal/store/machine"
+)
+
+// sentSnapshotName names a snapshot that came from another instance, in error messages.
+const sentSnapshotName = "a snapshot that was sent"
+
+// Snapshot is the state at one index. One that is due is written in the background and reported to SnapshotSaved.
+type Snapshot struct {
+	Meta  *raftpb.SnapshotMetadata
+	Image *machine.Image
+}
+
+// EncodeSnapshot gives a snapshot the form that it has on the disk and between instances.
+func EncodeSnapshot(snapshot *Snapshot) ([]byte, error) {
+	var encoded bytes.Buffer
+	err := disk.EncodeSnapshot(&encoded, snapshot.Meta, snapshot.Image.Write)
+	return encoded.Bytes(), err
+}
+
+func decodeSnapshot(name string, data []byte) (*raftpb.SnapshotMetadata, *machine.Machine, error) {
+	meta, image, err := disk.DecodeSnapshot(name, data)
+	if err != nil {
+		return nil, nil, err
+	}
+	state, err := machine.Restore(image)
+	return meta, state, err
+}
+
+// installSnapshot replaces the state by a snapshot that the leader has sent.
+func (c *Core) installSnapshot(data []byte) error {
+	meta, state, err := decodeSnapshot(sentSnapshotName, data)
+	if err != nil {
+		return err
+	}
+	if err := c.storage.ApplySnapshot(&raftpb.Snapshot{Metadata: meta}); err != nil {
+		return fmt.Errorf("store: install snapshot: %w", err)
+	}
+	c.machine = state.Speaking(c.conf.Format)
+	c.confState = meta.GetConfState()
+	c.applied = meta.GetIndex()
+	c.snapshotIndex = meta.GetIndex()
+	c.snapshotMembers = meta.GetConfState()
+	c.memberVersion++
+	return nil
+}
+
+// DueSnapshot returns a snapshot that is to be written now, or nil. With force set one is due unless the newest one
+// holds all that was applied.
+func (c *Core) DueSnapshot(force bool) *Snapshot {
+	if c.savingIndex != 0 || c.halted != nil || c.applied == c.snapshotIndex {
+		return nil
+	}
+	if !force && !c.snapshotForced && c.applied-c.snapshotIndex < c.conf.SnapshotInterval {
+		return nil
+	}
+	snapshot := c.CurrentSnapshot()
+	if snapshot != nil {
+		c.savingIndex = c.applied
+	}
+	return snapshot
+}
+
+// CurrentSnapshot returns the present state, for a backup; nil if nothing was applied yet or the instance has halted.
+func (c *Core) CurrentSnapshot() *Snapshot {
+	term, err := c.storage.Term(c.applied)
+	if err != nil || c.applied == 0 || c.halted != nil {
+		return nil
+	}
+	meta := &raftpb.SnapshotMetadata{Index: new(c.applied), Term: new(term), ConfState: c.confState}
+	return &Snapshot{meta, c.machine.Image()}
+}
+
+// SnapshotSaved tells that a snapshot was written, or with an error that it could not be. It returns the index up to
+// which the log on the disk may be dropped; 0: nothing.
+func (c *Core) SnapshotSaved(snapshot *Snapshot, err error) (release uint64) {
+	index := snapshot.Meta.GetIndex()
+	if c.savingIndex == index {
+		c.savingIndex = 0
+	}
+	if err != nil || index <= c.snapshotIndex {
+		return 0
+	}
+	if _, err := c.storage.CreateSnapshot(index, snapshot.Meta.GetConfState(), nil); err != nil {
+		return 0
+	}
+	c.snapshotIndex = index
+	c.snapshotMembers = snapshot.Meta.GetConfState()
+	c.snapshotForced = false
+	if index <= c.conf.RetainedEntries {
+		return 0
+	}
+	release = index - c.conf.RetainedEntries
+	if err := c.storage.Compact(release); err != nil {
+		return 0
+	}
+	return release
+}
--- /dev/null
+++ b/internal/store/core/transfer_test.go
@@ -0,0 +1,58 @@
+package core
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"cloverrock/internal/store/machine"
+)
+
+// A snapshot is sent in chunks within its rate, and comes whole although chunks and acknowledgements are lost.
+func TestSnapshotKeepsItsRateAndToleratesLoss(t *testing.T) {
+	cl := newCluster(t, 1, 1, 1)
+	leader, behind := cl.elect(1), cl.cores[3]
+	cl.stop(3)
+	for i := range 300 {
+		put := machine.Op{Kind: machine.Put, NS: "n", Key: string(rune('a' + i%20)), Value: make([]byte, 2000)}
+		leader.Propose(uint64(i), &machine.Command{Kind: machine.TxnKind, Then: []machine.Op{put}})
+		cl.runUntilIdle()
+	}
+	leader.conf.RetainedEntries = 10
+	leader.conf.SnapshotBytesPerTick = 8 << 10
+	leader.conf.ChunkSize = 1 << 10
+	snapshot := leader.DueSnapshot(true)
+	encoded, err := EncodeSnapshot(snapshot)
+	if err != nil || leader.SnapshotSaved(snapshot, nil) == 0 {
+		t.Fatalf("the log is not released: %v", err)
+	}
+
+	cl.data = encoded
+	cl.cores[3] = behind
+	cl.order = []uint64{1, 2, 3}
+	rng := rand.New(rand.NewPCG(2, 2))
+	sent := 0 // bytes in this tick
+	cl.carry = func(e Envelope) {
+		if e.Chunk != nil {
+			sent += len(e.Chunk.Data)
+		}
+		lost := (e.Chunk != nil || e.Ack != nil) && rng.IntN(7) == 0
+		if !lost {
+			cl.cores[e.To].Step(e)
+		}
+	}
+	for tick := 0; behind.Machine().Index() < snapshot.Meta.GetIndex(); tick++ {
+		if tick > 500 {
+			t.Fatalf("the snapshot does not arrive: %+v", leader.Status())
+		}
+		sent = 0
+		leader.Tick()
+		behind.Tick()
+		cl.runUntilIdle()
+		if sent > leader.conf.SnapshotBytesPerTick+leader.conf.ChunkSize {
+			t.Fatalf("%d bytes in a tick; %d are allowed", sent, leader.conf.SnapshotBytesPerTick)
+		}
+	}
+	if behind.Machine().Keys() != leader.Machine().Keys() {
+		t.Errorf("%d keys, %d at the leader", behind.Machine().Keys(), leader.Machine().Keys())
+	}
+}
--- a/internal/store/machine/command.go
+++ b/internal/store/machine/command.go
@@ -69,6 +69,10 @@
 	lastOp = List
 )
 
+// Writes reports whether the operation changes a key. The zero kind counts as one that does, so that what guards
+// writes guards it too; it is never applied.
+func (k OpKind) Writes() bool { return k <= Delete }
+
 // Op is one operation. A Put with a lease ends with the lease.
 type Op struct {
 	Kind  OpKind `msgpack:"o"`
