--- a/internal/store/node/bench_test.go
+++ b/internal/store/node/bench_test.go
@@ -8,6 +8,7 @@
 	"os"
 	"path/filepath"
 	"runtime"
+	"strconv"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -24,8 +25,8 @@
 
 const benchClients = 64
 
-// spread runs b.N calls from so many clients at once and reports their rate and latency.
-func spread(b *testing.B, clients int, call func(client int) error) {
+// runConcurrently runs b.N calls from so many clients at once and reports their rate and latency.
+func runConcurrently(b *testing.B, clients int, call func(client int) error) {
 	b.Helper()
 	var left atomic.Int64
 	left.Store(int64(b.N))
@@ -35,9 +36,7 @@
 	began := time.Now()
 	for c := range clients {
 		hists[c] = hdrhistogram.New(1, 10_000_000, 3)
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
+		wg.Go(func() {
 			for left.Add(-1) >= 0 {
 				at := time.Now()
 				if err := call(c); err != nil {
@@ -46,7 +45,7 @@
 				}
 				_ = hists[c].RecordValue(time.Since(at).Microseconds())
 			}
-		}()
+		})
 	}
 	wg.Wait()
 	b.StopTimer()
@@ -58,16 +57,16 @@
 	b.ReportMetric(float64(hists[0].ValueAtQuantile(99)), "p99-us")
 }
 
-// benchRig is a store in one process, under real syncs, whose instances talk TLS over loopback.
-func benchRig(b *testing.B, instances int) (*rig, *Node) {
+// startBenchCluster is a store in one process, under real syncs, whose instances talk TLS over loopback.
+func startBenchCluster(b *testing.B, instances int) (*cluster, *Node) {
 	b.Helper()
-	r := newRig(b, instances)
-	n := r.nodes[r.leader()]
+	cl := startCluster(b, instances)
+	n := cl.nodes[cl.leader()]
 	deadline := time.Now().Add(10 * time.Second)
 	for {
-		_, err := n.Propose(r.ctx, &machine.Command{Kind: machine.OpenKind})
+		_, err := n.Propose(cl.ctx, &machine.Command{Kind: machine.OpenKind})
 		if err == nil {
-			return r, n
+			return cl, n
 		}
 		if !errors.Is(err, core.ErrNoLeader) || time.Now().After(deadline) {
 			b.Fatal(err)
@@ -78,10 +77,11 @@
 func BenchmarkPropose(b *testing.B) {
 	for _, instances := range []int{1, 3, 5} {
 		b.Run(fmt.Sprint("instances=", instances), func(b *testing.B) {
-			r, n := benchRig(b, instances)
+			cl, n := startBenchCluster(b, instances)
 			value := bytes.Repeat([]byte("v"), 64)
-			spread(b, benchClients, func(c int) error {
-				_, err := n.Propose(r.ctx, &machine.Command{Kind: machine.TxnKind, Then: []machine.Op{{Kind: machine.Put, NS: "n", Key: fmt.Sprint(c), Value: value}}})
+			runConcurrently(b, benchClients, func(c int) error {
+				put := machine.Op{Kind: machine.Put, NS: "n", Key: strconv.Itoa(c), Value: value}
+				_, err := n.Propose(cl.ctx, &machine.Command{Kind: machine.TxnKind, Then: []machine.Op{put}})
 				return err
 			})
 		})
@@ -91,9 +91,9 @@
 func BenchmarkRead(b *testing.B) {
 	for _, instances := range []int{1, 3, 5} {
 		b.Run(fmt.Sprint("instances=", instances), func(b *testing.B) {
-			r, n := benchRig(b, instances)
-			spread(b, benchClients, func(int) error {
-				_, err := n.Read(r.ctx, false, func(m *machine.Machine) { m.Get("n", "k") })
+			cl, n := startBenchCluster(b, instances)
+			runConcurrently(b, benchClients, func(int) error {
+				_, err := n.Read(cl.ctx, false, func(m *machine.Machine) { m.Get("n", "k") })
 				return err
 			})
 		})
@@ -108,19 +108,19 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer dir.Close()
+			defer func() { _ = dir.Close() }()
 			l, err := disk.CreateLog(dir, disk.Options{})
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer l.Close()
+			defer func() { _ = l.Close() }()
 			data := bytes.Repeat([]byte("v"), 120)
 			index := uint64(0)
-			spread(b, 1, func(int) error {
+			runConcurrently(b, 1, func(int) error {
 				entries := make([]*raftpb.Entry, batch)
 				for i := range entries {
 					index++
-					entries[i] = &raftpb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(1), Data: data}
+					entries[i] = &raftpb.Entry{Index: new(index), Term: proto.Uint64(1), Data: data}
 				}
 				return l.Save(nil, nil, entries)
 			})
@@ -154,8 +154,8 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer dir.Close()
-		s := &core.Snapshot{Meta: &raftpb.SnapshotMetadata{Index: proto.Uint64(m.Index()), Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}, Image: m.Image()}
+		defer func() { _ = dir.Close() }()
+		s := &core.Snapshot{Meta: &raftpb.SnapshotMetadata{Index: new(m.Index()), Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}, Image: m.Image()}
 		b.Run(fmt.Sprintf("save/keys=%d", keys), func(b *testing.B) {
 			for range b.N {
 				if err := disk.SaveSnapshot(dir, m.Index(), func(w io.Writer) error { return disk.EncodeSnapshot(w, s.Meta, s.Image.Write) }); err != nil {
--- /dev/null
+++ b/internal/store/node/calls.go
@@ -0,0 +1,149 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"cloverrock/internal/store/core"
+	"cloverrock/internal/store/machine"
+)
+
+// await returns the next result. The context only ends the waiting.
+func await[T any](ctx context.Context, n *Node, results <-chan T) (T, error) {
+	var none T
+	select {
+	case result := <-results:
+		return result, nil
+	case <-ctx.Done():
+		return none, ctx.Err()
+	case <-n.ended:
+		return none, ErrStopped
+	}
+}
+
+// expect has the answer to a new token passed to done, and returns the token. Only the owner calls it.
+func (n *Node) expect(done func(core.Answer)) (token uint64) {
+	n.lastToken++
+	n.waiting[n.lastToken] = done
+	return n.lastToken
+}
+
+func (n *Node) propose(command *machine.Command, done func(core.Answer)) {
+	if n.stalledWork != nil {
+		done(core.Answer{Err: fmt.Errorf("%w: the disk here is full", core.ErrNoLeader)})
+		return
+	}
+	n.core.Propose(n.expect(done), command)
+}
+
+// Propose has a command applied. The context only ends the waiting: the command may still be applied, and the error
+// is core.ErrOutcomeUnknown.
+func (n *Node) Propose(ctx context.Context, command *machine.Command) (machine.Result, error) {
+	answers := make(chan core.Answer, 1)
+	posted := n.post(func() {
+		n.propose(command, func(answer core.Answer) { answers <- answer })
+	})
+	if !posted {
+		return machine.Result{}, ErrStopped
+	}
+	select {
+	case answer := <-answers:
+		return answer.Result, answer.Err
+	case <-ctx.Done():
+		return machine.Result{}, fmt.Errorf("%w: %w", core.ErrOutcomeUnknown, ctx.Err())
+	case <-n.ended:
+		return machine.Result{}, ErrStopped
+	}
+}
+
+// Read passes the state to look: the latest, or with stale set what is here. It returns how far that may be behind; a
+// negative age is not known. look runs on the owner's goroutine and must not keep the machine.
+func (n *Node) Read(ctx context.Context, stale bool, look func(*machine.Machine)) (time.Duration, error) {
+	type outcome struct {
+		age time.Duration
+		err error
+	}
+	outcomes := make(chan outcome, 1)
+	posted := n.post(func() {
+		n.read(stale, look, func(age time.Duration, err error) { outcomes <- outcome{age, err} })
+	})
+	if !posted {
+		return 0, ErrStopped
+	}
+	result, err := await(ctx, n, outcomes)
+	if err != nil {
+		return 0, err
+	}
+	return result.age, result.err
+}
+
+func (n *Node) read(stale bool, look func(*machine.Machine), done func(time.Duration, error)) {
+	if stale {
+		age := n.staleness()
+		look(n.core.Machine())
+		done(age, nil)
+		return
+	}
+	if n.stalledWork != nil {
+		done(0, core.ErrNoLeader)
+		return
+	}
+	token := n.expect(func(answer core.Answer) {
+		if answer.Err == nil {
+			look(n.core.Machine())
+		}
+		done(0, answer.Err)
+	})
+	n.core.Read(token)
+}
+
+// staleness is how far the state may be behind; negative: not known.
+func (n *Node) staleness() time.Duration {
+	ticks, known := n.core.Staleness()
+	if !known {
+		return -1
+	}
+	return time.Duration(ticks) * n.conf.Tick
+}
+
+// Status is an instance's account of itself.
+type Status struct {
+	core.Status
+	Name     string                 `json:"name"`
+	Cluster  string                 `json:"cluster"`
+	Members  map[string]core.Member `json:"members"` // by core.MemberKey
+	AgeMS    int64                  `json:"age_ms"`  // how far behind the others its state may be; -1: not known
+	DiskFull bool                   `json:"disk_full,omitempty"`
+	Segments int                    `json:"log_segments"`
+	Clients  int64                  `json:"clients"` // connections of clients and other instances
+}
+
+// Status returns the instance's account of itself.
+func (n *Node) Status(ctx context.Context) (Status, error) {
+	statuses := make(chan Status, 1)
+	if !n.post(func() { statuses <- n.status() }) {
+		return Status{}, ErrStopped
+	}
+	return await(ctx, n, statuses)
+}
+
+func (n *Node) status() Status {
+	status := Status{
+		Status:   n.core.Status(),
+		Name:     n.conf.Name,
+		Cluster:  fmt.Sprintf("%016x", n.store.Identity.Cluster),
+		Members:  map[string]core.Member{},
+		AgeMS:    -1,
+		DiskFull: n.stalledWork != nil,
+		Segments: n.store.Log.Segments(),
+		Clients:  n.connections.Load(),
+	}
+	if status.StalenessTicks >= 0 {
+		status.AgeMS = status.StalenessTicks * n.conf.Tick.Milliseconds()
+	}
+	for id, member := range core.Members(n.core.Machine()) {
+		status.Members[core.MemberKey(id)] = member
+	}
+	return status
+}
--- /dev/null
+++ b/internal/store/node/membership.go
@@ -0,0 +1,139 @@
+package node
+
+import (
+	"context"
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"cloverrock/internal/store/core"
+	"cloverrock/internal/store/frame"
+	"cloverrock/internal/store/machine"
+	"cloverrock/internal/store/pki"
+)
+
+// TokenKey is the key under which a token is kept: the store holds only its hash.
+func TokenKey(token string) string {
+	sum := sha256.Sum256([]byte(token))
+	return hex.EncodeToString(sum[:])
+}
+
+// membershipPlan makes a change of the members from the state; it runs on the owner's goroutine.
+type membershipPlan func() (*raftpb.ConfChangeV2, *machine.Command, error)
+
+// changeMembers proposes a change of the members and waits until it is applied.
+func (n *Node) changeMembers(ctx context.Context, plan membershipPlan) error {
+	answers := make(chan core.Answer, 1)
+	done := func(answer core.Answer) { answers <- answer }
+	posted := n.post(func() {
+		change, command, err := plan()
+		if err == nil && n.stalledWork != nil {
+			err = core.ErrNoLeader
+		}
+		if err != nil {
+			done(core.Answer{Err: err})
+			return
+		}
+		n.core.ProposeMembershipChange(n.expect(done), change, command)
+	})
+	if !posted {
+		return ErrStopped
+	}
+	answer, err := await(ctx, n, answers)
+	if err != nil {
+		return err
+	}
+	if answer.Err == nil && answer.Result.Code != machine.OK {
+		return reject(answer.Result.Code.String())
+	}
+	return answer.Err
+}
+
+// join takes an instance in as a learner. One whose name is a member's is let in by its certificate; a new one also
+// needs a token, which is spent by it.
+func (cc *clientConn) join(ctx context.Context, request *frame.Request) error {
+	if cc.role != pki.Instance || request.Node == 0 || request.Address == "" {
+		return reject("an instance joins with its own certificate, an id and an address")
+	}
+	var token string
+	var refused error
+	_, err := cc.node.Read(ctx, false, func(m *machine.Machine) {
+		token, refused = checkJoin(m, request, cc.owner)
+	})
+	if err != nil {
+		return err
+	}
+	if refused != nil {
+		return refused
+	}
+	member := core.Member{Name: cc.owner, Address: request.Address, Format: machine.Format}
+	return cc.node.changeMembers(ctx, func() (*raftpb.ConfChangeV2, *machine.Command, error) {
+		return core.PlanJoin(cc.node.core.Machine(), request.Node, member, token)
+	})
+}
+
+// checkJoin tells whether an instance may join, and returns the key of the token that it spends; empty: none.
+func checkJoin(m *machine.Machine, request *frame.Request, name string) (token string, err error) {
+	knownName := false
+	members := core.Members(m)
+	for _, member := range members {
+		knownName = knownName || member.Name == name
+	}
+	if !knownName {
+		token = TokenKey(request.Token)
+		if request.Token == "" {
+			return "", rejectedError{fmt.Errorf("store: %s is new here and needs a token", name)}
+		}
+		if _, found := m.Get(core.TokensNS, token); !found {
+			return "", reject("the token is not known, was used, or has ended")
+		}
+	}
+	if _, removed := m.Get(core.RemovedNS, core.MemberKey(request.Node)); removed {
+		return "", reject("the id was removed")
+	}
+	if _, taken := members[request.Node]; taken {
+		return "", reject("the id is taken")
+	}
+	return token, nil
+}
+
+// removeMember removes an instance for good.
+func (n *Node) removeMember(ctx context.Context, id uint64) error {
+	return n.changeMembers(ctx, func() (*raftpb.ConfChangeV2, *machine.Command, error) {
+		state := n.core.Machine()
+		if _, known := core.Members(state)[id]; !known {
+			return nil, nil, rejectedError{fmt.Errorf("store: %016x is no member", id)}
+		}
+		voters := n.core.Status().Voters
+		if len(voters) == 1 && voters[0] == id {
+			return nil, nil, reject("the last voter cannot be removed")
+		}
+		if id == n.store.Identity.Node && n.core.IsLeader() {
+			n.core.TransferLeadership() // the client retries, and asks the next leader then
+			return nil, nil, core.ErrNoLeader
+		}
+		change, command := core.PlanRemoval(state, id)
+		return change, command, nil
+	})
+}
+
+func (n *Node) transferLeadership(ctx context.Context) error {
+	results := make(chan error, 1)
+	posted := n.post(func() {
+		if _, transferring := n.core.TransferLeadership(); !transferring {
+			results <- fmt.Errorf("%w: this instance does not lead", core.ErrNoLeader)
+			return
+		}
+		results <- nil
+	})
+	if !posted {
+		return ErrStopped
+	}
+	result, err := await(ctx, n, results)
+	if err != nil {
+		return err
+	}
+	return result
+}
--- /dev/null
+++ b/internal/store/node/requests.go
@@ -0,0 +1,266 @@
+package node
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"sync"
+	"time"
+
+	"cloverrock/internal/store/core"
+	"cloverrock/internal/store/documents"
+	"cloverrock/internal/store/frame"
+	"cloverrock/internal/store/machine"
+	"cloverrock/internal/store/pki"
+)
+
+const (
+	maxCalls    = 64               // calls of one client at a time
+	callTimeout = 10 * time.Second // for a call, watches and backups aside
+	maxCommand  = 1 << 20          // bytes that a client may propose at once
+	maxRequest  = maxCommand + 64<<10
+)
+
+// errDenied says that a role may not do what it asked for.
+var errDenied = errors.New("store: not allowed with this certificate")
+
+// rejectedError is a request's error that no other instance and no retry would mend.
+type rejectedError struct{ error }
+
+func (r rejectedError) Unwrap() error { return r.error }
+
+func reject(text string) error { return rejectedError{errors.New("store: " + text)} }
+
+// clientConn is a client's connection.
+type clientConn struct {
+	node  *Node
+	conn  net.Conn
+	owner string // of the certificate
+	role  pki.Role
+	mu    sync.Mutex // held while a response is written
+}
+
+// serveClient serves a client's calls, several at a time, until the connection ends.
+func (n *Node) serveClient(conn net.Conn, reader *bufio.Reader, owner string, role pki.Role) error {
+	client := &clientConn{node: n, conn: conn, owner: owner, role: role}
+	ctx, cancel := context.WithCancel(n.ctx)
+	var calls sync.WaitGroup
+	defer calls.Wait()
+	defer cancel()
+	slots := make(chan struct{}, maxCalls)
+	for {
+		kind, body, err := frame.Read(reader, nil, maxRequest)
+		if err != nil {
+			return unlessLost(err)
+		}
+		if kind != frame.RequestKind {
+			continue
+		}
+		request := &frame.Request{}
+		if err := frame.Value(body, request); err != nil {
+			return err
+		}
+		slots <- struct{}{}
+		calls.Go(func() {
+			defer func() { <-slots }()
+			client.call(ctx, request)
+		})
+	}
+}
+
+// send writes one response; a client that does not read it loses its connection.
+func (cc *clientConn) send(response *frame.Response) error {
+	encoded, err := frame.AppendValue(nil, frame.ResponseKind, response)
+	if err != nil {
+		failed := &frame.Response{ID: response.ID, Code: frame.CodeFailed, Error: err.Error()}
+		encoded, err = frame.AppendValue(nil, frame.ResponseKind, failed)
+	}
+	if err != nil {
+		return err
+	}
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if err := cc.conn.SetWriteDeadline(time.Now().Add(callTimeout)); err != nil {
+		return err
+	}
+	_, err = cc.conn.Write(encoded)
+	if err != nil {
+		_ = cc.conn.Close() // the write's error says more
+	}
+	return err
+}
+
+// errorCode is what a client does about an error.
+func errorCode(err error) string {
+	var rejected rejectedError
+	switch {
+	case errors.As(err, &rejected), errors.Is(err, errDenied):
+		return frame.CodeRefused
+	case errors.Is(err, core.ErrNoLeader), errors.Is(err, core.ErrBusy), errors.Is(err, core.ErrHalted):
+		return frame.CodeRetry
+	case errors.Is(err, core.ErrOutcomeUnknown), errors.Is(err, context.DeadlineExceeded), errors.Is(err, ErrStopped):
+		return frame.CodeUnknown
+	}
+	return frame.CodeFailed
+}
+
+func (cc *clientConn) call(ctx context.Context, request *frame.Request) {
+	if request.Op != frame.OpWatch && request.Op != frame.OpBackup {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, callTimeout)
+		defer cancel()
+	}
+	response := &frame.Response{ID: request.ID}
+	if err := cc.handle(ctx, request, response); err != nil {
+		response.Code = errorCode(err)
+		response.Error = err.Error()
+	}
+	_ = cc.send(response) // the connection is closed by then, and the client asks elsewhere
+}
+
+// allowed checks the role of the certificate: operators change the store, observers read it, and instances join it.
+func (cc *clientConn) allowed(op string) error {
+	denied := false
+	switch op {
+	case frame.OpPropose, frame.OpRemove, frame.OpTransfer, frame.OpDocument, frame.OpBackup:
+		denied = cc.role != pki.Operator
+	case frame.OpJoin:
+		denied = cc.role == pki.Observer
+	}
+	if denied {
+		return fmt.Errorf("%w: %s is an %s", errDenied, cc.owner, cc.role)
+	}
+	return nil
+}
+
+func (cc *clientConn) handle(ctx context.Context, request *frame.Request, response *frame.Response) error {
+	if err := cc.allowed(request.Op); err != nil {
+		return err
+	}
+	switch request.Op {
+	case frame.OpPropose:
+		return cc.propose(ctx, request, response)
+	case frame.OpRead:
+		return cc.read(ctx, request, response)
+	case frame.OpWatch:
+		return cc.watch(ctx, request)
+	case frame.OpStatus:
+		return cc.status(ctx, response)
+	case frame.OpJoin:
+		return cc.join(ctx, request)
+	case frame.OpRemove:
+		return cc.node.removeMember(ctx, request.Node)
+	case frame.OpTransfer:
+		return cc.node.transferLeadership(ctx)
+	case frame.OpBackup:
+		return cc.backup(ctx, request)
+	case frame.OpDocument:
+		return cc.changeDocument(ctx, request, response)
+	}
+	return rejectedError{fmt.Errorf("store: no operation %q here", request.Op)}
+}
+
+func (cc *clientConn) propose(ctx context.Context, request *frame.Request, response *frame.Response) (err error) {
+	command := request.Command
+	if command == nil || command.Kind == machine.ClockKind || command.Kind == machine.RaiseKind {
+		return reject("no command, or one that only the store gives")
+	}
+	for _, ops := range [][]machine.Op{command.Then, command.Else} {
+		for _, op := range ops {
+			if op.Kind.Writes() && protected(op.NS) {
+				return rejectedError{fmt.Errorf("store: namespace %s is not written directly", op.NS)}
+			}
+		}
+	}
+	response.Result, err = cc.node.Propose(ctx, command)
+	return err
+}
+
+// protected reports whether only the store itself writes a namespace. Tokens are the exception among its own.
+func protected(ns string) bool {
+	internal := len(ns) > 0 && ns[0] == '_' && ns != core.TokensNS
+	return internal || ns == documents.NS
+}
+
+func (cc *clientConn) read(ctx context.Context, request *frame.Request, response *frame.Response) error {
+	age, err := cc.node.Read(ctx, request.Stale, func(m *machine.Machine) {
+		if request.Limit != 0 {
+			response.Result.KVs = m.List(request.NS, request.Key, max(request.Limit, 0))
+		} else if kv, found := m.Get(request.NS, request.Key); found {
+			response.Result.KVs = []machine.KV{kv}
+		}
+		response.Result.Revision = m.Revision()
+	})
+	response.AgeMS = age.Milliseconds()
+	if age < 0 {
+		response.AgeMS = -1
+	}
+	return err
+}
+
+func (cc *clientConn) watch(ctx context.Context, request *frame.Request) error {
+	send := func(events []machine.Event, upTo int64, complete bool) error {
+		part := &frame.Response{ID: request.ID, More: true, Events: events, Result: machine.Result{Revision: upTo}}
+		if !complete {
+			part.Result.Code = machine.IsCompacted
+		}
+		return cc.send(part)
+	}
+	return cc.node.Watch(ctx, request.NS, request.Key, request.After, send)
+}
+
+func (cc *clientConn) status(ctx context.Context, response *frame.Response) error {
+	status, err := cc.node.Status(ctx)
+	if err != nil {
+		return err
+	}
+	response.Body, err = json.Marshal(&status)
+	return err
+}
+
+// changeDocument commits a document's next revision: checked, numbered, and only if the document stands at the
+// revision that the operator has changed.
+func (cc *clientConn) changeDocument(ctx context.Context, request *frame.Request, response *frame.Response) error {
+	change := documents.Change{
+		Name:   request.Name,
+		Author: cc.owner,
+		Note:   request.Token,
+		AtMS:   time.Now().UnixMilli(),
+		Body:   request.Body,
+		Base:   request.After,
+		Back:   int64(request.Limit),
+	}
+	var command *machine.Command
+	var revision *documents.Revision
+	var schema []byte
+	var invalid error
+	_, err := cc.node.Read(ctx, false, func(m *machine.Machine) {
+		command, revision, invalid = documents.Plan(m, change)
+		if form, err := documents.At(m, change.Name+".schema", 0); err == nil {
+			schema = form.Body
+		}
+	})
+	if err != nil {
+		return err
+	}
+	if invalid == nil && cc.node.conf.Validate != nil {
+		invalid = cc.node.conf.Validate(revision.Name, revision.Body, schema)
+	}
+	if invalid != nil {
+		return rejectedError{invalid}
+	}
+	result, err := cc.node.Propose(ctx, command)
+	if err != nil {
+		return err
+	}
+	if result.Code != machine.OK || !result.Holds {
+		return rejectedError{fmt.Errorf("%w: %s", documents.ErrConflict, request.Name)}
+	}
+	response.Result = result
+	revision.Body = nil
+	response.Body, err = json.Marshal(revision)
+	return err
+}
--- /dev/null
+++ b/internal/store/node/run.go
@@ -0,0 +1,209 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"time"
+
+	"cloverrock/internal/store/core"
+	"cloverrock/internal/store/disk"
+)
+
+const (
+	maxBatch   = 512         // messages and tasks that are taken before one sync
+	stallRetry = time.Second // pause between attempts to write to a full disk
+)
+
+// post has a function run by the owner. It reports false if the instance has ended.
+func (n *Node) post(task func()) bool {
+	select {
+	case <-n.stop:
+		return false
+	case n.tasks <- task:
+		return true
+	}
+}
+
+// run is the owner of the core. Raft panics on what it takes for impossible; that ends this instance and not the
+// program.
+func (n *Node) run() {
+	defer close(n.ended)
+	defer n.shutdown()
+	defer func() {
+		if p := recover(); p != nil {
+			n.fail(fmt.Errorf("store: internal error (panic): %v", p))
+		}
+	}()
+	tick := time.NewTicker(n.conf.Tick) // monotonic: setting the machine's clock has no effect on it
+	defer tick.Stop()
+	if err := n.process(); err != nil { // applies what the log holds as committed before anybody reads
+		n.fail(err)
+	}
+	for {
+		select {
+		case <-n.stop:
+			return
+		case <-tick.C:
+			if n.stalledWork == nil {
+				n.core.Tick()
+			}
+		case message := <-n.inbox:
+			n.step(message)
+		case task := <-n.tasks:
+			task()
+		}
+		n.takeWaiting()
+		if err := n.process(); err != nil {
+			n.fail(err)
+		}
+	}
+}
+
+// takeWaiting takes what has come meanwhile, so that it goes with the same sync.
+func (n *Node) takeWaiting() {
+	for range maxBatch {
+		select {
+		case message := <-n.inbox:
+			n.step(message)
+		case task := <-n.tasks:
+			task()
+		default:
+			return
+		}
+	}
+}
+
+func (n *Node) step(message core.Envelope) {
+	if n.stalledWork == nil {
+		n.core.Step(message)
+	}
+}
+
+// shutdown ends all goroutines and closes the files.
+func (n *Node) shutdown() {
+	n.cancel()
+	_ = n.listener.Close() // nothing is lost with a listener
+	n.transport.Close()
+	for token, done := range n.waiting {
+		delete(n.waiting, token)
+		done(core.Answer{Err: fmt.Errorf("%w: %w", core.ErrOutcomeUnknown, ErrStopped)})
+	}
+	n.watchers.close()
+	n.snapshotWriters.Wait()
+	n.wg.Wait()
+	_ = n.store.Close() // what counts was synced before
+	_ = n.dir.Close()
+}
+
+// process does all the work that the core has, and passes on what came of it.
+func (n *Node) process() error {
+	before := n.core.Machine().Index()
+	if err := n.doWork(); err != nil {
+		return err
+	}
+	for _, answer := range n.core.Answers() {
+		if done := n.waiting[answer.Token]; done != nil {
+			delete(n.waiting, answer.Token)
+			done(answer)
+		}
+	}
+	n.publish()
+	if n.core.Machine().Index() != before {
+		n.watchers.wake()
+	}
+	if snapshot := n.core.DueSnapshot(false); snapshot != nil {
+		n.snapshotWriters.Go(func() { n.writeSnapshot(snapshot) })
+	}
+	return nil
+}
+
+// doWork saves and sends until the core has nothing more to do or the disk is full.
+func (n *Node) doWork() error {
+	for {
+		if n.core.NeedsSnapshotData() {
+			data, _, err := disk.LoadSnapshot(n.dir)
+			n.core.ProvideSnapshotData(data, err)
+		}
+		work := n.nextWork()
+		if work == nil {
+			return nil
+		}
+		err := n.save(work)
+		if errors.Is(err, disk.ErrFull) {
+			n.stall(work, err)
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		if n.stalledWork != nil {
+			n.log.Info().Msg("store: disk has space again, instance resumed")
+			n.stalledWork = nil
+		}
+		n.transport.Send(work.SendAfterSave)
+		if err := n.core.Done(work); err != nil {
+			return err
+		}
+	}
+}
+
+// nextWork returns the work that found no room on the disk, when it is time to try again, or else the next; nil:
+// none.
+func (n *Node) nextWork() *core.Work {
+	if n.stalledWork != nil {
+		if time.Since(n.stalledAt) < stallRetry {
+			return nil
+		}
+		return n.stalledWork
+	}
+	work := n.core.Next()
+	if work != nil {
+		n.transport.Send(work.SendBeforeSave)
+	}
+	return work
+}
+
+func (n *Node) save(work *core.Work) error {
+	if work.SnapshotData != nil {
+		if err := n.store.Install(work.SnapshotMeta, work.SnapshotData); err != nil {
+			return err
+		}
+	}
+	return n.store.Log.Save(work.HardState, work.SnapshotMeta, work.Entries)
+}
+
+// stall keeps work that the disk has no room for. While it is kept nothing is acknowledged, no time passes for the
+// core and no heartbeat goes out: the others elect another leader.
+func (n *Node) stall(work *core.Work, err error) {
+	if n.stalledWork == nil {
+		n.log.Error().Err(err).Msg("store: disk full, instance paused")
+	}
+	n.stalledWork = work
+	n.stalledAt = time.Now()
+}
+
+func (n *Node) writeSnapshot(snapshot *core.Snapshot) {
+	err := disk.SaveSnapshot(n.dir, snapshot.Meta.GetIndex(), func(w io.Writer) error {
+		return disk.EncodeSnapshot(w, snapshot.Meta, snapshot.Image.Write)
+	})
+	n.post(func() { n.snapshotWritten(snapshot, err) })
+}
+
+// snapshotWritten drops the part of the log that the snapshot replaces, and older snapshots.
+func (n *Node) snapshotWritten(snapshot *core.Snapshot, err error) {
+	release := n.core.SnapshotSaved(snapshot, err)
+	if err != nil {
+		n.log.Warn().Err(err).Msg("store: saving a snapshot failed, log kept")
+		return
+	}
+	if release > 0 {
+		err = n.store.Log.Release(release)
+	}
+	if err == nil {
+		err = disk.Tidy(n.dir, snapshot.Meta.GetIndex())
+	}
+	if err != nil {
+		n.log.Warn().Err(err).Msg("store: removing old files failed")
+	}
+}
--- /dev/null
+++ b/internal/store/node/server_test.go
@@ -0,0 +1,74 @@
+package node
+
+import (
+	"crypto/tls"
+	"errors"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"cloverrock/internal/store/frame"
+	"cloverrock/internal/store/pki"
+	"cloverrock/internal/store/transport"
+)
+
+// expectRefused dials the first instance, which must not let the caller in.
+func (cl *cluster) expectRefused(who string, conf *tls.Config, hello frame.Hello) {
+	cl.t.Helper()
+	conn, _, err := transport.Dial(cl.ctx, cl.confs[0].Listen, conf, hello, "")
+	if err == nil {
+		cl.must(conn.Close())
+		cl.t.Errorf("%s was let in", who)
+	}
+}
+
+// sendGarbage sends what is not of the protocol, before and behind the handshake, and waits until it is cut off.
+func (cl *cluster) sendGarbage() {
+	cl.t.Helper()
+	at := cl.confs[0].Listen
+	garbage, err := net.Dial("tcp", at)
+	cl.must(err)
+	_, _ = garbage.Write([]byte(strings.Repeat("\xff\x00garbage", 5000)))
+	_, _ = io.Copy(io.Discard, garbage) // until it is closed
+	long, _, err := transport.Dial(cl.ctx, at, cl.tls("operator"), frame.Hello{}, "")
+	cl.must(err)
+	_, _ = long.Write([]byte{0xff, 0xff, 0xff, 0xff, 'q'})
+	if _, err := io.Copy(io.Discard, long); err != nil && !errors.Is(err, io.EOF) {
+		cl.t.Logf("a huge length ended with %v", err)
+	}
+}
+
+// Whoever is not of the store is refused, and costs nothing that stays.
+func TestStrangersAreRefused(t *testing.T) {
+	cl := startCluster(t, 1)
+	c := cl.client("operator")
+	cl.put(c, "k", "v")
+	other := t.TempDir()
+	cl.must(pki.Found(other, "other", time.Now(), time.Hour))
+	cl.must(pki.Issue(other, "n0", pki.Instance, time.Now(), time.Hour))
+	cl.must(pki.Issue(cl.dir, "late", pki.Operator, time.Now().Add(-48*time.Hour), time.Hour))
+	cl.must(pki.Issue(cl.dir, "nobody", pki.Role("guest"), time.Now(), time.Hour))
+	none := cl.tls("operator")
+	none.Certificates = nil
+	for who, conf := range map[string]*tls.Config{
+		"another authority":  cl.tlsFrom(other, "n0"),
+		"an old certificate": cl.tls("late"),
+		"no role":            cl.tls("nobody"),
+		"no certificate":     none,
+	} {
+		cl.expectRefused(who, conf, frame.Hello{})
+	}
+	for who, hello := range map[string]frame.Hello{
+		"another cluster": {Peer: true, Cluster: 5, ID: 10},
+		"an unknown id":   {Peer: true, Cluster: 77, ID: 999},
+	} {
+		cl.expectRefused(who, cl.tls("n0"), hello)
+	}
+	cl.expectRefused("an operator as an instance", cl.tls("operator"), frame.Hello{Peer: true, Cluster: 77, ID: 10})
+	cl.sendGarbage()
+	c.Close()
+	cl.waitUntil("no connection stays", func() bool { return cl.nodes[0].connections.Load() <= 1 })
+	cl.put(cl.client("operator"), "k", "after")
+}
--- a/internal/store/node/watch.go
+++ b/internal/store/node/watch.go
@@ -7,75 +7,76 @@
 	"cloverrock/internal/store/machine"
 )
 
-// watches wakes those that wait for a change.
-type watches struct {
+// watchBatch bounds the events that are passed on at once; a revision is never split.
+const watchBatch = 256
+
+// broadcast wakes all that wait for a change. It is safe for concurrent use.
+type broadcast struct {
 	mu     sync.Mutex
-	ch     chan struct{}
+	ch     chan struct{} // closed by the next change
 	closed bool
 }
 
-func newWatches() *watches { return &watches{ch: make(chan struct{})} }
+func newBroadcast() *broadcast { return &broadcast{ch: make(chan struct{})} }
 
-func (w *watches) next() <-chan struct{} {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.ch
+// next returns a channel that the next change closes.
+func (b *broadcast) next() <-chan struct{} {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.ch
 }
 
-func (w *watches) wake() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !w.closed {
-		close(w.ch)
-		w.ch = make(chan struct{})
+func (b *broadcast) wake() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.closed {
+		close(b.ch)
+		b.ch = make(chan struct{})
 	}
 }
 
-func (w *watches) close() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !w.closed {
-		w.closed = true
-		close(w.ch)
+func (b *broadcast) close() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.closed {
+		b.closed = true
+		close(b.ch)
 	}
 }
 
-// watchBatch bounds the events told at once.
-const watchBatch = 256
+// EventHandler takes events of a watch, which go up to a revision. With complete false, events before that revision
+// were compacted: the caller has to read the keys anew, and the watch goes on from there. An error ends the watch.
+type EventHandler func(events []machine.Event, upTo int64, complete bool) error
 
-// Watch calls f with the events of a namespace and prefix after a revision, in order, until the context ends or f
-// returns an error. If the revision was compacted, f is called with ok false and the revision from which the watch
-// goes on: the caller reads the keys anew.
-func (n *Node) Watch(ctx context.Context, ns, prefix string, after int64, f func(events []machine.Event, upTo int64, ok bool) error) error {
+// Watch passes the events of a namespace and prefix after a revision to handle, in order, until the context ends or
+// handle returns an error.
+func (n *Node) Watch(ctx context.Context, ns, prefix string, after int64, handle EventHandler) error {
 	for {
-		wake := n.watches.next() // before the look, so that no change falls between
+		changed := n.watchers.next() // before the read, so that no change falls between
 		var events []machine.Event
 		var upTo int64
-		var ok bool
-		if _, err := n.Read(ctx, true, func(m *machine.Machine) {
-			if events, upTo, ok = m.Since(ns, prefix, after, watchBatch); !ok {
+		var complete bool
+		_, err := n.Read(ctx, true, func(m *machine.Machine) {
+			events, upTo, complete = m.Since(ns, prefix, after, watchBatch)
+			if !complete {
 				upTo = m.Revision()
 			}
-		}); err != nil {
+		})
+		if err != nil {
 			return err
 		}
-		if len(events) > 0 || !ok {
-			if err := f(events, upTo, ok); err != nil {
+		if len(events) > 0 || !complete {
+			if err := handle(events, upTo, complete); err != nil {
 				return err
 			}
 		}
-		if more := upTo != after; more {
-			after = upTo
-			if len(events) > 0 {
-				continue
-			}
+		mayHaveMore := len(events) > 0 && upTo != after
+		after = upTo
+		if mayHaveMore {
+			continue
 		}
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-n.ended:
-			return ErrStopped
-		case <-wake:
+		if _, err := await(ctx, n, changed); err != nil {
+			return err
 		}
 	}
 }
--- a/internal/storecli/admin.go
+++ b/internal/storecli/admin.go
@@ -275,7 +275,7 @@
 			if err != nil {
 				return err
 			}
-			conf.Log, conf.LostSyncs = log, lost
+			conf.Log, conf.NoSync = log, lost
 			signals := make(chan os.Signal, 1)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 			defer signal.Stop(signals)
