--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -275,7 +275,7 @@
 			}
 		} else {
 			mine = fmt.Sprintf("own/%d/%d", w, n)
-			cmd := machine.Command{Kind: machine.TxnKind, Then: []machine.Op{
+			cmd := machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{
 				{Kind: machine.Put, NS: namespace, Key: key, Value: []byte(value)}, {Kind: machine.Put, NS: namespace, Key: mine, Value: []byte(value)}}}
 			if in.kind == 'c' {
 				cmd.If = []machine.Compare{{NS: namespace, Key: key, Target: machine.Value, Value: []byte(in.Old)}}
--- a/internal/lab/storesim/world.go
+++ b/internal/lab/storesim/world.go
@@ -255,7 +255,7 @@
 		return
 	}
 	if c.session == 0 {
-		c.call(machine.Command{Kind: machine.OpenKind}, func(a core.Answer) {
+		c.call(machine.Command{Kind: machine.OpenSessionKind}, func(a core.Answer) {
 			if a.Err == nil && a.Result.Code == machine.OK {
 				c.session, c.seq = a.Result.ID, 0
 			}
@@ -265,7 +265,7 @@
 	}
 	c.seq++
 	key := fmt.Sprintf("%d/%d/%d", c.n, c.session, c.seq)
-	cmd := machine.Command{Kind: machine.TxnKind, Session: c.session, Seq: c.seq, Then: []machine.Op{
+	cmd := machine.Command{Kind: machine.TransactionKind, Session: c.session, Seq: c.seq, Then: []machine.Op{
 		{Kind: machine.Put, NS: "data", Key: key, Value: []byte(key)},
 		{Kind: machine.Put, NS: "data", Key: fmt.Sprint("shared", c.w.rng.IntN(8)), Value: make([]byte, 100)}}}
 	c.try(key, cmd, 0)
--- a/internal/store/client/client.go
+++ b/internal/store/client/client.go
@@ -241,7 +241,7 @@
 	defer c.smu.Unlock()
 	for {
 		if c.session == 0 {
-			a, err := c.Call(ctx, &frame.Request{Op: frame.OpPropose, Command: &machine.Command{Kind: machine.OpenKind}}, true)
+			a, err := c.Call(ctx, &frame.Request{Op: frame.OpPropose, Command: &machine.Command{Kind: machine.OpenSessionKind}}, true)
 			if err != nil {
 				return machine.Result{}, err
 			}
--- a/internal/store/core/apply.go
+++ b/internal/store/core/apply.go
@@ -52,8 +52,8 @@
 	if slices.ContainsFunc(command.Then, writesMembers) {
 		c.memberVersion++
 	}
-	if proposal, own := c.pending[command.Request]; own {
-		delete(c.pending, command.Request)
+	if proposal, own := c.pending[command.RequestID]; own {
+		delete(c.pending, command.RequestID)
 		c.answer(proposal.token, nil, result)
 	}
 }
--- a/internal/store/core/apply_test.go
+++ b/internal/store/core/apply_test.go
@@ -16,10 +16,10 @@
 		leader.Tick()
 		cl.runUntilIdle()
 	}
-	if leader.Machine().Level() != 1 {
+	if leader.Machine().AgreedFormat() != 1 {
 		t.Fatal("the format was raised past what a member understands")
 	}
-	leader.Propose(1, &machine.Command{V: machine.Format + 1, Kind: machine.TxnKind})
+	leader.Propose(1, &machine.Command{Format: machine.Format + 1, Kind: machine.TransactionKind})
 	cl.runUntilIdle()
 	if answer := cl.answers[2][1]; answer.Err != nil {
 		t.Fatalf("a newer build: %+v", answer)
@@ -28,7 +28,7 @@
 	if status := old.Status(); status.Halted == "" || status.Applied >= leader.Status().Applied {
 		t.Errorf("an old build that met a newer command: %+v", status)
 	}
-	old.Propose(2, &machine.Command{Kind: machine.TxnKind})
+	old.Propose(2, &machine.Command{Kind: machine.TransactionKind})
 	old.Read(3)
 	cl.runUntilIdle()
 	for _, token := range []uint64{2, 3} {
@@ -36,7 +36,7 @@
 			t.Errorf("token %d at the old build: %+v", token, answer)
 		}
 	}
-	leader.Propose(4, &machine.Command{Kind: machine.OpenKind})
+	leader.Propose(4, &machine.Command{Kind: machine.OpenSessionKind})
 	cl.runUntilIdle()
 	if answer := cl.answers[2][4]; answer.Err != nil {
 		t.Errorf("the others do not go on: %+v", answer)
--- a/internal/store/core/leader.go
+++ b/internal/store/core/leader.go
@@ -35,7 +35,7 @@
 // advanceClock proposes the time that has passed. It counts from the change of leader at the earliest, so that leases
 // last longer through one, and never shorter.
 func (c *Core) advanceClock() {
-	if c.machine.Leases() == 0 {
+	if c.machine.LeaseCount() == 0 {
 		c.clockTick = c.now
 		return
 	}
@@ -43,7 +43,7 @@
 	if elapsed < clockInterval {
 		return
 	}
-	c.Propose(0, &machine.Command{Kind: machine.ClockKind, Amount: min(elapsed, clockMaxStep) * c.conf.TickMS})
+	c.Propose(0, &machine.Command{Kind: machine.AdvanceClockKind, Amount: min(elapsed, clockMaxStep) * c.conf.TickMS})
 	c.clockTick = c.now
 }
 
@@ -52,8 +52,8 @@
 	for _, member := range Members(c.machine) {
 		common = min(common, member.Format)
 	}
-	if common > c.machine.Level() {
-		c.Propose(0, &machine.Command{Kind: machine.RaiseKind, Amount: int64(common)})
+	if common > c.machine.AgreedFormat() {
+		c.Propose(0, &machine.Command{Kind: machine.RaiseFormatKind, Amount: int64(common)})
 	}
 }
 
@@ -68,7 +68,7 @@
 	change := &raftpb.ConfChangeV2{
 		Changes: []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeAddNode, ready)},
 	}
-	c.ProposeMembershipChange(0, change, &machine.Command{Kind: machine.TxnKind})
+	c.ProposeMembershipChange(0, change, &machine.Command{Kind: machine.TransactionKind})
 }
 
 // learnerCaughtUp looks at all learners and returns one that may become a voter; 0: none.
--- a/internal/store/core/members.go
+++ b/internal/store/core/members.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	command := &machine.Command{Kind: machine.TxnKind, Then: []machine.Op{record}}
+	command := &machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{record}}
 	changes := []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeAddLearnerNode, id)}
 	members := Members(state)
 	for _, old := range slices.Sorted(maps.Keys(members)) {
@@ -94,7 +94,7 @@
 	change := &raftpb.ConfChangeV2{
 		Changes: []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeRemoveNode, id)},
 	}
-	command := &machine.Command{Kind: machine.TxnKind, Then: removalOps(id, Members(state)[id].Name)}
+	command := &machine.Command{Kind: machine.TransactionKind, Then: removalOps(id, Members(state)[id].Name)}
 	return change, command
 }
 
--- a/internal/store/core/proposals.go
+++ b/internal/store/core/proposals.go
@@ -52,13 +52,13 @@
 // register encodes a command and has its result awaited. It returns nil for a command that cannot be encoded, and
 // answers it.
 func (c *Core) register(token uint64, command *machine.Command) []byte {
-	command.Request = c.nextRequestID()
+	command.RequestID = c.nextRequestID()
 	data, err := machine.Encode(command)
 	if err != nil {
 		c.answer(token, err, machine.Result{})
 		return nil
 	}
-	c.pending[command.Request] = pendingProposal{token, c.serial, c.now + int64(c.conf.TimeoutTicks)}
+	c.pending[command.RequestID] = pendingProposal{token, c.serial, c.now + int64(c.conf.TimeoutTicks)}
 	return data
 }
 
@@ -73,7 +73,7 @@
 		return
 	}
 	if err := c.raftNode.ProposeConfChange(change); err != nil {
-		delete(c.pending, command.Request)
+		delete(c.pending, command.RequestID)
 		c.answer(token, ErrNoLeader, machine.Result{})
 	}
 }
@@ -106,8 +106,8 @@
 		if err != nil {
 			continue // not of this build's format: it is answered at its deadline
 		}
-		c.answer(c.pending[command.Request].token, ErrNoLeader, machine.Result{})
-		delete(c.pending, command.Request)
+		c.answer(c.pending[command.RequestID].token, ErrNoLeader, machine.Result{})
+		delete(c.pending, command.RequestID)
 	}
 }
 
--- a/internal/store/core/proposals_test.go
+++ b/internal/store/core/proposals_test.go
@@ -11,7 +11,7 @@
 	cl := newCluster(t, 1, 1, 1)
 	cl.elect(1)
 	put := machine.Op{Kind: machine.Put, NS: "n", Key: "k"}
-	cl.cores[3].Propose(1, &machine.Command{Kind: machine.TxnKind, Then: []machine.Op{put}})
+	cl.cores[3].Propose(1, &machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{put}})
 	cl.runUntilIdle()
 	cl.cores[2].Read(2)
 	cl.runUntilIdle()
@@ -31,7 +31,7 @@
 	cl := newCluster(t, 1, 1, 1)
 	c := cl.elect(1)
 	cl.stop(2, 3)
-	c.Propose(1, &machine.Command{Kind: machine.OpenKind})
+	c.Propose(1, &machine.Command{Kind: machine.OpenSessionKind})
 	for range c.conf.TimeoutTicks + 1 {
 		c.Tick()
 		cl.runUntilIdle()
@@ -39,7 +39,7 @@
 	if answer := cl.answers[1][1]; !errors.Is(answer.Err, ErrOutcomeUnknown) {
 		t.Errorf("a proposal without a quorum: %+v", answer)
 	}
-	c.Propose(2, &machine.Command{Kind: machine.OpenKind})
+	c.Propose(2, &machine.Command{Kind: machine.OpenSessionKind})
 	cl.runUntilIdle()
 	if answer := cl.answers[1][2]; !errors.Is(answer.Err, ErrNoLeader) {
 		t.Errorf("it still takes itself for the leader: %+v", answer)
--- a/internal/store/core/snapshot.go
+++ b/internal/store/core/snapshot.go
@@ -44,7 +44,7 @@
 	if err := c.storage.ApplySnapshot(&raftpb.Snapshot{Metadata: meta}); err != nil {
 		return fmt.Errorf("store: install snapshot: %w", err)
 	}
-	c.machine = state.Speaking(c.conf.Format)
+	c.machine = state.WithFormat(c.conf.Format)
 	c.confState = meta.GetConfState()
 	c.applied = meta.GetIndex()
 	c.snapshotIndex = meta.GetIndex()
--- a/internal/store/core/start.go
+++ b/internal/store/core/start.go
@@ -87,7 +87,7 @@
 	c := &Core{
 		conf:            conf,
 		storage:         raft.NewMemoryStorage(),
-		machine:         state.Speaking(conf.Format),
+		machine:         state.WithFormat(conf.Format),
 		confState:       meta.GetConfState(),
 		applied:         meta.GetIndex(),
 		freshAt:         -1,
@@ -179,7 +179,7 @@
 // InitialSnapshot returns the encoded snapshot that the first members of a new cluster start from: the same bytes at
 // each of them.
 func InitialSnapshot(voters []uint64, records []machine.Op) ([]byte, error) {
-	command, err := machine.Encode(&machine.Command{Kind: machine.TxnKind, Then: records})
+	command, err := machine.Encode(&machine.Command{Kind: machine.TransactionKind, Then: records})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/store/core/status.go
+++ b/internal/store/core/status.go
@@ -49,7 +49,7 @@
 		Applied:        c.applied,
 		SnapshotIndex:  c.snapshotIndex,
 		Revision:       c.machine.Revision(),
-		Keys:           c.machine.Keys(),
+		Keys:           c.machine.KeyCount(),
 		Chain:          c.machine.Chain(),
 		Voters:         slices.Clone(c.confState.GetVoters()),
 		Learners:       slices.Clone(c.confState.GetLearners()),
--- a/internal/store/core/transfer_test.go
+++ b/internal/store/core/transfer_test.go
@@ -14,7 +14,7 @@
 	cl.stop(3)
 	for i := range 300 {
 		put := machine.Op{Kind: machine.Put, NS: "n", Key: string(rune('a' + i%20)), Value: make([]byte, 2000)}
-		leader.Propose(uint64(i), &machine.Command{Kind: machine.TxnKind, Then: []machine.Op{put}})
+		leader.Propose(uint64(i), &machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{put}})
 		cl.runUntilIdle()
 	}
 	leader.conf.RetainedEntries = 10
@@ -52,7 +52,7 @@
 			t.Fatalf("%d bytes in a tick; %d are allowed", sent, leader.conf.SnapshotBytesPerTick)
 		}
 	}
-	if behind.Machine().Keys() != leader.Machine().Keys() {
-		t.Errorf("%d keys, %d at the leader", behind.Machine().Keys(), leader.Machine().Keys())
+	if behind.Machine().KeyCount() != leader.Machine().KeyCount() {
+		t.Errorf("%d keys, %d at the leader", behind.Machine().KeyCount(), leader.Machine().KeyCount())
 	}
 }
--- a/internal/store/documents/documents.go
+++ b/internal/store/documents/documents.go
@@ -188,7 +188,7 @@
 	}
 	ops = append(ops, machine.Op{Kind: machine.Put, NS: NS, Key: bodyKey(c.Name, rev.Number), Value: body},
 		machine.Op{Kind: machine.Put, NS: NS, Key: headKey(c.Name), Value: h})
-	return &machine.Command{Kind: machine.TxnKind, Then: ops,
+	return &machine.Command{Kind: machine.TransactionKind, Then: ops,
 		If: []machine.Compare{{NS: NS, Key: headKey(c.Name), Target: machine.Modified, Number: modified}}}, rev, nil
 }
 
--- a/internal/store/frame/golden_test.go
+++ b/internal/store/frame/golden_test.go
@@ -59,7 +59,7 @@
 
 func goldenCases() []goldenCase {
 	kv := machine.KV{NS: "config", Key: "one", Value: []byte{0, 255}, Created: 1, Modified: 2, Version: 3, Lease: 4}
-	command := machine.Command{V: 1, Kind: machine.TxnKind, Request: 5, Session: 6, Seq: 7,
+	command := machine.Command{Format: 1, Kind: machine.TransactionKind, RequestID: 5, Session: 6, Seq: 7,
 		If:   []machine.Compare{{NS: "config", Key: "one", Target: machine.Value, Number: 8, Value: []byte("v")}},
 		Then: []machine.Op{{Kind: machine.Put, NS: "config", Key: "one", Value: []byte("w"), Lease: 9, Limit: 10}},
 		Else: []machine.Op{{Kind: machine.Delete, NS: "config", Key: "one"}}, Lease: 11, Amount: 12}
--- a/internal/store/machine/command.go
+++ b/internal/store/machine/command.go
@@ -7,42 +7,44 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Format is the newest form of commands that this build understands. A command says in V which form a reader must
-// know; fields that an older reader may pass over do not raise it.
+// Format is the newest format of commands that this build understands. A command says which format a reader must
+// know; fields that an older reader may ignore do not raise it.
 const Format = 1
 
 // Kind names what a command does.
 type Kind uint8
 
+// The kinds of commands. Their numbers are part of the format.
 const (
-	TxnKind     Kind = iota + 1 // compare, then one of two lists of operations
-	OpenKind                    // open a session; its id is the result's
-	GrantKind                   // grant a lease of TTL; its id is the result's
-	KeepKind                    // start a lease's time anew
-	RevokeKind                  // end a lease now
-	ClockKind                   // the logical clock goes on by Delta
-	CompactKind                 // forget events up to a revision
-	RaiseKind                   // raise the agreed form of commands
-	lastKind    = RaiseKind
+	TransactionKind  Kind = iota + 1 // compare, then one of two lists of operations
+	OpenSessionKind                  // open a session; its id is the result's
+	GrantLeaseKind                   // grant a lease of Amount milliseconds; its id is the result's
+	KeepAliveKind                    // restart the time of a lease
+	RevokeLeaseKind                  // end a lease now
+	AdvanceClockKind                 // advance the logical clock by Amount milliseconds
+	CompactKind                      // forget events up to a revision
+	RaiseFormatKind                  // raise the agreed format of commands
+	lastKind         = RaiseFormatKind
 )
 
-// Command is one record of the replicated log. Short names keep the log small; they are part of the format.
+// Command is one record of the replicated log. The short names in the log are part of the format.
 type Command struct {
-	V       uint8     `msgpack:"v"`
-	Kind    Kind      `msgpack:"k"`
-	Request uint64    `msgpack:"r,omitempty"` // the proposer's own mark, by which it finds its answer
-	Session uint64    `msgpack:"s,omitempty"` // with Seq: the same pair is applied once
-	Seq     uint64    `msgpack:"q,omitempty"`
-	If      []Compare `msgpack:"i,omitempty"`
-	Then    []Op      `msgpack:"t,omitempty"`
-	Else    []Op      `msgpack:"e,omitempty"`
-	Lease   uint64    `msgpack:"l,omitempty"`
-	Amount  int64     `msgpack:"a,omitempty"` // TTL or Delta in milliseconds, a revision, or a format
+	Format    uint8     `msgpack:"v"`
+	Kind      Kind      `msgpack:"k"`
+	RequestID uint64    `msgpack:"r,omitempty"` // the proposer's own number, by which it finds its answer
+	Session   uint64    `msgpack:"s,omitempty"` // with Seq: the same pair is applied once
+	Seq       uint64    `msgpack:"q,omitempty"`
+	If        []Compare `msgpack:"i,omitempty"`
+	Then      []Op      `msgpack:"t,omitempty"`
+	Else      []Op      `msgpack:"e,omitempty"`
+	Lease     uint64    `msgpack:"l,omitempty"`
+	Amount    int64     `msgpack:"a,omitempty"` // milliseconds, a revision, or a format, by the kind
 }
 
 // Target is what a comparison looks at.
 type Target uint8
 
+// The targets of comparisons. Their numbers are part of the format.
 const (
 	Version  Target = iota // times the key was written since it came to be; 0: it does not exist
 	Modified               // revision of the last write
@@ -61,6 +63,7 @@
 // OpKind names an operation of a transaction.
 type OpKind uint8
 
+// The kinds of operations. Their numbers are part of the format.
 const (
 	Put OpKind = iota + 1
 	Delete
@@ -83,7 +86,7 @@
 	Limit int    `msgpack:"m,omitempty"` // List: at most so many; 0: all
 }
 
-// KV is a key with its value and history in numbers.
+// KV is a key with its value and its versions.
 type KV struct {
 	NS       string `msgpack:"n" json:"namespace"`
 	Key      string `msgpack:"k" json:"key"`
@@ -98,12 +101,13 @@
 type Event struct {
 	Revision int64 `msgpack:"r" json:"revision"`
 	Deleted  bool  `msgpack:"d,omitempty" json:"deleted,omitempty"`
-	KV       *KV   `msgpack:"k" json:"kv"` // after a Put, or before a Delete
+	KV       *KV   `msgpack:"k" json:"kv"` // as it is after a Put, or was before a Delete
 }
 
 // Code says why a command did nothing. It is the same on every instance.
 type Code uint8
 
+// The codes of results. Their numbers are part of the format.
 const (
 	OK           Code = iota
 	NoSession         // the session is not known: never opened, or dropped for room
@@ -134,30 +138,32 @@
 	KVs      []KV   `msgpack:"k,omitempty"` // found by Get and List, in their order
 }
 
-// ErrUnknown says that a record cannot be applied by this build. Passing over it would make this instance's
+// ErrUnknownRecord says that a record cannot be applied by this build. Passing over it would make this instance's
 // state another than the others', so it stops applying instead.
-var ErrUnknown = errors.New("store: a record that this build does not know")
+var ErrUnknownRecord = errors.New("store: a record that this build does not know")
 
 // Encode gives a command its form in the log.
-func Encode(c *Command) ([]byte, error) {
-	if c.V == 0 {
-		c.V = 1
+func Encode(command *Command) ([]byte, error) {
+	if command.Format == 0 {
+		command.Format = 1
 	}
-	b, err := msgpack.Marshal(c)
+	data, err := msgpack.Marshal(command)
 	if err != nil {
 		return nil, fmt.Errorf("store: encode command: %w", err)
 	}
-	return b, nil
+	return data, nil
 }
 
-// Decode reads a command. What a newer build made is told by ErrUnknown.
-func Decode(b []byte, format uint8) (*Command, error) {
-	var c Command
-	if err := msgpack.Unmarshal(b, &c); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrUnknown, err)
+// Decode reads a command. One of a newer build than the format's is reported as ErrUnknownRecord.
+func Decode(data []byte, format uint8) (*Command, error) {
+	var command Command
+	if err := msgpack.Unmarshal(data, &command); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrUnknownRecord, err)
 	}
-	if c.V == 0 || c.V > format || c.Kind == 0 || c.Kind > lastKind {
-		return nil, fmt.Errorf("%w: form %d (this build: %d), kind %d", ErrUnknown, c.V, format, c.Kind)
+	knownFormat := command.Format != 0 && command.Format <= format
+	knownKind := command.Kind != 0 && command.Kind <= lastKind
+	if !knownFormat || !knownKind {
+		return nil, fmt.Errorf("%w: form %d (this build: %d), kind %d", ErrUnknownRecord, command.Format, format, command.Kind)
 	}
-	return &c, nil
+	return &command, nil
 }
--- a/internal/store/machine/golden_test.go
+++ b/internal/store/machine/golden_test.go
@@ -3,70 +3,37 @@
 import (
 	"bytes"
 	"encoding/hex"
-	"errors"
-	"flag"
+
 	"fmt"
-	"os"
-	"path/filepath"
 	"reflect"
-	"strings"
 	"testing"
-)
-
-// update writes the golden files anew, for a change of a form that is meant.
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// held compares lines, one named case each, with a golden file, and returns the file's cases by name.
-func held(t *testing.T, file string, lines []string) map[string]string {
-	t.Helper()
-	path, now := filepath.Join("testdata", file), strings.Join(lines, "\n")+"\n"
-	if *update {
-		if err := errors.Join(os.MkdirAll("testdata", 0o755), os.WriteFile(path, []byte(now), 0o644)); err != nil {
-			t.Fatal(err)
-		}
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
-	if len(golden) != len(lines) {
-		t.Errorf("%s has %d cases, now there are %d", path, len(golden), len(lines))
-	}
-	cases := map[string]string{}
-	for i, line := range golden {
-		name, value, _ := strings.Cut(line, " ")
-		cases[name] = value
-		if i < len(lines) && lines[i] != line {
-			t.Errorf("%s, line %d:\nheld %s\nnow  %s", path, i+1, line, lines[i])
-		}
-	}
-	return cases
-}
+	"cloverrock/internal/golden"
+)
 
 // goldenCommands are commands of each kind, with each operation, comparison and field; in this order they also fill a
 // machine. The session is that of index 1, the leases those of 2 and 3.
 func goldenCommands() []Command {
 	return []Command{
-		{Kind: OpenKind, Request: 71},
-		{Kind: GrantKind, Amount: 5000},
-		{Kind: GrantKind, Amount: 9000, V: 1},
-		{Kind: TxnKind, Request: 72, Session: 1, Seq: 4, Then: []Op{{Kind: Put, NS: "config", Key: "one", Value: []byte("1")}, {Kind: Put, NS: "status", Key: "leased", Value: []byte{0, 255}, Lease: 2}}},
-		{Kind: TxnKind, Session: 1, Seq: 5, If: []Compare{{NS: "config", Key: "one", Target: Version, Number: 1}, {NS: "config", Key: "one", Target: Modified, Number: 1},
+		{Kind: OpenSessionKind, RequestID: 71},
+		{Kind: GrantLeaseKind, Amount: 5000},
+		{Kind: GrantLeaseKind, Amount: 9000, Format: 1},
+		{Kind: TransactionKind, RequestID: 72, Session: 1, Seq: 4, Then: []Op{{Kind: Put, NS: "config", Key: "one", Value: []byte("1")}, {Kind: Put, NS: "status", Key: "leased", Value: []byte{0, 255}, Lease: 2}}},
+		{Kind: TransactionKind, Session: 1, Seq: 5, If: []Compare{{NS: "config", Key: "one", Target: Version, Number: 1}, {NS: "config", Key: "one", Target: Modified, Number: 1},
 			{NS: "config", Key: "one", Target: Value, Value: []byte("1")}},
 			Then: []Op{{Kind: Put, NS: "config", Key: "one", Value: []byte("2")}, {Kind: Get, NS: "config", Key: "one"}, {Kind: List, NS: "status", Key: "le", Limit: 3}},
 			Else: []Op{{Kind: Delete, NS: "config", Key: "one"}}},
-		{Kind: TxnKind, Then: []Op{{Kind: Put, NS: "config", Key: "gone", Lease: 3}}},
-		{Kind: TxnKind, Then: []Op{{Kind: Delete, NS: "config", Key: "gone"}}},
-		{Kind: ClockKind, Amount: 1500},
-		{Kind: KeepKind, Lease: 2},
-		{Kind: RevokeKind, Lease: 3},
+		{Kind: TransactionKind, Then: []Op{{Kind: Put, NS: "config", Key: "gone", Lease: 3}}},
+		{Kind: TransactionKind, Then: []Op{{Kind: Delete, NS: "config", Key: "gone"}}},
+		{Kind: AdvanceClockKind, Amount: 1500},
+		{Kind: KeepAliveKind, Lease: 2},
+		{Kind: RevokeLeaseKind, Lease: 3},
 		{Kind: CompactKind, Amount: 1},
-		{Kind: RaiseKind, Amount: 1},
+		{Kind: RaiseFormatKind, Amount: 1},
 	}
 }
 
-// TestCommandsKeepTheirBytes holds the form of commands in the log, both ways, and the numbers of results' codes.
+// The form of commands in the log, both ways, and the numbers of results' codes stay.
 func TestCommandsKeepTheirBytes(t *testing.T) {
 	var lines []string
 	commands := goldenCommands()
@@ -80,9 +47,9 @@
 	for code, name := range []Code{OK, NoSession, OldSeq, NoLease, Malformed, IsCompacted, BadAmount, BadLeaseName} {
 		lines = append(lines, fmt.Sprintf("code/%d %d %s", code, uint8(name), name))
 	}
-	golden := held(t, "commands.txt", lines)
+	stored := golden.CheckLines(t, "commands.txt", lines)
 	for i := range commands {
-		b, err := hex.DecodeString(golden[fmt.Sprint("command/", i+1)])
+		b, err := hex.DecodeString(stored[fmt.Sprint("command/", i+1)])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -92,7 +59,7 @@
 	}
 }
 
-// TestImageKeepsItsBytes holds the form of the state in a snapshot, both ways, and the chain that instances compare.
+// The form of the state in a snapshot, both ways, and the chain that instances compare stay.
 func TestImageKeepsItsBytes(t *testing.T) {
 	m := New()
 	var lines []string
@@ -111,8 +78,8 @@
 	if err := m.Image().Write(&image); err != nil {
 		t.Fatal(err)
 	}
-	golden := held(t, "image.txt", append(lines, fmt.Sprintf("image %x", image.Bytes())))
-	b, err := hex.DecodeString(golden["image"])
+	stored := golden.CheckLines(t, "image.txt", append(lines, fmt.Sprintf("image %x", image.Bytes())))
+	b, err := hex.DecodeString(stored["image"])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,11 +91,26 @@
 	if err := restored.Image().Write(&image); err != nil || !bytes.Equal(image.Bytes(), b) {
 		t.Errorf("restored and written again: %x, %v", image.Bytes(), err)
 	}
-	one, found := restored.Get("config", "one")
-	leased, _ := restored.Get("status", "leased")
-	events, upTo, ok := restored.Since("config", "", 1, 100)
-	if !found || string(one.Value) != "2" || one.Created != 1 || one.Modified != 2 || one.Version != 2 || leased.Lease != 2 || !ok || upTo != restored.Revision() ||
-		len(events) != 3 || !events[2].Deleted || restored.Clock() != 1500 || restored.Floor() != 1 || restored.Leases() != 1 || restored.Keys() != 2 || restored.Index() != 12 {
-		t.Errorf("restored: %+v %+v, events %+v up to %d", one, leased, events, upTo)
+	checkGoldenState(t, restored)
+}
+
+// checkGoldenState holds what a machine has that applied the golden commands.
+func checkGoldenState(t *testing.T, m *Machine) {
+	t.Helper()
+	one, found := m.Get("config", "one")
+	want := KV{NS: "config", Key: "one", Value: []byte("2"), Created: 1, Modified: 2, Version: 2}
+	if !found || !reflect.DeepEqual(one, want) {
+		t.Errorf("restored key: %+v, found %t", one, found)
+	}
+	if leased, _ := m.Get("status", "leased"); leased.Lease != 2 {
+		t.Errorf("restored key with a lease: %+v", leased)
+	}
+	events, upTo, ok := m.EventsSince("config", "", 1, 100)
+	if !ok || upTo != m.Revision() || len(events) != 3 || !events[2].Deleted {
+		t.Errorf("restored events: %+v up to %d, %t", events, upTo, ok)
+	}
+	if m.Clock() != 1500 || m.CompactedTo() != 1 || m.LeaseCount() != 1 || m.KeyCount() != 2 || m.Index() != 12 {
+		t.Errorf("restored: clock %d, compacted to %d, %d leases, %d keys, index %d",
+			m.Clock(), m.CompactedTo(), m.LeaseCount(), m.KeyCount(), m.Index())
 	}
 }
--- a/internal/store/machine/image.go
+++ b/internal/store/machine/image.go
@@ -22,13 +22,13 @@
 }
 
 type imageHead struct {
-	Form     uint8  `msgpack:"form"`
-	Level    uint8  `msgpack:"level"`
+	Form     uint8  `msgpack:"form"`  // of the image
+	Level    uint8  `msgpack:"level"` // the agreed format of commands
 	Index    uint64 `msgpack:"index"`
 	Revision int64  `msgpack:"revision"`
 	Clock    int64  `msgpack:"clock"`
 	Chain    uint64 `msgpack:"chain"`
-	Floor    int64  `msgpack:"floor"`
+	Floor    int64  `msgpack:"floor"` // events up to this revision are gone
 	Keys     int    `msgpack:"keys"`
 	Leases   int    `msgpack:"leases"`
 	Sessions int    `msgpack:"sessions"`
@@ -50,17 +50,28 @@
 
 // Image freezes the state.
 func (m *Machine) Image() *Image {
-	i := &Image{keys: m.keys.Copy(), events: m.events[:len(m.events):len(m.events)]}
+	i := &Image{keys: m.keys.Copy(), events: slices.Clip(m.events)}
 	for _, l := range m.leases {
 		i.leases = append(i.leases, imageLease{l.id, l.ttl, l.end})
 	}
 	slices.SortFunc(i.leases, func(a, b imageLease) int { return cmp.Compare(a.ID, b.ID) })
-	for e := m.recent.Front(); e != nil; e = e.Next() {
+	for e := m.sessionsByUse.Front(); e != nil; e = e.Next() {
 		s := e.Value.(*session)
 		i.sessions = append(i.sessions, imageSession{s.id, s.seq, s.used, s.result})
 	}
-	i.head = imageHead{Format, m.level, m.index, m.revision, m.clock, m.chain, m.floor,
-		i.keys.Len(), len(i.leases), len(i.sessions), len(i.events)}
+	i.head = imageHead{
+		Form:     Format,
+		Level:    m.agreedFormat,
+		Index:    m.index,
+		Revision: m.revision,
+		Clock:    m.clock,
+		Chain:    m.chain,
+		Floor:    m.compactedTo,
+		Keys:     i.keys.Len(),
+		Leases:   len(i.leases),
+		Sessions: len(i.sessions),
+		Events:   len(i.events),
+	}
 	return i
 }
 
@@ -69,82 +80,121 @@
 
 // Write writes the image out. The same state gives the same bytes.
 func (i *Image) Write(w io.Writer) error {
-	enc := msgpack.NewEncoder(w)
-	if err := enc.Encode(&i.head); err != nil {
+	if err := i.write(msgpack.NewEncoder(w)); err != nil {
 		return fmt.Errorf("store: write image: %w", err)
 	}
+	return nil
+}
+
+func (i *Image) write(encoder *msgpack.Encoder) error {
+	if err := encoder.Encode(&i.head); err != nil {
+		return err
+	}
 	var err error
-	put := func(v any) bool { err = enc.Encode(v); return err == nil }
-	i.keys.Scan(func(_ string, kv *KV) bool { return put(kv) })
-	for n := 0; n < len(i.leases) && err == nil; n++ {
-		put(&i.leases[n])
+	i.keys.Scan(func(_ string, kv *KV) bool {
+		err = encoder.Encode(kv)
+		return err == nil
+	})
+	if err != nil {
+		return err
 	}
-	for n := 0; n < len(i.sessions) && err == nil; n++ {
-		put(&i.sessions[n])
+	if err := encodeAll(encoder, i.leases); err != nil {
+		return err
 	}
-	for n := 0; n < len(i.events) && err == nil; n++ {
-		put(&i.events[n])
+	if err := encodeAll(encoder, i.sessions); err != nil {
+		return err
 	}
-	if err != nil {
-		return fmt.Errorf("store: write image: %w", err)
+	return encodeAll(encoder, i.events)
+}
+
+func encodeAll[T any](encoder *msgpack.Encoder, values []T) error {
+	for i := range values {
+		if err := encoder.Encode(&values[i]); err != nil {
+			return err
+		}
 	}
 	return nil
 }
 
-// Restore reads an image into a new machine.
+// Restore reads an image into a new machine. An image of a newer build gives ErrUnknownRecord.
 func Restore(r io.Reader) (*Machine, error) {
-	m := New()
-	dec := msgpack.NewDecoder(r)
-	var h imageHead
-	if err := dec.Decode(&h); err != nil {
+	decoder := msgpack.NewDecoder(r)
+	var head imageHead
+	if err := decoder.Decode(&head); err != nil {
 		return nil, fmt.Errorf("store: read image: %w", err)
 	}
-	if h.Form > Format || h.Level > Format {
-		return nil, fmt.Errorf("%w: an image of form %d, level %d (this build: %d)", ErrUnknown, h.Form, h.Level, Format)
+	if err := head.check(); err != nil {
+		return nil, err
 	}
-	if h.Form == 0 || min(h.Keys, h.Leases, h.Sessions, h.Events) < 0 {
-		return nil, errors.New("store: read image: the head is malformed")
-	}
-	m.level, m.index, m.revision, m.clock, m.chain, m.floor = h.Level, h.Index, h.Revision, h.Clock, h.Chain, h.Floor
-	leased := map[uint64][]string{}
-	for range h.Keys {
-		kv := &KV{}
-		if err := dec.Decode(kv); err != nil {
-			return nil, fmt.Errorf("store: read image: key: %w", err)
-		}
-		p := path(kv.NS, kv.Key)
-		m.keys.Set(p, kv)
-		if kv.Lease != 0 {
-			leased[kv.Lease] = append(leased[kv.Lease], p)
-		}
+	m := New()
+	m.agreedFormat = head.Level
+	m.index = head.Index
+	m.revision = head.Revision
+	m.clock = head.Clock
+	m.chain = head.Chain
+	m.compactedTo = head.Floor
+	leased, err := m.restoreKeys(decoder, head.Keys)
+	if err != nil {
+		return nil, err
 	}
-	for range h.Leases {
-		var l imageLease
-		if err := dec.Decode(&l); err != nil {
-			return nil, fmt.Errorf("store: read image: lease: %w", err)
-		}
-		m.leases[l.ID] = &lease{id: l.ID, ttl: l.TTL, end: l.End, keys: map[string]struct{}{}}
-		for _, p := range leased[l.ID] {
-			m.leases[l.ID].keys[p] = struct{}{}
+	restoreLease := func(stored *imageLease) {
+		restored := newLease(stored.ID, stored.TTL, stored.End)
+		for _, at := range leased[stored.ID] {
+			restored.keys[at] = struct{}{}
 		}
+		m.leases[stored.ID] = restored
 	}
-	for range h.Sessions {
-		var s imageSession
-		if err := dec.Decode(&s); err != nil {
-			return nil, fmt.Errorf("store: read image: session: %w", err)
-		}
-		m.sessions[s.ID] = m.recent.PushBack(&session{s.ID, s.Seq, s.Result, s.Used})
+	restoreSession := func(stored *imageSession) {
+		m.addSession(&session{stored.ID, stored.Seq, stored.Result, stored.Used})
 	}
-	for range h.Events {
-		var ev Event
-		if err := dec.Decode(&ev); err != nil {
-			return nil, fmt.Errorf("store: read image: event: %w", err)
-		}
-		m.events = append(m.events, ev)
+	restoreEvent := func(stored *Event) { m.events = append(m.events, *stored) }
+	if err := decodeAll(decoder, "lease", head.Leases, restoreLease); err != nil {
+		return nil, err
+	}
+	if err := decodeAll(decoder, "session", head.Sessions, restoreSession); err != nil {
+		return nil, err
+	}
+	if err := decodeAll(decoder, "event", head.Events, restoreEvent); err != nil {
+		return nil, err
 	}
 	var extra byte
-	if err := dec.Decode(&extra); !errors.Is(err, io.EOF) {
+	if err := decoder.Decode(&extra); !errors.Is(err, io.EOF) {
 		return nil, errors.New("store: read image: bytes behind its end")
 	}
 	return m, nil
 }
+
+func (h *imageHead) check() error {
+	if h.Form > Format || h.Level > Format {
+		return fmt.Errorf("%w: an image of form %d, level %d (this build: %d)", ErrUnknownRecord, h.Form, h.Level, Format)
+	}
+	if h.Form == 0 || min(h.Keys, h.Leases, h.Sessions, h.Events) < 0 {
+		return errors.New("store: read image: the head is malformed")
+	}
+	return nil
+}
+
+// restoreKeys reads the keys, and returns the storage keys of those with a lease, by lease.
+func (m *Machine) restoreKeys(decoder *msgpack.Decoder, count int) (leased map[uint64][]string, err error) {
+	leased = map[uint64][]string{}
+	err = decodeAll(decoder, "key", count, func(kv *KV) {
+		at := storageKey(kv.NS, kv.Key)
+		m.keys.Set(at, kv)
+		if kv.Lease != 0 {
+			leased[kv.Lease] = append(leased[kv.Lease], at)
+		}
+	})
+	return leased, err
+}
+
+// decodeAll reads a number of values and passes each on; what names them in an error.
+func decodeAll[T any](decoder *msgpack.Decoder, what string, count int, take func(*T)) error {
+	for range count {
+		value := new(T)
+		if err := decoder.Decode(value); err != nil {
+			return fmt.Errorf("store: read image: %s: %w", what, err)
+		}
+		take(value)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/store/machine/transaction.go
@@ -0,0 +1,111 @@
+package machine
+
+import (
+	"bytes"
+)
+
+// transact compares, and then does one of the two lists of operations whole, or nothing.
+func (m *Machine) transact(command *Command) Result {
+	result := Result{Holds: true}
+	for i := range command.If {
+		if !m.holds(&command.If[i]) {
+			result.Holds = false
+		}
+	}
+	ops := command.Then
+	if !result.Holds {
+		ops = command.Else
+	}
+	result.Code = m.check(ops)
+	if result.Code != OK {
+		return result
+	}
+	next := m.revision + 1
+	for i := range ops {
+		op := &ops[i]
+		switch op.Kind {
+		case Put:
+			m.put(op, next)
+		case Delete:
+			m.remove(storageKey(op.NS, op.Key), next)
+		case Get:
+			if kv, found := m.Get(op.NS, op.Key); found {
+				result.KVs = append(result.KVs, kv)
+			}
+		case List:
+			result.KVs = append(result.KVs, m.List(op.NS, op.Key, op.Limit)...)
+		}
+	}
+	return result
+}
+
+// check looks at all operations before any of them is done.
+func (m *Machine) check(ops []Op) Code {
+	for i := range ops {
+		op := &ops[i]
+		if !op.wellFormed() {
+			return Malformed
+		}
+		if op.Lease != 0 && op.Kind != Put {
+			return BadLeaseName
+		}
+		if op.Lease != 0 && m.leases[op.Lease] == nil {
+			return NoLease
+		}
+	}
+	return OK
+}
+
+func (o *Op) wellFormed() bool {
+	validKey := ValidName(o.Key) || o.Kind == List && o.Key == ""
+	return o.Kind != 0 && o.Kind <= lastOp && ValidName(o.NS) && validKey
+}
+
+func (m *Machine) holds(condition *Compare) bool {
+	kv, found := m.keys.Get(storageKey(condition.NS, condition.Key))
+	if !found {
+		kv = &KV{}
+	}
+	switch condition.Target {
+	case Version:
+		return kv.Version == condition.Number
+	case Modified:
+		return kv.Modified == condition.Number
+	case Value:
+		return found && bytes.Equal(kv.Value, condition.Value)
+	}
+	return false
+}
+
+// put writes a key at a revision. The earlier KV is not changed: events and images share it.
+func (m *Machine) put(op *Op, revision int64) {
+	at := storageKey(op.NS, op.Key)
+	kv := &KV{
+		NS:       op.NS,
+		Key:      op.Key,
+		Value:    op.Value,
+		Created:  revision,
+		Modified: revision,
+		Version:  1,
+		Lease:    op.Lease,
+	}
+	if old, found := m.keys.Get(at); found {
+		kv.Created = old.Created
+		kv.Version = old.Version + 1
+		m.detachLease(old, at)
+	}
+	if lease := m.leases[op.Lease]; lease != nil {
+		lease.keys[at] = struct{}{}
+	}
+	m.keys.Set(at, kv)
+	m.recordEvent(Event{Revision: revision, KV: kv})
+}
+
+func (m *Machine) remove(at string, revision int64) {
+	old, found := m.keys.Delete(at)
+	if !found {
+		return
+	}
+	m.detachLease(old, at)
+	m.recordEvent(Event{Revision: revision, Deleted: true, KV: old})
+}
--- a/internal/store/node/bench_test.go
+++ b/internal/store/node/bench_test.go
@@ -64,7 +64,7 @@
 	n := cl.nodes[cl.leader()]
 	deadline := time.Now().Add(10 * time.Second)
 	for {
-		_, err := n.Propose(cl.ctx, &machine.Command{Kind: machine.OpenKind})
+		_, err := n.Propose(cl.ctx, &machine.Command{Kind: machine.OpenSessionKind})
 		if err == nil {
 			return cl, n
 		}
@@ -81,7 +81,7 @@
 			value := bytes.Repeat([]byte("v"), 64)
 			runConcurrently(b, benchClients, func(c int) error {
 				put := machine.Op{Kind: machine.Put, NS: "n", Key: strconv.Itoa(c), Value: value}
-				_, err := n.Propose(cl.ctx, &machine.Command{Kind: machine.TxnKind, Then: []machine.Op{put}})
+				_, err := n.Propose(cl.ctx, &machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{put}})
 				return err
 			})
 		})
@@ -136,7 +136,7 @@
 		runtime.ReadMemStats(&before)
 		m := machine.New()
 		for at := 0; at < keys; at += 500 {
-			c := machine.Command{Kind: machine.TxnKind}
+			c := machine.Command{Kind: machine.TransactionKind}
 			for i := at; i < at+500; i++ {
 				c.Then = append(c.Then, machine.Op{Kind: machine.Put, NS: "n", Key: fmt.Sprintf("key-%08d", i), Value: bytes.Repeat([]byte("v"), 64)})
 			}
--- a/internal/store/node/cluster_test.go
+++ b/internal/store/node/cluster_test.go
@@ -178,7 +178,7 @@
 
 func putCommand(ns, key, value string) machine.Command {
 	put := machine.Op{Kind: machine.Put, NS: ns, Key: key, Value: []byte(value)}
-	return machine.Command{Kind: machine.TxnKind, Then: []machine.Op{put}}
+	return machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{put}}
 }
 
 func (cl *cluster) leader() (i int) {
--- a/internal/store/node/membership_test.go
+++ b/internal/store/node/membership_test.go
@@ -40,7 +40,7 @@
 	if err := cl.join(i, cl.ids[i], "nonsense"); err == nil || !strings.Contains(err.Error(), "token") {
 		t.Fatalf("a token that is not known: %v", err)
 	}
-	_, err := operator.Txn(cl.ctx, machine.Command{Kind: machine.TxnKind, Then: []machine.Op{{Kind: machine.Put, NS: core.TokensNS, Key: TokenKey("secret")}}})
+	_, err := operator.Txn(cl.ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{{Kind: machine.Put, NS: core.TokensNS, Key: TokenKey("secret")}}})
 	cl.must(err)
 	cl.must(cl.join(i, cl.ids[i], "secret"))
 	cl.createDirectory(i, 0, nil)
--- a/internal/store/node/node_test.go
+++ b/internal/store/node/node_test.go
@@ -54,7 +54,7 @@
 		ages = append(ages, age)
 		return age > 500*time.Millisecond
 	})
-	if _, err := cl.nodes[0].Propose(cl.ctx, &machine.Command{Kind: machine.OpenKind}); !errors.Is(err, core.ErrNoLeader) && !errors.Is(err, core.ErrOutcomeUnknown) {
+	if _, err := cl.nodes[0].Propose(cl.ctx, &machine.Command{Kind: machine.OpenSessionKind}); !errors.Is(err, core.ErrNoLeader) && !errors.Is(err, core.ErrOutcomeUnknown) {
 		t.Errorf("a write without a quorum: %v", err)
 	}
 	if _, err := cl.nodes[0].Read(cl.ctx, false, func(*machine.Machine) {}); !errors.Is(err, core.ErrNoLeader) {
@@ -65,13 +65,13 @@
 func TestRetryAtAnotherInstanceIsAppliedOnce(t *testing.T) {
 	cl := startCluster(t, 3)
 	cl.leader()
-	res, err := cl.nodes[0].Propose(cl.ctx, &machine.Command{Kind: machine.OpenKind})
+	res, err := cl.nodes[0].Propose(cl.ctx, &machine.Command{Kind: machine.OpenSessionKind})
 	for errors.Is(err, core.ErrNoLeader) {
-		res, err = cl.nodes[0].Propose(cl.ctx, &machine.Command{Kind: machine.OpenKind})
+		res, err = cl.nodes[0].Propose(cl.ctx, &machine.Command{Kind: machine.OpenSessionKind})
 	}
 	cl.must(err)
 	for i := range cl.nodes {
-		again, err := cl.nodes[i].Propose(cl.ctx, &machine.Command{Kind: machine.TxnKind, Session: res.ID, Seq: 1,
+		again, err := cl.nodes[i].Propose(cl.ctx, &machine.Command{Kind: machine.TransactionKind, Session: res.ID, Seq: 1,
 			Then: []machine.Op{{Kind: machine.Put, NS: "n", Key: "k"}}})
 		if errors.Is(err, core.ErrNoLeader) {
 			continue
--- a/internal/store/node/requests.go
+++ b/internal/store/node/requests.go
@@ -165,7 +165,7 @@
 
 func (cc *clientConn) propose(ctx context.Context, request *frame.Request, response *frame.Response) (err error) {
 	command := request.Command
-	if command == nil || command.Kind == machine.ClockKind || command.Kind == machine.RaiseKind {
+	if command == nil || command.Kind == machine.AdvanceClockKind || command.Kind == machine.RaiseFormatKind {
 		return reject("no command, or one that only the store gives")
 	}
 	for _, ops := range [][]machine.Op{command.Then, command.Else} {
--- a/internal/store/node/requests_test.go
+++ b/internal/store/node/requests_test.go
@@ -23,7 +23,7 @@
 	c := cl.client("operator")
 	cl.put(c, "k", "v")
 	cl.must(pki.Issue(cl.dir, "observer", pki.Observer, time.Now(), time.Hour))
-	_, err := cl.client("observer").Call(cl.ctx, &frame.Request{Op: frame.OpPropose, Command: &machine.Command{Kind: machine.OpenKind}}, false)
+	_, err := cl.client("observer").Call(cl.ctx, &frame.Request{Op: frame.OpPropose, Command: &machine.Command{Kind: machine.OpenSessionKind}}, false)
 	if !refused(err) {
 		t.Errorf("an observer wrote: %v", err)
 	}
--- a/internal/store/node/view.go
+++ b/internal/store/node/view.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return // only a record that cannot be encoded, and this one can
 	}
-	command := &machine.Command{Kind: machine.TxnKind, Then: []machine.Op{write}}
+	command := &machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{write}}
 	n.propose(command, func(answer core.Answer) {
 		if answer.Err != nil {
 			time.AfterFunc(retryRecordTicks*n.conf.Tick, func() { n.post(n.correctOwnRecord) })
--- a/internal/store/node/watch.go
+++ b/internal/store/node/watch.go
@@ -57,7 +57,7 @@
 		var upTo int64
 		var complete bool
 		_, err := n.Read(ctx, true, func(m *machine.Machine) {
-			events, upTo, complete = m.Since(ns, prefix, after, watchBatch)
+			events, upTo, complete = m.EventsSince(ns, prefix, after, watchBatch)
 			if !complete {
 				upTo = m.Revision()
 			}
--- a/internal/storecli/admin.go
+++ b/internal/storecli/admin.go
@@ -377,7 +377,7 @@
 		ops = append(ops, machine.Op{Kind: machine.Delete, NS: core.MembersNS, Key: core.MemberKey(old)},
 			machine.Op{Kind: machine.Put, NS: core.RemovedNS, Key: core.MemberKey(old), Value: []byte("restored")})
 	}
-	cmd, err := machine.Encode(&machine.Command{Kind: machine.TxnKind, Then: append(ops, op)})
+	cmd, err := machine.Encode(&machine.Command{Kind: machine.TransactionKind, Then: append(ops, op)})
 	if err != nil {
 		return id, 0, nil, err
 	}
@@ -420,7 +420,7 @@
 	if err != nil {
 		return nil, &disk.CorruptError{File: name, Why: err.Error()}
 	}
-	return &summary{Index: meta.GetIndex(), Revision: m.Revision(), Keys: m.Keys()}, nil
+	return &summary{Index: meta.GetIndex(), Revision: m.Revision(), Keys: m.KeyCount()}, nil
 }
 
 func (s *storeCmd) verifyCmd() *cobra.Command {
--- a/internal/storecli/daemon.go
+++ b/internal/storecli/daemon.go
@@ -301,19 +301,19 @@
 		now, _ := d.said()
 		ctx, cancel := context.WithTimeout(d.ctx, 3*time.Second)
 		if lease != 0 {
-			res, err := n.Propose(ctx, &machine.Command{Kind: machine.KeepKind, Lease: lease})
+			res, err := n.Propose(ctx, &machine.Command{Kind: machine.KeepAliveKind, Lease: lease})
 			if err == nil && res.Code == machine.NoLease {
 				lease, told = 0, documents.Running{}
 			}
 		}
 		if lease == 0 {
-			if res, err := n.Propose(ctx, &machine.Command{Kind: machine.GrantKind, Amount: statusTTL.Milliseconds()}); err == nil && res.Code == machine.OK {
+			if res, err := n.Propose(ctx, &machine.Command{Kind: machine.GrantLeaseKind, Amount: statusTTL.Milliseconds()}); err == nil && res.Code == machine.OK {
 				lease = res.ID
 			}
 		}
 		if lease != 0 && now != told && now.Document != "" {
 			if b, err := json.Marshal(&now); err == nil {
-				res, err := n.Propose(ctx, &machine.Command{Kind: machine.TxnKind, Then: []machine.Op{{Kind: machine.Put, NS: documents.StatusNS,
+				res, err := n.Propose(ctx, &machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{{Kind: machine.Put, NS: documents.StatusNS,
 					Key: documents.RunningKey(now.Instance, now.Document), Value: b, Lease: lease}}})
 				if err == nil && res.Code == machine.OK {
 					told = now
--- a/internal/storecli/store.go
+++ b/internal/storecli/store.go
@@ -306,11 +306,11 @@
 					return err
 				}
 				text := fmt.Sprintf("%016x", token)
-				lease, err := c.Txn(ctx, machine.Command{Kind: machine.GrantKind, Amount: life.Milliseconds()})
+				lease, err := c.Txn(ctx, machine.Command{Kind: machine.GrantLeaseKind, Amount: life.Milliseconds()})
 				if err != nil {
 					return err
 				}
-				if _, err := c.Txn(ctx, machine.Command{Kind: machine.TxnKind, Then: []machine.Op{
+				if _, err := c.Txn(ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{
 					{Kind: machine.Put, NS: core.TokensNS, Key: node.TokenKey(text), Value: []byte("1"), Lease: lease.ID}}}); err != nil {
 					return err
 				}
@@ -613,7 +613,7 @@
 			if op == machine.Put {
 				o.Value = []byte(args[2])
 			}
-			c := machine.Command{Kind: machine.TxnKind, Then: []machine.Op{o}}
+			c := machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{o}}
 			if version >= 0 {
 				c.If = []machine.Compare{{NS: o.NS, Key: o.Key, Target: machine.Version, Number: version}}
 			}
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -185,7 +185,7 @@
 
 // primaries writes who is primary where this router has younger evidence than the store.
 func (k *Keeper) primaries(now int64, f balance.Snapshot) *machine.Command {
-	c := &machine.Command{Kind: machine.TxnKind}
+	c := &machine.Command{Kind: machine.TransactionKind}
 	for _, g := range f.Groups {
 		was, known := k.groups[g.Group]
 		next := Primary{Host: g.Primary, Term: was.Term, At: min(g.ObservedAt, now), By: k.conf.Name}
@@ -222,7 +222,7 @@
 // rest writes hosts, the list and the floor. Two gateways that write the same host at once do no harm: a position is
 // a lower bound in either case, and the rest is said again when it changes.
 func (k *Keeper) rest(now int64, f balance.Snapshot, l List) *machine.Command {
-	c := &machine.Command{Kind: machine.TxnKind}
+	c := &machine.Command{Kind: machine.TransactionKind}
 	put := func(key string, v any) {
 		if b, err := msgpack.Marshal(v); err == nil {
 			c.Then = append(c.Then, machine.Op{Kind: machine.Put, NS: NS, Key: key, Value: b})
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -44,7 +44,7 @@
 		if res.Holds {
 			ops += len(c.Then)
 		}
-		events, _, _ := r.m.Since(NS, "", before, 1000)
+		events, _, _ := r.m.EventsSince(NS, "", before, 1000)
 		for _, ev := range events {
 			for _, k := range r.keepers {
 				k.Stored(ev.KV, ev.Deleted)
