--- a/internal/lab/chaos/cluster.go
+++ b/internal/lab/chaos/cluster.go
@@ -137,7 +137,7 @@
 		return err
 	}
 	defer dir.Close()
-	return disk.Forget(dir)
+	return disk.DiscardUnsynced(dir)
 }
 
 // end ends all that was started.
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -212,7 +212,7 @@
 	}
 }
 
-func (w *world) logOptions() disk.Options { return disk.Options{Segment: 8 << 10} }
+func (w *world) logOptions() disk.Options { return disk.Options{SegmentSize: 8 << 10} }
 
 // mortal is for the end of what may die in the middle: the machine is down then, and comes back.
 func (w *world) mortal(p *instance) {
@@ -268,15 +268,15 @@
 	w.nextNonce++
 	p.core, err = core.New(core.Config{ID: p.id, Nonce: w.nextNonce << 24, SnapshotInterval: 60, RetainedEntries: 20, ChunkSize: 1 << 10, SnapshotBytesPerTick: 8 << 10, TimeoutTicks: 30,
 		Logger: w.discarding, Observe: func(index, term, chain uint64) { w.observe(p, index, term, chain) }},
-		core.InitialState{Snapshot: got.Snapshot, SnapshotName: got.Name, Log: got.Loaded})
+		core.InitialState{Snapshot: got.Snapshot, SnapshotName: got.SnapshotName, Log: got.Loaded})
 	if err != nil {
 		w.violated("%s cannot start: %v", p.name, err)
 		return
 	}
 	p.store, p.stuck = store, false
 	delete(w.commits, p.id) // how far a commit went may be lost; what was committed may not
-	w.say("%s started as %d, cut %d", p.name, p.id, got.Loaded.Cut)
-	w.note('s', p.id, uint64(got.Loaded.Cut))
+	w.say("%s started as %d, cut %d", p.name, p.id, got.Loaded.TornBytes)
+	w.note('s', p.id, uint64(got.Loaded.TornBytes))
 	w.tick(i, p.life)
 }
 
@@ -311,7 +311,7 @@
 		err := error(nil)
 		if work.SnapshotData != nil {
 			w.res.Installs++
-			err = p.store.Install(work.SnapshotMeta, work.SnapshotData)
+			err = p.store.SaveSnapshot(work.SnapshotMeta, work.SnapshotData)
 		}
 		if err == nil {
 			err = p.store.Log.Save(work.HardState, work.SnapshotMeta, work.Entries)
@@ -351,7 +351,7 @@
 				err := disk.SaveSnapshot(p.disk, s.Meta.GetIndex(), func(o io.Writer) error { return disk.EncodeSnapshot(o, s.Meta, s.Image.Write) })
 				if release := p.core.SnapshotSaved(s, err); release > 0 {
 					_ = p.store.Log.Release(release)
-					_ = disk.Tidy(p.disk, s.Meta.GetIndex())
+					_ = disk.RemoveObsolete(p.disk, s.Meta.GetIndex())
 				}
 			}
 		})
--- a/internal/store/core/cluster_test.go
+++ b/internal/store/core/cluster_test.go
@@ -44,7 +44,7 @@
 	for i, format := range formats {
 		id := uint64(i + 1)
 		conf := Config{ID: id, Nonce: id << 40, Format: format, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}
-		initial := InitialState{Snapshot: snapshot, SnapshotName: "first", Log: &disk.Loaded{Hard: &raftpb.HardState{}}}
+		initial := InitialState{Snapshot: snapshot, SnapshotName: "first", Log: &disk.Loaded{HardState: &raftpb.HardState{}}}
 		c, err := New(conf, initial)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/store/core/start.go
+++ b/internal/store/core/start.go
@@ -160,10 +160,10 @@
 	if err != nil {
 		return fmt.Errorf("store: start from log: %w", err)
 	}
-	if commit := log.Hard.GetCommit(); commit > last {
+	if commit := log.HardState.GetCommit(); commit > last {
 		return fmt.Errorf("store: the log ends at entry %d, and %d was committed: it has lost its end", last, commit)
 	}
-	hard := proto.CloneOf(log.Hard)
+	hard := proto.CloneOf(log.HardState)
 	if hard.GetCommit() < meta.GetIndex() {
 		hard.Commit = new(meta.GetIndex())
 	}
--- a/internal/store/disk/fs.go
+++ b/internal/store/disk/fs.go
@@ -1,17 +1,18 @@
-// Package disk keeps a store's log, snapshots and identity in one directory, so that what it said was saved is
-// found again, whole, or reported as damaged. It works on a small interface, so that tests crash it anywhere.
+// Package disk keeps a store's log, snapshots and identity in one directory. What it reported as saved is found again
+// complete, or reported as damaged (CorruptError). It works on a small file interface, so that tests crash it anywhere.
 package disk
 
 import (
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"sort"
 	"syscall"
 )
 
-// FS is one flat directory. Names that were created, renamed or removed are sure only after SyncDir.
+// FS is one flat directory. Names that were created, renamed or removed are durable only after SyncDir.
 type FS interface {
 	List() ([]string, error) // sorted
 	Read(name string) ([]byte, error)
@@ -24,16 +25,16 @@
 	Name(name string) string // for messages
 }
 
-// File is written from its end on, or in place.
+// File is a file of the directory.
 type File interface {
-	Write(b []byte) (int, error)
+	Write(b []byte) (int, error) // at the end
 	WriteAt(b []byte, off int64) (int, error)
 	Truncate(size int64) error
 	Sync() error
 	Close() error
 }
 
-// ErrFull says that the disk has no room: nothing of the write is kept, and it may be tried again.
+// ErrFull says that the disk has no room: nothing of the write is kept, and it may be repeated.
 var ErrFull = errors.New("store: the disk is full")
 
 // Dir is a directory of the operating system.
@@ -52,13 +53,13 @@
 		return nil, fmt.Errorf("store: data directory: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
+		_ = lock.Close() // it holds nothing
 		return nil, fmt.Errorf("store: data directory %s is in use by another process: %w", path, err)
 	}
 	return &Dir{path, lock}, nil
 }
 
-// Close lets other processes in.
+// Close releases the directory for other processes.
 func (d *Dir) Close() error { return d.lock.Close() }
 
 // Name implements FS.
@@ -96,10 +97,9 @@
 	if err != nil {
 		return nil, err
 	}
-	end, err := f.Seek(0, 2)
+	end, err := f.Seek(0, io.SeekEnd)
 	if err != nil {
-		f.Close()
-		return nil, err
+		return nil, errors.Join(err, f.Close())
 	}
 	return &osFile{f, end}, nil
 }
@@ -119,29 +119,29 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	return f.Sync()
+	return errors.Join(f.Sync(), f.Close())
 }
 
 type osFile struct {
 	*os.File
-	end int64
+	end int64 // where the next Write goes
 }
 
-// Write appends. A write that the disk has no room for is taken back.
-func (f *osFile) Write(b []byte) (int, error) {
-	n, err := f.File.WriteAt(b, f.end)
-	if err != nil {
-		if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
-			if cut := f.File.Truncate(f.end); cut != nil {
-				return 0, fmt.Errorf("store: take back a write that found no room: %w", cut)
-			}
-			return 0, fmt.Errorf("%w: %v", ErrFull, err)
-		}
+// Write appends. A write that the disk has no room for is undone and gives ErrFull.
+func (f *osFile) Write(data []byte) (int, error) {
+	n, err := f.WriteAt(data, f.end)
+	if err == nil {
+		f.end += int64(n)
+		return n, nil
+	}
+	noRoom := errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
+	if !noRoom {
 		return n, err
 	}
-	f.end += int64(n)
-	return n, nil
+	if cut := f.File.Truncate(f.end); cut != nil {
+		return 0, fmt.Errorf("store: take back a write that found no room: %w", cut)
+	}
+	return 0, fmt.Errorf("%w: %w", ErrFull, err)
 }
 
 func (f *osFile) Truncate(size int64) error {
@@ -149,5 +149,5 @@
 	return f.File.Truncate(size)
 }
 
-// Sync waits until the bytes and the size are on the disk.
+// Sync returns when the bytes and the size are on the disk.
 func (f *osFile) Sync() error { return syscall.Fdatasync(int(f.Fd())) }
--- /dev/null
+++ b/internal/store/disk/identity.go
@@ -0,0 +1,54 @@
+package disk
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+)
+
+const (
+	identityName = "identity.json"
+	identityForm = 1
+)
+
+// Identity is who an instance is. It is given once; a directory without one may not vote.
+type Identity struct {
+	Cluster uint64   `json:"cluster"`
+	Node    uint64   `json:"node"`
+	Name    string   `json:"name"`
+	Voters  []uint64 `json:"voters,omitempty"` // the members at the bootstrap; none for one that joined
+	Form    int      `json:"form"`
+}
+
+// SaveIdentity writes the identity down.
+func SaveIdentity(fs FS, id Identity) error {
+	id.Form = identityForm
+	b, err := json.MarshalIndent(id, "", "  ")
+	if err != nil {
+		return fmt.Errorf("store: encode the identity: %w", err)
+	}
+	if err := replaceFile(fs, identityName, writeAll(b)); err != nil {
+		return fmt.Errorf("store: save %s: %w", fs.Name(identityName), err)
+	}
+	return nil
+}
+
+// LoadIdentity reads the identity; nil if the directory has none.
+func LoadIdentity(fs FS) (*Identity, error) {
+	b, err := fs.Read(identityName)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, fmt.Errorf("store: read %s: %w", fs.Name(identityName), err)
+	}
+	var id Identity
+	if err := json.Unmarshal(b, &id); err != nil {
+		return nil, &CorruptError{File: fs.Name(identityName), Reason: err.Error()}
+	}
+	if id.Form != identityForm || id.Cluster == 0 || id.Node == 0 {
+		return nil, &CorruptError{File: fs.Name(identityName), Reason: "cluster, node or form is missing"}
+	}
+	return &id, nil
+}
--- /dev/null
+++ b/internal/store/disk/read.go
@@ -0,0 +1,246 @@
+package disk
+
+import (
+	"encoding/binary"
+	"fmt"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// OpenLog reads a log from the disk and goes on at its end. A torn end is cut; any other damage is an error that
+// names its place.
+func OpenLog(fs FS, o Options) (*Log, *Loaded, error) {
+	l, got, err := readLog(fs, o)
+	if err != nil {
+		return nil, nil, err
+	}
+	name := segmentName(l.seq)
+	if l.size == 0 { // not even the segment's head is complete
+		l.segments = l.segments[:len(l.segments)-1]
+		if err := l.beginSegment(l.seq); err != nil {
+			return nil, nil, err
+		}
+		return l, got, nil
+	}
+	if got.TornBytes > 0 {
+		if err := fs.Truncate(name, l.size); err != nil {
+			return nil, nil, fmt.Errorf("store: cut the torn end of %s: %w", fs.Name(name), err)
+		}
+	}
+	if l.file, err = fs.Append(name); err != nil {
+		return nil, nil, fmt.Errorf("store: open %s: %w", fs.Name(name), err)
+	}
+	// What was read may never have been synced: a process that died leaves it with the kernel. It counts from now on.
+	if err := l.syncFile(l.file); err != nil {
+		return nil, nil, fmt.Errorf("store: sync %s: %w", fs.Name(name), err)
+	}
+	if err := l.noteSynced(); err != nil {
+		return nil, nil, err
+	}
+	return l, got, nil
+}
+
+// readLog reads all segments and changes nothing.
+func readLog(fs FS, o Options) (*Log, *Loaded, error) {
+	seqs, err := listSegments(fs)
+	if err != nil {
+		return nil, nil, err
+	}
+	if len(seqs) == 0 {
+		return nil, nil, fmt.Errorf("store: %s has an identity and no log: it was lost; remove the data directory and join anew", fs.Name(""))
+	}
+	l := newLog(fs, o)
+	got := &Loaded{HardState: &raftpb.HardState{}}
+	syncedSeq, syncedSize := readSyncNote(fs)
+	for i, seq := range seqs {
+		if i > 0 && seq != seqs[i-1]+1 {
+			return nil, nil, &CorruptError{File: fs.Name(segmentName(seqs[i-1] + 1)), Reason: "the segment is missing"}
+		}
+		synced := int64(-1) // not known
+		if seq == syncedSeq {
+			synced = syncedSize
+		}
+		if err := l.readSegment(seq, i == len(seqs)-1, synced, got); err != nil {
+			return nil, nil, err
+		}
+	}
+	l.seq = seqs[len(seqs)-1]
+	if syncedSeq > l.seq {
+		return nil, nil, &CorruptError{File: fs.Name(segmentName(syncedSeq)), Reason: "the segment is missing, and was synced"}
+	}
+	l.hard = got.HardState
+	return l, got, nil
+}
+
+// readSegment reads one segment. A torn end is cut from the last one, unless it was synced: synced is the size up to
+// which that is known; -1: not known.
+func (l *Log) readSegment(seq uint64, last bool, synced int64, got *Loaded) error {
+	name := segmentName(seq)
+	data, err := l.fs.Read(name)
+	if err != nil {
+		return fmt.Errorf("store: read %s: %w", l.fs.Name(name), err)
+	}
+	reader := &segmentReader{file: l.fs.Name(name), seq: seq, data: data, loaded: got}
+	if err := reader.readRecords(); err != nil {
+		return err
+	}
+	l.segments = append(l.segments, segment{seq, got.lastIndex()})
+	l.size = int64(reader.complete)
+	if reader.complete == len(data) && len(data) > 0 {
+		return nil
+	}
+	if err := reader.checkTornEnd(last, synced); err != nil {
+		return err
+	}
+	got.TornBytes = int64(len(data) - reader.complete)
+	return nil
+}
+
+// segmentReader reads the records of a segment. They count batch by batch: what has no end record was never
+// acknowledged.
+type segmentReader struct {
+	file     string
+	seq      uint64
+	data     []byte
+	at       int // offset of the record that is read
+	complete int // bytes of complete batches
+	batch    []batchRecord
+	loaded   *Loaded
+}
+
+// batchRecord is a record of a batch whose end was not read yet. One of entry, hard and snap is set.
+type batchRecord struct {
+	at    int
+	entry *raftpb.Entry
+	hard  *raftpb.HardState
+	snap  *raftpb.SnapshotMetadata
+}
+
+func (r *segmentReader) corrupt(at int, reason string) error {
+	return &CorruptError{r.file, int64(at), reason}
+}
+
+// readRecords reads up to the end or the first record that does not match its checksum.
+func (r *segmentReader) readRecords() error {
+	for r.at < len(r.data) {
+		kind, payload, next, ok := nextRecord(r.data, r.at)
+		if !ok {
+			return nil
+		}
+		if err := r.take(kind, payload, next); err != nil {
+			return err
+		}
+		r.at = next
+	}
+	return nil
+}
+
+func (r *segmentReader) take(kind recordKind, payload []byte, next int) error {
+	switch kind {
+	case headRecord:
+		if !r.isOwnHead(payload) {
+			return r.corrupt(r.at, "the head is not that of this segment")
+		}
+	case beginRecord:
+		if len(r.batch) > 0 || len(payload) != 8 || binary.LittleEndian.Uint64(payload) != uint64(r.at) {
+			return r.corrupt(r.at, "a batch that does not belong there")
+		}
+	case entryRecord:
+		entry := &raftpb.Entry{}
+		return r.decode(payload, entry, batchRecord{at: r.at, entry: entry})
+	case hardRecord:
+		hard := &raftpb.HardState{}
+		return r.decode(payload, hard, batchRecord{at: r.at, hard: hard})
+	case snapRecord:
+		snap := &raftpb.SnapshotMetadata{}
+		return r.decode(payload, snap, batchRecord{at: r.at, snap: snap})
+	case endRecord:
+		r.complete = next
+		return r.commitBatch()
+	default:
+		return r.corrupt(r.at, "a record of an unknown kind")
+	}
+	return nil
+}
+
+func (r *segmentReader) isOwnHead(payload []byte) bool {
+	return r.at == 0 && len(payload) == 9 && payload[0] == segmentForm && binary.LittleEndian.Uint64(payload[1:]) == r.seq
+}
+
+func (r *segmentReader) decode(payload []byte, message proto.Message, record batchRecord) error {
+	if err := proto.Unmarshal(payload, message); err != nil {
+		return r.corrupt(r.at, err.Error())
+	}
+	r.batch = append(r.batch, record)
+	return nil
+}
+
+// commitBatch adds a complete batch to what was read.
+func (r *segmentReader) commitBatch() error {
+	for _, record := range r.batch {
+		switch {
+		case record.entry != nil:
+			if !r.loaded.addEntry(record.entry) {
+				reason := fmt.Sprintf("entry %d does not follow the one before it", record.entry.GetIndex())
+				return r.corrupt(record.at, reason)
+			}
+		case record.hard != nil:
+			r.loaded.HardState = record.hard
+		case record.snap != nil:
+			r.loaded.SnapshotMeta = record.snap
+			r.loaded.Entries = nil
+		}
+	}
+	r.batch = nil
+	return nil
+}
+
+// checkTornEnd returns an error if what follows the complete batches is damage, and not the end of a write that a
+// crash has cut off.
+func (r *segmentReader) checkTornEnd(last bool, synced int64) error {
+	switch {
+	case !last:
+		return r.corrupt(r.at, "a record does not match its checksum, and segments follow")
+	case int64(r.complete) < synced:
+		return r.corrupt(r.at, fmt.Sprintf("a record does not match its checksum, and the log was synced up to %d", synced))
+	case laterBatchFollows(r.data, r.at):
+		return r.corrupt(r.at, "a record does not match its checksum, and a later batch follows")
+	}
+	return nil
+}
+
+// lastIndex is the index of the last entry that was read, or of the snapshot where there is none.
+func (l *Loaded) lastIndex() uint64 {
+	if len(l.Entries) > 0 {
+		return l.Entries[len(l.Entries)-1].GetIndex()
+	}
+	return l.SnapshotMeta.GetIndex()
+}
+
+// addEntry adds one entry. One whose index is there already replaces it and all behind it, as raft decided. It reports
+// false for one that leaves a gap.
+func (l *Loaded) addEntry(entry *raftpb.Entry) bool {
+	index := entry.GetIndex()
+	first := index
+	switch {
+	case len(l.Entries) > 0:
+		first = l.Entries[0].GetIndex()
+	case l.SnapshotMeta != nil:
+		if index <= l.SnapshotMeta.GetIndex() {
+			return true
+		}
+		first = l.SnapshotMeta.GetIndex() + 1
+	}
+	if l.SnapshotMeta == nil && (len(l.Entries) == 0 || index < first) {
+		// Older segments were removed: a snapshot has what was in them. What is left may begin with entries that were
+		// replaced from an index in a removed segment on.
+		first = index
+		l.Entries = nil
+	}
+	if index < first || index > first+uint64(len(l.Entries)) {
+		return false
+	}
+	l.Entries = append(l.Entries[:index-first], entry)
+	return true
+}
--- a/internal/store/disk/record.go
+++ b/internal/store/disk/record.go
@@ -8,11 +8,11 @@
 
 // A record is a head of 16 bytes, its payload, and zeros up to a multiple of 8: magic, length of the payload,
 // kind, and a checksum over all three and the payload. The magic lets a reader look for later batches behind a
-// record that is not whole: behind a torn end there are none, behind a damaged middle there are.
+// record that is damaged: behind a torn end there are none, behind a damaged middle there are.
 const (
 	magic    = 0x6b43526c
-	headSize = 16
-	// MaxRecord bounds what a length may claim.
+	headSize = 16 // bytes
+	// MaxRecord bounds the length in bytes that a record may claim.
 	MaxRecord = 64 << 20
 )
 
@@ -30,7 +30,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func sum(kind recordKind, payload []byte) uint32 {
+func checksum(kind recordKind, payload []byte) uint32 {
 	var head [8]byte
 	binary.LittleEndian.PutUint32(head[0:], uint32(kind))
 	binary.LittleEndian.PutUint32(head[4:], uint32(len(payload)))
@@ -41,7 +41,7 @@
 	b = binary.LittleEndian.AppendUint32(b, magic)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
 	b = binary.LittleEndian.AppendUint32(b, uint32(kind))
-	b = binary.LittleEndian.AppendUint32(b, sum(kind, payload))
+	b = binary.LittleEndian.AppendUint32(b, checksum(kind, payload))
 	b = append(b, payload...)
 	for len(b)%8 != 0 {
 		b = append(b, 0)
@@ -61,15 +61,15 @@
 		return 0, nil, at, false
 	}
 	payload = b[at+headSize : end]
-	if binary.LittleEndian.Uint32(b[at+12:]) != sum(kind, payload) {
+	if binary.LittleEndian.Uint32(b[at+12:]) != checksum(kind, payload) {
 		return 0, nil, at, false
 	}
 	return kind, payload, min((end+7)&^7, len(b)), true
 }
 
-// beginsBehind tells whether a batch was begun behind a broken record. Each batch is synced before the next is
+// laterBatchFollows tells whether a batch was begun behind a broken record. Each batch is synced before the next is
 // written, so the broken one was synced then, and is not a torn end.
-func beginsBehind(b []byte, at int) bool {
+func laterBatchFollows(b []byte, at int) bool {
 	for at = (at &^ 7) + 8; at+headSize <= len(b); at += 8 {
 		if binary.LittleEndian.Uint32(b[at:]) != magic {
 			continue
@@ -81,13 +81,14 @@
 	return false
 }
 
-// CorruptError names the place of the damage. An instance that meets one serves nothing from the store.
+// CorruptError names the place of damage. An instance that meets one does not start.
 type CorruptError struct {
 	File   string
 	Offset int64
-	Why    string
+	Reason string
 }
 
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("store: %s is damaged at offset %d: %s; restore the file, or remove the data directory and join anew", e.File, e.Offset, e.Why)
+	return fmt.Sprintf("store: %s is damaged at offset %d: %s; restore the file, or remove the data directory and join anew",
+		e.File, e.Offset, e.Reason)
 }
--- a/internal/store/disk/snapshot.go
+++ b/internal/store/disk/snapshot.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"bytes"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -14,32 +13,32 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// pieceSize is what of a snapshot stands in one record.
-const pieceSize = 1 << 20
+// imageRecordSize is how many bytes of an image stand in one record.
+const imageRecordSize = 1 << 20
 
 func snapshotName(index uint64) string { return fmt.Sprintf("snap-%016x", index) }
 
-// snapshots lists the snapshot files, oldest first.
-func snapshots(fs FS) ([]string, error) {
+// listSnapshots lists the snapshot files, oldest first.
+func listSnapshots(fs FS) ([]string, error) {
 	names, err := fs.List()
 	if err != nil {
 		return nil, fmt.Errorf("store: list the data directory: %w", err)
 	}
 	var found []string
-	for _, n := range names {
-		if strings.HasPrefix(n, "snap-") && len(n) == len("snap-")+16 {
-			found = append(found, n)
+	for _, name := range names {
+		if strings.HasPrefix(name, "snap-") && len(name) == len("snap-")+16 {
+			found = append(found, name)
 		}
 	}
 	return found, nil
 }
 
-// framer writes a stream as records.
-type framer struct {
+// recordWriter writes a stream as image records.
+type recordWriter struct {
 	w io.Writer
 }
 
-func (f *framer) Write(b []byte) (int, error) {
+func (f *recordWriter) Write(b []byte) (int, error) {
 	if _, err := f.w.Write(appendRecord(nil, imageRecord, b)); err != nil {
 		return 0, err
 	}
@@ -55,7 +54,7 @@
 	if _, err := w.Write(appendRecord(nil, snapRecord, head)); err != nil {
 		return err
 	}
-	pieces := bufio.NewWriterSize(&framer{w: w}, pieceSize)
+	pieces := bufio.NewWriterSize(&recordWriter{w: w}, imageRecordSize)
 	if err := image(pieces); err != nil {
 		return err
 	}
@@ -94,14 +93,14 @@
 // SaveSnapshot writes an encoded snapshot under its index: whole and synced, or not at all.
 func SaveSnapshot(fs FS, index uint64, write func(io.Writer) error) error {
 	name := snapshotName(index)
-	if err := replace(fs, name, write); err != nil {
+	if err := replaceFile(fs, name, write); err != nil {
 		return fmt.Errorf("store: save %s: %w", fs.Name(name), err)
 	}
 	return nil
 }
 
-// replace writes a file whole beside its place and then puts it there.
-func replace(fs FS, name string, write func(io.Writer) error) error {
+// replaceFile writes a file whole beside its place and then puts it there.
+func replaceFile(fs FS, name string, write func(io.Writer) error) error {
 	temp := "new-" + name
 	f, err := fs.Create(temp)
 	if err != nil {
@@ -111,14 +110,14 @@
 	if err == nil {
 		err = f.Sync()
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = fs.Rename(temp, name)
 	}
 	if err != nil {
-		_ = fs.Remove(temp)
+		_ = fs.Remove(temp) // RemoveObsolete does it later
 		return err
 	}
 	return fs.SyncDir()
@@ -127,7 +126,7 @@
 // LoadSnapshot returns the newest snapshot as it is encoded; nil if there is none. A newest one that is damaged is an
 // error: the log behind it may be gone, and an older one is not what was answered for.
 func LoadSnapshot(fs FS) ([]byte, string, error) {
-	names, err := snapshots(fs)
+	names, err := listSnapshots(fs)
 	if err != nil || len(names) == 0 {
 		return nil, "", err
 	}
@@ -139,61 +138,21 @@
 	return b, fs.Name(name), nil
 }
 
-// Tidy removes snapshots older than an index and what a crash has left half-written.
-func Tidy(fs FS, index uint64) error {
+// RemoveObsolete removes snapshots older than an index and what a crash has left unfinished.
+func RemoveObsolete(fs FS, index uint64) error {
 	names, err := fs.List()
 	if err != nil {
 		return fmt.Errorf("store: list the data directory: %w", err)
 	}
-	for _, n := range names {
-		if strings.HasPrefix(n, "new-") || strings.HasPrefix(n, "snap-") && n < snapshotName(index) {
-			if err := fs.Remove(n); err != nil && !errors.Is(err, os.ErrNotExist) {
-				return fmt.Errorf("store: remove %s: %w", fs.Name(n), err)
-			}
+	for _, name := range names {
+		unfinished := strings.HasPrefix(name, "new-")
+		outdated := strings.HasPrefix(name, "snap-") && name < snapshotName(index)
+		if !unfinished && !outdated {
+			continue
+		}
+		if err := fs.Remove(name); err != nil && !errors.Is(err, os.ErrNotExist) {
+			return fmt.Errorf("store: remove %s: %w", fs.Name(name), err)
 		}
 	}
 	return nil
 }
-
-// Identity is who an instance is. It is given once; a directory without one may not vote.
-type Identity struct {
-	Cluster uint64   `json:"cluster"`
-	Node    uint64   `json:"node"`
-	Name    string   `json:"name"`
-	Voters  []uint64 `json:"voters,omitempty"` // the members at the bootstrap; none for one that joined
-	Form    int      `json:"form"`
-}
-
-const identityName = "identity.json"
-
-// SaveIdentity writes the identity down.
-func SaveIdentity(fs FS, id Identity) error {
-	id.Form = 1
-	b, err := json.MarshalIndent(id, "", "  ")
-	if err != nil {
-		return fmt.Errorf("store: encode the identity: %w", err)
-	}
-	if err := replace(fs, identityName, func(w io.Writer) error { _, err := w.Write(b); return err }); err != nil {
-		return fmt.Errorf("store: save %s: %w", fs.Name(identityName), err)
-	}
-	return nil
-}
-
-// LoadIdentity reads the identity; nil if the directory has none.
-func LoadIdentity(fs FS) (*Identity, error) {
-	b, err := fs.Read(identityName)
-	if errors.Is(err, os.ErrNotExist) {
-		return nil, nil
-	}
-	if err != nil {
-		return nil, fmt.Errorf("store: read %s: %w", fs.Name(identityName), err)
-	}
-	var id Identity
-	if err := json.Unmarshal(b, &id); err != nil {
-		return nil, &CorruptError{fs.Name(identityName), 0, err.Error()}
-	}
-	if id.Form != 1 || id.Cluster == 0 || id.Node == 0 {
-		return nil, &CorruptError{fs.Name(identityName), 0, "cluster, node or form is missing"}
-	}
-	return &id, nil
-}
--- /dev/null
+++ b/internal/store/disk/snapshot_test.go
@@ -0,0 +1,49 @@
+package disk
+
+import (
+	"errors"
+	"io"
+	"strings"
+	"testing"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+func TestSnapshotIsCompleteOrNotThere(t *testing.T) {
+	dir := openTemp(t)
+	meta := &raftpb.SnapshotMetadata{Index: proto.Uint64(9), Term: proto.Uint64(2), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}
+	image := []byte(strings.Repeat("state", 500000))
+	write := func(w io.Writer) error {
+		return EncodeSnapshot(w, meta, func(w io.Writer) error { _, err := w.Write(image); return err })
+	}
+	if err := SaveSnapshot(dir, 9, write); err != nil {
+		t.Fatal(err)
+	}
+	broken := errors.New("the disk went away")
+	if err := SaveSnapshot(dir, 10, func(w io.Writer) error { _ = write(w); return broken }); !errors.Is(err, broken) {
+		t.Fatal(err)
+	}
+	b, name, err := LoadSnapshot(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, rd, err := DecodeSnapshot(name, b)
+	if err != nil || got.GetIndex() != 9 {
+		t.Fatalf("%v, %v", got, err)
+	}
+	if read, err := io.ReadAll(rd); err != nil || string(read) != string(image) {
+		t.Error("another image came back")
+	}
+	for _, at := range []int{5, len(b) / 2, len(b) - 3} {
+		spoilt := append([]byte(nil), b...)
+		spoilt[at] ^= 4
+		var bad *CorruptError
+		if _, _, err := DecodeSnapshot(name, spoilt); !errors.As(err, &bad) {
+			t.Errorf("a bit at %d: %v", at, err)
+		}
+		if _, _, err := DecodeSnapshot(name, b[:at]); !errors.As(err, &bad) {
+			t.Errorf("cut at %d: %v", at, err)
+		}
+	}
+}
--- a/internal/store/disk/store.go
+++ b/internal/store/disk/store.go
@@ -17,9 +17,9 @@
 
 // Opened is what a directory held.
 type Opened struct {
-	Snapshot []byte // encoded; nil for an instance that has joined and was sent nothing yet
-	Name     string // of the snapshot's file
-	Loaded   *Loaded
+	Snapshot     []byte // encoded; nil for an instance that has joined and was sent nothing yet
+	SnapshotName string // of the snapshot's file
+	Loaded       *Loaded
 }
 
 // ErrEmpty says that the directory has no identity: an instance there is nobody, and may only join.
@@ -28,43 +28,60 @@
 // Create makes a directory an instance's. The identity comes last: without it, whatever else is there counts for
 // nothing. The snapshot is nil for an instance that joins.
 func Create(fs FS, id Identity, index uint64, snapshot []byte, o Options) error {
-	if was, err := LoadIdentity(fs); err != nil {
+	owner, err := LoadIdentity(fs)
+	if err != nil {
 		return err
-	} else if was != nil {
-		return fmt.Errorf("store: %s belongs to instance %s already", fs.Name(""), was.Name)
+	}
+	if owner != nil {
+		return fmt.Errorf("store: %s belongs to instance %s already", fs.Name(""), owner.Name)
 	}
 	names, err := fs.List()
 	if err != nil {
 		return fmt.Errorf("store: list the data directory: %w", err)
 	}
-	for _, n := range names { // of an attempt that did not come to its end
-		if err := fs.Remove(n); err != nil {
-			return fmt.Errorf("store: remove %s: %w", fs.Name(n), err)
+	for _, name := range names { // of an attempt that did not come to its end
+		if err := fs.Remove(name); err != nil {
+			return fmt.Errorf("store: remove %s: %w", fs.Name(name), err)
 		}
 	}
 	if snapshot != nil {
-		if err := SaveSnapshot(fs, index, func(w io.Writer) error { _, err := w.Write(snapshot); return err }); err != nil {
+		if err := SaveSnapshot(fs, index, writeAll(snapshot)); err != nil {
 			return err
 		}
 	}
-	l, err := CreateLog(fs, o)
+	if err := createFirstLog(fs, snapshot, o); err != nil {
+		return err
+	}
+	return SaveIdentity(fs, id)
+}
+
+// createFirstLog begins the log of a new directory, behind its snapshot if there is one.
+func createFirstLog(fs FS, snapshot []byte, o Options) error {
+	log, err := CreateLog(fs, o)
 	if err != nil {
 		return err
 	}
 	if snapshot != nil {
 		meta, _, err := DecodeSnapshot("the first snapshot", snapshot)
 		if err == nil {
-			err = l.Save(nil, meta, nil)
+			err = log.Save(nil, meta, nil)
 		}
 		if err != nil {
-			l.Close()
-			return err
+			return errors.Join(err, log.Close())
 		}
 	}
-	if err := l.Close(); err != nil {
+	if err := log.Close(); err != nil {
 		return fmt.Errorf("store: close the log: %w", err)
 	}
-	return SaveIdentity(fs, id)
+	return nil
+}
+
+// writeAll returns a function that writes the bytes.
+func writeAll(data []byte) func(io.Writer) error {
+	return func(w io.Writer) error {
+		_, err := w.Write(data)
+		return err
+	}
 }
 
 // Open reads a directory. A snapshot that is newer than the log's end, or that the log disagrees with, came from the
@@ -77,77 +94,83 @@
 	if id == nil {
 		return nil, nil, ErrEmpty
 	}
-	got := &Opened{}
-	if got.Snapshot, got.Name, err = LoadSnapshot(fs); err != nil {
+	opened := &Opened{}
+	if opened.Snapshot, opened.SnapshotName, err = LoadSnapshot(fs); err != nil {
 		return nil, nil, err
 	}
-	l, loaded, err := OpenLog(fs, o)
+	log, loaded, err := OpenLog(fs, o)
 	if err != nil {
 		return nil, nil, err
 	}
-	got.Loaded = loaded
-	s := &Store{fs, l, *id}
-	if got.Snapshot == nil {
-		if loaded.Snap != nil || len(loaded.Entries) > 0 {
-			l.Close()
-			return nil, nil, fmt.Errorf("store: %s has a log and no snapshot: it was lost; remove the data directory and join anew", fs.Name(""))
-		}
-		return s, got, nil
-	}
-	meta, _, err := DecodeSnapshot(got.Name, got.Snapshot)
-	if err == nil {
-		err = s.settle(meta, loaded)
+	opened.Loaded = loaded
+	store := &Store{fs, log, *id}
+	if err := store.fit(opened); err != nil {
+		return nil, nil, errors.Join(err, log.Close())
 	}
-	if err == nil {
-		err = Tidy(fs, meta.GetIndex())
+	return store, opened, nil
+}
+
+// fit brings the log into agreement with the newest snapshot.
+func (s *Store) fit(opened *Opened) error {
+	loaded := opened.Loaded
+	if opened.Snapshot == nil {
+		if loaded.SnapshotMeta != nil || len(loaded.Entries) > 0 {
+			return fmt.Errorf("store: %s has a log and no snapshot: it was lost; remove the data directory and join anew", s.FS.Name(""))
+		}
+		return nil
 	}
+	meta, _, err := DecodeSnapshot(opened.SnapshotName, opened.Snapshot)
 	if err != nil {
-		l.Close()
-		return nil, nil, err
+		return err
+	}
+	if err := s.reconcile(meta, loaded); err != nil {
+		return err
 	}
-	return s, got, nil
+	return RemoveObsolete(s.FS, meta.GetIndex())
 }
 
-func (s *Store) settle(meta *raftpb.SnapshotMetadata, l *Loaded) error {
+// reconcile drops the entries that the snapshot has, or all of them where the log disagrees with it.
+func (s *Store) reconcile(meta *raftpb.SnapshotMetadata, loaded *Loaded) error {
 	at := meta.GetIndex()
-	if l.Snap.GetIndex() > at {
-		return fmt.Errorf("store: the log goes on behind snapshot %d, and the newest one here is %d", l.Snap.GetIndex(), at)
+	if loaded.SnapshotMeta.GetIndex() > at {
+		return fmt.Errorf("store: the log goes on behind snapshot %d, and the newest one here is %d", loaded.SnapshotMeta.GetIndex(), at)
 	}
-	agrees := l.Snap.GetIndex() == at && l.Snap.GetTerm() == meta.GetTerm()
-	for _, e := range l.Entries {
+	agrees := loaded.SnapshotMeta.GetIndex() == at && loaded.SnapshotMeta.GetTerm() == meta.GetTerm()
+	for _, e := range loaded.Entries {
 		agrees = agrees || e.GetIndex() == at && e.GetTerm() == meta.GetTerm()
 	}
 	if !agrees {
-		// Where older segments were dropped, the log may begin right behind the snapshot.
-		if len(l.Entries) > 0 && l.Snap == nil && l.Entries[0].GetIndex() == at+1 {
+		// Where older segments were removed, the log may begin right behind the snapshot.
+		beginsBehind := len(loaded.Entries) > 0 && loaded.Entries[0].GetIndex() == at+1
+		if beginsBehind && loaded.SnapshotMeta == nil {
 			return nil
 		}
-		l.Entries = nil
-		return s.Log.Save(l.Hard, meta, nil)
+		loaded.Entries = nil
+		return s.Log.Save(loaded.HardState, meta, nil)
 	}
-	for len(l.Entries) > 0 && l.Entries[0].GetIndex() <= at {
-		l.Entries = l.Entries[1:]
+	for len(loaded.Entries) > 0 && loaded.Entries[0].GetIndex() <= at {
+		loaded.Entries = loaded.Entries[1:]
 	}
 	return nil
 }
 
-// Install saves a snapshot that the leader sent: first the file, then the log's word of it.
-func (s *Store) Install(meta *raftpb.SnapshotMetadata, b []byte) error {
-	return SaveSnapshot(s.FS, meta.GetIndex(), func(w io.Writer) error { _, err := w.Write(b); return err })
+// SaveSnapshot saves a snapshot that the leader sent: the file. The log's record of it follows with the next Log.Save.
+func (s *Store) SaveSnapshot(meta *raftpb.SnapshotMetadata, data []byte) error {
+	return SaveSnapshot(s.FS, meta.GetIndex(), writeAll(data))
 }
 
 // Close closes the log.
 func (s *Store) Close() error { return s.Log.Close() }
 
-// Look is what Inspect found.
-type Look struct {
+// Inspection is what Inspect found.
+type Inspection struct {
 	Opened
 	Identity Identity
 	Segments int
 }
 
 // Inspect reads a directory whole and changes nothing in it.
-func Inspect(fs FS) (*Look, error) {
+func Inspect(fs FS) (*Inspection, error) {
 	id, err := LoadIdentity(fs)
 	if err != nil {
 		return nil, err
@@ -155,12 +178,12 @@
 	if id == nil {
 		return nil, ErrEmpty
 	}
-	l := &Look{Identity: *id}
-	if l.Snapshot, l.Name, err = LoadSnapshot(fs); err != nil {
+	found := &Inspection{Identity: *id}
+	if found.Snapshot, found.SnapshotName, err = LoadSnapshot(fs); err != nil {
 		return nil, err
 	}
-	if l.Snapshot != nil {
-		if _, _, err := DecodeSnapshot(l.Name, l.Snapshot); err != nil {
+	if found.Snapshot != nil {
+		if _, _, err := DecodeSnapshot(found.SnapshotName, found.Snapshot); err != nil {
 			return nil, err
 		}
 	}
@@ -168,15 +191,16 @@
 	if err != nil {
 		return nil, err
 	}
-	l.Loaded, l.Segments = loaded, len(log.segs)
-	return l, nil
+	found.Loaded = loaded
+	found.Segments = len(log.segments)
+	return found, nil
 }
 
-// Forget drops from a directory that no process uses what its log was not sure to hold on the disk, as a loss of power
+// DiscardUnsynced drops from a directory that no process uses what its log was not sure to hold on the disk, as a loss of power
 // may do. Rehearsals use it: a process that is killed leaves its writes with the kernel, which loses none of them.
-func Forget(fs FS) error {
-	seq, size := readMark(fs)
-	seqs, err := segments(fs)
+func DiscardUnsynced(fs FS) error {
+	seq, size := readSyncNote(fs)
+	seqs, err := listSegments(fs)
 	if err != nil || seq == 0 {
 		return err
 	}
--- a/internal/store/node/bench_test.go
+++ b/internal/store/node/bench_test.go
@@ -173,7 +173,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if _, err := core.New(core.Config{ID: 1, Logger: raftLog{}}, core.InitialState{Snapshot: snap, SnapshotName: name, Log: &disk.Loaded{Hard: &raftpb.HardState{}}}); err != nil {
+				if _, err := core.New(core.Config{ID: 1, Logger: raftLog{}}, core.InitialState{Snapshot: snap, SnapshotName: name, Log: &disk.Loaded{HardState: &raftpb.HardState{}}}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/store/node/node.go
+++ b/internal/store/node/node.go
@@ -148,8 +148,8 @@
 
 // start starts the core, the listener and the goroutines. After an error none of them runs.
 func (n *Node) start(opened *disk.Opened) error {
-	if opened.Loaded.Cut > 0 {
-		n.log.Warn().Int64("bytes", opened.Loaded.Cut).Msg("store: torn log end truncated")
+	if opened.Loaded.TornBytes > 0 {
+		n.log.Warn().Int64("bytes", opened.Loaded.TornBytes).Msg("store: torn log end truncated")
 	}
 	var nonce [8]byte
 	if _, err := rand.Read(nonce[:]); err != nil {
@@ -157,7 +157,7 @@
 	}
 	identity := n.store.Identity
 	conf := n.conf.core(identity.Node, binary.LittleEndian.Uint64(nonce[:]), n.log)
-	initial := core.InitialState{Snapshot: opened.Snapshot, SnapshotName: opened.Name, Log: opened.Loaded}
+	initial := core.InitialState{Snapshot: opened.Snapshot, SnapshotName: opened.SnapshotName, Log: opened.Loaded}
 	var err error
 	if n.core, err = core.New(conf, initial); err != nil {
 		return err
--- a/internal/store/node/run.go
+++ b/internal/store/node/run.go
@@ -166,7 +166,7 @@
 
 func (n *Node) save(work *core.Work) error {
 	if work.SnapshotData != nil {
-		if err := n.store.Install(work.SnapshotMeta, work.SnapshotData); err != nil {
+		if err := n.store.SaveSnapshot(work.SnapshotMeta, work.SnapshotData); err != nil {
 			return err
 		}
 	}
@@ -201,7 +201,7 @@
 		err = n.store.Log.Release(release)
 	}
 	if err == nil {
-		err = disk.Tidy(n.dir, snapshot.Meta.GetIndex())
+		err = disk.RemoveObsolete(n.dir, snapshot.Meta.GetIndex())
 	}
 	if err != nil {
 		n.log.Warn().Err(err).Msg("store: removing old files failed")
--- a/internal/storecli/admin.go
+++ b/internal/storecli/admin.go
@@ -418,7 +418,7 @@
 	}
 	m, err := machine.Restore(image)
 	if err != nil {
-		return nil, &disk.CorruptError{File: name, Why: err.Error()}
+		return nil, &disk.CorruptError{File: name, Reason: err.Error()}
 	}
 	return &summary{Index: meta.GetIndex(), Revision: m.Revision(), Keys: m.KeyCount()}, nil
 }
@@ -467,11 +467,11 @@
 	}
 	sum := &summary{}
 	if look.Snapshot != nil {
-		if sum, err = verifySnapshot(look.Name, look.Snapshot); err != nil {
+		if sum, err = verifySnapshot(look.SnapshotName, look.Snapshot); err != nil {
 			return nil, err
 		}
 	}
 	sum.Cluster, sum.Node = fmt.Sprintf("%016x", look.Identity.Cluster), core.MemberKey(look.Identity.Node)
-	sum.Entries, sum.Segments, sum.Cut = len(look.Loaded.Entries), look.Segments, look.Loaded.Cut
+	sum.Entries, sum.Segments, sum.Cut = len(look.Loaded.Entries), look.Segments, look.Loaded.TornBytes
 	return sum, nil
 }
