--- a/internal/lab/chaos/cluster.go
+++ b/internal/lab/chaos/cluster.go
@@ -137,7 +137,7 @@
 		return err
 	}
 	defer func() { _ = dir.Close() }() // opened for reading only
-	return disk.Forget(dir)
+	return disk.DiscardUnsynced(dir)
 }
 
 // end ends all that was started.
--- a/internal/lab/restart/storecost.go
+++ b/internal/lab/restart/storecost.go
@@ -169,7 +169,7 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		key := strconv.Itoa(i % storeKeys)
 		put := machine.Op{Kind: machine.Put, NS: "load", Key: key, Value: make([]byte, valueBytes)}
-		_, err := store.Txn(ctx, machine.Command{Kind: machine.TxnKind, Then: []machine.Op{put}})
+		_, err := store.Txn(ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{put}})
 		if err == nil {
 			writes.Add(1)
 		}
--- a/internal/store/core/transfer.go
+++ b/internal/store/core/transfer.go
@@ -6,164 +6,218 @@
 
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
 
 	"cloverrock/internal/store/disk"
 )
 
 const (
-	window       = 16  // pieces that may be under way
-	lostAfter    = 3   // words without progress after which pieces are sent again at once
-	resendAfter  = 10  // ticks without word after which pieces are sent again
-	abandonAfter = 100 // ticks without word after which a transfer is given up
-	// MaxSnapshot bounds what a sender may claim of a snapshot's size.
-	MaxSnapshot = 2 << 30
+	windowChunks      = 16  // chunks of one transfer that may be unacknowledged
+	resendAfterAcks   = 3   // acknowledgements without progress after which chunks are sent again at once
+	resendAfterTicks  = 10  // ticks without an acknowledgement after which chunks are sent again
+	abandonAfterTicks = 100 // ticks without a message after which a transfer is given up
+	// MaxSnapshotSize bounds the bytes that a sender may claim a snapshot to have.
+	MaxSnapshotSize = 2 << 30
 )
 
-// Piece is a part of a snapshot on its way.
-type Piece struct {
+// SnapshotChunk is a part of an encoded snapshot.
+type SnapshotChunk struct {
 	Index  uint64 `msgpack:"i"` // of the snapshot
 	Term   uint64 `msgpack:"t"` // of the sender
-	Total  int    `msgpack:"n"`
+	Total  int    `msgpack:"n"` // bytes of the whole snapshot
 	Offset int    `msgpack:"o"`
 	Data   []byte `msgpack:"d"`
 }
 
-// Got tells the sender how much has come.
-type Got struct {
+func (s *SnapshotChunk) valid() bool {
+	sizeValid := s.Total > 0 && s.Total <= MaxSnapshotSize
+	return s.Index != 0 && sizeValid && s.Offset >= 0 && s.Offset+len(s.Data) <= s.Total
+}
+
+// ChunkAck tells the sender how many bytes of a snapshot have come.
+type ChunkAck struct {
 	Index  uint64 `msgpack:"i"`
 	Offset int    `msgpack:"o"`
 }
 
-// transfer is a snapshot that is being sent.
-type transfer struct {
-	to, term    uint64
-	index       uint64
-	data        []byte // encoded; nil until it was read
-	sent, acked int
-	same        int // words in a row that nothing more has come
-	heard       int64
+// outgoingTransfer is a snapshot that is being sent.
+type outgoingTransfer struct {
+	to, term     uint64
+	index        uint64
+	data         []byte // encoded; nil until it was read
+	sent, acked  int    // bytes
+	repeatedAcks int    // acknowledgements in a row without progress
+	lastHeard    int64  // in ticks
 }
 
-// arrival is a snapshot that is coming in.
-type arrival struct {
+// incomingTransfer is a snapshot that is being received.
+type incomingTransfer struct {
 	index, term uint64
 	data        []byte
-	total       int
-	heard       int64
+	total       int   // bytes
+	lastHeard   int64 // in ticks
 }
 
-// begin takes raft's wish to send a snapshot. The bytes are the newest snapshot's, which may be newer than the one
-// that raft had in mind.
-func (c *Core) begin(m *raftpb.Message) {
-	if c.out[m.GetTo()] != nil {
+func (t *incomingTransfer) matches(chunk *SnapshotChunk) bool {
+	return t.index == chunk.Index && t.term == chunk.Term && t.total == chunk.Total
+}
+
+// beginTransfer takes raft's request to send a snapshot. What is sent is the newest one, which may be newer than the
+// one that raft had in mind.
+func (c *Core) beginTransfer(request *raftpb.Message) {
+	to := request.GetTo()
+	if c.outgoing[to] != nil {
 		return
 	}
-	c.out[m.GetTo()] = &transfer{to: m.GetTo(), term: m.GetTerm(), heard: c.now}
+	c.outgoing[to] = &outgoingTransfer{to: to, term: request.GetTerm(), lastHeard: c.now}
 	// Raft takes no snapshot that does not name its receiver: for one that has just joined, a new one is due.
-	c.force = c.force || !has(c.savedMembers, m.GetTo())
-	c.wantsSnapshot = true
+	if !isMember(c.snapshotMembers, to) {
+		c.snapshotForced = true
+	}
+	c.needsSnapshotData = true
 }
 
-// WantsSnapshot tells that the newest snapshot is to be read and given to Held.
-func (c *Core) WantsSnapshot() bool { return c.wantsSnapshot && !c.force }
+// NeedsSnapshotData tells that the newest snapshot is to be read and given to ProvideSnapshotData.
+func (c *Core) NeedsSnapshotData() bool { return c.needsSnapshotData && !c.snapshotForced }
 
-// Held takes the newest snapshot's bytes, or an error if there are none to be had. Transfers under way keep those
-// that they began with.
-func (c *Core) Held(b []byte, err error) {
-	c.wantsSnapshot = false
+// ProvideSnapshotData takes the newest snapshot's bytes, or the error that kept them from being read, which ends the
+// transfers that wait for them. Transfers under way keep the snapshot that they began with.
+func (c *Core) ProvideSnapshotData(data []byte, err error) {
+	c.needsSnapshotData = false
 	var meta *raftpb.SnapshotMetadata
 	if err == nil {
-		meta, _, err = disk.DecodeSnapshot("the newest snapshot", b)
+		meta, _, err = disk.DecodeSnapshot("the newest snapshot", data)
 	}
 	for _, id := range c.receivers() {
-		if t := c.out[id]; t.data == nil && err == nil {
-			t.data, t.index, t.heard = b, meta.GetIndex(), c.now
-		} else if t.data == nil {
-			delete(c.out, id)
-			c.raw.ReportSnapshot(id, raft.SnapshotFailure)
+		transfer := c.outgoing[id]
+		if transfer.data != nil {
+			continue
+		}
+		if err != nil {
+			c.failTransfer(id)
+			continue
 		}
+		transfer.data = data
+		transfer.index = meta.GetIndex()
+		transfer.lastHeard = c.now
 	}
 }
 
-func (c *Core) receivers() []uint64 { return slices.Sorted(maps.Keys(c.out)) }
+// failTransfer gives a transfer up; raft asks for another when it hears of the receiver again.
+func (c *Core) failTransfer(id uint64) {
+	delete(c.outgoing, id)
+	c.raftNode.ReportSnapshot(id, raft.SnapshotFailure)
+}
+
+// receivers returns the members to which snapshots are being sent, in a fixed order.
+func (c *Core) receivers() []uint64 { return slices.Sorted(maps.Keys(c.outgoing)) }
 
-// pump sends pieces, within the rate that all transfers share.
-func (c *Core) pump() {
-	for id, a := range c.in {
-		if c.now-a.heard > abandonAfter {
-			delete(c.in, id)
+// sendChunks sends what the windows of the transfers and the rate that they share allow.
+func (c *Core) sendChunks() {
+	for from, transfer := range c.incoming {
+		if c.now-transfer.lastHeard > abandonAfterTicks {
+			delete(c.incoming, from)
 		}
 	}
-	budget := c.conf.Rate
+	budget := c.conf.SnapshotBytesPerTick
 	for _, id := range c.receivers() {
-		t := c.out[id]
-		if c.now-t.heard > abandonAfter || !c.Leads() {
-			delete(c.out, id)
-			c.raw.ReportSnapshot(id, raft.SnapshotFailure)
+		transfer := c.outgoing[id]
+		silence := c.now - transfer.lastHeard
+		if silence > abandonAfterTicks || !c.IsLeader() {
+			c.failTransfer(id)
 			continue
 		}
-		if c.now-t.heard > resendAfter {
-			t.sent = t.acked
-		}
-		for t.sent < len(t.data) && t.sent-t.acked < window*c.conf.Piece && budget > 0 {
-			n := min(c.conf.Piece, len(t.data)-t.sent)
-			c.envelopes = append(c.envelopes, Envelope{To: id, From: c.conf.ID, Piece: &Piece{
-				t.index, t.term, len(t.data), t.sent, t.data[t.sent : t.sent+n]}})
-			t.sent += n
-			budget -= n
+		if silence > resendAfterTicks {
+			transfer.sent = transfer.acked
 		}
+		budget = c.sendWindow(transfer, budget)
 	}
 }
 
-// piece takes a part of a snapshot. Parts come in order or are asked for again by saying how far they came.
-func (c *Core) piece(from uint64, p *Piece) {
-	if p.Index == 0 || p.Total <= 0 || p.Total > MaxSnapshot || p.Offset < 0 || p.Offset+len(p.Data) > p.Total {
+// sendWindow sends a transfer's next chunks and returns what is left of the budget in bytes.
+func (c *Core) sendWindow(transfer *outgoingTransfer, budget int) int {
+	window := windowChunks * c.conf.ChunkSize
+	for transfer.sent < len(transfer.data) && transfer.sent-transfer.acked < window && budget > 0 {
+		size := min(c.conf.ChunkSize, len(transfer.data)-transfer.sent)
+		c.send(Envelope{To: transfer.to, Chunk: &SnapshotChunk{
+			Index:  transfer.index,
+			Term:   transfer.term,
+			Total:  len(transfer.data),
+			Offset: transfer.sent,
+			Data:   transfer.data[transfer.sent : transfer.sent+size],
+		}})
+		transfer.sent += size
+		budget -= size
+	}
+	return budget
+}
+
+// receiveChunk takes a part of a snapshot. Parts count in order; each acknowledgement says how far they came, and so
+// asks for the next.
+func (c *Core) receiveChunk(from uint64, chunk *SnapshotChunk) {
+	if !chunk.valid() {
 		return
 	}
-	a := c.in[from]
-	if a == nil || a.index != p.Index || a.term != p.Term || a.total != p.Total {
-		if p.Offset != 0 {
-			c.envelopes = append(c.envelopes, Envelope{To: from, From: c.conf.ID, Got: &Got{p.Index, 0}})
+	transfer := c.incoming[from]
+	if transfer == nil || !transfer.matches(chunk) {
+		if chunk.Offset != 0 {
+			c.send(Envelope{To: from, Ack: &ChunkAck{chunk.Index, 0}})
 			return
 		}
-		a = &arrival{index: p.Index, term: p.Term, total: p.Total}
-		c.in[from] = a
+		transfer = &incomingTransfer{index: chunk.Index, term: chunk.Term, total: chunk.Total}
+		c.incoming[from] = transfer
 	}
-	a.heard = c.now
-	if p.Offset == len(a.data) {
-		a.data = append(a.data, p.Data...) // grows with what came, not with what was claimed
+	transfer.lastHeard = c.now
+	if chunk.Offset == len(transfer.data) {
+		transfer.data = append(transfer.data, chunk.Data...) // grows with what came, not with what was claimed
 	}
-	c.envelopes = append(c.envelopes, Envelope{To: from, From: c.conf.ID, Got: &Got{p.Index, len(a.data)}})
-	if len(a.data) < a.total {
+	c.send(Envelope{To: from, Ack: &ChunkAck{chunk.Index, len(transfer.data)}})
+	if len(transfer.data) < transfer.total {
 		return
 	}
-	delete(c.in, from)
-	meta, _, err := disk.DecodeSnapshot("a snapshot that was sent", a.data)
-	if err != nil || meta.GetIndex() != a.index {
-		return // spoilt on its way: raft asks for another
+	delete(c.incoming, from)
+	c.handSnapshotToRaft(from, transfer)
+}
+
+// handSnapshotToRaft ends a transfer. One that was damaged on its way is dropped, and raft asks for another.
+func (c *Core) handSnapshotToRaft(from uint64, transfer *incomingTransfer) {
+	meta, _, err := disk.DecodeSnapshot(sentSnapshotName, transfer.data)
+	if err != nil || meta.GetIndex() != transfer.index {
+		return
 	}
-	_ = c.raw.Step(&raftpb.Message{Type: raftpb.MsgSnap.Enum(), To: proto.Uint64(c.conf.ID), From: proto.Uint64(from),
-		Term: proto.Uint64(a.term), Snapshot: &raftpb.Snapshot{Data: a.data, Metadata: meta}})
+	_ = c.raftNode.Step(&raftpb.Message{ // an error only says that the message came too late
+		Type:     raftpb.MsgSnap.Enum(),
+		To:       new(c.conf.ID),
+		From:     new(from),
+		Term:     new(transfer.term),
+		Snapshot: &raftpb.Snapshot{Data: transfer.data, Metadata: meta},
+	})
 }
 
-// got takes word of how much has come.
-func (c *Core) got(from uint64, g *Got) {
-	t := c.out[from]
-	if t == nil || t.data == nil || g.Index != t.index || g.Offset < 0 || g.Offset > len(t.data) {
+// receiveAck takes the receiver's word of how many bytes have come.
+func (c *Core) receiveAck(from uint64, ack *ChunkAck) {
+	transfer := c.outgoing[from]
+	if transfer == nil || transfer.data == nil || ack.Index != transfer.index {
+		return
+	}
+	if ack.Offset < 0 || ack.Offset > len(transfer.data) {
 		return
 	}
-	t.heard = c.now
-	if t.same++; g.Offset != t.acked {
-		t.same = 0
+	transfer.lastHeard = c.now
+	if ack.Offset == transfer.acked {
+		transfer.repeatedAcks++
+	} else {
+		transfer.repeatedAcks = 0
 	}
-	if g.Offset < t.acked || t.same >= lostAfter { // the receiver has begun anew, or a piece was lost on its way
-		t.sent, t.same = g.Offset, 0
+	receiverBeganAnew := ack.Offset < transfer.acked
+	chunkWasLost := transfer.repeatedAcks >= resendAfterAcks
+	if receiverBeganAnew || chunkWasLost {
+		transfer.sent = ack.Offset
+		transfer.repeatedAcks = 0
 	}
-	t.acked = g.Offset
-	t.sent = max(t.sent, t.acked)
-	if t.acked == len(t.data) {
-		delete(c.out, from)
-		c.raw.ReportSnapshot(from, raft.SnapshotFinish)
+	transfer.acked = ack.Offset
+	transfer.sent = max(transfer.sent, transfer.acked)
+	if transfer.acked == len(transfer.data) {
+		delete(c.outgoing, from)
+		c.raftNode.ReportSnapshot(from, raft.SnapshotFinish)
 	}
 }
--- a/internal/storecli/admin.go
+++ b/internal/storecli/admin.go
@@ -175,7 +175,7 @@
 		return fmt.Errorf("%s is not among the founding members", set.Name)
 	}
 	id.Voters = voters
-	first, err := core.Founding(voters, records)
+	first, err := core.InitialSnapshot(voters, records)
 	if err != nil {
 		return err
 	}
@@ -275,7 +275,7 @@
 			if err != nil {
 				return err
 			}
-			conf.Log, conf.LostSyncs = log, lost
+			conf.Log, conf.NoSync = log, lost
 			signals := make(chan os.Signal, 1)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 			defer signal.Stop(signals)
@@ -377,7 +377,7 @@
 		ops = append(ops, machine.Op{Kind: machine.Delete, NS: core.MembersNS, Key: core.MemberKey(old)},
 			machine.Op{Kind: machine.Put, NS: core.RemovedNS, Key: core.MemberKey(old), Value: []byte("restored")})
 	}
-	cmd, err := machine.Encode(&machine.Command{Kind: machine.TxnKind, Then: append(ops, op)})
+	cmd, err := machine.Encode(&machine.Command{Kind: machine.TransactionKind, Then: append(ops, op)})
 	if err != nil {
 		return id, 0, nil, err
 	}
@@ -386,7 +386,7 @@
 		return id, 0, nil, err
 	}
 	id.Voters = []uint64{id.Node}
-	snapshot, err = core.Encode(&core.Save{Meta: &raftpb.SnapshotMetadata{Index: proto.Uint64(index), Term: proto.Uint64(meta.GetTerm() + 1),
+	snapshot, err = core.EncodeSnapshot(&core.Snapshot{Meta: &raftpb.SnapshotMetadata{Index: proto.Uint64(index), Term: proto.Uint64(meta.GetTerm() + 1),
 		ConfState: &raftpb.ConfState{Voters: id.Voters}}, Image: m.Image()})
 	return id, index, snapshot, err
 }
@@ -418,9 +418,9 @@
 	}
 	m, err := machine.Restore(image)
 	if err != nil {
-		return nil, &disk.CorruptError{File: name, Why: err.Error()}
+		return nil, &disk.CorruptError{File: name, Reason: err.Error()}
 	}
-	return &summary{Index: meta.GetIndex(), Revision: m.Revision(), Keys: m.Keys()}, nil
+	return &summary{Index: meta.GetIndex(), Revision: m.Revision(), Keys: m.KeyCount()}, nil
 }
 
 func (s *storeCmd) verifyCmd() *cobra.Command {
@@ -467,11 +467,11 @@
 	}
 	sum := &summary{}
 	if look.Snapshot != nil {
-		if sum, err = verifySnapshot(look.Name, look.Snapshot); err != nil {
+		if sum, err = verifySnapshot(look.SnapshotName, look.Snapshot); err != nil {
 			return nil, err
 		}
 	}
 	sum.Cluster, sum.Node = fmt.Sprintf("%016x", look.Identity.Cluster), core.MemberKey(look.Identity.Node)
-	sum.Entries, sum.Segments, sum.Cut = len(look.Loaded.Entries), look.Segments, look.Loaded.Cut
+	sum.Entries, sum.Segments, sum.Cut = len(look.Loaded.Entries), look.Segments, look.Loaded.TornBytes
 	return sum, nil
 }
