--- /dev/null
+++ b/internal/lab/chaos/clients.go
@@ -0,0 +1,117 @@
+package chaos
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"cloverrock/internal/store/client"
+	"cloverrock/internal/store/machine"
+)
+
+const (
+	clientCount   = 6
+	registerCount = 4
+	// registerAge is how long registers are in use, so that a write of unknown outcome meets few other operations.
+	registerAge      = 2 * time.Second
+	namespace        = "rehearsal"
+	ownPrefix        = "own/" // keys of which each is written once
+	attemptTimeout   = 700 * time.Millisecond
+	operationTimeout = 4 * time.Second
+	clientStreams    = 100 // the clients' random numbers are the streams from here on
+)
+
+// storeClient is one client's work: it reads, writes and changes registers, and with each write puts a key of its own.
+type storeClient struct {
+	number   int
+	store    *client.Client
+	random   *rand.Rand
+	lastRead map[string]string // by register
+}
+
+func (r *rehearsal) runClient(ctx context.Context, number int) {
+	store, err := r.cluster.client(number, false, attemptTimeout)
+	if err != nil {
+		return // the result shows that nothing was acknowledged
+	}
+	defer store.Close()
+	c := &storeClient{
+		number: number, store: store, lastRead: map[string]string{},
+		random: rand.New(rand.NewPCG(r.options.Seed, uint64(clientStreams+number))),
+	}
+	for n := 0; ctx.Err() == nil; n++ {
+		operation := c.drawOperation(n, time.Since(r.start))
+		operation.call = time.Since(r.start)
+		err := c.execute(ctx, operation)
+		operation.returned = time.Since(r.start)
+		r.history.add(operation, err)
+		select {
+		case <-ctx.Done():
+		case <-time.After(time.Duration(1+c.random.IntN(4)) * time.Millisecond):
+		}
+	}
+}
+
+// drawOperation draws the n-th operation: of five, two are writes, one is a conditional write and two are reads.
+func (c *storeClient) drawOperation(n int, elapsed time.Duration) *operation {
+	register := fmt.Sprintf("register/%d/%d", elapsed/registerAge, c.random.IntN(registerCount))
+	value := fmt.Sprintf("%d.%d", c.number, n)
+	drawn := &operation{client: c.number, register: register, kind: readRegister}
+	switch c.random.IntN(5) {
+	case 0, 1:
+		drawn.kind = writeRegister
+		drawn.value = value
+	case 2:
+		drawn.kind = changeRegister
+		drawn.expected = c.lastRead[register]
+		drawn.value = value
+	}
+	if drawn.kind != readRegister {
+		drawn.ownKey = fmt.Sprintf("%s%d/%d", ownPrefix, c.number, n)
+	}
+	return drawn
+}
+
+// execute sends an operation and fills in its outcome. The end of the rehearsal does not cut it short.
+func (c *storeClient) execute(ctx context.Context, o *operation) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), operationTimeout)
+	defer cancel()
+	if o.kind == readRegister {
+		entry, _, _, err := c.store.Get(ctx, namespace, o.register, false)
+		if err != nil {
+			return err
+		}
+		o.read = string(entry.Value)
+		c.lastRead[o.register] = o.read
+		o.known = true
+		return nil
+	}
+	result, err := c.store.Txn(ctx, o.transaction())
+	if err != nil {
+		return err
+	}
+	o.done = result.Holds
+	o.known = true
+	return nil
+}
+
+// transaction writes the register, on its condition, and the own key.
+func (o *operation) transaction() machine.Command {
+	value := []byte(o.value)
+	command := machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{
+		{Kind: machine.Put, NS: namespace, Key: o.register, Value: value},
+		{Kind: machine.Put, NS: namespace, Key: o.ownKey, Value: value},
+	}}
+	if o.kind != changeRegister {
+		return command
+	}
+	condition := machine.Compare{
+		NS: namespace, Key: o.register, Target: machine.Value, Value: []byte(o.expected),
+	}
+	if o.expected == "" { // the register does not exist yet
+		condition = machine.Compare{NS: namespace, Key: o.register, Target: machine.Version}
+	}
+	command.If = []machine.Compare{condition}
+	return command
+}
--- a/internal/lab/chaos/cluster.go
+++ b/internal/lab/chaos/cluster.go
@@ -1,5 +1,3 @@
-// Package chaos rehearses the store with real processes: it kills them, cuts their lines, restarts all together, and
-// checks what clients were told against what is there afterwards.
 package chaos
 
 import (
@@ -10,6 +8,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
 	"sync"
 	"syscall"
 	"time"
@@ -22,154 +21,221 @@
 	"cloverrock/internal/store/pki"
 )
 
-// cluster is the processes with the lines between them.
+// ErrNoProgram is returned where the gateway's program is not beside the one that rehearses.
+var ErrNoProgram = errors.New("the program under rehearsal is missing; build it beside this one")
+
+const (
+	snapshotEntries = 2000 // entries between snapshots
+	tickMS          = 20   // of the instances' clocks
+)
+
+// direction is the connections from one instance to another.
+type direction struct{ from, to int }
+
+// cluster is the processes with the relays between them.
 type cluster struct {
-	dir, program string
-	lost         bool
-	all          []*process
-	lines        map[[2]int]*relay.Relay // from, to
+	directory, program string
+	loseSyncs          bool
+	instances          []*instance
+	relays             map[direction]*relay.Relay
 }
 
-// process is one instance.
-type process struct {
-	name, address, settings, data string
-	mu                            sync.Mutex
-	cmd                           *exec.Cmd
-	gone                          chan struct{}
-	down                          bool // on purpose
-	unasked                       int  // times it ended by itself
-	log                           *os.File
+// instance is one process of the store.
+type instance struct {
+	name, address string
+	settingsFile  string
+	dataDirectory string
+	log           *os.File
+
+	mu          sync.Mutex
+	command     *exec.Cmd
+	ended       chan struct{}
+	down        bool // on purpose
+	unaskedEnds int
 }
 
-// found prepares so many instances in a directory.
-func found(dir, program string, instances int, lost bool) (*cluster, error) {
-	c := &cluster{dir: dir, program: program, lost: lost, lines: map[[2]int]*relay.Relay{}}
-	addresses, err := loopback.Reserve(instances)
-	if err != nil {
+// newCluster founds a store in a directory.
+func newCluster(directory string, options Options) (*cluster, error) {
+	c := &cluster{
+		directory: directory, program: options.Program, loseSyncs: options.LoseSyncs,
+		relays: map[direction]*relay.Relay{},
+	}
+	if err := c.found(options.Instances); err != nil {
 		return nil, err
 	}
-	args := []string{"store", "init", "--dir", dir, "--local"}
-	for i, a := range addresses {
-		name := fmt.Sprint("n", i)
-		args = append(args, "--member", name+"="+a)
-		c.all = append(c.all, &process{name: name, address: a, settings: filepath.Join(dir, name+".json"), data: filepath.Join(dir, name+"-data")})
-	}
-	if out, err := exec.Command(program, args...).CombinedOutput(); err != nil {
-		return nil, fmt.Errorf("store init: %w: %s", err, bytes.TrimSpace(out))
-	}
-	for i, p := range c.all {
-		routes := map[string]string{}
-		for j, q := range c.all {
-			if i == j {
-				continue
-			}
-			r, err := relay.New(q.address)
-			if err != nil {
-				return nil, err
-			}
-			c.lines[[2]int{i, j}] = r
-			routes[q.name] = r.Address()
-		}
-		set, err := settings.Load(p.settings)
-		if err != nil {
+	for i := range c.instances {
+		if err := c.connect(i); err != nil {
+			c.close()
 			return nil, err
 		}
-		set.Store.Routes, set.Store.SnapshotEntries, set.Store.TickMS = routes, 2000, 20
-		b, err := json.Marshal(set)
-		if err != nil {
-			return nil, err
+	}
+	return c, nil
+}
+
+func (c *cluster) found(instances int) error {
+	addresses, err := loopback.Reserve(instances)
+	if err != nil {
+		return err
+	}
+	args := []string{"store", "init", "--dir", c.directory, "--local"}
+	for i, address := range addresses {
+		name := "n" + strconv.Itoa(i)
+		args = append(args, "--member", name+"="+address)
+		c.instances = append(c.instances, &instance{
+			name: name, address: address,
+			settingsFile:  filepath.Join(c.directory, name+".json"),
+			dataDirectory: filepath.Join(c.directory, name+"-data"),
+		})
+	}
+	if output, err := exec.Command(c.program, args...).CombinedOutput(); err != nil {
+		return fmt.Errorf("store init: %w: %s", err, bytes.TrimSpace(output))
+	}
+	return nil
+}
+
+// connect opens the relays from one instance to the others and writes them into its settings.
+func (c *cluster) connect(i int) error {
+	routes := map[string]string{}
+	for j, other := range c.instances {
+		if i == j {
+			continue
 		}
-		if err := os.WriteFile(p.settings, b, 0o600); err != nil {
-			return nil, err
+		opened, err := relay.New(other.address)
+		if err != nil {
+			return err
 		}
+		c.relays[direction{i, j}] = opened
+		routes[other.name] = opened.Address()
 	}
-	return c, nil
+	file := c.instances[i].settingsFile
+	edited, err := settings.Load(file)
+	if err != nil {
+		return err
+	}
+	edited.Store.Routes = routes
+	edited.Store.SnapshotEntries = snapshotEntries
+	edited.Store.TickMS = tickMS
+	text, err := json.Marshal(edited)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(file, text, 0o600)
 }
 
-func (c *cluster) start(p *process) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.log == nil {
-		f, err := os.Create(filepath.Join(c.dir, p.name+".log"))
+func (c *cluster) start(started *instance) error {
+	started.mu.Lock()
+	defer started.mu.Unlock()
+	if started.log == nil {
+		file, err := os.Create(filepath.Join(c.directory, started.name+".log"))
 		if err != nil {
 			return err
 		}
-		p.log = f
+		started.log = file
 	}
-	args := []string{"store", "serve", "--settings", p.settings}
-	if c.lost {
+	args := []string{"store", "serve", "--settings", started.settingsFile}
+	if c.loseSyncs {
 		args = append(args, "--rehearse-lost-syncs")
 	}
-	p.cmd, p.gone, p.down = exec.Command(c.program, args...), make(chan struct{}), false
-	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the rehearsal
-	if err := p.cmd.Start(); err != nil {
+	command := exec.Command(c.program, args...)
+	command.Stdout = started.log
+	command.Stderr = started.log
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the rehearsal
+	ended := make(chan struct{})
+	started.command = command
+	started.ended = ended
+	started.down = false
+	if err := command.Start(); err != nil {
 		return err
 	}
-	go func(cmd *exec.Cmd, gone chan struct{}) {
-		_ = cmd.Wait()
-		p.mu.Lock()
-		if !p.down {
-			p.unasked++
-		}
-		p.mu.Unlock()
-		close(gone)
-	}(p.cmd, p.gone)
+	go func() {
+		defer close(ended)
+		_ = command.Wait() // how it ended does not matter
+		started.noteEnd()
+	}()
 	return nil
 }
 
-// kill ends a process at once. With power set, its machine loses what was not synced, too.
-func (p *process) kill(power bool) error {
-	p.mu.Lock()
-	p.down = true
-	cmd, gone := p.cmd, p.gone
-	p.mu.Unlock()
-	if cmd == nil {
+func (i *instance) noteEnd() {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if !i.down {
+		i.unaskedEnds++
+	}
+}
+
+// signalKill kills the process without waiting for its end.
+func (i *instance) signalKill() {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.down = true
+	_ = i.command.Process.Kill() // it may have ended already
+}
+
+// kill ends a process at once, if it was started. With powerLoss its machine loses what was not synced, too.
+func (i *instance) kill(powerLoss bool) error {
+	i.mu.Lock()
+	i.down = true
+	command, ended := i.command, i.ended
+	i.mu.Unlock()
+	if command == nil {
 		return nil
 	}
-	_ = cmd.Process.Kill()
-	<-gone
-	if !power {
+	_ = command.Process.Kill() // it may have ended already
+	<-ended
+	if !powerLoss {
 		return nil
 	}
-	dir, err := disk.OpenDir(p.data)
+	directory, err := disk.OpenDir(i.dataDirectory)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = dir.Close() }() // opened for reading only
-	return disk.DiscardUnsynced(dir)
+	defer func() { _ = directory.Close() }() // opened for reading only
+	return disk.DiscardUnsynced(directory)
+}
+
+// unaskedEnds is the number of processes' ends that the rehearsal did not bring about.
+func (c *cluster) unaskedEnds() int {
+	sum := 0
+	for _, instance := range c.instances {
+		instance.mu.Lock()
+		sum += instance.unaskedEnds
+		instance.mu.Unlock()
+	}
+	return sum
 }
 
-// end ends all that was started.
-func (c *cluster) end() {
-	for _, p := range c.all {
-		_ = p.kill(false)
-		if p.log != nil {
-			_ = p.log.Close() // the process has written its log itself
+// close ends all that was started.
+func (c *cluster) close() {
+	for _, instance := range c.instances {
+		_ = instance.kill(false) // fails only for a loss of power
+		if instance.log != nil {
+			_ = instance.log.Close() // the process had a descriptor of its own
 		}
 	}
-	for _, r := range c.lines {
-		r.Close()
+	for _, opened := range c.relays {
+		opened.Close()
 	}
 }
 
-// client connects as the operator; pinned to the first endpoint or roaming.
-func (c *cluster) client(first int, pinned bool, try time.Duration) (*client.Client, error) {
-	conf, err := pki.Load(pki.Files{Certificate: filepath.Join(c.dir, "operator.pem"), Key: filepath.Join(c.dir, "operator-key.pem"),
-		Authority: filepath.Join(c.dir, "authority.pem")})
+// client connects as the operator, to the first endpoint alone if pinned, else to any. attempt is the time for one try.
+func (c *cluster) client(first int, pinned bool, attempt time.Duration) (*client.Client, error) {
+	credentials, err := pki.Load(pki.Files{
+		Certificate: filepath.Join(c.directory, "operator.pem"),
+		Key:         filepath.Join(c.directory, "operator-key.pem"),
+		Authority:   filepath.Join(c.directory, "authority.pem"),
+	})
 	if err != nil {
 		return nil, err
 	}
 	var endpoints []string
-	for i := range c.all {
-		endpoints = append(endpoints, c.all[(first+i)%len(c.all)].address)
+	for i := range c.instances {
+		endpoints = append(endpoints, c.instances[(first+i)%len(c.instances)].address)
 	}
-	return client.New(client.Config{Endpoints: endpoints, TLS: conf, Pinned: pinned, Try: try}), nil
+	config := client.Config{Endpoints: endpoints, TLS: credentials, Pinned: pinned, Try: attempt}
+	return client.New(config), nil
 }
 
-var errProgram = errors.New("the program under rehearsal is missing; build it beside this one")
-
-// Beside finds the gateway's program next to this one.
+// Beside returns the path of the gateway's program in the directory of this one.
 func Beside() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -177,14 +243,7 @@
 	}
 	path := filepath.Join(filepath.Dir(self), "cloverrock")
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("%w: %w", errProgram, err)
+		return "", fmt.Errorf("%w: %w", ErrNoProgram, err)
 	}
 	return path, nil
 }
-
-func decode(b []byte, v any) error {
-	if err := json.Unmarshal(b, v); err != nil {
-		return fmt.Errorf("status: %w", err)
-	}
-	return nil
-}
--- /dev/null
+++ b/internal/lab/chaos/faults.go
@@ -0,0 +1,140 @@
+package chaos
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+)
+
+// Kinds of faults, of which two are kills and two are cuts.
+const (
+	faultKill = iota
+	faultKillAgain
+	faultCut
+	faultCutOneWay
+	faultRestartAll
+	faultKinds // their number
+)
+
+// cutWay is the direction of a cut.
+type cutWay int
+
+const (
+	cutBoth cutWay = iota
+	cutFrom        // what the instance sends
+	cutTo          // what is sent to it
+)
+
+// faultStream separates the faults' random numbers from those of the clients.
+const faultStream = 5
+
+// faultPlayer draws the faults and plays them.
+type faultPlayer struct {
+	*rehearsal
+	random *rand.Rand
+}
+
+// playFaults plays faults until the time is over. At the end all instances run and no connection is cut.
+func (r *rehearsal) playFaults(ctx context.Context) error {
+	p := &faultPlayer{r, rand.New(rand.NewPCG(r.options.Seed, faultStream))}
+	if err := p.pause(ctx, 800, 1200); err != nil {
+		return err
+	}
+	// Each kind comes once before chance picks, so that a short rehearsal has them all.
+	order := p.random.Perm(faultKinds)
+	for n := 0; n < len(order) || time.Since(r.start) < r.options.For; n++ {
+		kind := p.random.IntN(faultKinds)
+		if n < len(order) {
+			kind = order[n]
+		}
+		if err := p.playFault(ctx, kind); err != nil {
+			return err
+		}
+		if err := p.pause(ctx, 700, 1800); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// pause waits for a random time between two bounds in milliseconds.
+func (p *faultPlayer) pause(ctx context.Context, from, to int) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(time.Duration(from+p.random.IntN(to-from)) * time.Millisecond):
+		return nil
+	}
+}
+
+func (p *faultPlayer) playFault(ctx context.Context, kind int) error {
+	target := p.random.IntN(len(p.cluster.instances))
+	powerLoss := p.random.IntN(2) == 0 || p.options.LoseSyncs
+	switch kind {
+	case faultKill, faultKillAgain:
+		return p.killOne(ctx, p.cluster.instances[target], powerLoss)
+	case faultCut:
+		return p.cut(ctx, target, cutBoth)
+	case faultCutOneWay:
+		p.result.OneWayCuts++
+		return p.cut(ctx, target, cutFrom+cutWay(p.random.IntN(2)))
+	default:
+		return p.restartAll(powerLoss)
+	}
+}
+
+// killOne kills an instance and starts it again.
+func (p *faultPlayer) killOne(ctx context.Context, target *instance, powerLoss bool) error {
+	p.options.Log("kill %s, power loss %t", target.name, powerLoss)
+	if err := target.kill(powerLoss); err != nil {
+		return err
+	}
+	p.result.Kills++
+	if powerLoss {
+		p.result.PowerLosses++
+	}
+	if err := p.pause(ctx, 100, 1500); err != nil {
+		return err
+	}
+	return p.cluster.start(target)
+}
+
+// cut cuts an instance off from the others for a while.
+func (p *faultPlayer) cut(ctx context.Context, target int, way cutWay) error {
+	p.options.Log("cut %s, way %d", p.cluster.instances[target].name, way)
+	p.result.Cuts++
+	for pair, connection := range p.cluster.relays {
+		if pair.from == target && way != cutTo || pair.to == target && way != cutFrom {
+			connection.Cut()
+		}
+	}
+	if err := p.pause(ctx, 500, 2500); err != nil {
+		return err
+	}
+	for pair, connection := range p.cluster.relays {
+		if pair.from == target || pair.to == target {
+			connection.Mend()
+		}
+	}
+	return nil
+}
+
+// restartAll kills all instances at once and starts them together.
+func (p *faultPlayer) restartAll(powerLoss bool) error {
+	p.options.Log("kill all, power loss %t", powerLoss)
+	p.result.FullRestarts++
+	for _, instance := range p.cluster.instances {
+		instance.signalKill()
+	}
+	for _, instance := range p.cluster.instances {
+		if err := instance.kill(powerLoss); err != nil {
+			return err
+		}
+	}
+	for _, instance := range p.cluster.instances {
+		if err := p.cluster.start(instance); err != nil {
+			return err
+		}
+	}
+	return nil
+}
