--- a/cmd/simadapter/simulation.go
+++ b/cmd/simadapter/simulation.go
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// start begins an instance anew. One that can't be started is gone.
+// start replaces an instance by a new one. If that fails, there is none.
 func (s *simulation) start(number int, line simprotocol.Line) error {
 	delete(s.instances, number)
 	settings, seed, positionOrigin, err := simprotocol.ParseStart(line)
--- a/internal/app/counts.go
+++ b/internal/app/counts.go
@@ -13,8 +13,18 @@
 // CountsMessage marks the lines of counts, which `cloverrock-lab fleet` adds up over many gateways by their fields.
 const CountsMessage = "counts"
 
-// resultFields are the fields for the results of attempts, by balance.Result.
-var resultFields = [...]string{"served", "errored", "full", "timed_out", "refused_dial", "reset", "cancelled", "skipped", "missed"}
+// resultFields are the fields for the results of attempts, by balance.Result. Like those of the line, their names stay: other programs read them.
+var resultFields = [...]string{
+	balance.Succeeded:         "served",
+	balance.Failed:            "errored",
+	balance.Overloaded:        "full",
+	balance.TimedOut:          "timed_out",
+	balance.ConnectionRefused: "refused_dial",
+	balance.ConnectionReset:   "reset",
+	balance.Canceled:          "cancelled",
+	balance.NotSent:           "skipped",
+	balance.NotPrimary:        "missed",
+}
 
 // countsLogger logs what the gateway did since the last line.
 type countsLogger struct {
--- a/internal/app/harness_test.go
+++ b/internal/app/harness_test.go
@@ -27,6 +27,7 @@
 	server            *server // nil where a test runs the whole program
 	address           string
 	timeouts          timeouts // those of clients are never reached, unless a test is about them
+	log               zerolog.Logger
 	ended             chan struct{}
 	discoveryListener net.Listener
 	discoveryCalls    chan *discoveryCall
@@ -52,6 +53,7 @@
 		ended:          make(chan struct{}),
 		discoveryCalls: make(chan *discoveryCall, 16),
 		timeouts:       timeouts{message: noTimeout, idle: noTimeout},
+		log:            zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.ErrorLevel),
 	}
 	for i := range replicas + 1 {
 		gw.hosts = append(gw.hosts, newFakeHost(t, i == 0))
@@ -115,8 +117,7 @@
 	for _, f := range change {
 		f(conf)
 	}
-	log := zerolog.New(zerolog.NewTestWriter(gw.t)).Level(zerolog.ErrorLevel)
-	gw.server, err = newServer(conf, gw.timeouts, false, log)
+	gw.server, err = newServer(conf, gw.timeouts, false, gw.log)
 	if err != nil {
 		gw.t.Fatal(err)
 	}
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -37,7 +37,8 @@
 	firstListTimeout = 500_000
 )
 
-// server is a gateway with all its parts. Except where said, its methods belong to the loop's goroutine.
+// server is a gateway with all its parts. Its methods belong to the loop's goroutine, except handleSignals and those that
+// implement Gateway.
 type server struct {
 	conf       *config.Config
 	log        zerolog.Logger
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -15,7 +15,7 @@
 // EndpointList is a list of endpoints, or the changes since an earlier generation of one.
 type EndpointList struct {
 	Generation int64 // the service's version of the list
-	Complete   bool  // the whole list; otherwise only what changed
+	Complete   bool  // the complete list; otherwise only its changes
 	Endpoints  []balance.Endpoint
 	Addresses  map[string]string // host:port by the host's id
 }
--- /dev/null
+++ b/internal/launcher/launcher_test.go
@@ -0,0 +1,39 @@
+package launcher
+
+import (
+	"errors"
+	"strings"
+	"syscall"
+	"testing"
+
+	"github.com/rs/zerolog"
+)
+
+// The program that these tests ask for does not exist: whatever executes it fails and names it.
+const missing = "no-such-program"
+
+func TestCompletionAndStoreHelpNeedTheLargerProgram(t *testing.T) {
+	for args, needed := range map[string]bool{
+		"":                 false,
+		"serve":            false,
+		"help":             false,
+		"help serve":       false,
+		"completion bash":  true,
+		"__complete s":     true,
+		"__completeNoDesc": true,
+		"help store":       true,
+		"help store init":  true,
+	} {
+		err := New(missing).HandleCompletion(strings.Fields(args))
+		if (err != nil) != needed {
+			t.Errorf("%q: %v", args, err)
+		}
+	}
+}
+
+func TestErrorNamesTheProgramAndItsCause(t *testing.T) {
+	_, err := New(missing).Open("", nil, zerolog.Nop())
+	if err == nil || !strings.Contains(err.Error(), missing) || !errors.Is(err, syscall.ENOENT) {
+		t.Error(err)
+	}
+}
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// AddEndpoint reads an endpoint into the list that was begun last.
+// AddEndpoint reads an endpoint into the list that was begun last. The simulator numbers states as the module does.
 func (c *Codec) AddEndpoint(l Line) error {
 	if c.filling == noList || c.missing == 0 {
 		return l.errorf("an entry outside a list")
--- a/internal/simprotocol/line.go
+++ b/internal/simprotocol/line.go
@@ -96,7 +96,7 @@
 	return n
 }
 
-// parseInt reads what is not a short row of digits: signs, long numbers, and whole numbers written as fractions.
+// parseInt reads what the fast path does not: signs, long numbers, and whole numbers written as fractions.
 func (r *valueReader) parseInt(name string, b []byte) int64 {
 	n, err := strconv.ParseInt(string(b), 10, 64)
 	if err == nil {
