--- a/cmd/cloverrockd/main.go
+++ b/cmd/cloverrockd/main.go
@@ -10,7 +10,7 @@
 	"os"
 
 	"cloverrock/internal/app"
-	"cloverrock/internal/storecli"
+	"cloverrock/internal/daemon"
 )
 
-func main() { os.Exit(app.Main(os.Args[1:], os.Getenv, os.Stdout, os.Stderr, storecli.Extension{})) }
+func main() { os.Exit(app.Main(os.Args[1:], os.Getenv, os.Stdout, os.Stderr, daemon.Extension{})) }
--- /dev/null
+++ b/internal/daemon/daemon.go
@@ -0,0 +1,128 @@
+package daemon
+
+import (
+	"context"
+	"runtime"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cloverrock/internal/app"
+	"cloverrock/internal/settings"
+	"cloverrock/internal/store/documents"
+	"cloverrock/internal/store/machine"
+	"cloverrock/internal/store/node"
+	"cloverrock/internal/warmstart"
+)
+
+const (
+	minThreads = 2
+	// maxThreads bounds GOMAXPROCS. With fewer threads than cores, requests wait for those that the store's goroutines
+	// hold; see docs/store.md.
+	maxThreads = 8
+)
+
+// daemon is the store beside a gateway.
+type daemon struct {
+	set     *settings.Settings
+	getenv  func(string) string
+	log     zerolog.Logger
+	ctx     context.Context
+	cancel  context.CancelFunc
+	wg      sync.WaitGroup
+	opened  chan struct{}             // closed when the local copy is there, or will not come
+	node    atomic.Pointer[node.Node] // nil until it is open
+	gateway app.Gateway
+	keeper  *warmstart.Keeper // nil: nothing is kept for a restart
+
+	mu       sync.Mutex
+	status   documents.Running // what this instance runs of the document
+	document []byte            // the document that runs or was last tried
+	changed  chan struct{}     // holds a value when status is to be reported
+}
+
+// start opens the store beside the gateway. It waits for the local copy no longer than the settings allow.
+func start(set *settings.Settings, getenv func(string) string, log zerolog.Logger) *daemon {
+	d := &daemon{set: set, getenv: getenv, log: log, opened: make(chan struct{}), changed: make(chan struct{}, 1)}
+	d.ctx, d.cancel = context.WithCancel(context.Background())
+	if learned := set.Learned; learned != nil {
+		d.keeper = warmstart.New(warmstart.Config{
+			Name:    set.Store.Name,
+			Every:   learned.WriteMS * 1000,
+			Believe: learned.BelieveMS * 1000,
+		})
+	}
+	runtime.GOMAXPROCS(max(minThreads, min(maxThreads, runtime.NumCPU())))
+	d.wg.Go(func() {
+		defer close(d.opened)
+		if err := d.open(); err != nil && d.ctx.Err() == nil {
+			log.Error().Err(err).Msg("store: start failed, gateway serves without it")
+		}
+	})
+	select {
+	case <-d.opened:
+	case <-time.After(set.Store.StartWait()):
+		log.Warn().Msg("store: local copy not ready, gateway starts without it")
+	}
+	return d
+}
+
+func (d *daemon) open() error {
+	conf, err := d.set.Store.Node()
+	if err != nil {
+		return err
+	}
+	conf.Log = d.log
+	n, err := node.OpenOrJoin(d.ctx, conf, d.set.Store.Join, d.getenv("CLOVERROCK_TOKEN"))
+	if err != nil {
+		return err
+	}
+	d.node.Store(n)
+	d.log.Info().Str("listen", n.Address()).Msg("store: open")
+	return nil
+}
+
+// Close implements app.Component.
+func (d *daemon) Close() {
+	d.cancel()
+	if n := d.node.Load(); n != nil {
+		_ = n.Close() // the node has logged what ended it
+	}
+	d.wg.Wait()
+}
+
+// readLocal passes the local copy to look, however old it is. It reports false if there is none.
+func (d *daemon) readLocal(look func(*machine.Machine)) bool {
+	n := d.node.Load()
+	if n == nil {
+		return false
+	}
+	ctx, cancel := context.WithTimeout(d.ctx, d.set.Store.StartWait()+time.Second)
+	defer cancel()
+	_, err := n.Read(ctx, true, look)
+	return err == nil
+}
+
+// Attach implements app.Component: it begins to follow the store for a gateway.
+func (d *daemon) Attach(gateway app.Gateway) {
+	d.gateway = gateway
+	d.wg.Go(func() {
+		select {
+		case <-d.opened:
+		case <-d.ctx.Done():
+			return
+		}
+		n := d.node.Load()
+		if n == nil {
+			return
+		}
+		if d.keeper != nil {
+			d.restoreGateway(n)
+			d.wg.Go(func() { d.keepState(n) })
+		}
+		d.wg.Go(func() { d.followDocument(n) })
+		d.wg.Go(func() { d.reportStatus(n) })
+	})
+}
--- a/internal/store/disk/identity.go
+++ b/internal/store/disk/identity.go
@@ -1,6 +1,8 @@
 package disk
 
 import (
+	"crypto/rand"
+	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -52,3 +54,25 @@
 	}
 	return &id, nil
 }
+
+// NewID returns a random id: ids are never given twice.
+func NewID() (uint64, error) {
+	var random [8]byte
+	for {
+		if _, err := rand.Read(random[:]); err != nil {
+			return 0, err
+		}
+		if id := binary.LittleEndian.Uint64(random[:]) >> 1; id != 0 {
+			return id, nil
+		}
+	}
+}
+
+// CreateDir makes a directory of the operating system an instance's, as Create does.
+func CreateDir(path string, id Identity, index uint64, snapshot []byte) error {
+	dir, err := OpenDir(path)
+	if err != nil {
+		return err
+	}
+	return errors.Join(Create(dir, id, index, snapshot, Options{}), dir.Close())
+}
--- /dev/null
+++ b/internal/store/node/join.go
@@ -0,0 +1,115 @@
+package node
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"time"
+
+	"cloverrock/internal/store/client"
+	"cloverrock/internal/store/disk"
+	"cloverrock/internal/store/frame"
+	"cloverrock/internal/store/transport"
+)
+
+const (
+	joinRetry   = 2 * time.Second
+	joinTimeout = 10 * time.Second // of one attempt
+)
+
+// OpenOrJoin opens an instance's directory and starts it. An empty directory has no vote, whatever its name was: it
+// joins through one of the given addresses first, and tries again until it is taken in or refused.
+func OpenOrJoin(ctx context.Context, conf Config, addresses []string, token string) (*Node, error) {
+	for {
+		n, err := Open(conf) //nolint:contextcheck // the instance outlives the call
+		if !errors.Is(err, disk.ErrEmpty) || len(addresses) == 0 {
+			return n, err
+		}
+		conf.Log.Info().Strs("ask", addresses).Msg("store: data directory empty, joining as a learner")
+		if err := joinUntilDecided(ctx, conf, addresses, token); err != nil {
+			return nil, err
+		}
+	}
+}
+
+// joinUntilDecided asks again and again until the instance is taken in or refused.
+func joinUntilDecided(ctx context.Context, conf Config, addresses []string, token string) error {
+	for {
+		_, err := Join(ctx, conf, addresses, token)
+		var told *client.Error
+		refused := errors.As(err, &told) && told.Code == frame.CodeRefused
+		if err == nil || refused {
+			return err
+		}
+		conf.Log.Warn().Err(err).Msg("store: joining failed, retrying")
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(joinRetry):
+		}
+	}
+}
+
+// Join asks the members at the given addresses to take this instance in under a new id, and then makes its directory.
+// It returns the id.
+func Join(ctx context.Context, conf Config, addresses []string, token string) (uint64, error) {
+	if err := checkNoIdentity(conf.Data); err != nil {
+		return 0, err
+	}
+	id, err := disk.NewID()
+	if err != nil {
+		return 0, err
+	}
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
+	defer cancel()
+	cluster, err := clusterOf(ctx, conf, addresses)
+	if err != nil {
+		return 0, fmt.Errorf("join: %w: %w", client.ErrUnavailable, err)
+	}
+	members := client.New(client.Config{Endpoints: addresses, TLS: conf.TLS})
+	defer members.Close()
+	request := &frame.Request{Op: frame.OpJoin, Node: id, Address: cmp.Or(conf.Advertise, conf.Listen), Token: token}
+	if _, err := members.Call(ctx, request, false); err != nil {
+		return 0, err
+	}
+	return id, disk.CreateDir(conf.Data, disk.Identity{Cluster: cluster, Node: id, Name: conf.Name}, 0, nil)
+}
+
+// checkNoIdentity returns an error if a directory belongs to an instance already.
+func checkNoIdentity(path string) error {
+	if !exists(path) {
+		return nil
+	}
+	dir, err := disk.OpenDir(path)
+	if err != nil {
+		return err
+	}
+	owner, err := disk.LoadIdentity(dir)
+	if err := errors.Join(err, dir.Close()); err != nil {
+		return err
+	}
+	if owner != nil {
+		return fmt.Errorf("%s belongs to instance %s already", path, owner.Name)
+	}
+	return nil
+}
+
+func exists(path string) bool {
+	_, err := os.Stat(path)
+	return err == nil
+}
+
+// clusterOf returns the cluster of the first member that answers.
+func clusterOf(ctx context.Context, conf Config, addresses []string) (cluster uint64, err error) {
+	for _, address := range addresses {
+		conn, welcome, dialErr := transport.Dial(ctx, address, conf.TLS, frame.Hello{}, "")
+		err = dialErr
+		if dialErr == nil {
+			_ = conn.Close() // nothing was sent on it
+			return welcome.Cluster, nil
+		}
+	}
+	return 0, err
+}
--- /dev/null
+++ b/internal/storecmd/golden_test.go
@@ -0,0 +1,174 @@
+package storecmd_test
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"syscall"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"cloverrock/internal/daemon"
+	"cloverrock/internal/golden"
+	"cloverrock/internal/settings"
+	"cloverrock/internal/store/machine"
+	"cloverrock/internal/store/node"
+	"cloverrock/internal/storecmd/storetest"
+)
+
+// fixture is a store whose instance runs in this process.
+type fixture struct{ *storetest.Fixture }
+
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	return &fixture{storetest.New(t, daemon.Extension{})}
+}
+
+// foundAnew is apart from update: the directory is worth most as long as an older build wrote it.
+var foundAnew = flag.Bool("update-founded", false, "write the founded data directory anew")
+
+// serve opens the instance's directory as "store serve" does; 0 entries between snapshots is the default.
+func (f *fixture) serve(snapshotEntries uint64) *node.Node {
+	f.T.Helper()
+	set, err := settings.Load(f.Path("store", "a.json"))
+	if err != nil {
+		f.T.Fatal(err)
+	}
+	conf, err := set.Store.Node()
+	if err != nil {
+		f.T.Fatal(err)
+	}
+	conf.SnapshotEntries = snapshotEntries
+	conf.Log = zerolog.Nop()
+	instance, err := node.OpenOrJoin(context.Background(), conf, set.Store.Join, "")
+	if err != nil {
+		f.T.Fatal(err)
+	}
+	f.T.Cleanup(func() { _ = instance.Close() }) // stop reports a failure
+	return instance
+}
+
+// stop ends the instance and its files.
+func (f *fixture) stop(instance *node.Node) {
+	f.T.Helper()
+	if err := instance.Close(); err != nil {
+		f.T.Fatal(err)
+	}
+}
+
+// copyFiles copies a flat directory without the lock.
+func copyFiles(t *testing.T, from, to string) {
+	t.Helper()
+	entries, err := os.ReadDir(from)
+	if err = errors.Join(err, os.RemoveAll(to), os.MkdirAll(to, 0o700)); err != nil {
+		t.Fatal(err)
+	}
+	for _, entry := range entries {
+		if entry.Name() == "lock" {
+			continue
+		}
+		b, err := os.ReadFile(filepath.Join(from, entry.Name()))
+		if err = errors.Join(err, os.WriteFile(filepath.Join(to, entry.Name()), b, 0o600)); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// notes lists the test's own keys, one line each.
+func (f *fixture) notes() (lines []string) {
+	f.T.Helper()
+	var listed struct{ Keys []machine.KV }
+	if err := json.Unmarshal([]byte(f.Run(0, "store key list notes --output json")), &listed); err != nil {
+		f.T.Fatal(err)
+	}
+	for _, kv := range listed.Keys {
+		lines = append(lines, fmt.Sprintf("key/%s %s created %d modified %d version %d", kv.Key, kv.Value, kv.Created, kv.Modified, kv.Version))
+	}
+	return lines
+}
+
+// writeFounded founds a store of one, writes until snapshots are taken, stops, writes more behind them, and keeps the
+// directory: what it holds comes back partly from a snapshot and partly from the log.
+func writeFounded(t *testing.T, to string) {
+	t.Helper()
+	f := newFixture(t)
+	instance := f.serve(4)
+	f.PutDocument(`{"discovery":"127.0.0.1:7"}`, 0)
+	f.PutDocument(`{"discovery":"127.0.0.1:8","instances":{"a":{"discovery":"127.0.0.1:9"}}}`, 0)
+	f.Run(0, "store key put notes first one")
+	f.Run(0, "store key put notes second two")
+	f.Run(0, "store key put notes second two-again")
+	f.Run(0, "store key put notes gone three")
+	f.Run(0, "store key delete notes gone")
+	f.stop(instance)
+	instance = f.serve(0)
+	f.Run(0, "store rollback gateway 1 --note back")
+	f.Run(0, "store key put notes third four")
+	f.stop(instance)
+	copyFiles(t, f.Path("store", "a-data"), to)
+}
+
+// A data directory which an earlier build founded and wrote is read by this one, which goes on from there. The certificates are made now and are not in the directory: no verdict depends on the date.
+func TestFoundedDirectoryOpens(t *testing.T) {
+	kept := filepath.Join("testdata", "founded")
+	if *foundAnew {
+		writeFounded(t, kept)
+	}
+	f := newFixture(t)
+	copyFiles(t, kept, f.Path("store", "a-data"))
+	instance := f.serve(0)
+	lines := f.notes()
+	lines = append(lines, "history "+strings.TrimSpace(f.Run(0, "store history gateway --output json")))
+	for _, number := range []string{"1", "2", "3"} {
+		lines = append(lines, "gateway/"+number+" "+strings.TrimSpace(f.Run(0, "store get gateway --output json --revision "+number)))
+	}
+	golden.CheckLines(t, "founded.txt", lines)
+
+	if out := f.PutDocument(`{"discovery":"127.0.0.1:10"}`, 0); !strings.Contains(out, "gateway is at revision 4") {
+		t.Errorf("the next document: %s", out)
+	}
+	f.Run(0, "store key put notes fourth five --version 0")
+	before := f.notes()
+	if len(before) != 4 {
+		t.Errorf("keys: %q", before)
+	}
+	f.stop(instance)
+	f.serve(0)
+	if after := f.notes(); strings.Join(after, "\n") != strings.Join(before, "\n") {
+		t.Errorf("opened again: %q, before %q", after, before)
+	}
+}
+
+// The names, modes and text of what "store init" writes stay; identities and keys are random.
+func TestInitWritesTheSameFiles(t *testing.T) {
+	defer syscall.Umask(syscall.Umask(0o022)) // modes are held, so they may not depend on who runs the test
+	f := &fixture{storetest.Empty(t, daemon.Extension{})}
+	dir := f.Path("store")
+	f.Run(0, "store init --dir "+dir+" --member a=127.0.0.1:7001 --member b=127.0.0.1:7002 --member c=127.0.0.1:7003")
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	number := regexp.MustCompile(`("(?:cluster|id)": )\d+`)
+	var lines []string
+	for _, entry := range entries {
+		info, err := entry.Info()
+		if err != nil {
+			t.Fatal(err)
+		}
+		b := f.Read(filepath.Join(dir, entry.Name()))
+		text := "PEM"
+		if filepath.Ext(entry.Name()) == ".json" {
+			text = fmt.Sprintf("%q", number.ReplaceAllString(string(b), "${1}N"))
+		}
+		lines = append(lines, fmt.Sprintf("%s %v %s", entry.Name(), info.Mode(), text))
+	}
+	golden.CheckLines(t, "init.txt", lines)
+}
--- /dev/null
+++ b/internal/storecmd/members.go
@@ -0,0 +1,212 @@
+package storecmd
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"cloverrock/internal/app"
+	"cloverrock/internal/store/client"
+	"cloverrock/internal/store/core"
+	"cloverrock/internal/store/disk"
+	"cloverrock/internal/store/documents"
+	"cloverrock/internal/store/frame"
+	"cloverrock/internal/store/machine"
+	"cloverrock/internal/store/node"
+)
+
+func (o *options) statusCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "status",
+		Short: "Tell how the instances stand, and what revision of each document they run",
+		Args:  app.NoArgs,
+		RunE: o.connected(func(ctx context.Context, s *session) error {
+			status, err := fetchStatus(ctx, s.client)
+			if err != nil {
+				return err
+			}
+			kvs, _, err := s.client.List(ctx, documents.StatusNS, "running/", -1, true)
+			if err != nil {
+				return err
+			}
+			running := []documents.Running{}
+			for _, kv := range kvs {
+				var r documents.Running
+				if json.Unmarshal(kv.Value, &r) == nil {
+					running = append(running, r)
+				}
+			}
+			value := map[string]any{"instance": status, "running": running}
+			return s.print(value, func(p *printer) {
+				printInstance(p, status)
+				for _, r := range running {
+					p.printf("%s\t%s: revision %d, %s %s\n", r.Document, r.Instance, r.Applied, r.State, r.Detail)
+				}
+			})
+		}),
+	}
+}
+
+func printInstance(p *printer, status *node.Status) {
+	p.printf("instance\t%s (%s)\n", status.Name, core.MemberKey(status.ID))
+	p.printf("cluster\t%s\n", status.Cluster)
+	p.printf("role\t%s, term %d\n", strings.ToLower(strings.TrimPrefix(status.Role, "State")), status.Term)
+	p.printf("leader\t%s\n", status.Members[core.MemberKey(status.Leader)].Name)
+	p.printf("revision\t%d, %d keys\n", status.Revision, status.Keys)
+	behind := "not known: cut off, or just started"
+	if status.AgeMS >= 0 {
+		behind = fmt.Sprintf("at most %d ms", status.AgeMS)
+	}
+	p.printf("behind\t%s\n", behind)
+	p.printf("log\tapplied %d of %d, snapshot at %d, %d files\n", status.Applied, status.Commit, status.SnapshotIndex, status.Segments)
+	if status.Halted != "" {
+		p.printf("halted\t%s\n", status.Halted)
+	}
+	if status.DiskFull {
+		p.printf("disk\tfull\n")
+	}
+}
+
+func fetchStatus(ctx context.Context, c *client.Client) (*node.Status, error) {
+	response, err := c.Call(ctx, &frame.Request{Op: frame.OpStatus}, true)
+	if err != nil {
+		return nil, err
+	}
+	status := &node.Status{}
+	if err := json.Unmarshal(response.Body, status); err != nil {
+		return nil, fmt.Errorf("status: %w", err)
+	}
+	return status, nil
+}
+
+// member is a line of the command "members".
+type member struct {
+	ID string `json:"id"`
+	core.Member
+	Role   string `json:"role"`
+	Leader bool   `json:"leader"`
+}
+
+func (o *options) membersCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "members",
+		Short: "List the instances",
+		Args:  app.NoArgs,
+		RunE: o.connected(func(ctx context.Context, s *session) error {
+			status, err := fetchStatus(ctx, s.client)
+			if err != nil {
+				return err
+			}
+			members := listMembers(status)
+			return s.print(members, func(p *printer) {
+				for _, m := range members {
+					leader := ""
+					if m.Leader {
+						leader = "leader"
+					}
+					p.printf("%s\t%s\t%s\t%s\t%s\n", m.Name, m.ID, m.Address, m.Role, leader)
+				}
+			})
+		}),
+	}
+}
+
+func listMembers(status *node.Status) []member {
+	members := []member{}
+	for key, record := range status.Members {
+		hasKey := func(id uint64) bool { return core.MemberKey(id) == key }
+		role := "joining"
+		if slices.ContainsFunc(status.Voters, hasKey) {
+			role = "voter"
+		}
+		if slices.ContainsFunc(status.Learners, hasKey) {
+			role = "learner"
+		}
+		members = append(members, member{key, record, role, hasKey(status.Leader)})
+	}
+	slices.SortFunc(members, func(a, b member) int { return strings.Compare(a.Name, b.Name) })
+	return members
+}
+
+func (o *options) removeCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "remove NAME|ID",
+		Short: "Remove an instance for good: it hands over first if it leads, and its data is of no more use",
+		Args:  exactly("NAME or ID"),
+		RunE: o.connected(func(ctx context.Context, s *session) error {
+			status, err := fetchStatus(ctx, s.client)
+			if err != nil {
+				return err
+			}
+			id := findMember(status, s.args[0])
+			if id == 0 {
+				return refused("no member is called %q", s.args[0])
+			}
+			if _, err := s.client.Call(ctx, &frame.Request{Op: frame.OpRemove, Node: id}, false); err != nil {
+				return err
+			}
+			key := core.MemberKey(id)
+			return s.print(map[string]string{"removed": key}, func(p *printer) {
+				p.printf("removed %s (%s)\n", s.args[0], key)
+			})
+		}),
+	}
+}
+
+// findMember returns the id of a member that is given by its id or name; 0: there is none.
+func findMember(status *node.Status, nameOrID string) (id uint64) {
+	for key, record := range status.Members {
+		if key != nameOrID && record.Name != nameOrID {
+			continue
+		}
+		if parsed, err := strconv.ParseUint(key, 16, 64); err == nil {
+			id = parsed
+		}
+	}
+	return id
+}
+
+func (o *options) transferCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "transfer",
+		Short: "Have the leader hand over, before its machine is stopped",
+		Args:  app.NoArgs,
+		RunE: o.connected(func(ctx context.Context, s *session) error {
+			_, err := s.client.Call(ctx, &frame.Request{Op: frame.OpTransfer}, true)
+			return err
+		}),
+	}
+}
+
+func (o *options) tokenCommand() *cobra.Command {
+	var life time.Duration
+	cmd := &cobra.Command{
+		Use:   "token",
+		Short: "Make a token by which one new instance may join",
+		Args:  app.NoArgs,
+		RunE: o.connected(func(ctx context.Context, s *session) error {
+			random, err := disk.NewID()
+			if err != nil {
+				return err
+			}
+			token := fmt.Sprintf("%016x", random)
+			lease, err := s.client.Txn(ctx, machine.Command{Kind: machine.GrantLeaseKind, Amount: life.Milliseconds()})
+			if err != nil {
+				return err
+			}
+			put := machine.Op{Kind: machine.Put, NS: core.TokensNS, Key: node.TokenKey(token), Value: []byte("1"), Lease: lease.ID}
+			if _, err := s.client.Txn(ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{put}}); err != nil {
+				return err
+			}
+			return s.print(map[string]string{"token": token}, func(p *printer) { p.printf("%s\n", token) })
+		}),
+	}
+	cmd.Flags().DurationVar(&life, "life", time.Hour, "how long it may be used")
+	return cmd
+}
--- /dev/null
+++ b/internal/storecmd/serve.go
@@ -0,0 +1,101 @@
+package storecmd
+
+import (
+	"os"
+	"os/signal"
+	"syscall"
+
+	"github.com/spf13/cobra"
+
+	"cloverrock/internal/app"
+	"cloverrock/internal/store/core"
+	"cloverrock/internal/store/node"
+)
+
+// serveFlags are the flags of the command "serve".
+type serveFlags struct {
+	settings string
+	logLevel string
+	token    string
+	noSync   bool
+}
+
+// serveCommand runs an instance without a gateway: a third one for two gateways.
+func (o *options) serveCommand() *cobra.Command {
+	flags := &serveFlags{}
+	cmd := &cobra.Command{
+		Use:   "serve --settings FILE",
+		Short: "Run an instance of the store without a gateway",
+		Args:  app.NoArgs,
+		RunE:  func(cmd *cobra.Command, _ []string) error { return flags.serve(cmd) },
+	}
+	cmd.Flags().StringVar(&flags.settings, "settings", "", "the instance's settings")
+	cmd.Flags().StringVar(&flags.logLevel, "log", "info", "least level of log lines")
+	cmd.Flags().StringVar(&flags.token, "token", "", "a token, for an instance that is new and has an empty directory")
+	cmd.Flags().BoolVar(&flags.noSync, "rehearse-lost-syncs", false, "do not sync the log: rehearsals have to find out what that loses")
+	_ = cmd.Flags().MarkHidden("rehearse-lost-syncs") // fails only for a flag that is not there
+	return cmd
+}
+
+// serve runs the instance until a signal or a failure ends it.
+func (f *serveFlags) serve(cmd *cobra.Command) error {
+	set, err := loadStore(f.settings)
+	if err != nil {
+		return err
+	}
+	log, err := app.Logger(cmd.ErrOrStderr(), f.logLevel, set.Name)
+	if err != nil {
+		return err
+	}
+	conf, err := set.Node()
+	if err != nil {
+		return err
+	}
+	conf.Log = log
+	conf.NoSync = f.noSync
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
+	defer signal.Stop(signals)
+	n, err := node.OpenOrJoin(cmd.Context(), conf, set.Join, f.token)
+	if err != nil {
+		log.Error().Err(err).Msg("store: start failed")
+		return err
+	}
+	log.Info().Str("version", app.Version()).Str("listen", n.Address()).Msg("store: serving")
+	select {
+	case <-signals:
+		return n.Close()
+	case <-n.Ended():
+		return n.Err()
+	}
+}
+
+func (o *options) joinCommand() *cobra.Command {
+	var path, token string
+	cmd := &cobra.Command{
+		Use:   "join --settings FILE [--token TOKEN]",
+		Short: "Make an empty data directory that of a new member, which begins as a learner",
+		Args:  app.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			set, err := loadStore(path)
+			if err != nil {
+				return err
+			}
+			conf, err := set.Node()
+			if err != nil {
+				return err
+			}
+			id, err := node.Join(cmd.Context(), conf, set.Join, token)
+			if err != nil {
+				return err
+			}
+			key := core.MemberKey(id)
+			return o.show(cmd.OutOrStdout(), map[string]string{"id": key}, func(p *printer) {
+				p.printf("%s joins as %s; start it, and it becomes a voter when it has caught up\n", set.Name, key)
+			})
+		},
+	}
+	cmd.Flags().StringVar(&path, "settings", "", "the instance's settings; its join names whom to ask")
+	cmd.Flags().StringVar(&token, "token", "", "needed for a name that is not a member yet")
+	return cmd
+}
--- /dev/null
+++ b/internal/storecmd/storetest/storetest.go
@@ -0,0 +1,92 @@
+// Package storetest gives tests a store of one instance on this machine, and its command line. Only tests import it.
+package storetest
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"cloverrock/internal/app"
+	"cloverrock/internal/lab/loopback"
+)
+
+const configuration = `{"name":"a","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"tickMs":5,
+		"classes":[{"name":"x","aimMs":1,"deadlineMs":1,"repeat":"read_like"}],"extra":{"classRead":["loose"]},"limits":{"maxAttempts":1}}}`
+
+// Fixture is a prepared store of the instance "a", with a gateway's configuration.
+type Fixture struct {
+	T         *testing.T
+	Dir       string // the store's files are in the directory "store" below it
+	Getenv    func(string) string
+	extension app.Extension
+}
+
+// New prepares a store and its data directory.
+func New(t *testing.T, extension app.Extension) *Fixture {
+	t.Helper()
+	f := Empty(t, extension)
+	free, err := loopback.Reserve(1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	conf := filepath.Join(f.Dir, "config.json")
+	f.Write(conf, []byte(configuration))
+	f.Getenv = func(key string) string {
+		return map[string]string{"EDGE_CONFIG": conf, "EDGE_DISCOVERY": "127.0.0.1:3"}[key]
+	}
+	f.Run(0, "store init --dir "+f.Path("store")+" --local --member a="+free[0])
+	return f
+}
+
+// Empty prepares nothing but an empty directory.
+func Empty(t *testing.T, extension app.Extension) *Fixture {
+	t.Helper()
+	return &Fixture{T: t, Dir: t.TempDir(), Getenv: func(string) string { return "" }, extension: extension}
+}
+
+// Path is a path below the directory.
+func (f *Fixture) Path(names ...string) string {
+	return filepath.Join(append([]string{f.Dir}, names...)...)
+}
+
+// Write writes a file.
+func (f *Fixture) Write(path string, data []byte) {
+	f.T.Helper()
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		f.T.Fatal(err)
+	}
+}
+
+// Read reads a file.
+func (f *Fixture) Read(path string) []byte {
+	f.T.Helper()
+	data, err := os.ReadFile(path)
+	if err != nil {
+		f.T.Fatal(err)
+	}
+	return data
+}
+
+// Run carries out a command as the operator, which must end with the exit code, and returns what it printed.
+func (f *Fixture) Run(code int, line string) string {
+	f.T.Helper()
+	var out bytes.Buffer
+	args := strings.Fields(line)
+	if !strings.Contains(line, "init") {
+		args = append(args, "--as", f.Path("store", "operator.json"))
+	}
+	if got := app.Main(args, f.Getenv, &out, &out, f.extension); got != code {
+		f.T.Fatalf("%s: %d, %s", line, got, out.String())
+	}
+	return out.String()
+}
+
+// PutDocument changes the document "gateway".
+func (f *Fixture) PutDocument(body string, code int) string {
+	f.T.Helper()
+	path := f.Path("doc.json")
+	f.Write(path, []byte(body))
+	return f.Run(code, "store put gateway --file "+path)
+}
