--- a/cmd/cloverrock-lab/storesim.go
+++ b/cmd/cloverrock-lab/storesim.go
@@ -58,7 +58,7 @@
 	flags.IntVar(&run.options.Instances, "instances", 3, "instances of each cluster")
 	flags.IntVar(&run.options.Seconds, "for", 20, "simulated seconds under faults")
 	flags.BoolVar(&run.options.LoseSyncs, "break-fsync", false, "syncs do nothing: the checks must find it")
-	flags.BoolVar(&run.options.Twice, "break-sessions", false, "retries come as new commands: the checks must find it")
+	flags.BoolVar(&run.options.ResendAsNew, "break-sessions", false, "retries come as new commands: the checks must find it")
 	flags.BoolVar(&trace, "trace", false, "tell on standard error what happens")
 	addReportFlag(cmd, &path)
 	return cmd
--- /dev/null
+++ b/internal/lab/storesim/checks.go
@@ -0,0 +1,107 @@
+package storesim
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// Keys that clients write.
+const (
+	dataNamespace = "data"
+	sharedPrefix  = "shared" // keys that are written more than once
+)
+
+// appliedEntry is what was applied at an index.
+type appliedEntry struct{ term, chain uint64 }
+
+func (s *simulation) addViolation(format string, args ...any) {
+	violation := fmt.Sprintf("at %.3f s: ", float64(s.now)/1e6) + fmt.Sprintf(format, args...)
+	s.result.Violations = append(s.result.Violations, violation)
+	s.trace("VIOLATED "+format, args...)
+}
+
+// observeApplied checks each command that any instance applies: an index has to mean the same everywhere, for ever.
+func (s *simulation) observeApplied(p *instance, index, term, chain uint64) {
+	s.hashEvent('a', p.id<<32|index, chain)
+	before, known := s.applied[index]
+	switch {
+	case known && before.chain != chain:
+		s.addViolation("state-machine safety: %s applied something else at %d", p.name, index)
+	case known && before.term != term:
+		s.addViolation("log matching: %s has term %d at %d, others %d", p.name, term, index, before.term)
+	}
+	s.applied[index] = appliedEntry{term, chain}
+	s.highestApplied = max(s.highestApplied, index)
+}
+
+// checkLeaderAndCommit looks for two leaders of one term, and for a commit that goes back or lies behind what is applied.
+func (s *simulation) checkLeaderAndCommit(p *instance) {
+	status := p.core.Status()
+	if status.Role == "StateLeader" {
+		s.checkLeader(p, status.Term)
+	}
+	if status.Applied > status.Commit {
+		s.addViolation("%s applied %d and committed %d", p.name, status.Applied, status.Commit)
+	}
+	if status.Commit < s.commits[p.id] {
+		s.addViolation("%s committed %d and then %d", p.name, s.commits[p.id], status.Commit)
+	}
+	s.commits[p.id] = status.Commit
+}
+
+func (s *simulation) checkLeader(p *instance, term uint64) {
+	leader, known := s.leaders[term]
+	switch {
+	case known && leader != p.id:
+		s.addViolation("election safety: %d and %d lead term %d", leader, p.id, term)
+	case !known:
+		s.result.Elections++
+		s.leaders[term] = p.id
+		s.trace("%s leads term %d", p.name, term)
+	}
+}
+
+// checkAcknowledged looks at the end whether every instance holds all that was acknowledged, once.
+func (s *simulation) checkAcknowledged() {
+	if len(s.result.Violations) > 0 {
+		return
+	}
+	for _, p := range s.instances {
+		if p.core != nil {
+			s.trace("%s at the end: %+v", p.name, p.core.Status())
+		}
+	}
+	for _, p := range s.instances {
+		if p.core == nil {
+			s.addViolation("%s is not up at the end", p.name)
+			continue
+		}
+		s.checkFinalState(p)
+	}
+}
+
+func (s *simulation) checkFinalState(p *instance) {
+	status := p.core.Status()
+	s.hashEvent('e', status.Applied, status.Chain)
+	if status.Applied < s.highestApplied {
+		s.addViolation("durability: %s stands at %d, and %d was applied somewhere (%+v)",
+			p.name, status.Applied, s.highestApplied, status)
+		return
+	}
+	for _, key := range slices.Sorted(maps.Keys(s.acknowledged)) {
+		entry, found := p.core.Machine().Get(dataNamespace, key)
+		switch {
+		case !found:
+			s.addViolation("durability: %s lacks %s, which was acknowledged", p.name, key)
+		case entry.Version != 1:
+			s.addViolation("%s has %s %d times", p.name, key, entry.Version)
+		}
+	}
+	for _, entry := range p.core.Machine().List(dataNamespace, "", 0) {
+		if entry.Version != 1 && !strings.HasPrefix(entry.Key, sharedPrefix) {
+			s.addViolation("%s has %s %d times", p.name, entry.Key, entry.Version)
+		}
+	}
+}
--- a/internal/lab/storesim/disk.go
+++ b/internal/lab/storesim/disk.go
@@ -1,195 +1,207 @@
-// Package storesim plays whole clusters of the store in one thread, with a network, disks and a clock of its own: the
-// same code as a daemon's, thousands of times faster, and the same run for the same seed.
 package storesim
 
 import (
+	"bytes"
 	"errors"
+	"maps"
 	"math/rand/v2"
 	"os"
-	"sort"
+	"slices"
 
 	"cloverrock/internal/store/disk"
 )
 
 var errSync = errors.New("sim: the disk could not sync")
 
-// vdisk is a directory that forgets at a crash what was not synced.
-type vdisk struct {
-	rng      *rand.Rand
-	names    map[string]*vfile // as a process sees them
-	durable  map[string]*vfile // as the last SyncDir left them
-	full     bool
-	failSync bool
-	lies     bool // syncs do nothing: what the checks must find out
-	dieIn    int  // the machine dies in the middle of the so manieth change from now; 0: it does not
+// tornBytes is how much of a file a write that was under way at a power loss may spoil.
+const tornBytes = 512
+
+// memoryDisk implements disk.FS. At a loss of power it loses what was not synced.
+type memoryDisk struct {
+	random                *rand.Rand
+	files                 map[string]*memoryFile // as a process sees them
+	durable               map[string]*memoryFile // as the last SyncDir left them
+	full                  bool
+	failSync              bool
+	ignoreSyncs           bool // syncs do nothing: the checks must find it
+	changesUntilPowerLoss int  // the machine loses power in the middle of that change; 0: it does not
 }
 
-// died is the panic by which a machine ends in the middle of what it does.
-type died struct{ d *vdisk }
+// powerLoss is the panic that ends a call in whose middle the machine loses power.
+type powerLoss struct{ disk *memoryDisk }
 
-// step counts a change, and ends the machine if it is the one.
-func (d *vdisk) step() {
-	if d.dieIn > 0 {
-		if d.dieIn--; d.dieIn == 0 {
-			panic(died{d})
-		}
+// countChange counts a change, and panics if the machine loses power in its middle.
+func (d *memoryDisk) countChange() {
+	if d.changesUntilPowerLoss == 0 {
+		return
+	}
+	d.changesUntilPowerLoss--
+	if d.changesUntilPowerLoss == 0 {
+		panic(powerLoss{d})
 	}
 }
 
-type vfile struct {
-	d      *vdisk
-	data   []byte
-	synced int    // so much of data is on the disk
-	old    []byte // what is on the disk, if data was changed below synced
+// memoryFile implements disk.File.
+type memoryFile struct {
+	disk        *memoryDisk
+	data        []byte
+	synced      int    // so many bytes of data are on the disk
+	durableData []byte // what is on the disk, if data was changed below synced; else nil
 }
 
-func newDisk(rng *rand.Rand) *vdisk {
-	return &vdisk{rng: rng, names: map[string]*vfile{}, durable: map[string]*vfile{}}
+func newDisk(random *rand.Rand) *memoryDisk {
+	return &memoryDisk{random: random, files: map[string]*memoryFile{}, durable: map[string]*memoryFile{}}
 }
 
-func sorted(m map[string]*vfile) []string {
-	names := make([]string, 0, len(m))
-	for n := range m {
-		names = append(names, n)
-	}
-	sort.Strings(names)
-	return names
-}
+// names returns the files' names in order.
+func (d *memoryDisk) names() []string { return slices.Sorted(maps.Keys(d.files)) }
 
-func (d *vdisk) Name(name string) string { return "disk/" + name }
+func (d *memoryDisk) Name(name string) string { return "disk/" + name }
 
-func (d *vdisk) List() ([]string, error) { return sorted(d.names), nil }
+func (d *memoryDisk) List() ([]string, error) { return d.names(), nil }
 
-func (d *vdisk) Read(name string) ([]byte, error) {
-	f := d.names[name]
+func (d *memoryDisk) Read(name string) ([]byte, error) {
+	f := d.files[name]
 	if f == nil {
 		return nil, os.ErrNotExist
 	}
-	return append([]byte(nil), f.data...), nil
+	return bytes.Clone(f.data), nil
 }
 
-func (d *vdisk) Create(name string) (disk.File, error) {
-	d.step()
+func (d *memoryDisk) Create(name string) (disk.File, error) {
+	d.countChange()
 	if d.full {
 		return nil, disk.ErrFull
 	}
-	f := &vfile{d: d}
-	d.names[name] = f
+	f := &memoryFile{disk: d}
+	d.files[name] = f
 	return f, nil
 }
 
-func (d *vdisk) Append(name string) (disk.File, error) {
-	if f := d.names[name]; f != nil {
+func (d *memoryDisk) Append(name string) (disk.File, error) {
+	if f := d.files[name]; f != nil {
 		return f, nil
 	}
 	return d.Create(name)
 }
 
-func (d *vdisk) Truncate(name string, size int64) error {
-	f := d.names[name]
+func (d *memoryDisk) Truncate(name string, size int64) error {
+	f := d.files[name]
 	if f == nil {
 		return os.ErrNotExist
 	}
 	return f.Truncate(size)
 }
 
-func (d *vdisk) Rename(from, to string) error {
-	d.step()
-	f := d.names[from]
+func (d *memoryDisk) Rename(from, to string) error {
+	d.countChange()
+	f := d.files[from]
 	if f == nil {
 		return os.ErrNotExist
 	}
-	delete(d.names, from)
-	d.names[to] = f
+	delete(d.files, from)
+	d.files[to] = f
 	return nil
 }
 
-func (d *vdisk) Remove(name string) error {
-	d.step()
-	if d.names[name] == nil {
+func (d *memoryDisk) Remove(name string) error {
+	d.countChange()
+	if d.files[name] == nil {
 		return os.ErrNotExist
 	}
-	delete(d.names, name)
+	delete(d.files, name)
 	return nil
 }
 
-func (d *vdisk) SyncDir() error {
-	d.step()
+func (d *memoryDisk) SyncDir() error {
+	d.countChange()
 	if d.failSync {
 		return errSync
 	}
-	if !d.lies {
-		d.durable = map[string]*vfile{}
-		for n, f := range d.names {
-			d.durable[n] = f
-		}
+	if !d.ignoreSyncs {
+		d.durable = maps.Clone(d.files)
 	}
 	return nil
 }
 
 // crash loses power: what was not synced is gone, torn, or there by luck.
-func (d *vdisk) crash() {
-	names := d.durable
-	if !d.lies && d.rng.IntN(2) == 0 { // the directory may have been written by itself
-		names = d.names
+func (d *memoryDisk) crash() {
+	survivors := d.durable
+	if !d.ignoreSyncs && d.random.IntN(2) == 0 { // the directory may have been written by itself
+		survivors = d.files
+	}
+	d.files = map[string]*memoryFile{}
+	d.durable = map[string]*memoryFile{}
+	d.failSync = false
+	d.changesUntilPowerLoss = 0
+	for _, name := range slices.Sorted(maps.Keys(survivors)) {
+		file := survivors[name]
+		file.loseUnsynced()
+		d.files[name] = file
+		d.durable[name] = file
+	}
+}
+
+// loseUnsynced leaves what a loss of power leaves of the file.
+func (f *memoryFile) loseUnsynced() {
+	random := f.disk.random
+	switch {
+	case f.durableData != nil && random.IntN(2) == 0:
+		f.data = f.durableData
+	case f.durableData == nil && f.synced < len(f.data):
+		f.tear()
 	}
-	d.names, d.durable, d.failSync, d.dieIn = map[string]*vfile{}, map[string]*vfile{}, false, 0
-	for _, n := range sorted(names) {
-		f := names[n]
-		f.lose()
-		d.names[n], d.durable[n] = f, f
+	f.durableData = nil
+	f.synced = len(f.data)
+}
+
+// tear keeps a random part of what was written since the last sync, and may spoil some of it: the pieces of a write come to
+// the disk in any order.
+func (f *memoryFile) tear() {
+	random := f.disk.random
+	unsynced := f.data[f.synced:]
+	kept := random.IntN(len(unsynced) + 1)
+	if f.disk.ignoreSyncs {
+		kept = 0
+	}
+	f.data = append(f.data[:f.synced:f.synced], unsynced[:kept]...)
+	if kept == 0 || random.IntN(2) != 0 {
+		return
+	}
+	from := f.synced + random.IntN(kept)
+	for i := from; i < min(from+tornBytes, len(f.data)); i++ {
+		f.data[i] = byte(random.Uint32())
 	}
 }
 
-func (f *vfile) lose() {
-	switch {
-	case f.old != nil && f.d.rng.IntN(2) == 0:
-		f.data = f.old
-	case f.old == nil && f.synced < len(f.data):
-		rest := f.data[f.synced:]
-		kept := f.d.rng.IntN(len(rest) + 1)
-		if f.d.lies {
-			kept = 0
-		}
-		f.data = append(f.data[:f.synced:f.synced], rest[:kept]...)
-		if kept > 0 && f.d.rng.IntN(2) == 0 { // the pieces of a write come to the disk in any order
-			at := f.synced + f.d.rng.IntN(kept)
-			for i := at; i < min(at+512, len(f.data)); i++ {
-				f.data[i] = byte(f.d.rng.Uint32())
-			}
-		}
-	}
-	f.old, f.synced = nil, len(f.data)
-}
-
-// flip spoils one bit of what is on the disk, and returns false if there is nothing of that name.
-func (d *vdisk) flip(name string, below int) bool {
-	f := d.names[name]
-	if f == nil || min(below, len(f.data)) <= 0 {
+// flipBit flips a random bit of a file, and reports whether there was any.
+func (d *memoryDisk) flipBit(name string) bool {
+	file := d.files[name]
+	if file == nil || len(file.data) == 0 {
 		return false
 	}
-	f.data = append([]byte(nil), f.data...)
-	f.data[d.rng.IntN(min(below, len(f.data)))] ^= 1 << d.rng.IntN(8)
+	file.data = bytes.Clone(file.data)
+	file.data[d.random.IntN(len(file.data))] ^= 1 << d.random.IntN(8)
 	return true
 }
 
-func (f *vfile) Write(b []byte) (int, error) {
-	if f.d.full {
+func (f *memoryFile) Write(b []byte) (int, error) {
+	if f.disk.full {
 		return 0, disk.ErrFull
 	}
-	if f.d.dieIn == 1 { // in the middle of the write
-		f.data = append(f.data, b[:f.d.rng.IntN(len(b)+1)]...)
+	if f.disk.changesUntilPowerLoss == 1 { // power is lost in the middle of the write
+		f.data = append(f.data, b[:f.disk.random.IntN(len(b)+1)]...)
 	}
-	f.d.step()
+	f.disk.countChange()
 	f.data = append(f.data, b...)
 	return len(b), nil
 }
 
-func (f *vfile) WriteAt(b []byte, off int64) (int, error) {
-	if f.d.full {
+func (f *memoryFile) WriteAt(b []byte, off int64) (int, error) {
+	if f.disk.full {
 		return 0, disk.ErrFull
 	}
-	f.keepOld(int(off))
+	f.keepDurable(int(off))
 	for len(f.data) < int(off)+len(b) {
 		f.data = append(f.data, 0)
 	}
@@ -197,28 +209,29 @@
 	return len(b), nil
 }
 
-func (f *vfile) Truncate(size int64) error {
-	f.d.step()
-	f.keepOld(int(size))
+func (f *memoryFile) Truncate(size int64) error {
+	f.disk.countChange()
+	f.keepDurable(int(size))
 	f.data = f.data[:size:size]
 	return nil
 }
 
-func (f *vfile) keepOld(from int) {
-	if from < f.synced && f.old == nil {
-		f.old = append([]byte(nil), f.data[:f.synced]...)
+func (f *memoryFile) keepDurable(from int) {
+	if from < f.synced && f.durableData == nil {
+		f.durableData = bytes.Clone(f.data[:f.synced])
 	}
 }
 
-func (f *vfile) Sync() error {
-	f.d.step()
-	if f.d.failSync {
+func (f *memoryFile) Sync() error {
+	f.disk.countChange()
+	if f.disk.failSync {
 		return errSync
 	}
-	if !f.d.lies {
-		f.synced, f.old = len(f.data), nil
+	if !f.disk.ignoreSyncs {
+		f.synced = len(f.data)
+		f.durableData = nil
 	}
 	return nil
 }
 
-func (f *vfile) Close() error { return nil }
+func (f *memoryFile) Close() error { return nil }
--- /dev/null
+++ b/internal/lab/storesim/faults.go
@@ -0,0 +1,140 @@
+package storesim
+
+// faultWeights is the number of draws that playFault tells apart.
+const faultWeights = 14
+
+// maxChangesUntilPowerLoss bounds the changes of a disk before its machine loses power.
+const maxChangesUntilPowerLoss = 12
+
+// cutWay is the direction of a cut.
+type cutWay int
+
+const (
+	cutBoth cutWay = iota
+	cutTo          // what is sent to the instance
+	cutFrom        // what it sends
+	cutWays        // their number
+)
+
+// scheduleFaults has faults come until the simulation is healed.
+func (s *simulation) scheduleFaults() {
+	s.schedule(int64(200+s.random.IntN(1500))*millisecond, func() {
+		if s.healed {
+			return
+		}
+		s.playFault()
+		s.scheduleFaults()
+	})
+}
+
+func (s *simulation) playFault() {
+	i := s.random.IntN(len(s.instances))
+	p := s.instances[i]
+	duration := int64(100+s.random.IntN(4000)) * millisecond
+	switch s.random.IntN(faultWeights) {
+	case 0, 1: // the process ends; the kernel keeps what it wrote
+		s.stopFor(i, false, duration)
+	case 2, 3: // the machine loses power
+		s.stopFor(i, true, duration)
+	case 4:
+		s.stopAllFor(duration)
+	case 5, 6:
+		s.cutOff(i, duration)
+	case 7: // its clock runs fast or slow
+		p.tickInterval = []int64{30, 60, 200, 400}[s.random.IntN(4)] * millisecond
+		s.schedule(duration, func() { p.tickInterval = normalTick })
+	case 8:
+		s.fillDisk(p, duration)
+	case 9: // a sync fails: the instance must not go on
+		p.disk.failSync = true
+		s.schedule(duration, func() { p.disk.failSync = false })
+	case 10:
+		s.corruptDisk(i, duration)
+	case 11:
+		if p.core != nil && !p.diskFull {
+			p.core.TransferLeadership()
+			s.process(p)
+		}
+	case 12, 13: // the machine loses power in the middle of a write, a rename, a removal, a snapshot or a start
+		p.disk.changesUntilPowerLoss = 1 + s.random.IntN(maxChangesUntilPowerLoss)
+	}
+}
+
+// stopFor stops an instance, if it is up, and starts it after a time.
+func (s *simulation) stopFor(i int, powerLost bool, duration int64) {
+	p := s.instances[i]
+	if p.core == nil {
+		return
+	}
+	s.stop(p, powerLost)
+	s.schedule(duration, func() {
+		if p.core == nil {
+			s.start(i)
+		}
+	})
+}
+
+func (s *simulation) stopAllFor(duration int64) {
+	for i := range s.instances {
+		powerLost := s.random.IntN(2) == 0
+		s.stopFor(i, powerLost, duration+int64(s.random.IntN(500))*millisecond)
+	}
+}
+
+// cutOff cuts an instance off from the others, in one direction or both.
+func (s *simulation) cutOff(i int, duration int64) {
+	way := cutWay(s.random.IntN(int(cutWays)))
+	for j := range s.instances {
+		if j != i {
+			s.cut[direction{i, j}] = way != cutTo
+			s.cut[direction{j, i}] = way != cutFrom
+		}
+	}
+	s.trace("%s cut off, way %d", s.instances[i].name, way)
+	s.schedule(duration, func() {
+		for j := range s.instances {
+			delete(s.cut, direction{i, j})
+			delete(s.cut, direction{j, i})
+		}
+	})
+}
+
+func (s *simulation) fillDisk(p *instance, duration int64) {
+	p.disk.full = true
+	s.trace("%s has a full disk", p.name)
+	s.schedule(duration, func() {
+		p.disk.full = false
+		s.process(p)
+	})
+}
+
+// corruptDisk has a bit flip while the machine is down; on one disk at a time, or there is no majority to learn from.
+func (s *simulation) corruptDisk(i int, duration int64) {
+	for _, p := range s.instances {
+		if !p.joined || p.corrupt {
+			return
+		}
+	}
+	if s.instances[i].core != nil {
+		s.stopFor(i, false, duration)
+		s.instances[i].corrupt = true
+	}
+}
+
+// heal ends all faults.
+func (s *simulation) heal() {
+	s.healed = true
+	s.cut = map[direction]bool{}
+	s.trace("healed")
+	for i, p := range s.instances {
+		p.disk.full = false
+		p.disk.failSync = false
+		p.disk.changesUntilPowerLoss = 0
+		p.tickInterval = normalTick
+		if p.core == nil {
+			s.start(i)
+		} else {
+			s.process(p)
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/storesim/membership.go
@@ -0,0 +1,68 @@
+package storesim
+
+import (
+	"slices"
+
+	"cloverrock/internal/store/core"
+	"cloverrock/internal/store/disk"
+	"cloverrock/internal/store/machine"
+)
+
+// admitInterval is the time between two tries to have an instance admitted.
+const admitInterval = 1500 * millisecond
+
+// replace gives an instance an empty disk and a new id, and has it join.
+func (s *simulation) replace(p *instance) {
+	s.result.Replaced++
+	s.nextID++
+	p.corrupt = false
+	p.joined = false
+	p.disk = newDisk(s.random)
+	identity := disk.Identity{Cluster: clusterID, Node: s.nextID, Name: p.name}
+	if err := disk.Create(p.disk, identity, 0, nil, s.logOptions()); err != nil {
+		s.addViolation("%s cannot begin anew: %v", p.name, err)
+		return
+	}
+	p.disk.ignoreSyncs = s.LoseSyncs
+	p.id = identity.Node
+	s.admit(p)
+	s.start(s.indexOf(p.id))
+}
+
+// admit asks another instance to admit this one, until it is a voter. A learner does not count: until then the others must
+// keep their disks.
+func (s *simulation) admit(p *instance) {
+	if p.joined {
+		return
+	}
+	asked := false
+	for _, other := range s.instances {
+		if other.core == nil || other.id == p.id || other.diskFull {
+			continue
+		}
+		if slices.Contains(other.core.Status().Voters, p.id) {
+			p.joined = true
+			return
+		}
+		if _, member := core.Members(other.core.Machine())[p.id]; member || asked {
+			continue
+		}
+		asked = true
+		if !s.proposeJoin(other, p) {
+			return
+		}
+	}
+	s.schedule(admitInterval, func() { s.admit(p) })
+}
+
+func (s *simulation) proposeJoin(at, joining *instance) bool {
+	member := core.Member{Name: joining.name, Format: machine.Format}
+	change, command, err := core.PlanJoin(at.core.Machine(), joining.id, member, "")
+	if err != nil {
+		s.addViolation("admit: %v", err)
+		return false
+	}
+	at.core.ProposeMembershipChange(0, change, command)
+	s.process(at)
+	return true
+}
--- /dev/null
+++ b/internal/lab/storesim/network.go
@@ -0,0 +1,65 @@
+package storesim
+
+import "cloverrock/internal/store/core"
+
+// Faults of the network while the simulation is not healed.
+const (
+	lossPercent      = 2
+	duplicatePercent = 2
+	lateOneOf        = 50
+
+	minDelay   = millisecond / 2
+	delayRange = 4 * millisecond
+	lateRange  = 400 * millisecond
+)
+
+// send sends messages of an instance over the network, which may lose, double and delay them.
+func (s *simulation) send(p *instance, messages []core.Envelope) {
+	from := s.indexOf(p.id)
+	for _, message := range messages {
+		to := s.indexOf(message.To)
+		if to < 0 || from < 0 || s.cut[direction{from, to}] || s.chance(lossPercent) {
+			continue
+		}
+		copies := 1
+		if s.chance(duplicatePercent) {
+			copies = 2
+		}
+		for range copies {
+			s.schedule(s.drawDelay(), func() { s.deliver(direction{from, to}, message) })
+		}
+	}
+}
+
+// chance reports whether a fault of the network happens. It draws nothing once the simulation is healed.
+func (s *simulation) chance(percent int) bool {
+	return !s.healed && s.random.IntN(100) < percent
+}
+
+func (s *simulation) drawDelay() int64 {
+	delay := minDelay + int64(s.random.IntN(int(delayRange)))
+	if !s.healed && s.random.IntN(lateOneOf) == 0 {
+		delay += int64(s.random.IntN(int(lateRange)))
+	}
+	return delay
+}
+
+func (s *simulation) deliver(way direction, message core.Envelope) {
+	receiver := s.instances[way.to]
+	up := receiver.core != nil && !receiver.diskFull
+	if !up || receiver.id != message.To || s.cut[way] {
+		return
+	}
+	receiver.core.Step(message)
+	s.process(receiver)
+}
+
+// indexOf returns the index of the instance with an id, or -1.
+func (s *simulation) indexOf(id uint64) int {
+	for i, p := range s.instances {
+		if p.id == id {
+			return i
+		}
+	}
+	return -1
+}
--- a/internal/lab/storesim/race_test.go
+++ b/internal/lab/storesim/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package sim
+package storesim
 
 const raceEnabled = true
