--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -35,7 +35,7 @@
 	opened  chan struct{}             // closed when the local copy is there, or will not come
 	node    atomic.Pointer[node.Node] // nil until it is open
 	gateway app.Gateway
-	keeper  *warmstart.Keeper // nil: nothing is kept for a restart
+	cache   *warmstart.Cache // nil: nothing is kept for a restart
 
 	mu       sync.Mutex
 	status   documents.Running // what this instance runs of the document
@@ -48,10 +48,10 @@
 	d := &daemon{set: set, getenv: getenv, log: log, opened: make(chan struct{}), changed: make(chan struct{}, 1)}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	if learned := set.Learned; learned != nil {
-		d.keeper = warmstart.New(warmstart.Config{
-			Name:    set.Store.Name,
-			Every:   learned.WriteMS * 1000,
-			Believe: learned.BelieveMS * 1000,
+		d.cache = warmstart.New(warmstart.Config{
+			Name:        set.Store.Name,
+			MinInterval: learned.WriteMS * 1000,
+			MaxAge:      learned.BelieveMS * 1000,
 		})
 	}
 	runtime.GOMAXPROCS(max(minThreads, min(maxThreads, runtime.NumCPU())))
@@ -118,7 +118,7 @@
 		if n == nil {
 			return
 		}
-		if d.keeper != nil {
+		if d.cache != nil {
 			d.restoreGateway(n)
 			d.wg.Go(func() { d.keepState(n) })
 		}
--- a/internal/daemon/warmstart.go
+++ b/internal/daemon/warmstart.go
@@ -30,31 +30,31 @@
 		return
 	}
 	for i := range kvs {
-		d.keeper.Stored(&kvs[i], false)
+		d.cache.Update(&kvs[i], false)
 	}
 	_, current, ok := d.gateway.Snapshot()
 	if !ok {
 		return
 	}
-	belief := d.keeper.Start(time.Now().UnixMicro(), current.Generation)
+	restored := d.cache.Restore(time.Now().UnixMicro(), current.Generation)
 	d.log.Info().
-		Int("groups", len(belief.Facts.Groups)).
-		Int("hosts", len(belief.Facts.Hosts)).
-		Bool("list", belief.List != nil).
-		Strs("doubt", belief.Doubt).
-		Int("unread", d.keeper.Unread()).
+		Int("groups", len(restored.Snapshot.Groups)).
+		Int("hosts", len(restored.Snapshot.Hosts)).
+		Bool("list", restored.List != nil).
+		Strs("discarded", restored.Discarded).
+		Int("unreadable", d.cache.Unreadable()).
 		Dur("copy_behind_ms", age).
 		Msg("learned: stored state restored")
-	d.gateway.Restore(belief.Facts, endpointList(belief.List))
+	d.gateway.Restore(restored.Snapshot, endpointList(restored.List))
 }
 
 // endpointList is a stored list in the form that discovery has; nil for nil.
-func endpointList(stored *warmstart.List) *discovery.EndpointList {
+func endpointList(stored *warmstart.EndpointList) *discovery.EndpointList {
 	if stored == nil {
 		return nil
 	}
 	list := &discovery.EndpointList{Generation: stored.Generation, Complete: true, Addresses: map[string]string{}}
-	for _, entry := range stored.Entries {
+	for _, entry := range stored.Endpoints {
 		list.Endpoints = append(list.Endpoints, balance.Endpoint(entry.StoredEndpoint))
 		list.Addresses[entry.Host] = entry.Address
 	}
@@ -62,13 +62,13 @@
 }
 
 // storedList is discovery's list in the form in which it is stored, without removed hosts.
-func storedList(list *discovery.EndpointList) warmstart.List {
-	stored := warmstart.List{Generation: list.Generation}
+func storedList(list *discovery.EndpointList) warmstart.EndpointList {
+	stored := warmstart.EndpointList{Generation: list.Generation}
 	for _, endpoint := range list.Endpoints {
 		if endpoint.State == balance.Removed {
 			continue
 		}
-		stored.Entries = append(stored.Entries, warmstart.Entry{
+		stored.Endpoints = append(stored.Endpoints, warmstart.Endpoint{
 			StoredEndpoint: warmstart.StoredEndpoint(endpoint),
 			Address:        list.Addresses[endpoint.Host],
 		})
@@ -92,14 +92,14 @@
 			return
 		case batch := <-events:
 			for _, event := range batch {
-				d.keeper.Stored(event.KV, event.Deleted)
+				d.cache.Update(event.KV, event.Deleted)
 			}
 		case <-tick.C:
 			facts, list, ok := d.gateway.Snapshot()
 			if !ok {
 				return
 			}
-			d.write(n, d.keeper.Plan(time.Now().UnixMicro(), facts, storedList(&list)))
+			d.write(n, d.cache.Plan(time.Now().UnixMicro(), facts, storedList(&list)))
 		}
 	}
 }
--- a/internal/warmstart/golden_test.go
+++ b/internal/warmstart/golden_test.go
@@ -14,21 +14,21 @@
 )
 
 // goldenFacts is one of everything that a router may know, and goldenList a list with all that it may say of a host.
-func goldenFacts() (balance.Snapshot, List) {
-	f := facts("p", base, balance.HostSnapshot{Host: "p", Group: 1, Position: base, PositionAt: base - 1, Primary: true, ConcurrencyLimit: 4.5},
-		balance.HostSnapshot{Host: "down/ü", Group: 1 << 31, Position: 1, PositionAt: 2, Down: true, SlowStartUntil: base + sec, ConcurrencyLimit: math.MaxFloat64})
-	f.Groups = append(f.Groups, balance.GroupSnapshot{Group: math.MaxInt64, Primary: "q", ObservedAt: base})
-	f.SessionFloor = base - sec
-	return f, List{Generation: 9, Entries: []Entry{
-		{StoredEndpoint: StoredEndpoint{Host: "p", Zone: 2, Group: 1, Kind: 3, State: balance.Draining, Primary: true, Weight: 1.5, StartedAt: base}, Address: "h:5432"}, {}}}
+func goldenFacts() (balance.Snapshot, EndpointList) {
+	f := facts("p", start, balance.HostSnapshot{Host: "p", Group: 1, Position: start, PositionAt: start - 1, Primary: true, ConcurrencyLimit: 4.5},
+		balance.HostSnapshot{Host: "down/ü", Group: 1 << 31, Position: 1, PositionAt: 2, Down: true, SlowStartUntil: start + second, ConcurrencyLimit: math.MaxFloat64})
+	f.Groups = append(f.Groups, balance.GroupSnapshot{Group: math.MaxInt64, Primary: "q", ObservedAt: start})
+	f.SessionFloor = start - second
+	return f, EndpointList{Generation: 9, Endpoints: []Endpoint{
+		{StoredEndpoint: StoredEndpoint{Host: "p", Zone: 2, Group: 1, Kind: 3, State: balance.Draining, Primary: true, Weight: 1.5, StartedAt: start}, Address: "h:5432"}, {}}}
 }
 
-// What is stored has the same keys and bytes as ever, and a fresh gateway believes of it what was known.
+// What is stored has the same keys and bytes as ever, and a restarted gateway restores from it what was known.
 func TestGoldenKeys(t *testing.T) {
 	known, list := goldenFacts()
-	keeper := New(Config{Name: "a", Every: sec, Believe: 60 * sec})
+	cache := New(Config{Name: "a", MinInterval: second, MaxAge: 60 * second})
 	var cases []golden.Case
-	for i, command := range keeper.Plan(base, known, list) {
+	for i, command := range cache.Plan(start, known, list) {
 		b, err := machine.Encode(&command)
 		if err != nil {
 			t.Fatal(err)
@@ -39,24 +39,24 @@
 		}
 	}
 	stored := golden.Check(t, "keys.golden", cases)
-	fresh := New(Config{Name: "b", Every: sec, Believe: 60 * sec})
+	fresh := New(Config{Name: "b", MinInterval: second, MaxAge: 60 * second})
 	for _, key := range []string{"list", "floor", "group/00000000000000000001", "group/09223372036854775807", "host/p", "host/down/ü"} {
 		value, err := hex.DecodeString(stored[NS+":"+key])
 		if err != nil || len(value) == 0 {
 			t.Fatalf("%s: %x, %v", key, value, err)
 		}
-		fresh.Stored(&machine.KV{NS: NS, Key: key, Value: value}, false)
+		fresh.Update(&machine.KV{NS: NS, Key: key, Value: value}, false)
 	}
-	belief := fresh.Start(base, 0)
+	restored := fresh.Restore(start, 0)
 	known.Hosts[0], known.Hosts[1] = known.Hosts[1], known.Hosts[0] // in the order of their ids
-	believed := belief.Facts
-	for i := range believed.Hosts {
-		believed.Hosts[i].Primary = known.Hosts[i].Primary // who is primary is told by group
+	snapshot := restored.Snapshot
+	for i := range snapshot.Hosts {
+		snapshot.Hosts[i].Primary = known.Hosts[i].Primary // who is primary is told by group
 	}
-	if fresh.Unread() != 0 || len(belief.Doubt) != 0 || !reflect.DeepEqual(believed, known) || !reflect.DeepEqual(*belief.List, list) {
-		t.Errorf("%v is believed (%d unread)\nof %v", belief, fresh.Unread(), known)
+	if fresh.Unreadable() != 0 || len(restored.Discarded) != 0 || !reflect.DeepEqual(snapshot, known) || !reflect.DeepEqual(*restored.List, list) {
+		t.Errorf("%v is restored (%d unreadable)\nof %v", restored, fresh.Unreadable(), known)
 	}
-	if host := fresh.hosts["p"]; !host.Primary || host.By != "a" || host.At != base {
+	if host := fresh.hosts["p"]; !host.Primary || host.By != "a" || host.At != start {
 		t.Errorf("the host is read as %v", host)
 	}
 }
@@ -64,7 +64,7 @@
 // What is shown of the store as JSON has the same names as ever.
 func TestGoldenJSON(t *testing.T) {
 	var cases []golden.Case
-	for i, shown := range []any{&Primary{"p", 2, 3, "a"}, &Host{1, 2, 3, true, true, 4, 5.5, 6, "a"}, &Floor{7}} {
+	for i, shown := range []any{&Primary{"p", 2, 3, "a"}, &Host{1, 2, 3, true, true, 4, 5.5, 6, "a"}, &SessionFloor{7}} {
 		b, err := json.Marshal(shown)
 		if err != nil {
 			t.Fatal(err)
--- /dev/null
+++ b/internal/warmstart/plan.go
@@ -0,0 +1,187 @@
+package warmstart
+
+import (
+	"slices"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"cloverrock/balance"
+	"cloverrock/internal/store/machine"
+)
+
+const (
+	positionStep    = 2_000_000  // microseconds: a stored position that is behind by less is good enough
+	refreshInterval = 10_000_000 // microseconds: what stays true is written again after this
+	limitChange     = 0.25       // a limit that moved by a smaller part is not written
+	maxOps          = 64         // of one transaction
+	maxHosts        = 4096       // of a list that is stored
+)
+
+// Plan returns the transactions that are worth their write for what the router knows and the list that it has: at most
+// one for primaries, which takes effect only if no other gateway was faster, and one for the rest.
+func (c *Cache) Plan(now int64, snapshot balance.Snapshot, list EndpointList) []machine.Command {
+	if now-c.plannedAt < c.conf.MinInterval {
+		return nil
+	}
+	var commands []machine.Command
+	for _, command := range []*machine.Command{c.planPrimaries(now, snapshot), c.planRest(now, snapshot, list)} {
+		if len(command.Then) > 0 {
+			commands = append(commands, *command)
+		}
+	}
+	if len(commands) > 0 {
+		c.plannedAt = now
+	}
+	return commands
+}
+
+// put adds a write to a transaction.
+func put(command *machine.Command, key string, value any) {
+	encoded, err := msgpack.Marshal(value)
+	if err != nil {
+		return // the stored types can all be encoded
+	}
+	command.Then = append(command.Then, machine.Op{Kind: machine.Put, NS: NS, Key: key, Value: encoded})
+}
+
+// planPrimaries writes who is primary where this router has younger evidence than the store.
+func (c *Cache) planPrimaries(now int64, snapshot balance.Snapshot) *machine.Command {
+	command := &machine.Command{Kind: machine.TransactionKind}
+	for _, group := range snapshot.Groups {
+		next, changed := c.nextPrimary(now, group)
+		if !changed || len(command.Then) >= maxOps {
+			continue
+		}
+		key := groupKey(group.Group)
+		unchanged := machine.Compare{NS: NS, Key: key, Target: machine.Modified, Number: c.revisions[group.Group]}
+		command.If = append(command.If, unchanged)
+		put(command, key, &next)
+	}
+	return command
+}
+
+// nextPrimary returns the record of a group's primary that is to be written, if one is.
+func (c *Cache) nextPrimary(now int64, group balance.GroupSnapshot) (next Primary, changed bool) {
+	stored, known := c.groups[group.Group]
+	next = Primary{Host: group.Primary, Term: stored.Term, At: min(group.ObservedAt, now), By: c.conf.Name}
+	sameHost := stored.Host == group.Primary
+	switch {
+	case !known:
+		next.Term = 1
+	case !sameHost && group.ObservedAt > stored.At+MaxClockSkew:
+		next.Term++
+	case sameHost && now-stored.At > refreshInterval:
+		next.At = now // it has answered as primary up to now, or the router would not report it
+	default:
+		return next, false
+	}
+	return next, true
+}
+
+// hostWrite is a record of a host that is to be written.
+type hostWrite struct {
+	id     string
+	host   Host
+	urgent bool
+}
+
+// planRest writes hosts, the list and the session floor. Two gateways that write the same host at once do no harm: a
+// position is a lower bound in either case, and the rest is written again when it changes.
+func (c *Cache) planRest(now int64, snapshot balance.Snapshot, list EndpointList) *machine.Command {
+	command := &machine.Command{Kind: machine.TransactionKind}
+	storable := len(list.Endpoints) > 0 && len(list.Endpoints) <= maxHosts
+	if list.Generation > c.list.Generation && storable {
+		put(command, listKey, &list)
+	}
+	if snapshot.SessionFloor > c.sessionFloor+positionStep {
+		put(command, floorKey, &SessionFloor{snapshot.SessionFloor})
+	}
+	for _, write := range c.hostWrites(now, snapshot.Hosts) {
+		if len(command.Then) < maxOps {
+			put(command, hostKey(write.id), &write.host)
+		}
+	}
+	for _, id := range c.obsoleteHosts(now, snapshot.Hosts) {
+		if len(command.Then) < maxOps {
+			command.Then = append(command.Then, machine.Op{Kind: machine.Delete, NS: NS, Key: hostKey(id)})
+		}
+	}
+	return command
+}
+
+// hostWrites returns the records that are to be written, urgent ones first.
+func (c *Cache) hostWrites(now int64, hosts []balance.HostSnapshot) []hostWrite {
+	var urgent, others []hostWrite
+	for i := range hosts {
+		write, worthwhile := c.hostChange(now, &hosts[i])
+		switch {
+		case !worthwhile:
+		case write.urgent:
+			urgent = append(urgent, write)
+		default:
+			others = append(others, write)
+		}
+	}
+	return append(urgent, others...)
+}
+
+// hostChange returns a host's new record, and whether it is worth a write. One that changes what the host may be sent
+// is urgent.
+func (c *Cache) hostChange(now int64, observed *balance.HostSnapshot) (write hostWrite, worthwhile bool) {
+	stored, known := c.hosts[observed.Host]
+	next := Host{
+		Group:      observed.Group,
+		Position:   observed.Position,
+		PositionAt: observed.PositionAt,
+		Primary:    observed.Primary,
+		Down:       observed.Down,
+		ColdUntil:  observed.SlowStartUntil,
+		Limit:      observed.ConcurrencyLimit,
+		At:         now,
+		By:         c.conf.Name,
+	}
+	if observed.Position < stored.Position && observed.Primary == stored.Primary {
+		next.Position = stored.Position // a position never goes back
+		next.PositionAt = stored.PositionAt
+	}
+	roleChanged := observed.Down != stored.Down || observed.Primary != stored.Primary
+	slowStartChanged := (observed.SlowStartUntil > now) != (stored.ColdUntil > now)
+	write = hostWrite{observed.Host, next, roleChanged || slowStartChanged}
+	writtenByAnother := stored.At > now-MaxClockSkew && stored.By != c.conf.Name
+	if nothingKnown(observed) || writtenByAnother {
+		return write, false
+	}
+	age := now - stored.At
+	worthwhile = !known || write.urgent ||
+		next.Position-stored.Position > positionStep ||
+		age > refreshInterval ||
+		limitMoved(stored.Limit, observed.ConcurrencyLimit) && age > positionStep
+	return write, worthwhile
+}
+
+func nothingKnown(host *balance.HostSnapshot) bool {
+	return host.Position == 0 && !host.Down && host.SlowStartUntil == 0 && host.ConcurrencyLimit == 0
+}
+
+func limitMoved(stored, observed float64) bool {
+	if stored <= 0 || observed <= 0 {
+		return false
+	}
+	return observed > stored*(1+limitChange) || observed < stored*(1-limitChange)
+}
+
+// obsoleteHosts returns, in order, the hosts that this gateway wrote last and that its list has not named for long.
+func (c *Cache) obsoleteHosts(now int64, present []balance.HostSnapshot) []string {
+	named := map[string]bool{}
+	for i := range present {
+		named[present[i].Host] = true
+	}
+	var obsolete []string
+	for id, host := range c.hosts {
+		if !named[id] && host.By == c.conf.Name && now-host.At > c.conf.MaxAge {
+			obsolete = append(obsolete, id)
+		}
+	}
+	slices.Sort(obsolete)
+	return obsolete
+}
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -9,45 +9,46 @@
 )
 
 const (
-	sec  = int64(1_000_000)
-	base = 1_000_000 * sec
+	second = int64(1_000_000)
+	start  = 1_000_000 * second
 )
 
-// rig is a store of one machine, shared by keepers.
-type rig struct {
-	t       *testing.T
-	m       *machine.Machine
-	keepers []*Keeper
+// harness is a store of one machine, shared by the caches of gateways.
+type harness struct {
+	t      *testing.T
+	state  *machine.Machine
+	caches []*Cache
 }
 
-func newRig(t *testing.T, names ...string) *rig {
-	r := &rig{t: t, m: machine.New()}
+func newHarness(t *testing.T, names ...string) *harness {
+	t.Helper()
+	h := &harness{t: t, state: machine.New()}
 	for _, n := range names {
-		r.keepers = append(r.keepers, New(Config{Name: n, Every: sec / 2, Believe: 60 * sec}))
+		h.caches = append(h.caches, New(Config{Name: n, MinInterval: second / 2, MaxAge: 60 * second}))
 	}
-	return r
+	return h
 }
 
-// apply commits commands and tells all keepers, and counts the operations that took effect.
-func (r *rig) apply(cmds []machine.Command) (ops int) {
-	r.t.Helper()
+// apply commits commands and updates all caches, and counts the operations that took effect.
+func (h *harness) apply(cmds []machine.Command) (ops int) {
+	h.t.Helper()
 	for _, c := range cmds {
-		before := r.m.Revision()
+		before := h.state.Revision()
 		b, err := machine.Encode(&c)
 		if err != nil {
-			r.t.Fatal(err)
+			h.t.Fatal(err)
 		}
-		res, _, err := r.m.Apply(r.m.Index()+1, b)
+		res, _, err := h.state.Apply(h.state.Index()+1, b)
 		if err != nil || res.Code != machine.OK {
-			r.t.Fatal(res, err)
+			h.t.Fatal(res, err)
 		}
 		if res.Holds {
 			ops += len(c.Then)
 		}
-		events, _, _ := r.m.EventsSince(NS, "", before, 1000)
+		events, _, _ := h.state.EventsSince(NS, "", before, 1000)
 		for _, ev := range events {
-			for _, k := range r.keepers {
-				k.Stored(ev.KV, ev.Deleted)
+			for _, cache := range h.caches {
+				cache.Update(ev.KV, ev.Deleted)
 			}
 		}
 	}
@@ -58,126 +59,158 @@
 	return balance.Snapshot{Groups: []balance.GroupSnapshot{{Group: 1, Primary: primary, ObservedAt: at}}, Hosts: hosts}
 }
 
-func (r *rig) primary() Primary { return r.keepers[0].groups[1] }
+func (h *harness) primary() Primary { return h.caches[0].groups[1] }
 
-func TestTermRisesWithEachChangeAndOldEvidenceChangesNothing(t *testing.T) {
-	r := newRig(t, "a", "b")
-	a, b := r.keepers[0], r.keepers[1]
-	r.apply(a.Plan(base, facts("p", base), List{}))
-	if p := r.primary(); p.Host != "p" || p.Term != 1 {
+func TestTermRisesWithEachChangeOfPrimaryAndOldEvidenceIsIgnored(t *testing.T) {
+	h := newHarness(t, "a", "b")
+	a := h.caches[0]
+	b := h.caches[1]
+	h.apply(a.Plan(start, facts("p", start), EndpointList{}))
+	if p := h.primary(); p.Host != "p" || p.Term != 1 {
 		t.Fatalf("%+v", p)
 	}
-	r.apply(b.Plan(base+2*sec, facts("q", base+2*sec), List{}))
-	if p := r.primary(); p.Host != "q" || p.Term != 2 || p.By != "b" {
+	h.apply(b.Plan(start+2*second, facts("q", start+2*second), EndpointList{}))
+	if p := h.primary(); p.Host != "q" || p.Term != 2 || p.By != "b" {
 		t.Errorf("%+v", p)
 	}
 	// a was cut off and still holds p for the primary: its evidence is older, and within the clocks' bound no younger.
-	for i, at := range []int64{base + sec, base + 2*sec + Skew} {
-		r.apply(a.Plan(base+int64(4+i)*sec, facts("p", at), List{}))
-		if p := r.primary(); p.Host != "q" {
-			t.Errorf("evidence of %d put %s back", at-base, p.Host)
+	for i, at := range []int64{start + second, start + 2*second + MaxClockSkew} {
+		h.apply(a.Plan(start+int64(4+i)*second, facts("p", at), EndpointList{}))
+		if p := h.primary(); p.Host != "q" {
+			t.Errorf("evidence of %d put %s back", at-start, p.Host)
 		}
 	}
 	// Both learn of another change at once: one of them writes it, and the term rises once.
-	first := a.Plan(base+10*sec, facts("r", base+9*sec), List{})
-	second := b.Plan(base+10*sec, facts("r", base+9*sec), List{})
-	if n := r.apply(first) + r.apply(second); n != 1 || r.primary().Term != 3 {
-		t.Errorf("%d writes, %+v", n, r.primary())
+	first := a.Plan(start+10*second, facts("r", start+9*second), EndpointList{})
+	second := b.Plan(start+10*second, facts("r", start+9*second), EndpointList{})
+	if n := h.apply(first) + h.apply(second); n != 1 || h.primary().Term != 3 {
+		t.Errorf("%d writes, %+v", n, h.primary())
 	}
 }
 
-func TestWritesAreFewAndBounded(t *testing.T) {
-	r := newRig(t, "a")
-	k, writes := r.keepers[0], 0
+func TestWritesAreRareAndBounded(t *testing.T) {
+	h := newHarness(t, "a")
+	cache := h.caches[0]
+	writes := 0
 	for ms := int64(0); ms < 60_000; ms += 20 {
-		now := base + ms*1000
+		now := start + ms*1000
 		f := facts("h0", now)
 		for i := range 100 {
 			f.Hosts = append(f.Hosts, balance.HostSnapshot{Host: fmt.Sprint("h", i), Group: 1, Position: now - 5000, PositionAt: now, ConcurrencyLimit: 4})
 		}
-		cmds := k.Plan(now, f, List{Generation: 1, Entries: []Entry{{Address: "x"}}})
+		cmds := cache.Plan(now, f, EndpointList{Generation: 1, Endpoints: []Endpoint{{Address: "x"}}})
 		for _, c := range cmds {
 			if len(c.Then) > maxOps {
 				t.Fatalf("%d operations", len(c.Then))
 			}
 		}
 		writes += len(cmds)
-		r.apply(cmds)
+		h.apply(cmds)
 	}
 	if writes > 2*2*60 { // two transactions each half second at the most
 		t.Errorf("%d transactions in a minute", writes)
 	}
-	if n := len(r.m.List(NS, "host/", 0)); n != 100 {
+	if n := len(h.state.List(NS, "host/", 0)); n != 100 {
 		t.Errorf("%d hosts are kept", n)
 	}
 	behind := int64(0)
-	for _, h := range k.hosts {
-		behind = max(behind, base+60*sec-h.Position)
+	for _, h := range cache.hosts {
+		behind = max(behind, start+60*second-h.Position)
 	}
-	if behind > 8*sec {
+	if behind > 8*second {
 		t.Errorf("a stored position is %d ms behind", behind/1000)
 	}
 }
 
-func TestGraveChangesGoFirst(t *testing.T) {
-	r := newRig(t, "a")
-	k := r.keepers[0]
+func TestUrgentChangesAreWrittenFirst(t *testing.T) {
+	h := newHarness(t, "a")
+	cache := h.caches[0]
 	f := balance.Snapshot{}
 	for i := range 200 {
-		f.Hosts = append(f.Hosts, balance.HostSnapshot{Host: fmt.Sprintf("h%03d", i), Group: 1, Position: base, PositionAt: base})
+		f.Hosts = append(f.Hosts, balance.HostSnapshot{Host: fmt.Sprintf("h%03d", i), Group: 1, Position: start, PositionAt: start})
 	}
 	f.Hosts[199].Down = true
-	r.apply(k.Plan(base, f, List{}))
-	if !k.hosts["h199"].Down {
+	h.apply(cache.Plan(start, f, EndpointList{}))
+	if !cache.hosts["h199"].Down {
 		t.Error("a host that is down was left for later")
 	}
 }
 
-func TestBeliefGoesAsFarAsAge(t *testing.T) {
-	r := newRig(t, "a")
-	k := r.keepers[0]
-	f := facts("p", base, balance.HostSnapshot{Host: "p", Group: 1, Position: base, PositionAt: base, Primary: true},
-		balance.HostSnapshot{Host: "d", Group: 1, Position: base - sec, PositionAt: base, Down: true, ConcurrencyLimit: 9},
-		balance.HostSnapshot{Host: "c", Group: 1, Position: base - 2*sec, PositionAt: base, SlowStartUntil: base + 16*sec})
-	r.apply(k.Plan(base, f, List{Generation: 9, Entries: []Entry{{Address: "1:1"}}}))
-	by := func(b Belief) map[string]balance.HostSnapshot {
-		m := map[string]balance.HostSnapshot{}
-		for _, h := range b.Facts.Hosts {
-			m[h.Host] = h
-		}
-		return m
+// restarted returns a cache of a new incarnation that has read the store.
+func (h *harness) restarted() *Cache {
+	fresh := New(Config{Name: "a", MaxAge: 60 * second})
+	for _, kv := range h.state.List(NS, "", 0) {
+		fresh.Update(&kv, false)
 	}
-	fresh := New(Config{Name: "a", Believe: 60 * sec})
-	for _, kv := range r.m.List(NS, "", 0) {
-		fresh.Stored(&kv, false)
+	return fresh
+}
+
+func hostsByID(restored Restored) map[string]balance.HostSnapshot {
+	hosts := map[string]balance.HostSnapshot{}
+	for _, host := range restored.Snapshot.Hosts {
+		hosts[host.Host] = host
 	}
-	soon, later := fresh.Start(base+5*sec, 7), fresh.Start(base+100*sec, 9)
-	if h := by(soon); len(soon.Facts.Groups) != 1 || soon.List == nil || !h["d"].Down || h["d"].ConcurrencyLimit != 9 || h["c"].SlowStartUntil == 0 || h["p"].Position != base {
+	return hosts
+}
+
+func TestRestoredStateDependsOnItsAge(t *testing.T) {
+	h := newHarness(t, "a")
+	known := facts("p", start,
+		balance.HostSnapshot{Host: "p", Group: 1, Position: start, PositionAt: start, Primary: true},
+		balance.HostSnapshot{Host: "d", Group: 1, Position: start - second, PositionAt: start, Down: true, ConcurrencyLimit: 9},
+		balance.HostSnapshot{Host: "c", Group: 1, Position: start - 2*second, PositionAt: start, SlowStartUntil: start + 16*second})
+	h.apply(h.caches[0].Plan(start, known, EndpointList{Generation: 9, Endpoints: []Endpoint{{Address: "1:1"}}}))
+	fresh := h.restarted()
+
+	soon := fresh.Restore(start+5*second, 7)
+	if len(soon.Snapshot.Groups) != 1 || soon.List == nil {
 		t.Errorf("after 5 s: %+v", soon)
 	}
-	if h := by(later); len(later.Facts.Groups) != 0 || later.List != nil || h["d"].Down || h["d"].ConcurrencyLimit != 0 || h["c"].SlowStartUntil != 0 || h["d"].Position != base-sec {
-		t.Errorf("after 100 s: %+v", later)
+	hosts := hostsByID(soon)
+	if !hosts["d"].Down || hosts["d"].ConcurrencyLimit != 9 || hosts["c"].SlowStartUntil == 0 || hosts["p"].Position != start {
+		t.Errorf("hosts after 5 s: %+v", hosts)
 	}
-	// p was primary when its position was heard, and q is by now: what p had may be ahead of what the others ever had.
-	r.apply(k.Plan(base+2*sec, facts("q", base+2*sec), List{}))
-	for _, kv := range r.m.List(NS, "", 0) {
-		fresh.Stored(&kv, false)
+
+	later := fresh.Restore(start+100*second, 9)
+	if len(later.Snapshot.Groups) != 0 || later.List != nil {
+		t.Errorf("after 100 s: %+v", later)
 	}
-	if h := by(fresh.Start(base+5*sec, 9)); h["p"].Position != 0 || h["d"].Position != base-sec {
-		t.Errorf("after a change of primary: %+v", h)
+	hosts = hostsByID(later)
+	if hosts["d"].Down || hosts["d"].ConcurrencyLimit != 0 || hosts["c"].SlowStartUntil != 0 || hosts["d"].Position != start-second {
+		t.Errorf("hosts after 100 s: %+v", hosts)
 	}
+
 	// A clock that was ahead by minutes has left times from the future: no evidence.
-	if b := fresh.Start(base-100*sec, 0); len(b.Facts.Groups) != 0 || by(b)["d"].Position != 0 {
-		t.Errorf("from the future: %+v", b)
+	future := fresh.Restore(start-100*second, 0)
+	if len(future.Snapshot.Groups) != 0 || hostsByID(future)["d"].Position != 0 {
+		t.Errorf("from the future: %+v", future)
+	}
+}
+
+// What a former primary had may lie ahead of what the other hosts ever had.
+func TestPositionOfAFormerPrimaryIsDiscarded(t *testing.T) {
+	h := newHarness(t, "a")
+	known := facts("p", start,
+		balance.HostSnapshot{Host: "p", Group: 1, Position: start, PositionAt: start, Primary: true},
+		balance.HostSnapshot{Host: "d", Group: 1, Position: start - second, PositionAt: start, Down: true, ConcurrencyLimit: 9})
+	h.apply(h.caches[0].Plan(start, known, EndpointList{}))
+	h.apply(h.caches[0].Plan(start+2*second, facts("q", start+2*second), EndpointList{}))
+	hosts := hostsByID(h.restarted().Restore(start+5*second, 9))
+	if hosts["p"].Position != 0 || hosts["d"].Position != start-second {
+		t.Errorf("after a change of primary: %+v", hosts)
+	}
+	future := h.restarted().Restore(start-100*second, 0)
+	if len(future.Snapshot.Groups) != 0 || hostsByID(future)["d"].Position != 0 {
+		t.Errorf("from the future: %+v", future)
 	}
 }
 
-func TestWhatCannotBeReadIsLeft(t *testing.T) {
-	k := New(Config{Name: "a"})
+func TestUnreadableKeysAreCountedAndLeft(t *testing.T) {
+	cache := New(Config{Name: "a"})
 	for _, key := range []string{"host/x", "group/1", "list", "floor", "group/x"} {
-		k.Stored(&machine.KV{NS: NS, Key: key, Value: []byte("\xc1noise")}, false)
+		cache.Update(&machine.KV{NS: NS, Key: key, Value: []byte("\xc1noise")}, false)
 	}
-	if k.Unread() != 5 || len(k.hosts)+len(k.groups) != 0 {
-		t.Errorf("%d unread, %d hosts, %d groups", k.Unread(), len(k.hosts), len(k.groups))
+	if cache.Unreadable() != 5 || len(cache.hosts)+len(cache.groups) != 0 {
+		t.Errorf("%d unread, %d hosts, %d groups", cache.Unreadable(), len(cache.hosts), len(cache.groups))
 	}
 }
