--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -47,11 +47,11 @@
 func start(set *settings.Settings, getenv func(string) string, log zerolog.Logger) *daemon {
 	d := &daemon{set: set, getenv: getenv, log: log, opened: make(chan struct{}), changed: make(chan struct{}, 1)}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
-	if learned := set.Learned; learned != nil {
+	if learned := set.WarmStart; learned != nil {
 		d.cache = warmstart.New(warmstart.Config{
 			Name:        set.Store.Name,
-			MinInterval: learned.WriteMS * 1000,
-			MaxAge:      learned.BelieveMS * 1000,
+			MinInterval: learned.WriteIntervalMS * 1000,
+			MaxAge:      learned.MaxAgeMS * 1000,
 		})
 	}
 	runtime.GOMAXPROCS(max(minThreads, min(maxThreads, runtime.NumCPU())))
@@ -70,7 +70,7 @@
 }
 
 func (d *daemon) open() error {
-	conf, err := d.set.Store.Node()
+	conf, err := d.set.Store.NodeConfig()
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/warmstart.go
+++ b/internal/daemon/warmstart.go
@@ -81,7 +81,7 @@
 func (d *daemon) keepState(n *node.Node) {
 	events := make(chan []machine.Event, eventBacklog)
 	d.wg.Go(func() { d.watchState(n, events) })
-	pause := time.Duration(d.set.Learned.WriteMS) * time.Millisecond / 2
+	pause := time.Duration(d.set.WarmStart.WriteIntervalMS) * time.Millisecond / 2
 	tick := time.NewTicker(max(pause, minPlanPause))
 	defer tick.Stop()
 	for {
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -325,7 +325,7 @@
 		return err
 	}
 	if !s.Forget {
-		set.Learned = &settings.Learned{}
+		set.WarmStart = &settings.WarmStart{}
 	}
 	b, err := json.Marshal(set)
 	if err != nil {
--- /dev/null
+++ b/internal/settings/schema.go
@@ -0,0 +1,94 @@
+package settings
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+
+	"github.com/google/jsonschema-go/jsonschema"
+
+	"cloverrock/deploy"
+)
+
+const (
+	gatewayDocument = "gateway"
+	schemaSuffix    = ".schema" // of the document that holds another's schema
+)
+
+// errInvalidSchema says that the schema itself is wrong.
+var errInvalidSchema = errors.New("the schema cannot be used")
+
+// Validate validates a document against a schema and names the faulty key.
+func Validate(schema, document []byte) (key string, err error) {
+	var parsed jsonschema.Schema
+	if err := json.Unmarshal(schema, &parsed); err != nil {
+		return "", fmt.Errorf("%w: %w", errInvalidSchema, err)
+	}
+	resolved, err := parsed.Resolve(nil) // without a loader: a schema that names others by address fetches nothing
+	if err != nil {
+		return "", fmt.Errorf("%w: %w", errInvalidSchema, err)
+	}
+	var value any
+	if err := json.Unmarshal(document, &value); err != nil {
+		return "", fmt.Errorf("not JSON: %w", err)
+	}
+	if err := resolved.Validate(value); err != nil {
+		key, fault := faultyKey(err.Error())
+		return key, errors.New(fault)
+	}
+	return "", nil
+}
+
+// faultyKey reads the key out of the library's message, which names places of the schema from the outside in.
+func faultyKey(message string) (key, fault string) {
+	var names []string
+	parts := strings.Split(message, ": ")
+	for len(parts) > 1 && strings.HasPrefix(parts[0], "validating ") {
+		path := strings.Split(strings.TrimPrefix(parts[0], "validating "), "/")
+		if found := propertyPath(path); len(found) > 0 {
+			names = found
+		}
+		parts = parts[1:]
+	}
+	return strings.Join(names, "."), strings.Join(parts, ": ")
+}
+
+// propertyPath returns the names of the properties on a path through a schema; "*" is any.
+func propertyPath(path []string) (names []string) {
+	for i := 1; i+1 < len(path); i++ {
+		switch path[i] {
+		case "properties":
+			names = append(names, path[i+1])
+			i++
+		case "additionalProperties":
+			names = append(names, "*")
+		}
+	}
+	return names
+}
+
+// ValidateDocument validates a document of the store: "gateway" by the program's schema, another by the given one,
+// which is nil if there is none. Of a schema's document it checks that it is a schema.
+func ValidateDocument(name string, body, schema []byte) error {
+	if strings.HasSuffix(name, schemaSuffix) {
+		if _, err := Validate(body, []byte("null")); errors.Is(err, errInvalidSchema) {
+			return fmt.Errorf("document %s: %w", name, err)
+		}
+		return nil
+	}
+	if name == gatewayDocument {
+		schema = deploy.Gateway
+	}
+	if schema == nil {
+		return nil
+	}
+	key, err := Validate(schema, body)
+	switch {
+	case err == nil:
+		return nil
+	case key != "":
+		return fmt.Errorf("document %s: %s: %w", name, key, err)
+	}
+	return fmt.Errorf("document %s: %w", name, err)
+}
--- a/internal/storecmd/found.go
+++ b/internal/storecmd/found.go
@@ -237,7 +237,7 @@
 // checkNotRunning makes sure, as far as the others can be reached, that the store does not run yet. A directory that
 // was lost and founded a second time would vote as if it had forgotten nothing.
 func checkNotRunning(set *settings.Store, f *founding) error {
-	conf, err := set.Node()
+	conf, err := set.NodeConfig()
 	if err != nil {
 		return err
 	}
--- a/internal/storecmd/serve.go
+++ b/internal/storecmd/serve.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	conf, err := set.Node()
+	conf, err := set.NodeConfig()
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 			if err != nil {
 				return err
 			}
-			conf, err := set.Node()
+			conf, err := set.NodeConfig()
 			if err != nil {
 				return err
 			}
