--- a/internal/lab/restart/rig.go
+++ b/internal/lab/restart/rig.go
@@ -208,7 +208,7 @@
 	r.settingsFile = filepath.Join(r.directory, members[0]+".json")
 	err = r.editSettings(func(edited *settings.Settings) {
 		if !r.options.Forget {
-			edited.Learned = &settings.Learned{}
+			edited.WarmStart = &settings.WarmStart{}
 		}
 	})
 	if err != nil {
