--- a/internal/daemon/document.go
+++ b/internal/daemon/document.go
@@ -72,14 +72,14 @@
 		applied = revision.Number
 	}
 	d.status = documents.Running{
-		Instance: d.set.Store.Name,
-		Document: gatewayDocument,
-		Revision: revision.Number,
-		Applied:  applied,
-		State:    state,
-		Detail:   detail,
-		AtMS:     time.Now().UnixMilli(),
-		Version:  app.Version(),
+		Instance:     d.set.Store.Name,
+		Document:     gatewayDocument,
+		Revision:     revision.Number,
+		Applied:      applied,
+		State:        state,
+		Detail:       detail,
+		ReportedAtMS: time.Now().UnixMilli(),
+		Version:      app.Version(),
 	}
 	d.document = revision.Body
 	select {
--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -284,7 +284,7 @@
 				}
 			}
 			var res machine.Result
-			if res, err = cl.Txn(one, cmd); err == nil {
+			if res, err = cl.Transact(one, cmd); err == nil {
 				out = reply{Done: res.Holds, Known: true}
 			}
 		}
--- a/internal/lab/chaos/cluster.go
+++ b/internal/lab/chaos/cluster.go
@@ -155,7 +155,7 @@
 
 // client connects as the operator; pinned to the first endpoint or roaming.
 func (c *cluster) client(first int, pinned bool, try time.Duration) (*client.Client, error) {
-	conf, err := pki.Load(pki.Files{Certificate: filepath.Join(c.dir, "operator.pem"), Key: filepath.Join(c.dir, "operator-key.pem"),
+	conf, err := pki.LoadTLS(pki.Files{Certificate: filepath.Join(c.dir, "operator.pem"), Key: filepath.Join(c.dir, "operator-key.pem"),
 		Authority: filepath.Join(c.dir, "authority.pem")})
 	if err != nil {
 		return nil, err
@@ -164,7 +164,7 @@
 	for i := range c.all {
 		endpoints = append(endpoints, c.all[(first+i)%len(c.all)].address)
 	}
-	return client.New(client.Config{Endpoints: endpoints, TLS: conf, Pinned: pinned, Try: try}), nil
+	return client.New(client.Config{Endpoints: endpoints, TLS: conf, SingleEndpoint: pinned, AttemptTimeout: try}), nil
 }
 
 var errProgram = errors.New("the program under rehearsal is missing; build it beside this one")
--- a/internal/lab/restart/beside.go
+++ b/internal/lab/restart/beside.go
@@ -145,7 +145,7 @@
 }
 
 func (s *stage) write(ctx context.Context, writes *atomic.Int64) {
-	conf, err := pki.Load(pki.Files{Certificate: filepath.Join(s.dir, "operator.pem"), Key: filepath.Join(s.dir, "operator-key.pem"), Authority: filepath.Join(s.dir, "authority.pem")})
+	conf, err := pki.LoadTLS(pki.Files{Certificate: filepath.Join(s.dir, "operator.pem"), Key: filepath.Join(s.dir, "operator-key.pem"), Authority: filepath.Join(s.dir, "authority.pem")})
 	if err != nil {
 		return
 	}
@@ -156,7 +156,7 @@
 	c := client.New(client.Config{Endpoints: []string{set.Store.Listen}, TLS: conf})
 	defer c.Close()
 	for i := 0; ctx.Err() == nil; i++ {
-		if _, err := c.Txn(ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{{Kind: machine.Put, NS: "load", Key: fmt.Sprint(i % 5000), Value: make([]byte, 256)}}}); err == nil {
+		if _, err := c.Transact(ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{{Kind: machine.Put, NS: "load", Key: fmt.Sprint(i % 5000), Value: make([]byte, 256)}}}); err == nil {
 			writes.Add(1)
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -137,7 +137,7 @@
 
 // NodeConfig returns the configuration of the instance's node. It reads the certificate's files.
 func (s *Store) NodeConfig() (node.Config, error) {
-	tls, err := pki.Load(pki.Files{Certificate: s.Certificate, Key: s.Key, Authority: s.Authority})
+	tls, err := pki.LoadTLS(pki.Files{Certificate: s.Certificate, Key: s.Key, Authority: s.Authority})
 	if err != nil {
 		return node.Config{}, err
 	}
--- a/internal/store/client/client.go
+++ b/internal/store/client/client.go
@@ -3,13 +3,11 @@
 package client
 
 import (
-	"bufio"
 	"context"
 	"crypto/tls"
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"sync"
 	"time"
 
@@ -18,15 +16,22 @@
 	"cloverrock/internal/store/transport"
 )
 
+const (
+	defaultAttemptTimeout = 3 * time.Second
+	minBackoff            = 20 * time.Millisecond
+	maxBackoff            = time.Second
+	watchRetry            = 200 * time.Millisecond // pause before a watch goes on at the next instance
+)
+
 // Config of a client.
 type Config struct {
-	Endpoints []string
-	TLS       *tls.Config
-	Try       time.Duration // how long one instance may take to answer; 3 s if 0
-	Pinned    bool          // ask the first endpoint only
+	Endpoints      []string // HOST:PORT of instances
+	TLS            *tls.Config
+	AttemptTimeout time.Duration // for one instance to answer; 0: 3 s
+	SingleEndpoint bool          // ask the first endpoint only
 }
 
-// Error is a refusal or failure that the store has told.
+// Error is a refusal or failure that the store has answered. Its code is one of package frame.
 type Error struct{ Code, Message string }
 
 func (e *Error) Error() string { return e.Message }
@@ -37,20 +42,21 @@
 // Client is safe for concurrent use.
 type Client struct {
 	conf Config
-	mu   sync.Mutex
-	at   int
-	conn *conn
-	next uint64
 
-	smu     sync.Mutex // one write of the session at a time
-	session uint64
-	seq     uint64
+	mu       sync.Mutex
+	endpoint int // counts up; modulo the endpoints, the one in use
+	conn     *connection
+	lastID   uint64
+
+	sessionMu sync.Mutex // held for a write: the session has one at a time
+	session   uint64     // 0: none is open
+	seq       uint64
 }
 
 // New returns a client; it connects when it is first asked.
 func New(conf Config) *Client {
-	if conf.Try == 0 {
-		conf.Try = 3 * time.Second
+	if conf.AttemptTimeout == 0 {
+		conf.AttemptTimeout = defaultAttemptTimeout
 	}
 	return &Client{conf: conf}
 }
@@ -60,27 +66,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != nil {
-		c.conn.c.Close()
+		c.conn.close()
 		c.conn = nil
 	}
 }
 
-// conn is one connection with the calls that wait on it.
-type conn struct {
-	c    net.Conn
-	wmu  sync.Mutex
-	mu   sync.Mutex
-	call map[uint64]chan *frame.Response
-	gone chan struct{}
-}
-
-func (c *Client) connect(ctx context.Context) (*conn, error) {
+// connect returns the connection in use, or a new one.
+func (c *Client) connect(ctx context.Context) (*connection, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != nil {
 		select {
-		case <-c.conn.gone:
-			c.conn = nil // or a dial that fails would not lead on to the next instance
+		case <-c.conn.closed:
+			c.conn = nil // else nextEndpoint would not go on after a dial that fails
 		default:
 			return c.conn, nil
 		}
@@ -88,248 +86,211 @@
 	if len(c.conf.Endpoints) == 0 {
 		return nil, errors.New("store: no endpoints are given")
 	}
-	raw, _, err := transport.Dial(ctx, c.conf.Endpoints[c.at%len(c.conf.Endpoints)], c.conf.TLS, frame.Hello{}, "")
+	address := c.conf.Endpoints[c.endpoint%len(c.conf.Endpoints)]
+	conn, _, err := transport.Dial(ctx, address, c.conf.TLS, frame.Hello{}, "")
 	if err != nil {
 		return nil, err
 	}
-	k := &conn{c: raw, call: map[uint64]chan *frame.Response{}, gone: make(chan struct{})}
-	c.conn = k
-	go k.read()
-	return k, nil
+	c.conn = newConnection(conn)
+	return c.conn, nil
 }
 
-// elsewhere goes over to the next instance, if this connection is still the one in use.
-func (c *Client) elsewhere(k *conn) {
+// nextEndpoint goes over to the next instance, if the given connection is still the one in use; nil: there was none.
+func (c *Client) nextEndpoint(failed *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.conn == k {
-		if k != nil {
-			k.c.Close()
-		}
-		c.conn = nil
-		if !c.conf.Pinned {
-			c.at++
-		}
+	if c.conn != failed {
+		return
+	}
+	if failed != nil {
+		failed.close()
+	}
+	c.conn = nil
+	if !c.conf.SingleEndpoint {
+		c.endpoint++
 	}
 }
 
-func (k *conn) read() {
-	defer close(k.gone)
-	defer k.c.Close()
-	rd := bufio.NewReader(k.c)
-	for {
-		kind, body, err := frame.Read(rd, nil, frame.Max)
-		if err != nil {
-			return
-		}
-		a := &frame.Response{}
-		if kind != frame.ResponseKind || frame.Value(body, a) != nil {
-			continue
-		}
-		k.mu.Lock()
-		ch := k.call[a.ID]
-		if !a.More {
-			delete(k.call, a.ID)
-		}
-		k.mu.Unlock()
-		if ch != nil {
-			ch <- a
-		}
-	}
+func (c *Client) nextID() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastID++
+	return c.lastID
 }
 
-// stream sends a request and hands on each answer until the last. Its error says that none came.
-func (c *Client) stream(ctx context.Context, q *frame.Request, limit time.Duration, part func(*frame.Response) error) (*conn, *frame.Response, error) {
-	dialling, cancel := context.WithTimeout(ctx, c.conf.Try)
-	k, err := c.connect(dialling)
+// attempt sends a request to one instance, passes each response but the last to part, and returns the last. An error
+// says that none came. The connection is nil if nothing was sent.
+func (c *Client) attempt(ctx context.Context, request *frame.Request, limit time.Duration, part func(*frame.Response) error) (*connection, *frame.Response, error) {
+	dialCtx, cancel := context.WithTimeout(ctx, c.conf.AttemptTimeout)
+	conn, err := c.connect(dialCtx)
 	cancel()
 	if err != nil {
-		c.elsewhere(nil)
+		c.nextEndpoint(nil)
 		return nil, nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	c.mu.Lock()
-	c.next++
-	q.ID = c.next
-	c.mu.Unlock()
-	b, err := frame.AppendValue(nil, frame.RequestKind, q)
-	if err != nil {
-		return k, nil, err
-	}
-	ch := make(chan *frame.Response, 16)
-	k.mu.Lock()
-	k.call[q.ID] = ch
-	k.mu.Unlock()
-	defer func() {
-		k.mu.Lock()
-		delete(k.call, q.ID)
-		k.mu.Unlock()
-		for len(ch) > 0 {
-			<-ch
-		}
-	}()
-	k.wmu.Lock()
-	_ = k.c.SetWriteDeadline(time.Now().Add(c.conf.Try))
-	_, err = k.c.Write(b)
-	k.wmu.Unlock()
+	request.ID = c.nextID()
+	data, err := frame.AppendValue(nil, frame.RequestKind, request)
 	if err != nil {
-		return k, nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
+		return conn, nil, err
 	}
-	var late <-chan time.Time
-	if limit > 0 {
-		t := time.NewTimer(limit)
-		defer t.Stop()
-		late = t.C
+	responses, unregister := conn.register(request.ID)
+	defer unregister()
+	if err := conn.write(data, c.conf.AttemptTimeout); err != nil {
+		return conn, nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	for {
-		select {
-		case a := <-ch:
-			if !a.More {
-				return k, a, nil
-			}
-			if err := part(a); err != nil {
-				k.c.Close()
-				return k, nil, err
-			}
-		case <-k.gone:
-			select {
-			case a := <-ch:
-				if !a.More {
-					return k, a, nil
-				}
-			default:
-			}
-			return k, nil, fmt.Errorf("%w: the connection ended", ErrUnavailable)
-		case <-late:
-			return k, nil, fmt.Errorf("%w: no answer in time", ErrUnavailable)
-		case <-ctx.Done():
-			return k, nil, ctx.Err()
-		}
+	response, err := conn.receive(ctx, responses, limit, part)
+	return conn, response, err
+}
+
+// pause waits, and reports false if the context ends first.
+func pause(ctx context.Context, wait time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(wait):
+		return true
 	}
 }
 
-// Call asks until an instance answers or the context ends. With again false, a request whose answer was lost is not
+// Call asks until an instance answers or the context ends. Without idempotent, a request whose answer was lost is not
 // sent a second time.
-func (c *Client) Call(ctx context.Context, q *frame.Request, again bool) (*frame.Response, error) {
-	wait := 20 * time.Millisecond
+func (c *Client) Call(ctx context.Context, request *frame.Request, idempotent bool) (*frame.Response, error) {
+	ignore := func(*frame.Response) error { return nil }
+	backoff := minBackoff
 	for {
-		one := *q
-		k, a, err := c.stream(ctx, &one, c.conf.Try, func(*frame.Response) error { return nil })
-		switch {
-		case err == nil && a.Code == frame.CodeOK:
-			return a, nil
-		case err == nil && a.Code != frame.CodeRetry && (a.Code != frame.CodeUnknown || !again):
-			return a, &Error{a.Code, a.Error}
-		case err == nil:
-			err = &Error{a.Code, a.Error}
-		case k != nil && !again: // it was sent, and may have been done
-			c.elsewhere(k)
+		attempt := *request
+		conn, response, err := c.attempt(ctx, &attempt, c.conf.AttemptTimeout, ignore)
+		if err == nil {
+			if response.Code == frame.CodeOK {
+				return response, nil
+			}
+			err = &Error{response.Code, response.Error}
+			retryable := response.Code == frame.CodeRetry || response.Code == frame.CodeOutcomeUnknown && idempotent
+			if !retryable {
+				return response, err
+			}
+		} else if conn != nil && !idempotent { // it was sent, and may have been done
+			c.nextEndpoint(conn)
 			return nil, err
 		}
-		c.elsewhere(k)
-		select {
-		case <-ctx.Done():
+		c.nextEndpoint(conn)
+		if !pause(ctx, backoff) {
 			return nil, fmt.Errorf("%w (%w)", err, ctx.Err())
-		case <-time.After(wait):
 		}
-		wait = min(2*wait, time.Second)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// Txn has a command applied once, whatever is lost on the way.
-func (c *Client) Txn(ctx context.Context, cmd machine.Command) (machine.Result, error) {
-	c.smu.Lock()
-	defer c.smu.Unlock()
+// Transact has a command applied once, whatever is lost on the way. If it is not known whether the command was applied,
+// the error is an *Error with frame.CodeOutcomeUnknown or that of the context.
+func (c *Client) Transact(ctx context.Context, command machine.Command) (machine.Result, error) {
+	c.sessionMu.Lock()
+	defer c.sessionMu.Unlock()
 	for {
 		if c.session == 0 {
-			a, err := c.Call(ctx, &frame.Request{Op: frame.OpPropose, Command: &machine.Command{Kind: machine.OpenSessionKind}}, true)
-			if err != nil {
+			if err := c.openSession(ctx); err != nil {
 				return machine.Result{}, err
 			}
-			c.session, c.seq = a.Result.ID, 0
 		}
 		c.seq++
-		cmd.Session, cmd.Seq = c.session, c.seq
-		a, err := c.Call(ctx, &frame.Request{Op: frame.OpPropose, Command: &cmd}, true)
+		command.Session = c.session
+		command.Seq = c.seq
+		response, err := c.Call(ctx, &frame.Request{Op: frame.OpPropose, Command: &command}, true)
 		if err != nil {
-			c.session = 0 // its last command may still come to be applied: nothing new under its name
+			c.session = 0 // its last command may still be applied: nothing new may come under its name
 			return machine.Result{}, err
 		}
-		if a.Result.Code == machine.NoSession { // dropped for room before it was used: nothing was done
-			c.session = 0
-			if c.seq == 1 {
-				continue
-			}
-			return a.Result, &Error{frame.CodeUnknown, "store: the session was dropped; whether the command was applied is not known"}
+		result := response.Result
+		switch {
+		case result.Code == machine.OK:
+			return result, nil
+		case result.Code != machine.NoSession:
+			return result, &Error{frame.CodeRefused, "store: " + result.Code.String()}
 		}
-		if a.Result.Code != machine.OK {
-			return a.Result, &Error{frame.CodeRefused, "store: " + a.Result.Code.String()}
+		c.session = 0
+		if c.seq > 1 {
+			return result, &Error{frame.CodeOutcomeUnknown, "store: the session was dropped; whether the command was applied is not known"}
 		}
-		return a.Result, nil
+		// The session was dropped before it was used: nothing was done.
 	}
 }
 
-// Get reads a key.
-func (c *Client) Get(ctx context.Context, ns, key string, stale bool) (kv machine.KV, found bool, age int64, err error) {
-	a, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: key, Stale: stale}, true)
+func (c *Client) openSession(ctx context.Context) error {
+	open := &machine.Command{Kind: machine.OpenSessionKind}
+	response, err := c.Call(ctx, &frame.Request{Op: frame.OpPropose, Command: open}, true)
+	if err != nil {
+		return err
+	}
+	c.session = response.Result.ID
+	c.seq = 0
+	return nil
+}
+
+// Get reads a key. The age in milliseconds is how far the state may be behind, -1: not known; it is 0 unless stale is
+// set.
+func (c *Client) Get(ctx context.Context, ns, key string, stale bool) (kv machine.KV, found bool, ageMS int64, err error) {
+	response, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: key, Stale: stale}, true)
 	if err != nil {
 		return kv, false, 0, err
 	}
-	if len(a.Result.KVs) == 0 {
-		return kv, false, a.AgeMS, nil
+	if len(response.Result.KVs) == 0 {
+		return kv, false, response.AgeMS, nil
 	}
-	return a.Result.KVs[0], true, a.AgeMS, nil
+	return response.Result.KVs[0], true, response.AgeMS, nil
 }
 
-// List reads the keys with a prefix; limit -1 is all.
-func (c *Client) List(ctx context.Context, ns, prefix string, limit int, stale bool) ([]machine.KV, int64, error) {
-	a, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: prefix, Limit: limit, Stale: stale}, true)
+// List reads the keys with a prefix; limit -1 is all. The age is that of Get.
+func (c *Client) List(ctx context.Context, ns, prefix string, limit int, stale bool) (kvs []machine.KV, ageMS int64, err error) {
+	response, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: prefix, Limit: limit, Stale: stale}, true)
 	if err != nil {
 		return nil, 0, err
 	}
-	return a.Result.KVs, a.AgeMS, nil
+	return response.Result.KVs, response.AgeMS, nil
 }
 
-// Watch hands on the events after a revision, at one instance after another, until the context ends or f returns an
-// error. With ok false events were lost to compaction, and upTo is where the watch goes on.
-func (c *Client) Watch(ctx context.Context, ns, prefix string, after int64, f func(events []machine.Event, upTo int64, ok bool) error) error {
+// EventHandler takes events of a watch, which go up to a revision. With complete false, events before that revision
+// were compacted: the caller has to read the keys anew, and the watch goes on from there. An error ends the watch.
+type EventHandler func(events []machine.Event, upTo int64, complete bool) error
+
+// Watch passes the events after a revision to handle, at one instance after another, until the context ends or handle
+// returns an error.
+func (c *Client) Watch(ctx context.Context, ns, prefix string, after int64, handle EventHandler) error {
 	for {
-		q := &frame.Request{Op: frame.OpWatch, NS: ns, Key: prefix, After: after}
-		var ended error
-		k, a, err := c.stream(ctx, q, 0, func(a *frame.Response) error {
-			after = a.Result.Revision
-			ended = f(a.Events, a.Result.Revision, a.Result.Code != machine.IsCompacted)
-			return ended
+		request := &frame.Request{Op: frame.OpWatch, NS: ns, Key: prefix, After: after}
+		var handleErr error
+		conn, response, err := c.attempt(ctx, request, 0, func(part *frame.Response) error {
+			after = part.Result.Revision
+			handleErr = handle(part.Events, after, part.Result.Code != machine.IsCompacted)
+			return handleErr
 		})
-		if ended != nil {
-			return ended
+		if handleErr != nil {
+			return handleErr
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if err == nil && a.Code == frame.CodeRefused {
-			return &Error{a.Code, a.Error}
+		if err == nil && response.Code == frame.CodeRefused {
+			return &Error{response.Code, response.Error}
 		}
-		c.elsewhere(k)
-		select {
-		case <-ctx.Done():
+		c.nextEndpoint(conn)
+		if !pause(ctx, watchRetry) {
 			return ctx.Err()
-		case <-time.After(200 * time.Millisecond):
 		}
 	}
 }
 
-// Backup writes a snapshot of the whole state.
+// Backup writes the whole state as an encoded snapshot.
 func (c *Client) Backup(ctx context.Context, w io.Writer) error {
-	k, a, err := c.stream(ctx, &frame.Request{Op: frame.OpBackup}, 0, func(a *frame.Response) error {
-		_, err := w.Write(a.Body)
+	conn, response, err := c.attempt(ctx, &frame.Request{Op: frame.OpBackup}, 0, func(part *frame.Response) error {
+		_, err := w.Write(part.Body)
 		return err
 	})
 	if err != nil {
-		c.elsewhere(k)
+		c.nextEndpoint(conn)
 		return err
 	}
-	if a.Code != frame.CodeOK {
-		return &Error{a.Code, a.Error}
+	if response.Code != frame.CodeOK {
+		return &Error{response.Code, response.Error}
 	}
 	return nil
 }
--- a/internal/store/documents/documents.go
+++ b/internal/store/documents/documents.go
@@ -1,5 +1,5 @@
-// Package documents keeps operators' documents in the store: numbered revisions with author, time and note, of which
-// none is changed once it is there. It decides what a change writes and on what condition; it does no I/O.
+// Package documents defines operators' documents in the store: numbered revisions with author, time and note, which are
+// never changed. It decides what a change writes and on what condition; it does no I/O.
 package documents
 
 import (
@@ -15,13 +15,13 @@
 	"cloverrock/internal/store/machine"
 )
 
-// NS is the namespace of documents. Only changes made here are let into it.
+// NS is the namespace of documents. It is written only by the commands that Plan returns.
 const NS = "config"
 
 const (
-	// MaxBody bounds a document.
+	// MaxBody bounds a document in bytes.
 	MaxBody = 256 << 10
-	// KeepRevisions bounds the history of one; the oldest go.
+	// KeepRevisions bounds the revisions of a document that are kept; the oldest are dropped.
 	KeepRevisions = 200
 )
 
@@ -33,9 +33,9 @@
 	ErrSame     = errors.New("documents: nothing would change")
 )
 
-var named = regexp.MustCompile(`^[a-zA-Z][a-zA-Z0-9.-]{0,63}$`)
+var validName = regexp.MustCompile(`^[a-zA-Z][a-zA-Z0-9.-]{0,63}$`)
 
-// Head is the latest revision's number.
+// Head is the stored record of which revisions there are.
 type Head struct {
 	Number int64 `msgpack:"n"`
 	First  int64 `msgpack:"f"` // oldest revision that is kept
@@ -43,13 +43,13 @@
 
 // Revision is a document as it stood from a change on.
 type Revision struct {
-	Name   string          `msgpack:"-" json:"document"`
-	Number int64           `msgpack:"n" json:"revision"`
-	Author string          `msgpack:"a" json:"author"`
-	AtMS   int64           `msgpack:"t" json:"at_ms"` // by the clock of the instance that took the change
-	Note   string          `msgpack:"m,omitempty" json:"note,omitempty"`
-	Back   int64           `msgpack:"b,omitempty" json:"rolled_back_to,omitempty"`
-	Body   json.RawMessage `msgpack:"d" json:"body,omitempty"`
+	Name         string          `msgpack:"-" json:"document"`
+	Number       int64           `msgpack:"n" json:"revision"`
+	Author       string          `msgpack:"a" json:"author"`
+	AtMS         int64           `msgpack:"t" json:"at_ms"` // by the clock of the instance that took the change
+	Note         string          `msgpack:"m,omitempty" json:"note,omitempty"`
+	RolledBackTo int64           `msgpack:"b,omitempty" json:"rolled_back_to,omitempty"`
+	Body         json.RawMessage `msgpack:"d" json:"body,omitempty"`
 }
 
 func headKey(name string) string { return "head/" + name }
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("body/%s/%012d", name, number)
 }
 
-// Reader is what of the state a change looks at.
+// Reader reads the state.
 type Reader interface {
 	Get(ns, key string) (machine.KV, bool)
 	List(ns, prefix string, limit int) []machine.KV
@@ -78,7 +78,7 @@
 
 // At returns a revision; number 0 is the latest.
 func At(r Reader, name string, number int64) (*Revision, error) {
-	if !named.MatchString(name) {
+	if !validName.MatchString(name) {
 		return nil, ErrName
 	}
 	if number == 0 {
@@ -130,82 +130,111 @@
 	return names
 }
 
-// Change is what an operator wants.
+// Change is what an operator asks for.
 type Change struct {
 	Name, Author, Note string
 	AtMS               int64
 	Body               []byte
-	Base               int64 // the revision that the operator has seen; -1: any, 0: there is none yet
-	Back               int64 // instead of Body: the revision to go back to
+	Base               int64 // the revision that the operator has changed; -1: any, 0: there is none yet
+	RollBackTo         int64 // instead of Body: the revision to go back to
 }
 
-// Plan returns the command that makes a change, and the revision it makes. The command does nothing if another change
-// comes first: then its result does not hold.
-func Plan(r Reader, c Change) (*machine.Command, *Revision, error) {
-	if !named.MatchString(c.Name) {
+// Plan returns the command that makes a change, and the revision that it makes. The command does nothing if another
+// change comes first: then its result does not hold. The errors are ErrName, ErrConflict, ErrMissing and ErrSame, and
+// those of a body that is too long or no JSON.
+func Plan(r Reader, change Change) (*machine.Command, *Revision, error) {
+	if !validName.MatchString(change.Name) {
 		return nil, nil, ErrName
 	}
-	head, modified, err := Latest(r, c.Name)
+	head, modified, err := Latest(r, change.Name)
 	if err != nil {
 		return nil, nil, err
 	}
-	if c.Base >= 0 && c.Base != head.Number {
-		return nil, nil, fmt.Errorf("%w: %s stands at revision %d, not %d", ErrConflict, c.Name, head.Number, c.Base)
+	if change.Base >= 0 && change.Base != head.Number {
+		return nil, nil, fmt.Errorf("%w: %s stands at revision %d, not %d", ErrConflict, change.Name, head.Number, change.Base)
 	}
-	if c.Back != 0 {
-		old, err := At(r, c.Name, c.Back)
-		if err != nil {
-			return nil, nil, err
+	body, err := newBody(r, &change)
+	if err != nil {
+		return nil, nil, err
+	}
+	if head.Number > 0 {
+		latest, err := At(r, change.Name, head.Number)
+		if err == nil && bytes.Equal(latest.Body, body) {
+			return nil, nil, fmt.Errorf("%w: %s stands at revision %d", ErrSame, change.Name, head.Number)
 		}
-		c.Body = old.Body
 	}
-	if len(c.Body) > MaxBody {
-		return nil, nil, fmt.Errorf("documents: %s has %d bytes; %d at most", c.Name, len(c.Body), MaxBody)
+	revision := &Revision{
+		Name:         change.Name,
+		Number:       head.Number + 1,
+		Author:       change.Author,
+		AtMS:         change.AtMS,
+		Note:         change.Note,
+		RolledBackTo: change.RollBackTo,
+		Body:         body,
 	}
-	var tidy bytes.Buffer
-	if err := json.Compact(&tidy, c.Body); err != nil {
-		return nil, nil, fmt.Errorf("documents: %s is not JSON: %w", c.Name, err)
+	ops, err := revision.writes(head)
+	if err != nil {
+		return nil, nil, fmt.Errorf("documents: encode %s: %w", change.Name, err)
 	}
-	if head.Number > 0 {
-		if now, err := At(r, c.Name, head.Number); err == nil && bytes.Equal(now.Body, tidy.Bytes()) {
-			return nil, nil, fmt.Errorf("%w: %s stands at revision %d", ErrSame, c.Name, head.Number)
+	unchanged := machine.Compare{NS: NS, Key: headKey(change.Name), Target: machine.Modified, Number: modified}
+	return &machine.Command{Kind: machine.TransactionKind, If: []machine.Compare{unchanged}, Then: ops}, revision, nil
+}
+
+// newBody returns the compacted body of a change: its own, or that of the revision to roll back to.
+func newBody(r Reader, change *Change) ([]byte, error) {
+	body := change.Body
+	if change.RollBackTo != 0 {
+		old, err := At(r, change.Name, change.RollBackTo)
+		if err != nil {
+			return nil, err
 		}
+		body = old.Body
+	}
+	if len(body) > MaxBody {
+		return nil, fmt.Errorf("documents: %s has %d bytes; %d at most", change.Name, len(body), MaxBody)
 	}
-	rev := &Revision{Name: c.Name, Number: head.Number + 1, Author: c.Author, AtMS: c.AtMS, Note: c.Note, Back: c.Back, Body: tidy.Bytes()}
+	var compacted bytes.Buffer
+	if err := json.Compact(&compacted, body); err != nil {
+		return nil, fmt.Errorf("documents: %s is not JSON: %w", change.Name, err)
+	}
+	return compacted.Bytes(), nil
+}
+
+// writes returns the operations that make this revision the latest, and drop those that are too old.
+func (rev *Revision) writes(head Head) ([]machine.Op, error) {
 	next := Head{Number: rev.Number, First: max(head.First, 1)}
 	var ops []machine.Op
 	for next.Number-next.First >= KeepRevisions {
-		ops = append(ops, machine.Op{Kind: machine.Delete, NS: NS, Key: bodyKey(c.Name, next.First)})
+		ops = append(ops, machine.Op{Kind: machine.Delete, NS: NS, Key: bodyKey(rev.Name, next.First)})
 		next.First++
 	}
 	body, err := msgpack.Marshal(rev)
 	if err != nil {
-		return nil, nil, fmt.Errorf("documents: encode %s: %w", c.Name, err)
+		return nil, err
 	}
-	h, err := msgpack.Marshal(&next)
+	headValue, err := msgpack.Marshal(&next)
 	if err != nil {
-		return nil, nil, fmt.Errorf("documents: encode %s: %w", c.Name, err)
+		return nil, err
 	}
-	ops = append(ops, machine.Op{Kind: machine.Put, NS: NS, Key: bodyKey(c.Name, rev.Number), Value: body},
-		machine.Op{Kind: machine.Put, NS: NS, Key: headKey(c.Name), Value: h})
-	return &machine.Command{Kind: machine.TransactionKind, Then: ops,
-		If: []machine.Compare{{NS: NS, Key: headKey(c.Name), Target: machine.Modified, Number: modified}}}, rev, nil
+	return append(ops,
+		machine.Op{Kind: machine.Put, NS: NS, Key: bodyKey(rev.Name, rev.Number), Value: body},
+		machine.Op{Kind: machine.Put, NS: NS, Key: headKey(rev.Name), Value: headValue}), nil
 }
 
-// StatusNS is where instances say what they run; each key ends with its instance's lease.
+// StatusNS is the namespace in which instances report what they run; each key is removed with its instance's lease.
 const StatusNS = "status"
 
-// Running is what an instance says of a document.
+// Running is what an instance reports of a document.
 type Running struct {
-	Instance string `json:"instance"`
-	Document string `json:"document"`
-	Revision int64  `json:"revision"` // the latest that it has looked at
-	Applied  int64  `json:"applied"`  // the latest that it runs
-	State    string `json:"state"`    // applied, restart, failed
-	Detail   string `json:"detail,omitempty"`
-	AtMS     int64  `json:"at_ms"`
-	Version  string `json:"version,omitempty"`
+	Instance     string `json:"instance"`
+	Document     string `json:"document"`
+	Revision     int64  `json:"revision"` // the latest that it has looked at
+	Applied      int64  `json:"applied"`  // the latest that it runs
+	State        string `json:"state"`    // applied, restart, failed
+	Detail       string `json:"detail,omitempty"`
+	ReportedAtMS int64  `json:"at_ms"`
+	Version      string `json:"version,omitempty"`
 }
 
-// RunningKey is the key of what an instance says of a document.
+// RunningKey is the key of what an instance reports of a document.
 func RunningKey(instance, document string) string { return "running/" + document + "/" + instance }
--- a/internal/store/frame/frame.go
+++ b/internal/store/frame/frame.go
@@ -1,5 +1,5 @@
-// Package frame is what goes over a store's connections: a length, a kind, and a body. A length is believed only as
-// far as bytes come, so that a peer that claims much costs no more than it sends.
+// Package frame is the wire format of the store's connections: a length of 4 bytes (big endian), a kind of one byte, and
+// a body. Memory is taken as bytes arrive, so that a peer that claims a long frame costs no more than it sends.
 package frame
 
 import (
@@ -7,6 +7,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"slices"
 
 	"github.com/vmihailenco/msgpack/v5"
 	"go.etcd.io/raft/v3/raftpb"
@@ -16,20 +17,26 @@
 	"cloverrock/internal/store/machine"
 )
 
-// Max bounds a frame's body.
-const Max = 16 << 20
+const (
+	// MaxSize bounds a frame's body in bytes.
+	MaxSize = 16 << 20
+
+	headSize = 5        // bytes: length and kind
+	readStep = 64 << 10 // bytes by which the buffer grows at least while a body arrives
+)
 
-// Kind of a frame. An unknown kind is passed over: a newer build may say more than an older one takes.
+// Kind of a frame. An unknown kind is ignored: a newer build may send what an older one does not know.
 type Kind byte
 
+// The kinds of frames, and what their bodies are.
 const (
-	HelloKind    Kind = 'h'
-	WelcomeKind  Kind = 'w'
-	RaftKind     Kind = 'r'
-	ChunkKind    Kind = 'p'
-	ChunkAckKind Kind = 'g'
-	RequestKind  Kind = 'q'
-	ResponseKind Kind = 'a'
+	HelloKind    Kind = 'h' // Hello
+	WelcomeKind  Kind = 'w' // Welcome
+	RaftKind     Kind = 'r' // raftpb.Message, as protobuf
+	ChunkKind    Kind = 'p' // core.SnapshotChunk
+	ChunkAckKind Kind = 'g' // core.ChunkAck
+	RequestKind  Kind = 'q' // Request
+	ResponseKind Kind = 'a' // Response
 )
 
 // ErrTooLong says that a frame claims more than Max.
@@ -38,17 +45,17 @@
 // Hello is the first frame of whoever connects.
 type Hello struct {
 	Form    uint8  `msgpack:"f"`
-	Peer    bool   `msgpack:"p"` // an instance that will send what it has for this one; else a client
+	Peer    bool   `msgpack:"p"` // an instance, which sends messages for this one; else a client
 	Cluster uint64 `msgpack:"c"`
 	ID      uint64 `msgpack:"i"`
 	Address string `msgpack:"a"`
 }
 
-// Welcome answers it.
+// Welcome answers a Hello.
 type Welcome struct {
 	Form    uint8  `msgpack:"f"`
 	Error   string `msgpack:"e,omitempty"`
-	Final   bool   `msgpack:"x,omitempty"` // the error will not go away: removed, another cluster
+	Final   bool   `msgpack:"x,omitempty"` // no retry helps: the peer was removed, or is of another cluster
 	Cluster uint64 `msgpack:"c"`
 	Name    string `msgpack:"n"`
 }
@@ -65,7 +72,7 @@
 	if err != nil {
 		return b, fmt.Errorf("store: encode frame: %w", err)
 	}
-	if len(body) > Max {
+	if len(body) > MaxSize {
 		return b, ErrTooLong
 	}
 	return Append(b, kind, body), nil
@@ -80,34 +87,39 @@
 	return err
 }
 
-// Read reads one frame. The body is valid until the next call with the same buffer.
-func Read(r io.Reader, buf []byte, most int) (Kind, []byte, error) {
-	var head [5]byte
+// Read reads one frame with a body of at most maxSize bytes. The body is valid until the next call with the same buffer.
+func Read(r io.Reader, buf []byte, maxSize int) (Kind, []byte, error) {
+	var head [headSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, buf, err
 	}
-	n := binary.BigEndian.Uint32(head[:4])
-	if n > uint32(most) {
-		return 0, buf, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLong, n, most)
+	size := binary.BigEndian.Uint32(head[:4])
+	if size > uint32(maxSize) {
+		return 0, buf, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLong, size, maxSize)
+	}
+	body, err := readBody(r, buf[:0], int(size))
+	if err != nil {
+		return 0, body, err
 	}
-	buf = buf[:0]
-	for left := int(n); left > 0; { // room grows with what has come
-		step := min(left, max(64<<10, cap(buf)-len(buf)))
+	return Kind(head[4]), body, nil
+}
+
+// readBody appends a number of bytes to the buffer, which grows as they arrive.
+func readBody(r io.Reader, buf []byte, size int) ([]byte, error) {
+	for left := size; left > 0; {
+		step := min(left, max(readStep, cap(buf)-len(buf)))
 		at := len(buf)
-		for cap(buf) < at+step {
-			buf = append(buf[:cap(buf)], 0)
-		}
-		buf = buf[:at+step]
+		buf = slices.Grow(buf, step)[:at+step]
 		if _, err := io.ReadFull(r, buf[at:]); err != nil {
-			return 0, buf, err
+			return buf, err
 		}
 		left -= step
 	}
-	return Kind(head[4]), buf, nil
+	return buf, nil
 }
 
-// Value reads a msgpack body.
-func Value(body []byte, v any) error {
+// DecodeValue reads a msgpack body.
+func DecodeValue(body []byte, v any) error {
 	if err := msgpack.Unmarshal(body, v); err != nil {
 		return fmt.Errorf("store: read frame: %w", err)
 	}
@@ -129,8 +141,8 @@
 	return Append(b, RaftKind, body), nil
 }
 
-// Envelope reads one back. It reports false for a kind that is not one.
-func Envelope(kind Kind, body []byte, from, to uint64) (core.Envelope, bool, error) {
+// DecodeEnvelope reads a message between instances. It reports false for a kind that is none.
+func DecodeEnvelope(kind Kind, body []byte, from, to uint64) (core.Envelope, bool, error) {
 	e := core.Envelope{From: from, To: to}
 	var err error
 	switch kind {
@@ -139,10 +151,10 @@
 		err = proto.Unmarshal(body, e.Raft)
 	case ChunkKind:
 		e.Chunk = &core.SnapshotChunk{}
-		err = Value(body, e.Chunk)
+		err = DecodeValue(body, e.Chunk)
 	case ChunkAckKind:
 		e.Ack = &core.ChunkAck{}
-		err = Value(body, e.Ack)
+		err = DecodeValue(body, e.Ack)
 	default:
 		return e, false, nil
 	}
@@ -156,13 +168,13 @@
 	Command *machine.Command `msgpack:"c,omitempty"`
 	NS      string           `msgpack:"n,omitempty"`
 	Key     string           `msgpack:"k,omitempty"`
-	Limit   int              `msgpack:"l,omitempty"`
+	Limit   int              `msgpack:"l,omitempty"` // of keys, -1: all; or the revision to roll a document back to
 	Stale   bool             `msgpack:"s,omitempty"`
-	After   int64            `msgpack:"r,omitempty"`
-	Node    uint64           `msgpack:"d,omitempty"`
+	After   int64            `msgpack:"r,omitempty"` // a revision: of the state, or the base of a document's change
+	NodeID  uint64           `msgpack:"d,omitempty"`
 	Name    string           `msgpack:"m,omitempty"`
 	Address string           `msgpack:"a,omitempty"`
-	Token   string           `msgpack:"t,omitempty"`
+	Token   string           `msgpack:"t,omitempty"` // by which an instance joins, or the note of a document's change
 	Body    []byte           `msgpack:"b,omitempty"`
 }
 
@@ -181,11 +193,11 @@
 
 // Codes of a Response that a client acts on.
 const (
-	CodeOK      = ""
-	CodeRetry   = "retry"   // nothing was done; another instance may know better
-	CodeUnknown = "unknown" // it may have been done: again under the same sequence number
-	CodeRefused = "refused" // not allowed, or not sensible
-	CodeFailed  = "failed"
+	CodeOK             = ""
+	CodeRetry          = "retry"   // nothing was done; another instance may know better
+	CodeOutcomeUnknown = "unknown" // it may have been done: again under the same sequence number
+	CodeRefused        = "refused" // not allowed, or not sensible
+	CodeFailed         = "failed"
 )
 
 // Response answers a Request; with More set, others follow.
--- a/internal/store/frame/golden_test.go
+++ b/internal/store/frame/golden_test.go
@@ -3,53 +3,18 @@
 import (
 	"bytes"
 	"encoding/hex"
-	"errors"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"reflect"
-	"strings"
 	"testing"
 
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"cloverrock/internal/golden"
 	"cloverrock/internal/store/core"
 	"cloverrock/internal/store/machine"
 )
 
-// update writes the golden files anew, for a change of a form that is meant.
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// held compares lines, one named case each, with a golden file, and returns the file's cases by name.
-func held(t *testing.T, file string, lines []string) map[string]string {
-	t.Helper()
-	path, now := filepath.Join("testdata", file), strings.Join(lines, "\n")+"\n"
-	if *update {
-		if err := errors.Join(os.MkdirAll("testdata", 0o755), os.WriteFile(path, []byte(now), 0o644)); err != nil {
-			t.Fatal(err)
-		}
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
-	if len(golden) != len(lines) {
-		t.Errorf("%s has %d cases, now there are %d", path, len(golden), len(lines))
-	}
-	cases := map[string]string{}
-	for i, line := range golden {
-		name, value, _ := strings.Cut(line, " ")
-		cases[name] = value
-		if i < len(lines) && lines[i] != line {
-			t.Errorf("%s, line %d:\nheld %s\nnow  %s", path, i+1, line, lines[i])
-		}
-	}
-	return cases
-}
-
 // goldenCase is a value that goes over a connection, and an empty one of its type to read it into.
 type goldenCase struct {
 	name        string
@@ -68,7 +33,7 @@
 		{"hello-client", HelloKind, &Hello{Form: 1}, &Hello{}},
 		{"welcome", WelcomeKind, &Welcome{Form: 1, Cluster: 77, Name: "a"}, &Welcome{}},
 		{"welcome-refused", WelcomeKind, &Welcome{Form: 1, Error: "removed", Final: true, Cluster: 77, Name: "a"}, &Welcome{}},
-		{"request", RequestKind, &Request{ID: 1, Op: OpPropose, Command: &command, NS: "config", Key: "one", Limit: -1, Stale: true, After: 2, Node: 3,
+		{"request", RequestKind, &Request{ID: 1, Op: OpPropose, Command: &command, NS: "config", Key: "one", Limit: -1, Stale: true, After: 2, NodeID: 3,
 			Name: "gateway", Address: "127.0.0.1:7002", Token: "note", Body: []byte("{}")}, &Request{}},
 		{"request-least", RequestKind, &Request{ID: 2, Op: OpStatus}, &Request{}},
 		{"response", ResponseKind, &Response{ID: 1, Code: CodeFailed, Error: "why", Result: machine.Result{Code: machine.NoLease, Holds: true, Revision: 9, ID: 8, KVs: []machine.KV{kv}},
@@ -86,14 +51,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kind, body, err := Read(bytes.NewReader(b), nil, Max)
+	kind, body, err := Read(bytes.NewReader(b), nil, MaxSize)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return kind, body
 }
 
-// TestFramesKeepTheirBytes holds the frames of connections, both ways, with the words for operations and codes.
+// The frames of connections, both ways, and the words for operations and codes stay.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	var lines []string
 	for _, c := range goldenCases() {
@@ -113,17 +78,17 @@
 		lines = append(lines, fmt.Sprintf("envelope/%c %x", b[4], b))
 	}
 	lines = append(lines, fmt.Sprintf("operations %q", []string{OpPropose, OpRead, OpWatch, OpStatus, OpJoin, OpRemove, OpTransfer, OpBackup, OpDocument}),
-		fmt.Sprintf("codes %q", []string{CodeOK, CodeRetry, CodeUnknown, CodeRefused, CodeFailed}))
-	golden := held(t, "frames.txt", lines)
+		fmt.Sprintf("codes %q", []string{CodeOK, CodeRetry, CodeOutcomeUnknown, CodeRefused, CodeFailed}))
+	stored := golden.CheckLines(t, "frames.txt", lines)
 
 	for _, c := range goldenCases() {
-		kind, body := frameOf(t, golden[c.name])
-		if err := Value(body, c.into); err != nil || kind != c.kind || !reflect.DeepEqual(c.into, c.value) {
+		kind, body := frameOf(t, stored[c.name])
+		if err := DecodeValue(body, c.into); err != nil || kind != c.kind || !reflect.DeepEqual(c.into, c.value) {
 			t.Errorf("%s is read as %c %+v, %v", c.name, kind, c.into, err)
 		}
 	}
-	kind, body := frameOf(t, golden["envelope/r"])
-	e, ok, err := Envelope(kind, body, 11, 12)
+	kind, body := frameOf(t, stored["envelope/r"])
+	e, ok, err := DecodeEnvelope(kind, body, 11, 12)
 	if err != nil || !ok || e.From != 11 || e.To != 12 || !proto.Equal(e.Raft, message) {
 		t.Errorf("raft's message is read as %+v, %v", e, err)
 	}
--- a/internal/store/node/cluster_test.go
+++ b/internal/store/node/cluster_test.go
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	tb.Cleanup(cancel)
 	cl := &cluster{t: tb, dir: tb.TempDir(), ctx: ctx, id: 77}
-	cl.must(pki.Found(cl.dir, "test", time.Now(), time.Hour))
+	cl.must(pki.CreateAuthority(cl.dir, "test", time.Now(), time.Hour))
 	cl.must(pki.Issue(cl.dir, "operator", pki.Operator, time.Now(), time.Hour))
 	var voters []uint64
 	var records []machine.Op
@@ -100,7 +100,7 @@
 // tlsFrom loads a certificate that may be of another authority, and takes this store's authority for its peers.
 func (cl *cluster) tlsFrom(dir, name string) *tls.Config {
 	cl.t.Helper()
-	conf, err := pki.Load(pki.Files{
+	conf, err := pki.LoadTLS(pki.Files{
 		Certificate: filepath.Join(dir, name+".pem"),
 		Key:         filepath.Join(dir, name+"-key.pem"),
 		Authority:   filepath.Join(cl.dir, "authority.pem"),
@@ -172,7 +172,7 @@
 
 func (cl *cluster) put(c *client.Client, key, value string) {
 	cl.t.Helper()
-	_, err := c.Txn(cl.ctx, putCommand("n", key, value))
+	_, err := c.Transact(cl.ctx, putCommand("n", key, value))
 	cl.must(err)
 }
 
--- a/internal/store/node/join.go
+++ b/internal/store/node/join.go
@@ -70,7 +70,7 @@
 	}
 	members := client.New(client.Config{Endpoints: addresses, TLS: conf.TLS})
 	defer members.Close()
-	request := &frame.Request{Op: frame.OpJoin, Node: id, Address: cmp.Or(conf.Advertise, conf.Listen), Token: token}
+	request := &frame.Request{Op: frame.OpJoin, NodeID: id, Address: cmp.Or(conf.Advertise, conf.Listen), Token: token}
 	if _, err := members.Call(ctx, request, false); err != nil {
 		return 0, err
 	}
--- a/internal/store/node/membership.go
+++ b/internal/store/node/membership.go
@@ -54,7 +54,7 @@
 // join takes an instance in as a learner. One whose name is a member's is let in by its certificate; a new one also
 // needs a token, which is spent by it.
 func (cc *clientConn) join(ctx context.Context, request *frame.Request) error {
-	if cc.role != pki.Instance || request.Node == 0 || request.Address == "" {
+	if cc.role != pki.Instance || request.NodeID == 0 || request.Address == "" {
 		return reject("an instance joins with its own certificate, an id and an address")
 	}
 	var token string
@@ -70,7 +70,7 @@
 	}
 	member := core.Member{Name: cc.owner, Address: request.Address, Format: machine.Format}
 	return cc.node.changeMembers(ctx, func() (*raftpb.ConfChangeV2, *machine.Command, error) {
-		return core.PlanJoin(cc.node.core.Machine(), request.Node, member, token)
+		return core.PlanJoin(cc.node.core.Machine(), request.NodeID, member, token)
 	})
 }
 
@@ -90,10 +90,10 @@
 			return "", reject("the token is not known, was used, or has ended")
 		}
 	}
-	if _, removed := m.Get(core.RemovedNS, core.MemberKey(request.Node)); removed {
+	if _, removed := m.Get(core.RemovedNS, core.MemberKey(request.NodeID)); removed {
 		return "", reject("the id was removed")
 	}
-	if _, taken := members[request.Node]; taken {
+	if _, taken := members[request.NodeID]; taken {
 		return "", reject("the id is taken")
 	}
 	return token, nil
--- a/internal/store/node/membership_test.go
+++ b/internal/store/node/membership_test.go
@@ -14,7 +14,7 @@
 
 // join asks for an instance to be taken in under an id.
 func (cl *cluster) join(i int, id uint64, token string) error {
-	request := &frame.Request{Op: frame.OpJoin, Node: id, Address: cl.confs[i].Listen, Token: token}
+	request := &frame.Request{Op: frame.OpJoin, NodeID: id, Address: cl.confs[i].Listen, Token: token}
 	_, err := cl.client(cl.confs[i].Name, 0, 1, 2).Call(cl.ctx, request, false)
 	return err
 }
@@ -40,7 +40,7 @@
 	if err := cl.join(i, cl.ids[i], "nonsense"); err == nil || !strings.Contains(err.Error(), "token") {
 		t.Fatalf("a token that is not known: %v", err)
 	}
-	_, err := operator.Txn(cl.ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{{Kind: machine.Put, NS: core.TokensNS, Key: TokenKey("secret")}}})
+	_, err := operator.Transact(cl.ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{{Kind: machine.Put, NS: core.TokensNS, Key: TokenKey("secret")}}})
 	cl.must(err)
 	cl.must(cl.join(i, cl.ids[i], "secret"))
 	cl.createDirectory(i, 0, nil)
@@ -60,14 +60,14 @@
 	cl.must(err)
 	cl.awaitEnd(again, "a removed instance is let in with its old data")
 	cl.waitUntil("the new id is removed", func() bool { // on a busy machine the outcome may be unknown; who is gone is refused
-		_, err := operator.Call(cl.ctx, &frame.Request{Op: frame.OpRemove, Node: 99}, false)
+		_, err := operator.Call(cl.ctx, &frame.Request{Op: frame.OpRemove, NodeID: 99}, false)
 		return err == nil || refused(err)
 	})
 	cl.waitUntil("three are left", func() bool {
 		s, err := cl.nodes[0].Status(cl.ctx)
 		return err == nil && len(s.Members) == 3 && len(s.Learners) == 0
 	})
-	_, err = operator.Call(cl.ctx, &frame.Request{Op: frame.OpRemove, Node: 12345}, false)
+	_, err = operator.Call(cl.ctx, &frame.Request{Op: frame.OpRemove, NodeID: 12345}, false)
 	if !refused(err) {
 		t.Errorf("who is no member: %v", err)
 	}
--- a/internal/store/node/node.go
+++ b/internal/store/node/node.go
@@ -170,11 +170,11 @@
 	}
 	hello := frame.Hello{Peer: true, Cluster: identity.Cluster, ID: identity.Node, Address: n.conf.Advertise}
 	n.transport = transport.New(transport.Config{
-		TLS:     n.conf.TLS,
-		Routes:  n.conf.Routes,
-		Log:     n.connectionLog(),
-		Hello:   hello,
-		Refused: n.fail,
+		TLS:       n.conf.TLS,
+		Routes:    n.conf.Routes,
+		Log:       n.connectionLog(),
+		Hello:     hello,
+		OnRemoved: n.fail,
 	})
 	n.publish()
 	n.wg.Go(n.accept)
--- a/internal/store/node/requests.go
+++ b/internal/store/node/requests.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		request := &frame.Request{}
-		if err := frame.Value(body, request); err != nil {
+		if err := frame.DecodeValue(body, request); err != nil {
 			return err
 		}
 		slots <- struct{}{}
@@ -102,7 +102,7 @@
 	case errors.Is(err, core.ErrNoLeader), errors.Is(err, core.ErrBusy), errors.Is(err, core.ErrHalted):
 		return frame.CodeRetry
 	case errors.Is(err, core.ErrOutcomeUnknown), errors.Is(err, context.DeadlineExceeded), errors.Is(err, ErrStopped):
-		return frame.CodeUnknown
+		return frame.CodeOutcomeUnknown
 	}
 	return frame.CodeFailed
 }
@@ -152,7 +152,7 @@
 	case frame.OpJoin:
 		return cc.join(ctx, request)
 	case frame.OpRemove:
-		return cc.node.removeMember(ctx, request.Node)
+		return cc.node.removeMember(ctx, request.NodeID)
 	case frame.OpTransfer:
 		return cc.node.transferLeadership(ctx)
 	case frame.OpBackup:
@@ -225,13 +225,13 @@
 // revision that the operator has changed.
 func (cc *clientConn) changeDocument(ctx context.Context, request *frame.Request, response *frame.Response) error {
 	change := documents.Change{
-		Name:   request.Name,
-		Author: cc.owner,
-		Note:   request.Token,
-		AtMS:   time.Now().UnixMilli(),
-		Body:   request.Body,
-		Base:   request.After,
-		Back:   int64(request.Limit),
+		Name:       request.Name,
+		Author:     cc.owner,
+		Note:       request.Token,
+		AtMS:       time.Now().UnixMilli(),
+		Body:       request.Body,
+		Base:       request.After,
+		RollBackTo: int64(request.Limit),
 	}
 	var command *machine.Command
 	var revision *documents.Revision
--- a/internal/store/node/requests_test.go
+++ b/internal/store/node/requests_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("an observer wrote: %v", err)
 	}
 	for _, ns := range []string{core.MembersNS, documents.NS} {
-		_, err = c.Txn(cl.ctx, putCommand(ns, "x", ""))
+		_, err = c.Transact(cl.ctx, putCommand(ns, "x", ""))
 		if !refused(err) {
 			t.Errorf("%s was written directly: %v", ns, err)
 		}
@@ -97,7 +97,7 @@
 	kvs, _, err := c.List(cl.ctx, documents.NS, "body/gateway/", -1, false)
 	cl.must(err)
 	rev, err := documents.Decode("gateway", kvs[len(kvs)-1].Value)
-	if err != nil || rev.Number != 3 || rev.Back != 1 || string(rev.Body) != `{"a":1}` || rev.Author != "operator" {
+	if err != nil || rev.Number != 3 || rev.RolledBackTo != 1 || string(rev.Body) != `{"a":1}` || rev.Author != "operator" {
 		cl.t.Errorf("%+v, %v", rev, err)
 	}
 	encoded, err := json.Marshal(rev)
--- a/internal/store/node/server.go
+++ b/internal/store/node/server.go
@@ -92,7 +92,7 @@
 		return err
 	}
 	if hello.Peer {
-		n.transport.Know(transport.Member{ID: hello.ID, Name: owner, Address: hello.Address})
+		n.transport.AddMember(transport.Member{ID: hello.ID, Name: owner, Address: hello.Address})
 		return n.receiveFromPeer(conn, reader, hello.ID)
 	}
 	return n.serveClient(conn, reader, owner, role)
@@ -104,7 +104,7 @@
 		return nil, fmt.Errorf("no hello came: %w", errors.Join(err, frame.ErrTooLong))
 	}
 	hello := &frame.Hello{}
-	return hello, frame.Value(body, hello)
+	return hello, frame.DecodeValue(body, hello)
 }
 
 // welcome answers the hello. It returns an error if this instance does not take the peer.
@@ -154,12 +154,12 @@
 		if err := conn.SetReadDeadline(time.Now().Add(peerSilence)); err != nil {
 			return err
 		}
-		kind, body, err := frame.Read(reader, buffer, frame.Max)
+		kind, body, err := frame.Read(reader, buffer, frame.MaxSize)
 		if err != nil {
 			return unlessLost(err)
 		}
 		buffer = body
-		message, known, err := frame.Envelope(kind, body, from, n.store.Identity.Node)
+		message, known, err := frame.DecodeEnvelope(kind, body, from, n.store.Identity.Node)
 		if err != nil {
 			return err
 		}
--- a/internal/store/node/server_test.go
+++ b/internal/store/node/server_test.go
@@ -46,7 +46,7 @@
 	c := cl.client("operator")
 	cl.put(c, "k", "v")
 	other := t.TempDir()
-	cl.must(pki.Found(other, "other", time.Now(), time.Hour))
+	cl.must(pki.CreateAuthority(other, "other", time.Now(), time.Hour))
 	cl.must(pki.Issue(other, "n0", pki.Instance, time.Now(), time.Hour))
 	cl.must(pki.Issue(cl.dir, "late", pki.Operator, time.Now().Add(-48*time.Hour), time.Hour))
 	cl.must(pki.Issue(cl.dir, "nobody", pki.Role("guest"), time.Now(), time.Hour))
--- a/internal/store/node/view.go
+++ b/internal/store/node/view.go
@@ -46,7 +46,7 @@
 	for id, member := range view.members {
 		peers = append(peers, transport.Member{ID: id, Name: member.Name, Address: member.Address})
 	}
-	n.transport.Members(peers)
+	n.transport.SetMembers(peers)
 	n.checkOwnRecord(view)
 }
 
--- a/internal/store/pki/pki.go
+++ b/internal/store/pki/pki.go
@@ -18,9 +18,10 @@
 	"time"
 )
 
-// Role is what a certificate's owner may do.
+// Role is what a certificate's owner may do. It is the certificate's only organizational unit.
 type Role string
 
+// The roles.
 const (
 	Instance Role = "instance" // a member of the store, or one that wants to be
 	Operator Role = "operator" // reads, writes, and changes members
@@ -30,10 +31,17 @@
 // ErrRole says that a certificate has no role that this program knows.
 var ErrRole = errors.New("store: the certificate names no role")
 
-const authorityFile, authorityKey = "authority.pem", "authority-key.pem"
+const (
+	authorityName = "authority"
+	fileSuffix    = ".pem"
+	keySuffix     = "-key.pem"
+
+	serialBits     = 120
+	clockTolerance = time.Hour // by which a certificate is valid before it was made
+)
 
-// Found makes an authority in a directory: authority.pem and authority-key.pem.
-func Found(dir, cluster string, now time.Time, life time.Duration) error {
+// CreateAuthority makes an authority in a directory: authority.pem and authority-key.pem.
+func CreateAuthority(dir, cluster string, now time.Time, life time.Duration) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("store: authority: %w", err)
 	}
@@ -41,105 +49,139 @@
 	if err != nil {
 		return fmt.Errorf("store: authority: %w", err)
 	}
-	cert := &x509.Certificate{Subject: pkix.Name{CommonName: "cloverrock " + cluster, Organization: []string{cluster}},
-		NotBefore: now.Add(-time.Hour), NotAfter: now.Add(life), IsCA: true, BasicConstraintsValid: true,
-		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
-	return write(dir, "authority", cert, cert, key, key)
+	cert := &x509.Certificate{
+		Subject:               pkix.Name{CommonName: "cloverrock " + cluster, Organization: []string{cluster}},
+		NotBefore:             now.Add(-clockTolerance),
+		NotAfter:              now.Add(life),
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		KeyUsage:              x509.KeyUsageCertSign | x509.KeyUsageCRLSign,
+	}
+	return writePair(dir, authorityName, cert, cert, key, key)
 }
 
 // Issue makes NAME.pem and NAME-key.pem in a directory, signed by the authority there.
 func Issue(dir, name string, role Role, now time.Time, life time.Duration) error {
-	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, authorityFile), filepath.Join(dir, authorityKey))
+	parent, signer, err := loadAuthority(dir)
 	if err != nil {
-		return fmt.Errorf("store: authority: %w", err)
+		return err
 	}
-	parent, err := x509.ParseCertificate(pair.Certificate[0])
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return fmt.Errorf("store: authority: %w", err)
+		return fmt.Errorf("store: certificate of %s: %w", name, err)
 	}
-	signer, ok := pair.PrivateKey.(*ecdsa.PrivateKey)
-	if !ok {
-		return errors.New("store: authority: the key is of another kind than this program makes")
+	cert := &x509.Certificate{
+		Subject:     pkix.Name{CommonName: name, OrganizationalUnit: []string{string(role)}},
+		NotBefore:   now.Add(-clockTolerance),
+		NotAfter:    now.Add(life),
+		KeyUsage:    x509.KeyUsageDigitalSignature,
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	return writePair(dir, name, cert, parent, key, signer)
+}
+
+func loadAuthority(dir string) (*x509.Certificate, *ecdsa.PrivateKey, error) {
+	path := filepath.Join(dir, authorityName)
+	pair, err := tls.LoadX509KeyPair(path+fileSuffix, path+keySuffix)
 	if err != nil {
-		return fmt.Errorf("store: certificate of %s: %w", name, err)
+		return nil, nil, fmt.Errorf("store: authority: %w", err)
+	}
+	cert, err := x509.ParseCertificate(pair.Certificate[0])
+	if err != nil {
+		return nil, nil, fmt.Errorf("store: authority: %w", err)
+	}
+	key, ok := pair.PrivateKey.(*ecdsa.PrivateKey)
+	if !ok {
+		return nil, nil, errors.New("store: authority: the key is of another kind than this program makes")
 	}
-	cert := &x509.Certificate{Subject: pkix.Name{CommonName: name, OrganizationalUnit: []string{string(role)}},
-		NotBefore: now.Add(-time.Hour), NotAfter: now.Add(life), KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}
-	return write(dir, name, cert, parent, key, signer)
+	return cert, key, nil
 }
 
-func write(dir, name string, cert, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) error {
-	var err error
-	if cert.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120)); err != nil {
+// writePair signs a certificate and writes it and its key to new files.
+func writePair(dir, name string, cert, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) error {
+	if err := signAndWrite(dir, name, cert, parent, key, signer); err != nil {
 		return fmt.Errorf("store: certificate of %s: %w", name, err)
 	}
-	der, err := x509.CreateCertificate(rand.Reader, cert, parent, &key.PublicKey, signer)
+	return nil
+}
+
+func signAndWrite(dir, name string, cert, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) error {
+	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return fmt.Errorf("store: certificate of %s: %w", name, err)
+		return err
 	}
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+	cert.SerialNumber = serial
+	certDER, err := x509.CreateCertificate(rand.Reader, cert, parent, &key.PublicKey, signer)
 	if err != nil {
-		return fmt.Errorf("store: certificate of %s: %w", name, err)
+		return err
 	}
-	for _, f := range []struct {
-		name, kind string
-		der        []byte
-		mode       os.FileMode
-	}{{name + ".pem", "CERTIFICATE", der, 0o644}, {name + "-key.pem", "PRIVATE KEY", secret, 0o600}} {
-		// O_EXCL: a key that is there is not replaced by a slip.
-		w, err := os.OpenFile(filepath.Join(dir, f.name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, f.mode)
-		if err != nil {
-			return fmt.Errorf("store: certificate of %s: %w", name, err)
-		}
-		err = pem.Encode(w, &pem.Block{Type: f.kind, Bytes: f.der})
-		if closed := w.Close(); err == nil {
-			err = closed
-		}
-		if err != nil {
-			return fmt.Errorf("store: certificate of %s: %w", name, err)
-		}
+	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
+	if err != nil {
+		return err
 	}
-	return nil
+	path := filepath.Join(dir, name)
+	if err := writePEM(path+fileSuffix, "CERTIFICATE", certDER, 0o644); err != nil {
+		return err
+	}
+	return writePEM(path+keySuffix, "PRIVATE KEY", keyDER, 0o600)
+}
+
+// writePEM writes a new file: a key that is there already is never replaced.
+func writePEM(path, kind string, der []byte, mode os.FileMode) error {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, mode)
+	if err != nil {
+		return err
+	}
+	err = pem.Encode(file, &pem.Block{Type: kind, Bytes: der})
+	return errors.Join(err, file.Close())
 }
 
-// Files name a certificate, its key, and the authority.
+// Files are the paths of a certificate, its key, and the authority.
 type Files struct{ Certificate, Key, Authority string }
 
-// Load reads them into a configuration for both ends of a connection: each shows its certificate, and takes only
+// LoadTLS reads the files into a configuration for both ends of a connection: each shows its certificate, and takes only
 // one that the authority has signed. Names are checked by the caller, since instances are known by name, not by host.
-func Load(f Files) (*tls.Config, error) {
+func LoadTLS(f Files) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
 		return nil, fmt.Errorf("store: certificate %s: %w", f.Certificate, err)
 	}
-	b, err := os.ReadFile(f.Authority)
+	authority, err := os.ReadFile(f.Authority)
 	if err != nil {
 		return nil, fmt.Errorf("store: authority: %w", err)
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(b) {
+	if !pool.AppendCertsFromPEM(authority) {
 		return nil, fmt.Errorf("store: authority %s: no certificate in it", f.Authority)
 	}
-	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13, ClientCAs: pool,
-		ClientAuth: tls.RequireAndVerifyClientCert, InsecureSkipVerify: true, // by VerifyConnection instead: no host names
-		VerifyConnection: func(s tls.ConnectionState) error {
-			if len(s.PeerCertificates) == 0 {
-				return errors.New("store: the peer shows no certificate")
-			}
-			among := x509.NewCertPool()
-			for _, c := range s.PeerCertificates[1:] {
-				among.AddCert(c)
-			}
-			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: pool, Intermediates: among,
-				KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
-			return err
-		}}, nil
+	return &tls.Config{
+		Certificates:       []tls.Certificate{pair},
+		MinVersion:         tls.VersionTLS13,
+		ClientCAs:          pool,
+		ClientAuth:         tls.RequireAndVerifyClientCert,
+		InsecureSkipVerify: true, // VerifyConnection verifies the chain; there are no host names in certificates
+		VerifyConnection:   func(s tls.ConnectionState) error { return verify(s, pool) },
+	}, nil
+}
+
+// verify checks that the authority has signed the certificate of the other end.
+func verify(s tls.ConnectionState, authority *x509.CertPool) error {
+	if len(s.PeerCertificates) == 0 {
+		return errors.New("store: the peer shows no certificate")
+	}
+	intermediates := x509.NewCertPool()
+	for _, cert := range s.PeerCertificates[1:] {
+		intermediates.AddCert(cert)
+	}
+	_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{
+		Roots:         authority,
+		Intermediates: intermediates,
+		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
+	})
+	return err
 }
 
-// Owner tells whose certificate the other end of a connection has shown.
+// Owner returns the name and role in the certificate of the other end of a connection.
 func Owner(s tls.ConnectionState) (name string, role Role, err error) {
 	if len(s.PeerCertificates) == 0 {
 		return "", "", ErrRole
--- /dev/null
+++ b/internal/store/transport/dial.go
@@ -0,0 +1,84 @@
+package transport
+
+import (
+	"context"
+	"crypto/tls"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"cloverrock/internal/store/frame"
+	"cloverrock/internal/store/pki"
+)
+
+const (
+	dialTimeout  = 2 * time.Second
+	helloTimeout = 3 * time.Second
+	maxWelcome   = 64 << 10 // bytes
+	helloForm    = 1
+)
+
+// Dial connects, introduces this end, and checks who the other is. An empty name takes any instance. A final refusal is
+// an ErrRemoved.
+func Dial(ctx context.Context, address string, conf *tls.Config, hello frame.Hello, name string) (net.Conn, *frame.Welcome, error) {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	raw, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, nil, err
+	}
+	conn := tls.Client(raw, conf)
+	welcome, err := greet(ctx, conn, hello, name)
+	if err != nil {
+		_ = raw.Close() // the first error says more
+		return nil, nil, err
+	}
+	return conn, welcome, nil
+}
+
+// greet introduces this end within a time, and leaves the connection without a deadline.
+func greet(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
+	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
+		return nil, err
+	}
+	welcome, err := introduce(ctx, conn, hello, name)
+	if err != nil {
+		return nil, err
+	}
+	return welcome, conn.SetDeadline(time.Time{})
+}
+
+func introduce(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
+	if err := conn.HandshakeContext(ctx); err != nil {
+		return nil, err
+	}
+	owner, role, err := pki.Owner(conn.ConnectionState())
+	if err != nil {
+		return nil, err
+	}
+	if role != pki.Instance || name != "" && owner != name {
+		return nil, fmt.Errorf("store: %q (%s) answers where instance %q was expected", owner, role, name)
+	}
+	hello.Form = helloForm
+	if err := frame.Write(conn, frame.HelloKind, &hello); err != nil {
+		return nil, err
+	}
+	kind, body, err := frame.Read(conn, nil, maxWelcome)
+	if err != nil {
+		return nil, err
+	}
+	if kind != frame.WelcomeKind {
+		return nil, errors.New("store: no welcome came")
+	}
+	var welcome frame.Welcome
+	if err := frame.DecodeValue(body, &welcome); err != nil {
+		return nil, err
+	}
+	switch {
+	case welcome.Error != "" && welcome.Final:
+		return nil, fmt.Errorf("%w: %s", ErrRemoved, welcome.Error)
+	case welcome.Error != "":
+		return nil, errors.New(welcome.Error)
+	}
+	return &welcome, nil
+}
--- a/internal/store/transport/golden_test.go
+++ b/internal/store/transport/golden_test.go
@@ -19,17 +19,17 @@
 const (
 	goldenHello   = "0000002f6885a166cc01a170c3a163cf000000000000004da169cf000000000000000ba161ae3132372e302e302e313a37303031"
 	goldenWelcome = "000000147783a166cc01a163cf000000000000004da16ea162"
-	goldenGot     = "000000116782a169cf0000000000000003a16fcd012c"
+	goldenAck     = "000000116782a169cf0000000000000003a16fcd012c"
 )
 
-// listen serves one connection as instance b, and tells what came: the first frame, then another behind the welcome.
-func listen(t *testing.T, dir string) (address string, came chan string) {
+// acceptOne serves one connection as instance b, and tells what came: the first frame, then another behind the welcome.
+func acceptOne(t *testing.T, dir string) (address string, came chan string) {
 	t.Helper()
-	ln, err := tls.Listen("tcp", "127.0.0.1:0", config(t, dir, "b"))
+	ln, err := tls.Listen("tcp", "127.0.0.1:0", loadTLS(t, dir, "b"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	came = make(chan string, 2)
 	welcome, err := hex.DecodeString(goldenWelcome)
 	if err != nil {
@@ -41,9 +41,9 @@
 		if err != nil {
 			return
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		for range 2 {
-			kind, body, err := frame.Read(c, nil, frame.Max)
+			kind, body, err := frame.Read(c, nil, frame.MaxSize)
 			if err != nil {
 				return
 			}
@@ -56,20 +56,21 @@
 	return ln.Addr().String(), came
 }
 
-func config(t *testing.T, dir, name string) *tls.Config {
+func loadTLS(t *testing.T, dir, name string) *tls.Config {
 	t.Helper()
-	conf, err := pki.Load(pki.Files{Certificate: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+"-key.pem"), Authority: filepath.Join(dir, "authority.pem")})
+	conf, err := pki.LoadTLS(pki.Files{Certificate: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+"-key.pem"), Authority: filepath.Join(dir, "authority.pem")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return conf
 }
 
-// TestConnectionBeginsWithTheSameBytes holds what an instance says first to another, how it reads the golden welcome,
-// and what it sends behind that. Certificates are made now.
+// What an instance says first to another, how it reads the golden welcome, and what it sends behind that stay.
+// Certificates are made now.
 func TestConnectionBeginsWithTheSameBytes(t *testing.T) {
-	dir, now := t.TempDir(), time.Now()
-	if err := errors.Join(pki.Found(dir, "test", now, time.Hour), pki.Issue(dir, "a", pki.Instance, now, time.Hour), pki.Issue(dir, "b", pki.Instance, now, time.Hour)); err != nil {
+	dir := t.TempDir()
+	now := time.Now()
+	if err := errors.Join(pki.CreateAuthority(dir, "test", now, time.Hour), pki.Issue(dir, "a", pki.Instance, now, time.Hour), pki.Issue(dir, "b", pki.Instance, now, time.Hour)); err != nil {
 		t.Fatal(err)
 	}
 	hello := frame.Hello{Peer: true, Cluster: 77, ID: 11, Address: "127.0.0.1:7001"}
@@ -84,23 +85,25 @@
 			t.Fatal("nothing came")
 		}
 	}
-	address, came := listen(t, dir)
+	address, came := acceptOne(t, dir)
 	var c net.Conn
-	c, welcome, err := Dial(context.Background(), address, config(t, dir, "a"), hello, "b")
+	c, welcome, err := Dial(context.Background(), address, loadTLS(t, dir, "a"), hello, "b")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Close()
+	if err := c.Close(); err != nil {
+		t.Error(err)
+	}
 	expect(came, goldenHello)
 	if *welcome != (frame.Welcome{Form: 1, Cluster: 77, Name: "b"}) {
 		t.Errorf("the welcome is read as %+v", *welcome)
 	}
 
-	address, came = listen(t, dir)
-	peers := New(Config{TLS: config(t, dir, "a"), Hello: hello})
+	address, came = acceptOne(t, dir)
+	peers := New(Config{TLS: loadTLS(t, dir, "a"), Hello: hello})
 	defer peers.Close()
-	peers.Know(Member{ID: 12, Name: "b", Address: address})
+	peers.AddMember(Member{ID: 12, Name: "b", Address: address})
 	peers.Send([]core.Envelope{{From: 11, To: 12, Ack: &core.ChunkAck{Index: 3, Offset: 300}}})
 	expect(came, goldenHello)
-	expect(came, goldenGot)
+	expect(came, goldenAck)
 }
--- a/internal/store/transport/transport.go
+++ b/internal/store/transport/transport.go
@@ -7,7 +7,6 @@
 	"context"
 	"crypto/tls"
 	"errors"
-	"fmt"
 	"net"
 	"sync"
 	"time"
@@ -16,16 +15,16 @@
 
 	"cloverrock/internal/store/core"
 	"cloverrock/internal/store/frame"
-	"cloverrock/internal/store/pki"
 )
 
 const (
-	queueLength  = 1024            // envelopes that wait for one peer
-	writeTimeout = 3 * time.Second // a peer that takes nothing for so long is dialled anew
-	dialTimeout  = 2 * time.Second
-	redialAfter  = 200 * time.Millisecond
-	redialMost   = 3 * time.Second
-	helloTimeout = 3 * time.Second
+	queueLength   = 1024            // envelopes that wait for one peer
+	writeTimeout  = 3 * time.Second // a peer that takes nothing for so long is dialed again
+	redialMin     = 200 * time.Millisecond
+	redialMax     = 3 * time.Second
+	stableAfter   = 5 * time.Second // a connection that lasted so long resets the backoff
+	writeBuffer   = 64 << 10        // bytes
+	maxKeptBuffer = 1 << 20         // bytes; a larger encoding buffer is not kept
 )
 
 // ErrRemoved says that the others have removed this instance, or are another cluster: it has no place there.
@@ -33,14 +32,14 @@
 
 // Config of a transport.
 type Config struct {
-	TLS     *tls.Config
-	Hello   frame.Hello // as this instance presents itself
-	Routes  map[string]string
-	Log     zerolog.Logger
-	Refused func(error) // a final refusal
+	TLS       *tls.Config
+	Hello     frame.Hello       // as this instance presents itself
+	Routes    map[string]string // by name: where to dial a peer instead of its own address
+	Log       zerolog.Logger
+	OnRemoved func(error) // called with an ErrRemoved
 }
 
-// Transport sends to peers.
+// Transport sends to peers. It is safe for concurrent use.
 type Transport struct {
 	conf   Config
 	ctx    context.Context
@@ -58,7 +57,7 @@
 	cancel  context.CancelFunc
 }
 
-// New returns a transport that knows nobody yet.
+// New returns a transport without peers.
 func New(conf Config) *Transport {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Transport{conf: conf, ctx: ctx, cancel: cancel, peers: map[uint64]*peer{}}
@@ -70,14 +69,14 @@
 	Name, Address string
 }
 
-// Members says who the peers are; whom it lacks is forgotten.
-func (t *Transport) Members(all []Member) {
+// SetMembers sets the peers; those that it lacks are forgotten.
+func (t *Transport) SetMembers(members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	keep := map[uint64]bool{}
-	for _, m := range all {
+	for _, m := range members {
 		keep[m.ID] = true
-		t.know(m)
+		t.setMember(m)
 	}
 	for id, p := range t.peers {
 		if !keep[id] {
@@ -87,16 +86,17 @@
 	}
 }
 
-// Know adds a peer that has introduced itself before the state names it.
-func (t *Transport) Know(m Member) {
+// AddMember adds a peer that has introduced itself before the state names it.
+func (t *Transport) AddMember(m Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.peers[m.ID] == nil {
-		t.know(m)
+		t.setMember(m)
 	}
 }
 
-func (t *Transport) know(m Member) {
+// setMember starts a connection to a peer unless there is one to its address. The caller holds mu.
+func (t *Transport) setMember(m Member) {
 	if route, ok := t.conf.Routes[m.Name]; ok {
 		m.Address = route
 	}
@@ -112,18 +112,14 @@
 	ctx, cancel := context.WithCancel(t.ctx)
 	p := &peer{id: m.ID, name: m.Name, address: m.Address, queue: make(chan core.Envelope, queueLength), cancel: cancel}
 	t.peers[m.ID] = p
-	t.wg.Add(1)
-	go func() {
-		defer t.wg.Done()
-		t.serve(ctx, p)
-	}()
+	t.wg.Go(func() { t.maintain(ctx, p) })
 }
 
-// Send queues envelopes for their peers, and drops those for which there is no room.
-func (t *Transport) Send(all []core.Envelope) {
+// Send queues envelopes for their peers, and drops those for which there is no room. It does not wait.
+func (t *Transport) Send(envelopes []core.Envelope) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, e := range all {
+	for _, e := range envelopes {
 		if p := t.peers[e.To]; p != nil {
 			select {
 			case p.queue <- e:
@@ -139,9 +135,9 @@
 	t.wg.Wait()
 }
 
-// serve keeps a connection to one peer.
-func (t *Transport) serve(ctx context.Context, p *peer) {
-	wait := redialAfter
+// maintain keeps a connection to one peer until the context ends.
+func (t *Transport) maintain(ctx context.Context, p *peer) {
+	backoff := redialMin
 	for ctx.Err() == nil {
 		began := time.Now()
 		err := t.connect(ctx, p)
@@ -149,121 +145,89 @@
 			return
 		}
 		if errors.Is(err, ErrRemoved) {
-			t.conf.Refused(err)
+			t.conf.OnRemoved(err)
 		}
-		if time.Since(began) > 5*time.Second {
-			wait = redialAfter
+		if time.Since(began) > stableAfter {
+			backoff = redialMin
 		}
-		t.conf.Log.Warn().Err(err).Str("peer", p.name).Str("address", p.address).Msg("store: no connection to a peer")
+		t.conf.Log.Warn().Err(err).Str("peer", p.name).Str("address", p.address).Msg("store: peer connection lost, reconnecting")
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(wait):
-		}
-		wait = min(2*wait, redialMost)
-		for len(p.queue) > 0 { // what was said meanwhile is old
-			<-p.queue
+		case <-time.After(backoff):
 		}
+		backoff = min(2*backoff, redialMax)
+		p.dropQueue()
+	}
+}
+
+// dropQueue drops what was queued while there was no connection: it is outdated.
+func (p *peer) dropQueue() {
+	for len(p.queue) > 0 {
+		<-p.queue
 	}
 }
 
+// connect dials a peer and sends what is queued until the connection or the context ends.
 func (t *Transport) connect(ctx context.Context, p *peer) error {
-	c, _, err := Dial(ctx, p.address, t.conf.TLS, t.conf.Hello, p.name)
+	conn, _, err := Dial(ctx, p.address, t.conf.TLS, t.conf.Hello, p.name)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	stop := context.AfterFunc(ctx, func() { c.Close() })
+	closeConn := func() { _ = conn.Close() } // what is lost with it is sent again by raft
+	defer closeConn()
+	stop := context.AfterFunc(ctx, closeConn)
 	defer stop()
-	gone := make(chan struct{})
-	go func() { // the other end says nothing more; it can only close
-		defer close(gone)
+	closed := make(chan struct{})
+	go func() { // the peer sends nothing more; a read ends when the connection does
+		defer close(closed)
 		var b [1]byte
-		_, _ = c.Read(b[:])
+		_, _ = conn.Read(b[:])
 	}()
-	w := bufio.NewWriterSize(c, 64<<10)
-	var buf []byte
+	w := &queueWriter{conn: conn, writer: bufio.NewWriterSize(conn, writeBuffer), queue: p.queue}
 	for {
-		var e core.Envelope
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-gone:
+		case <-closed:
 			return errors.New("closed by the peer")
-		case e = <-p.queue:
-		}
-		_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
-		for more := true; more; {
-			if buf, err = frame.AppendEnvelope(buf[:0], e); err != nil {
-				return err
-			}
-			if _, err = w.Write(buf); err != nil {
+		case first := <-p.queue:
+			if err := w.send(first); err != nil {
 				return err
 			}
-			select {
-			case e = <-p.queue:
-			default:
-				more = false
-			}
-		}
-		if err := w.Flush(); err != nil {
-			return err
-		}
-		if cap(buf) > 1<<20 {
-			buf = nil
 		}
 	}
 }
 
-// Dial connects, introduces this end, and checks who the other is. An empty name takes any instance.
-func Dial(ctx context.Context, address string, conf *tls.Config, hello frame.Hello, name string) (net.Conn, *frame.Welcome, error) {
-	d := net.Dialer{Timeout: dialTimeout}
-	raw, err := d.DialContext(ctx, "tcp", address)
-	if err != nil {
-		return nil, nil, err
-	}
-	c := tls.Client(raw, conf)
-	_ = c.SetDeadline(time.Now().Add(helloTimeout))
-	w, err := introduce(ctx, c, hello, name)
-	if err != nil {
-		raw.Close()
-		return nil, nil, err
-	}
-	_ = c.SetDeadline(time.Time{})
-	return c, w, nil
+// queueWriter writes envelopes to a connection.
+type queueWriter struct {
+	conn   net.Conn
+	writer *bufio.Writer
+	queue  <-chan core.Envelope
+	buf    []byte
 }
 
-func introduce(ctx context.Context, c *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
-	if err := c.HandshakeContext(ctx); err != nil {
-		return nil, err
-	}
-	owner, role, err := pki.Owner(c.ConnectionState())
-	if err != nil {
-		return nil, err
-	}
-	if role != pki.Instance || name != "" && owner != name {
-		return nil, fmt.Errorf("store: %q (%s) answers where instance %q was expected", owner, role, name)
-	}
-	hello.Form = 1
-	if err := frame.Write(c, frame.HelloKind, &hello); err != nil {
-		return nil, err
-	}
-	kind, body, err := frame.Read(c, nil, 64<<10)
-	if err != nil {
-		return nil, err
-	}
-	var w frame.Welcome
-	if kind != frame.WelcomeKind {
-		return nil, errors.New("store: no welcome came")
-	}
-	if err := frame.Value(body, &w); err != nil {
-		return nil, err
+// send writes an envelope and all that are queued behind it.
+func (w *queueWriter) send(envelope core.Envelope) (err error) {
+	if err := w.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+		return err
 	}
-	if w.Error != "" && w.Final {
-		return nil, fmt.Errorf("%w: %s", ErrRemoved, w.Error)
+	for more := true; more; {
+		w.buf, err = frame.AppendEnvelope(w.buf[:0], envelope)
+		if err != nil {
+			return err
+		}
+		if _, err := w.writer.Write(w.buf); err != nil {
+			return err
+		}
+		select {
+		case envelope = <-w.queue:
+		default:
+			more = false
+		}
 	}
-	if w.Error != "" {
-		return nil, errors.New(w.Error)
+	if cap(w.buf) > maxKeptBuffer {
+		w.buf = nil
 	}
-	return &w, nil
+	return w.writer.Flush()
 }
--- a/internal/storecmd/command.go
+++ b/internal/storecmd/command.go
@@ -150,11 +150,11 @@
 	if o.endpoint != "" {
 		op.Endpoints = []string{o.endpoint}
 	}
-	tls, err := pki.Load(pki.Files{Certificate: op.Certificate, Key: op.Key, Authority: op.Authority})
+	tls, err := pki.LoadTLS(pki.Files{Certificate: op.Certificate, Key: op.Key, Authority: op.Authority})
 	if err != nil {
 		return client.Config{}, err
 	}
-	return client.Config{Endpoints: op.Endpoints, TLS: tls, Pinned: o.endpoint != ""}, nil
+	return client.Config{Endpoints: op.Endpoints, TLS: tls, SingleEndpoint: o.endpoint != ""}, nil
 }
 
 // printer writes the text form of a result, in columns separated by tabs. It keeps the first error.
--- a/internal/storecmd/documents.go
+++ b/internal/storecmd/documents.go
@@ -188,8 +188,8 @@
 	return s.print(revisions, func(p *printer) {
 		for _, revision := range revisions {
 			note := revision.Note
-			if revision.Back != 0 {
-				note = strings.TrimSpace(fmt.Sprintf("back to %d %s", revision.Back, note))
+			if revision.RolledBackTo != 0 {
+				note = strings.TrimSpace(fmt.Sprintf("back to %d %s", revision.RolledBackTo, note))
 			}
 			at := time.UnixMilli(revision.AtMS).UTC().Format(time.RFC3339)
 			p.printf("%d\t%s\t%s\t%s\n", revision.Number, at, revision.Author, note)
--- a/internal/storecmd/found.go
+++ b/internal/storecmd/found.go
@@ -109,7 +109,7 @@
 		return err
 	}
 	n.founding.Cluster = cluster
-	if err := pki.Found(n.dir, n.cluster, time.Now(), authorityLife); err != nil {
+	if err := pki.CreateAuthority(n.dir, n.cluster, time.Now(), authorityLife); err != nil {
 		return err
 	}
 	for _, member := range n.members {
@@ -245,7 +245,7 @@
 		if m.Name == set.Name {
 			continue
 		}
-		if hasCommits(client.Config{Endpoints: []string{m.Address}, TLS: conf.TLS, Pinned: true}) {
+		if hasCommits(client.Config{Endpoints: []string{m.Address}, TLS: conf.TLS, SingleEndpoint: true}) {
 			return refused("the store is at work: %s answers. Start this instance with its empty directory, and it joins", m.Name)
 		}
 	}
--- a/internal/storecmd/keys.go
+++ b/internal/storecmd/keys.go
@@ -155,7 +155,7 @@
 	if version >= 0 {
 		command.If = []machine.Compare{{NS: op.NS, Key: op.Key, Target: machine.Version, Number: version}}
 	}
-	result, err := s.client.Txn(ctx, command)
+	result, err := s.client.Transact(ctx, command)
 	if err != nil {
 		return err
 	}
--- a/internal/storecmd/members.go
+++ b/internal/storecmd/members.go
@@ -148,7 +148,7 @@
 			if id == 0 {
 				return refused("no member is called %q", s.args[0])
 			}
-			if _, err := s.client.Call(ctx, &frame.Request{Op: frame.OpRemove, Node: id}, false); err != nil {
+			if _, err := s.client.Call(ctx, &frame.Request{Op: frame.OpRemove, NodeID: id}, false); err != nil {
 				return err
 			}
 			key := core.MemberKey(id)
@@ -196,12 +196,12 @@
 				return err
 			}
 			token := fmt.Sprintf("%016x", random)
-			lease, err := s.client.Txn(ctx, machine.Command{Kind: machine.GrantLeaseKind, Amount: life.Milliseconds()})
+			lease, err := s.client.Transact(ctx, machine.Command{Kind: machine.GrantLeaseKind, Amount: life.Milliseconds()})
 			if err != nil {
 				return err
 			}
 			put := machine.Op{Kind: machine.Put, NS: core.TokensNS, Key: node.TokenKey(token), Value: []byte("1"), Lease: lease.ID}
-			if _, err := s.client.Txn(ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{put}}); err != nil {
+			if _, err := s.client.Transact(ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{put}}); err != nil {
 				return err
 			}
 			return s.print(map[string]string{"token": token}, func(p *printer) { p.printf("%s\n", token) })
