--- a/internal/lab/chaos/clients.go
+++ b/internal/lab/chaos/clients.go
@@ -87,7 +87,7 @@
 		o.known = true
 		return nil
 	}
-	result, err := c.store.Txn(ctx, o.transaction())
+	result, err := c.store.Transact(ctx, o.transaction())
 	if err != nil {
 		return err
 	}
--- a/internal/lab/chaos/cluster.go
+++ b/internal/lab/chaos/cluster.go
@@ -217,9 +217,9 @@
 	}
 }
 
-// client connects as the operator, to the first endpoint alone if pinned, else to any. attempt is the time for one try.
-func (c *cluster) client(first int, pinned bool, attempt time.Duration) (*client.Client, error) {
-	credentials, err := pki.Load(pki.Files{
+// client connects as the operator, to the first endpoint alone if single, else to any. attempt is the time for one try.
+func (c *cluster) client(first int, single bool, attempt time.Duration) (*client.Client, error) {
+	credentials, err := pki.LoadTLS(pki.Files{
 		Certificate: filepath.Join(c.directory, "operator.pem"),
 		Key:         filepath.Join(c.directory, "operator-key.pem"),
 		Authority:   filepath.Join(c.directory, "authority.pem"),
@@ -231,7 +231,7 @@
 	for i := range c.instances {
 		endpoints = append(endpoints, c.instances[(first+i)%len(c.instances)].address)
 	}
-	config := client.Config{Endpoints: endpoints, TLS: credentials, Pinned: pinned, Try: attempt}
+	config := client.Config{Endpoints: endpoints, TLS: credentials, SingleEndpoint: single, AttemptTimeout: attempt}
 	return client.New(config), nil
 }
 
--- a/internal/lab/restart/storecost.go
+++ b/internal/lab/restart/storecost.go
@@ -152,7 +152,7 @@
 
 // writeToStore writes as fast as the store takes it. A client that cannot begin shows in the number of writes.
 func (r *rig) writeToStore(ctx context.Context, writes *atomic.Int64) {
-	credentials, err := pki.Load(pki.Files{
+	credentials, err := pki.LoadTLS(pki.Files{
 		Certificate: filepath.Join(r.directory, "operator.pem"),
 		Key:         filepath.Join(r.directory, "operator-key.pem"),
 		Authority:   filepath.Join(r.directory, "authority.pem"),
@@ -169,7 +169,7 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		key := strconv.Itoa(i % storeKeys)
 		put := machine.Op{Kind: machine.Put, NS: "load", Key: key, Value: make([]byte, valueBytes)}
-		_, err := store.Txn(ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{put}})
+		_, err := store.Transact(ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{put}})
 		if err == nil {
 			writes.Add(1)
 		}
