--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -184,9 +184,19 @@
 	f := newFixture(t)
 	now := time.Now().UnixMicro()
 	g := newGateway()
-	g.facts = balance.Snapshot{Groups: []balance.GroupSnapshot{{Group: 1, Primary: "h1", ObservedAt: now}},
-		Hosts: []balance.HostSnapshot{{Host: "h1", Group: 1, Position: now, PositionAt: now, Primary: true}, {Host: "h2", Group: 1, Position: now - 9, PositionAt: now, Down: true}}}
-	g.list = discovery.EndpointList{Generation: 8, Complete: true, Endpoints: []balance.Endpoint{{Host: "h1", Group: 1, State: balance.Ready}}, Addresses: map[string]string{"h1": "127.0.0.1:9"}}
+	g.facts = balance.Snapshot{
+		Groups: []balance.GroupSnapshot{{Group: 1, Primary: "h1", ObservedAt: now}},
+		Hosts: []balance.HostSnapshot{
+			{Host: "h1", Group: 1, Position: now, PositionAt: now, Primary: true},
+			{Host: "h2", Group: 1, Position: now - 9, PositionAt: now, Down: true},
+		},
+	}
+	g.list = discovery.EndpointList{
+		Generation: 8,
+		Complete:   true,
+		Endpoints:  []balance.Endpoint{{Host: "h1", Group: 1, State: balance.Ready}},
+		Addresses:  map[string]string{"h1": "127.0.0.1:9"},
+	}
 	d := f.start(g)
 	next(t, g.restored)
 	for !strings.Contains(f.Run(0, "store key list "+warmstart.NS), "host/h2") { // until it is written
--- a/internal/store/client/client.go
+++ b/internal/store/client/client.go
@@ -119,8 +119,8 @@
 }
 
 // attempt sends a request to one instance, passes each response but the last to part, and returns the last. An error
-// says that none came. The connection is nil if nothing was sent.
-func (c *Client) attempt(ctx context.Context, request *frame.Request, limit time.Duration, part func(*frame.Response) error) (*connection, *frame.Response, error) {
+// says that none came. The connection is nil if there is none, and nothing was sent.
+func (c *Client) attempt(ctx context.Context, request *frame.Request, limit time.Duration, part partHandler) (*connection, *frame.Response, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, c.conf.AttemptTimeout)
 	conn, err := c.connect(dialCtx)
 	cancel()
--- a/internal/store/client/connection.go
+++ b/internal/store/client/connection.go
@@ -14,6 +14,9 @@
 // responseBacklog is how many responses to one request may wait for whoever reads them.
 const responseBacklog = 16
 
+// partHandler takes a response that others follow. An error ends the request.
+type partHandler func(*frame.Response) error
+
 // connection is one connection with the requests that wait on it.
 type connection struct {
 	conn    net.Conn
@@ -92,7 +95,7 @@
 
 // receive passes each response but the last to part, and returns the last. It gives up after a time, if that is not 0.
 // An error of part closes the connection, which ends the request at the instance.
-func (c *connection) receive(ctx context.Context, responses <-chan *frame.Response, limit time.Duration, part func(*frame.Response) error) (*frame.Response, error) {
+func (c *connection) receive(ctx context.Context, responses <-chan *frame.Response, limit time.Duration, part partHandler) (*frame.Response, error) {
 	var late <-chan time.Time
 	if limit > 0 {
 		timer := time.NewTimer(limit)
--- a/internal/store/core/transfer.go
+++ b/internal/store/core/transfer.go
@@ -193,7 +193,7 @@
 	})
 }
 
-// receiveAck takes the receiver's word of how many bytes have come.
+// receiveAck takes an acknowledgement of how many bytes have come.
 func (c *Core) receiveAck(from uint64, ack *ChunkAck) {
 	transfer := c.outgoing[from]
 	if transfer == nil || transfer.data == nil || ack.Index != transfer.index {
@@ -208,9 +208,9 @@
 	} else {
 		transfer.repeatedAcks = 0
 	}
-	receiverBeganAnew := ack.Offset < transfer.acked
+	receiverRestarted := ack.Offset < transfer.acked
 	chunkWasLost := transfer.repeatedAcks >= resendAfterAcks
-	if receiverBeganAnew || chunkWasLost {
+	if receiverRestarted || chunkWasLost {
 		transfer.sent = ack.Offset
 		transfer.repeatedAcks = 0
 	}
--- a/internal/store/core/transfer_test.go
+++ b/internal/store/core/transfer_test.go
@@ -7,7 +7,7 @@
 	"cloverrock/internal/store/machine"
 )
 
-// A snapshot is sent in chunks within its rate, and comes whole although chunks and acknowledgements are lost.
+// A snapshot is sent in chunks within its rate, and arrives complete although chunks and acknowledgements are lost.
 func TestSnapshotKeepsItsRateAndToleratesLoss(t *testing.T) {
 	cl := newCluster(t, 1, 1, 1)
 	leader, behind := cl.elect(1), cl.cores[3]
--- a/internal/store/disk/fs.go
+++ b/internal/store/disk/fs.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 	"path/filepath"
-	"sort"
+	"slices"
 	"syscall"
 )
 
@@ -77,7 +77,7 @@
 			names = append(names, e.Name())
 		}
 	}
-	sort.Strings(names)
+	slices.Sort(names)
 	return names, nil
 }
 
--- a/internal/store/disk/golden_test.go
+++ b/internal/store/disk/golden_test.go
@@ -63,7 +63,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	id, loaded := store.Identity, opened.Loaded
+	id := store.Identity
+	loaded := opened.Loaded
 	line := fmt.Sprintf("opened cluster %d node %d name %s voters %v; snapshot %d/%d of %v and %v: %s; term %d vote %d commit %d; cut %d;", id.Cluster, id.Node, id.Name, id.Voters,
 		meta.GetIndex(), meta.GetTerm(), meta.GetConfState().GetVoters(), meta.GetConfState().GetLearners(), text,
 		loaded.HardState.GetTerm(), loaded.HardState.GetVote(), loaded.HardState.GetCommit(), loaded.TornBytes)
--- a/internal/store/disk/log.go
+++ b/internal/store/disk/log.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// DefaultSegment is the size in bytes at which a segment of the log is ended.
-	DefaultSegment = 16 << 20
+	// DefaultSegmentSize is the size in bytes at which a segment of the log is ended.
+	DefaultSegmentSize = 16 << 20
 
 	syncNoteName  = "synced"
 	segmentForm   = 1       // of the files
 	maxKeptBuffer = 4 << 20 // bytes; a larger buffer is not kept for the next batch
 )
 
-// Log is the durable log: segments of records, each batch synced before it counts.
+// Log is the durable log of raft: batches of records in segment files. A batch counts when it is synced.
 type Log struct {
 	fs          FS
 	segmentSize int64 // bytes after which a segment is ended
@@ -33,7 +33,7 @@
 	syncNote    File
 	buf         []byte
 	payload     []byte
-	failure     error // the first failure that may not be tried again
+	failure     error // the first failure after which nothing more is written
 }
 
 // segment is one file; last is the highest index in it.
@@ -45,14 +45,14 @@
 type Loaded struct {
 	HardState    *raftpb.HardState
 	SnapshotMeta *raftpb.SnapshotMetadata // the latest snapshot that the log names; nil if none
-	Entries      []*raftpb.Entry          // without a gap, behind Snap
-	TornBytes    int64                    // bytes of a torn end that were cut
+	Entries      []*raftpb.Entry          // without a gap, behind SnapshotMeta
+	TornBytes    int64                    // of a torn end, which were cut
 }
 
 // Options of a log.
 type Options struct {
-	SegmentSize int64
-	NoSync      bool // for rehearsals only: what a crash loses then is to be found out by them
+	SegmentSize int64 // bytes after which a segment is ended; 0: DefaultSegmentSize
+	NoSync      bool  // for rehearsals only, which have to find out what a crash loses then
 }
 
 func segmentName(seq uint64) string { return fmt.Sprintf("log-%016x", seq) }
@@ -96,7 +96,7 @@
 
 func newLog(fs FS, o Options) *Log {
 	if o.SegmentSize == 0 {
-		o.SegmentSize = DefaultSegment
+		o.SegmentSize = DefaultSegmentSize
 	}
 	return &Log{fs: fs, segmentSize: o.SegmentSize, noSync: o.NoSync, hard: &raftpb.HardState{}}
 }
--- a/internal/store/disk/log_test.go
+++ b/internal/store/disk/log_test.go
@@ -54,7 +54,7 @@
 	}
 	f.failSync = true
 	if err := l.Save(nil, nil, []*raftpb.Entry{entry(20, 1)}); err == nil {
-		t.Fatal("a failed sync was passed over")
+		t.Fatal("a failed sync was ignored")
 	}
 	f.failSync = false
 	if err := l.Save(nil, nil, []*raftpb.Entry{entry(20, 1)}); err == nil {
--- a/internal/store/disk/read.go
+++ b/internal/store/disk/read.go
@@ -11,7 +11,7 @@
 // OpenLog reads a log from the disk and goes on at its end. A torn end is cut; any other damage is an error that
 // names its place.
 func OpenLog(fs FS, o Options) (*Log, *Loaded, error) {
-	l, got, err := readLog(fs, o)
+	l, loaded, err := readLog(fs, o)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -21,9 +21,9 @@
 		if err := l.beginSegment(l.seq); err != nil {
 			return nil, nil, err
 		}
-		return l, got, nil
+		return l, loaded, nil
 	}
-	if got.TornBytes > 0 {
+	if loaded.TornBytes > 0 {
 		if err := fs.Truncate(name, l.size); err != nil {
 			return nil, nil, fmt.Errorf("store: cut the torn end of %s: %w", fs.Name(name), err)
 		}
@@ -31,14 +31,14 @@
 	if l.file, err = fs.Append(name); err != nil {
 		return nil, nil, fmt.Errorf("store: open %s: %w", fs.Name(name), err)
 	}
-	// What was read may never have been synced: a process that died leaves it with the kernel. It counts from now on.
+	// What was read may never have been synced: a process that was killed leaves it with the kernel.
 	if err := l.syncFile(l.file); err != nil {
 		return nil, nil, fmt.Errorf("store: sync %s: %w", fs.Name(name), err)
 	}
 	if err := l.noteSynced(); err != nil {
 		return nil, nil, err
 	}
-	return l, got, nil
+	return l, loaded, nil
 }
 
 // readLog reads all segments and changes nothing.
@@ -51,7 +51,7 @@
 		return nil, nil, fmt.Errorf("store: %s has an identity and no log: it was lost; remove the data directory and join anew", fs.Name(""))
 	}
 	l := newLog(fs, o)
-	got := &Loaded{HardState: &raftpb.HardState{}}
+	loaded := &Loaded{HardState: &raftpb.HardState{}}
 	syncedSeq, syncedSize := readSyncNote(fs)
 	for i, seq := range seqs {
 		if i > 0 && seq != seqs[i-1]+1 {
@@ -61,7 +61,7 @@
 		if seq == syncedSeq {
 			synced = syncedSize
 		}
-		if err := l.readSegment(seq, i == len(seqs)-1, synced, got); err != nil {
+		if err := l.readSegment(seq, i == len(seqs)-1, synced, loaded); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -69,23 +69,23 @@
 	if syncedSeq > l.seq {
 		return nil, nil, &CorruptError{File: fs.Name(segmentName(syncedSeq)), Reason: "the segment is missing, and was synced"}
 	}
-	l.hard = got.HardState
-	return l, got, nil
+	l.hard = loaded.HardState
+	return l, loaded, nil
 }
 
 // readSegment reads one segment. A torn end is cut from the last one, unless it was synced: synced is the size up to
 // which that is known; -1: not known.
-func (l *Log) readSegment(seq uint64, last bool, synced int64, got *Loaded) error {
+func (l *Log) readSegment(seq uint64, last bool, synced int64, loaded *Loaded) error {
 	name := segmentName(seq)
 	data, err := l.fs.Read(name)
 	if err != nil {
 		return fmt.Errorf("store: read %s: %w", l.fs.Name(name), err)
 	}
-	reader := &segmentReader{file: l.fs.Name(name), seq: seq, data: data, loaded: got}
+	reader := &segmentReader{file: l.fs.Name(name), seq: seq, data: data, loaded: loaded}
 	if err := reader.readRecords(); err != nil {
 		return err
 	}
-	l.segments = append(l.segments, segment{seq, got.lastIndex()})
+	l.segments = append(l.segments, segment{seq, loaded.lastIndex()})
 	l.size = int64(reader.complete)
 	if reader.complete == len(data) && len(data) > 0 {
 		return nil
@@ -93,7 +93,7 @@
 	if err := reader.checkTornEnd(last, synced); err != nil {
 		return err
 	}
-	got.TornBytes = int64(len(data) - reader.complete)
+	loaded.TornBytes = int64(len(data) - reader.complete)
 	return nil
 }
 
--- a/internal/store/disk/snapshot.go
+++ b/internal/store/disk/snapshot.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// imageRecordSize is how many bytes of an image stand in one record.
+// imageRecordSize is how many bytes of an image are in one record.
 const imageRecordSize = 1 << 20
 
 func snapshotName(index uint64) string { return fmt.Sprintf("snap-%016x", index) }
@@ -38,8 +38,9 @@
 	w io.Writer
 }
 
-func (f *recordWriter) Write(b []byte) (int, error) {
-	if _, err := f.w.Write(appendRecord(nil, imageRecord, b)); err != nil {
+// Write implements io.Writer.
+func (w *recordWriter) Write(b []byte) (int, error) {
+	if _, err := w.w.Write(appendRecord(nil, imageRecord, b)); err != nil {
 		return 0, err
 	}
 	return len(b), nil
@@ -90,7 +91,7 @@
 	}
 }
 
-// SaveSnapshot writes an encoded snapshot under its index: whole and synced, or not at all.
+// SaveSnapshot writes an encoded snapshot under its index: complete and synced, or not at all.
 func SaveSnapshot(fs FS, index uint64, write func(io.Writer) error) error {
 	name := snapshotName(index)
 	if err := replaceFile(fs, name, write); err != nil {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// replaceFile writes a file whole beside its place and then puts it there.
+// replaceFile writes a temporary file and renames it when it is complete and synced.
 func replaceFile(fs FS, name string, write func(io.Writer) error) error {
 	temp := "new-" + name
 	f, err := fs.Create(temp)
@@ -124,7 +125,7 @@
 }
 
 // LoadSnapshot returns the newest snapshot as it is encoded; nil if there is none. A newest one that is damaged is an
-// error: the log behind it may be gone, and an older one is not what was answered for.
+// error: the log that an older one needs may be gone.
 func LoadSnapshot(fs FS) ([]byte, string, error) {
 	names, err := listSnapshots(fs)
 	if err != nil || len(names) == 0 {
--- a/internal/store/disk/snapshot_test.go
+++ b/internal/store/disk/snapshot_test.go
@@ -36,10 +36,10 @@
 		t.Error("another image came back")
 	}
 	for _, at := range []int{5, len(b) / 2, len(b) - 3} {
-		spoilt := append([]byte(nil), b...)
-		spoilt[at] ^= 4
+		damaged := append([]byte(nil), b...)
+		damaged[at] ^= 4
 		var bad *CorruptError
-		if _, _, err := DecodeSnapshot(name, spoilt); !errors.As(err, &bad) {
+		if _, _, err := DecodeSnapshot(name, damaged); !errors.As(err, &bad) {
 			t.Errorf("a bit at %d: %v", at, err)
 		}
 		if _, _, err := DecodeSnapshot(name, b[:at]); !errors.As(err, &bad) {
--- a/internal/store/disk/store.go
+++ b/internal/store/disk/store.go
@@ -22,11 +22,11 @@
 	Loaded       *Loaded
 }
 
-// ErrEmpty says that the directory has no identity: an instance there is nobody, and may only join.
+// ErrEmpty says that the directory has no identity: an instance can only join with it.
 var ErrEmpty = errors.New("store: the data directory is empty")
 
-// Create makes a directory an instance's. The identity comes last: without it, whatever else is there counts for
-// nothing. The snapshot is nil for an instance that joins.
+// Create makes a directory an instance's. The identity is written last: without it, the directory counts as empty. The
+// snapshot is nil for an instance that joins.
 func Create(fs FS, id Identity, index uint64, snapshot []byte, o Options) error {
 	owner, err := LoadIdentity(fs)
 	if err != nil {
@@ -104,14 +104,14 @@
 	}
 	opened.Loaded = loaded
 	store := &Store{fs, log, *id}
-	if err := store.fit(opened); err != nil {
+	if err := store.matchSnapshot(opened); err != nil {
 		return nil, nil, errors.Join(err, log.Close())
 	}
 	return store, opened, nil
 }
 
-// fit brings the log into agreement with the newest snapshot.
-func (s *Store) fit(opened *Opened) error {
+// matchSnapshot brings the log into agreement with the newest snapshot, and removes obsolete files.
+func (s *Store) matchSnapshot(opened *Opened) error {
 	loaded := opened.Loaded
 	if opened.Snapshot == nil {
 		if loaded.SnapshotMeta != nil || len(loaded.Entries) > 0 {
@@ -169,7 +169,7 @@
 	Segments int
 }
 
-// Inspect reads a directory whole and changes nothing in it.
+// Inspect reads all of a directory and changes nothing in it.
 func Inspect(fs FS) (*Inspection, error) {
 	id, err := LoadIdentity(fs)
 	if err != nil {
--- a/internal/store/machine/command.go
+++ b/internal/store/machine/command.go
@@ -104,7 +104,7 @@
 	KV       *KV   `msgpack:"k" json:"kv"` // as it is after a Put, or was before a Delete
 }
 
-// Code says why a command did nothing. It is the same on every instance.
+// Code says why a command did nothing. It is the same at every instance.
 type Code uint8
 
 // The codes of results. Their numbers are part of the format.
@@ -129,7 +129,7 @@
 	return fmt.Sprintf("code %d", uint8(c))
 }
 
-// Result is what a command came to.
+// Result is the outcome of a command.
 type Result struct {
 	Code     Code   `msgpack:"c,omitempty"`
 	Holds    bool   `msgpack:"h,omitempty"` // the comparisons held
--- a/internal/store/machine/machine_test.go
+++ b/internal/store/machine/machine_test.go
@@ -147,7 +147,8 @@
 	for i := range 30 {
 		h.do(Command{Kind: TransactionKind, Then: []Op{{Kind: Put, NS: "n", Key: fmt.Sprint("x", i)}, {Kind: Put, NS: "n", Key: "y"}, {Kind: Put, NS: "o", Key: "x"}}})
 	}
-	seen, at := 0, int64(0)
+	seen := 0
+	at := int64(0)
 	for at < h.m.Revision() {
 		events, upTo, ok := h.m.EventsSince("n", "", at, 5)
 		if !ok || upTo <= at || len(events)%2 != 0 {
@@ -158,7 +159,8 @@
 				t.Errorf("an event of %d between %d and %d", e.Revision, at, upTo)
 			}
 		}
-		seen, at = seen+len(events), upTo
+		seen += len(events)
+		at = upTo
 	}
 	if seen != 60 {
 		t.Errorf("%d events", seen)
--- a/internal/store/node/join.go
+++ b/internal/store/node/join.go
@@ -38,8 +38,8 @@
 func joinUntilDecided(ctx context.Context, conf Config, addresses []string, token string) error {
 	for {
 		_, err := Join(ctx, conf, addresses, token)
-		var told *client.Error
-		refused := errors.As(err, &told) && told.Code == frame.CodeRefused
+		var answer *client.Error
+		refused := errors.As(err, &answer) && answer.Code == frame.CodeRefused
 		if err == nil || refused {
 			return err
 		}
--- a/internal/store/node/node_test.go
+++ b/internal/store/node/node_test.go
@@ -97,7 +97,8 @@
 	}
 	cl.openNode(gone)
 	cl.waitUntil("it has caught up", func() bool {
-		kv, found := machine.KV{}, false
+		var kv machine.KV
+		var found bool
 		_, err := cl.nodes[gone].Read(cl.ctx, true, func(m *machine.Machine) { kv, found = m.Get("n", "k49") })
 		return err == nil && found && kv.Version == 12
 	})
--- a/internal/store/node/requests.go
+++ b/internal/store/node/requests.go
@@ -27,7 +27,7 @@
 // errDenied says that a role may not do what it asked for.
 var errDenied = errors.New("store: not allowed with this certificate")
 
-// rejectedError is a request's error that no other instance and no retry would mend.
+// rejectedError is a request's error that neither another instance nor a retry would avoid.
 type rejectedError struct{ error }
 
 func (r rejectedError) Unwrap() error { return r.error }
