--- a/internal/daemon/document.go
+++ b/internal/daemon/document.go
@@ -14,15 +14,14 @@
 )
 
 const (
-	gatewayDocument = "gateway"        // the document that is laid over the gateways' configuration
-	statusTTL       = 15 * time.Second // what a crashed instance has reported is removed after this
-	reportTimeout   = 3 * time.Second  // of one attempt
-	reportRetry     = time.Second
+	statusTTL     = 15 * time.Second // what a crashed instance has reported is removed after this
+	reportTimeout = 3 * time.Second  // of one attempt
+	reportRetry   = time.Second
 )
 
 // readDocument returns the document's latest revision in a state; nil: there is none.
 func readDocument(m *machine.Machine) *documents.Revision {
-	revision, err := documents.At(m, gatewayDocument, 0)
+	revision, err := documents.At(m, documents.Gateway, 0)
 	if err != nil {
 		return nil
 	}
@@ -73,7 +72,7 @@
 	}
 	d.status = documents.Running{
 		Instance:     d.set.Store.Name,
-		Document:     gatewayDocument,
+		Document:     documents.Gateway,
 		Revision:     revision.Number,
 		Applied:      applied,
 		State:        state,
@@ -101,7 +100,7 @@
 		d.applyDocument(n)
 		return nil
 	}
-	_ = n.Watch(d.ctx, documents.NS, "head/"+gatewayDocument, 0, apply) // it ends only with the daemon or the node
+	_ = n.Watch(d.ctx, documents.NS, "head/"+documents.Gateway, 0, apply) // it ends only with the daemon or the node
 }
 
 // applyDocument has the gateway go over to the latest revision, unless it has tried it before.
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -9,11 +9,7 @@
 	"github.com/google/jsonschema-go/jsonschema"
 
 	"cloverrock/deploy"
-)
-
-const (
-	gatewayDocument = "gateway"
-	schemaSuffix    = ".schema" // of the document that holds another's schema
+	"cloverrock/internal/store/documents"
 )
 
 // errInvalidSchema says that the schema itself is wrong.
@@ -71,13 +67,13 @@
 // ValidateDocument validates a document of the store: "gateway" by the program's schema, another by the given one,
 // which is nil if there is none. Of a schema's document it checks that it is a schema.
 func ValidateDocument(name string, body, schema []byte) error {
-	if strings.HasSuffix(name, schemaSuffix) {
+	if strings.HasSuffix(name, documents.SchemaSuffix) {
 		if _, err := Validate(body, []byte("null")); errors.Is(err, errInvalidSchema) {
 			return fmt.Errorf("document %s: %w", name, err)
 		}
 		return nil
 	}
-	if name == gatewayDocument {
+	if name == documents.Gateway {
 		schema = deploy.Gateway
 	}
 	if schema == nil {
--- a/internal/store/client/client.go
+++ b/internal/store/client/client.go
@@ -248,13 +248,9 @@
 	return response.Result.KVs, response.AgeMS, nil
 }
 
-// EventHandler takes events of a watch, which go up to a revision. With complete false, events before that revision
-// were compacted: the caller has to read the keys anew, and the watch goes on from there. An error ends the watch.
-type EventHandler func(events []machine.Event, upTo int64, complete bool) error
-
 // Watch passes the events after a revision to handle, at one instance after another, until the context ends or handle
 // returns an error.
-func (c *Client) Watch(ctx context.Context, ns, prefix string, after int64, handle EventHandler) error {
+func (c *Client) Watch(ctx context.Context, ns, prefix string, after int64, handle machine.EventHandler) error {
 	for {
 		request := &frame.Request{Op: frame.OpWatch, NS: ns, Key: prefix, After: after}
 		var handleErr error
--- a/internal/store/documents/documents.go
+++ b/internal/store/documents/documents.go
@@ -19,6 +19,10 @@
 const NS = "config"
 
 const (
+	// Gateway is the document that is laid over the configuration of gateways.
+	Gateway = "gateway"
+	// SchemaSuffix ends the name of the document that holds another's schema.
+	SchemaSuffix = ".schema"
 	// MaxBody bounds a document in bytes.
 	MaxBody = 256 << 10
 	// KeepRevisions bounds the revisions of a document that are kept; the oldest are dropped.
--- a/internal/store/machine/events.go
+++ b/internal/store/machine/events.go
@@ -9,6 +9,10 @@
 // KeepEvents bounds the events kept for watches: at twice as many, the older half is dropped.
 const KeepEvents = 16384
 
+// EventHandler takes events of a watch, which go up to a revision. With complete false, events before that revision
+// were compacted: the caller has to read the keys again, and the watch goes on from there. An error ends the watch.
+type EventHandler func(events []Event, upTo int64, complete bool) error
+
 // recordEvent notes an event; the first of a revision begins it.
 func (m *Machine) recordEvent(event Event) {
 	m.revision = event.Revision
@@ -45,7 +49,7 @@
 
 // EventsSince returns the events of a namespace and prefix after a revision, and the revision up to which they go: at
 // most limit of them, and then those that belong to the last one's revision. It reports false if the revision was
-// compacted: the watcher has to read the keys anew.
+// compacted: the watcher has to read the keys again.
 func (m *Machine) EventsSince(ns, prefix string, after int64, limit int) (found []Event, upTo int64, ok bool) {
 	if after < m.compactedTo {
 		return nil, m.compactedTo, false
--- a/internal/store/node/requests.go
+++ b/internal/store/node/requests.go
@@ -239,7 +239,7 @@
 	var invalid error
 	_, err := cc.node.Read(ctx, false, func(m *machine.Machine) {
 		command, revision, invalid = documents.Plan(m, change)
-		if form, err := documents.At(m, change.Name+".schema", 0); err == nil {
+		if form, err := documents.At(m, change.Name+documents.SchemaSuffix, 0); err == nil {
 			schema = form.Body
 		}
 	})
--- a/internal/store/node/watch.go
+++ b/internal/store/node/watch.go
@@ -44,13 +44,9 @@
 	}
 }
 
-// EventHandler takes events of a watch, which go up to a revision. With complete false, events before that revision
-// were compacted: the caller has to read the keys anew, and the watch goes on from there. An error ends the watch.
-type EventHandler func(events []machine.Event, upTo int64, complete bool) error
-
 // Watch passes the events of a namespace and prefix after a revision to handle, in order, until the context ends or
 // handle returns an error.
-func (n *Node) Watch(ctx context.Context, ns, prefix string, after int64, handle EventHandler) error {
+func (n *Node) Watch(ctx context.Context, ns, prefix string, after int64, handle machine.EventHandler) error {
 	for {
 		changed := n.watchers.next() // before the read, so that no change falls between
 		var events []machine.Event
