--- a/internal/store/node/requests.go
+++ b/internal/store/node/requests.go
@@ -27,7 +27,7 @@
 // errDenied says that a role may not do what it asked for.
 var errDenied = errors.New("store: not allowed with this certificate")
 
-// rejectedError is a request's error that no other instance and no retry would mend.
+// rejectedError is a request's error that neither another instance nor a retry would avoid.
 type rejectedError struct{ error }
 
 func (r rejectedError) Unwrap() error { return r.error }
@@ -239,7 +239,7 @@
 	var invalid error
 	_, err := cc.node.Read(ctx, false, func(m *machine.Machine) {
 		command, revision, invalid = documents.Plan(m, change)
-		if form, err := documents.At(m, change.Name+".schema", 0); err == nil {
+		if form, err := documents.At(m, change.Name+documents.SchemaSuffix, 0); err == nil {
 			schema = form.Body
 		}
 	})
