--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -75,7 +75,9 @@
 		return err
 	}
 	conf.Log = d.log
-	n, err := node.OpenOrJoin(d.ctx, conf, d.set.Store.Join, d.getenv("CLOVERROCK_TOKEN"))
+	n, err := node.OpenOrJoin(d.ctx, conf, node.JoinOptions{
+		Addresses: d.set.Store.Join, Token: d.getenv("CLOVERROCK_TOKEN"), Config: d.set.Store.NodeConfig,
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/store/node/join.go
+++ b/internal/store/node/join.go
@@ -8,6 +8,8 @@
 	"os"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"cloverrock/internal/store/client"
 	"cloverrock/internal/store/disk"
 	"cloverrock/internal/store/frame"
@@ -19,31 +21,39 @@
 	joinTimeout = 10 * time.Second // of one attempt
 )
 
+// JoinOptions say how an instance with an empty directory joins.
+type JoinOptions struct {
+	Addresses []string // of members; none: it does not join
+	Token     string
+	// Config returns the configuration for one attempt, with the certificates as they are on disk by then.
+	Config func() (Config, error)
+}
+
 // OpenOrJoin opens an instance's directory and starts it. An empty directory has no vote, whatever its name was: it
 // joins through one of the given addresses first, and tries again until it is taken in or refused.
-func OpenOrJoin(ctx context.Context, conf Config, addresses []string, token string) (*Node, error) {
+func OpenOrJoin(ctx context.Context, conf Config, join JoinOptions) (*Node, error) {
 	for {
 		n, err := Open(conf) //nolint:contextcheck // the instance outlives the call
-		if !errors.Is(err, disk.ErrEmpty) || len(addresses) == 0 {
+		if !errors.Is(err, disk.ErrEmpty) || len(join.Addresses) == 0 {
 			return n, err
 		}
-		conf.Log.Info().Strs("ask", addresses).Msg("store: data directory empty, joining as a learner")
-		if err := joinUntilDecided(ctx, conf, addresses, token); err != nil {
+		conf.Log.Info().Strs("ask", join.Addresses).Msg("store: data directory empty, joining as a learner")
+		if err := joinUntilDecided(ctx, conf.Log, join); err != nil {
 			return nil, err
 		}
 	}
 }
 
 // joinUntilDecided asks again and again until the instance is taken in or refused.
-func joinUntilDecided(ctx context.Context, conf Config, addresses []string, token string) error {
+func joinUntilDecided(ctx context.Context, log zerolog.Logger, join JoinOptions) error {
 	for {
-		_, err := Join(ctx, conf, addresses, token)
+		_, err := Join(ctx, join)
 		var answer *client.Error
 		refused := errors.As(err, &answer) && answer.Code == frame.CodeRefused
 		if err == nil || refused {
 			return err
 		}
-		conf.Log.Warn().Err(err).Msg("store: joining failed, retrying")
+		log.Warn().Err(err).Msg("store: joining failed, retrying")
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -54,7 +64,11 @@
 
 // Join asks the members at the given addresses to take this instance in under a new id, and then makes its directory.
 // It returns the id.
-func Join(ctx context.Context, conf Config, addresses []string, token string) (uint64, error) {
+func Join(ctx context.Context, join JoinOptions) (uint64, error) {
+	conf, err := join.Config()
+	if err != nil {
+		return 0, err
+	}
 	if err := checkNoIdentity(conf.Data); err != nil {
 		return 0, err
 	}
@@ -64,13 +78,15 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	cluster, err := clusterOf(ctx, conf, addresses)
+	cluster, err := clusterOf(ctx, conf, join.Addresses)
 	if err != nil {
 		return 0, fmt.Errorf("join: %w: %w", client.ErrUnavailable, err)
 	}
-	members := client.New(client.Config{Endpoints: addresses, TLS: conf.TLS})
+	members := client.New(client.Config{Endpoints: join.Addresses, TLS: conf.TLS})
 	defer members.Close()
-	request := &frame.Request{Op: frame.OpJoin, NodeID: id, Address: cmp.Or(conf.Advertise, conf.Listen), Token: token}
+	request := &frame.Request{
+		Op: frame.OpJoin, NodeID: id, Address: cmp.Or(conf.Advertise, conf.Listen), Token: join.Token,
+	}
 	if _, err := members.Call(ctx, request, false); err != nil {
 		return 0, err
 	}
--- a/internal/storecmd/golden_test.go
+++ b/internal/storecmd/golden_test.go
@@ -47,7 +47,7 @@
 	}
 	conf.SnapshotEntries = snapshotEntries
 	conf.Log = zerolog.Nop()
-	instance, err := node.OpenOrJoin(context.Background(), conf, set.Store.Join, "")
+	instance, err := node.OpenOrJoin(context.Background(), conf, node.JoinOptions{Addresses: set.Store.Join})
 	if err != nil {
 		f.T.Fatal(err)
 	}
--- a/internal/storecmd/serve.go
+++ b/internal/storecmd/serve.go
@@ -56,7 +56,8 @@
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	n, err := node.OpenOrJoin(cmd.Context(), conf, set.Join, f.token)
+	join := node.JoinOptions{Addresses: set.Join, Token: f.token, Config: set.NodeConfig}
+	n, err := node.OpenOrJoin(cmd.Context(), conf, join)
 	if err != nil {
 		log.Error().Err(err).Msg("store: start failed")
 		return err
@@ -81,11 +82,8 @@
 			if err != nil {
 				return err
 			}
-			conf, err := set.NodeConfig()
-			if err != nil {
-				return err
-			}
-			id, err := node.Join(cmd.Context(), conf, set.Join, token)
+			join := node.JoinOptions{Addresses: set.Join, Token: token, Config: set.NodeConfig}
+			id, err := node.Join(cmd.Context(), join)
 			if err != nil {
 				return err
 			}
