--- a/internal/eventloop/engine.go
+++ b/internal/eventloop/engine.go
@@ -10,6 +10,8 @@
 // maxPackets bounds the datagrams that are read before connections have their turn.
 const maxPackets = 3
 
+const engineLogPrefix = "eventloop: engine: "
+
 // engineOpened is called by the engine, on the goroutine that accepts, for a new connection.
 func (l *Loop) engineOpened(nb *nbio.Conn, accept func(*Conn) Handler) {
 	_, isUDP := nb.RemoteAddr().(*net.UDPAddr)
@@ -115,11 +117,11 @@
 func (closeSignal) Data([]byte)    {}
 func (s closeSignal) Closed(error) { close(s) }
 
-// engineLog writes the engine's log lines to the program's log.
+// engineLog writes the engine's log lines to the program's log, one level lower where they are about normal operation.
 type engineLog struct{ log zerolog.Logger }
 
 func (e engineLog) Debug(string, ...any)          {}
-func (e engineLog) Info(format string, v ...any)  { e.log.Debug().Msgf(format, v...) }
-func (e engineLog) Warn(format string, v ...any)  { e.log.Warn().Msgf(format, v...) }
-func (e engineLog) Error(format string, v ...any) { e.log.Error().Msgf(format, v...) }
+func (e engineLog) Info(format string, v ...any)  { e.log.Debug().Msgf(engineLogPrefix+format, v...) }
+func (e engineLog) Warn(format string, v ...any)  { e.log.Warn().Msgf(engineLogPrefix+format, v...) }
+func (e engineLog) Error(format string, v ...any) { e.log.Error().Msgf(engineLogPrefix+format, v...) }
 func (e engineLog) SetLevel(int)                  {}
--- a/internal/pgwire/error_test.go
+++ b/internal/pgwire/error_test.go
@@ -10,12 +10,12 @@
 func TestErrorIsParsedAsItWasAppended(t *testing.T) {
 	want := Error{Severity: "ERROR", Code: CodeTooManyConnections, Message: "full", Detail: "150"}
 	m, _, _, _ := Next(AppendError(nil, want))
-	got, whole := ParseError(m.Body)
-	if d := cmp.Diff(want, got); m.Type != 'E' || d != "" || !whole {
-		t.Error(whole, d)
+	got, ok := ParseError(m.Body)
+	if d := cmp.Diff(want, got); m.Type != 'E' || d != "" || !ok {
+		t.Error(ok, d)
 	}
 	for _, bad := range []string{"", "Sopen", "\x00", "SERROR\x00C53300\x00", "SERROR\x00C53300\x00\x00more", "SERROR\x00C5330\x00\x00", "C53300\x00\x00"} {
-		if e, whole := ParseError([]byte(bad)); whole {
+		if e, ok := ParseError([]byte(bad)); ok {
 			t.Errorf("%q is taken as %+v", bad, e)
 		}
 	}
--- a/internal/pgwire/message_test.go
+++ b/internal/pgwire/message_test.go
@@ -13,14 +13,14 @@
 		ok             bool
 		err            error
 	}{
-		"nothing":        {},
-		"part of a head": {in: "Q\x00\x00", rest: "Q\x00\x00"},
-		"part of a body": {in: "Q\x00\x00\x00\x08ab", rest: "Q\x00\x00\x00\x08ab"},
-		"whole":          {in: "Q\x00\x00\x00\x06ab", body: "ab", ok: true},
-		"whole and more": {in: "Q\x00\x00\x00\x06abX", body: "ab", rest: "X", ok: true},
-		"length too low": {in: "Q\x00\x00\x00\x03", rest: "Q\x00\x00\x00\x03", err: ErrLength},
-		"length over":    {in: "Q\x7f\xff\xff\xff", rest: "Q\x7f\xff\xff\xff", err: ErrTooLarge},
-		"length below 0": {in: "Q\xff\xff\xff\xff", rest: "Q\xff\xff\xff\xff", err: ErrTooLarge},
+		"nothing":           {},
+		"part of a head":    {in: "Q\x00\x00", rest: "Q\x00\x00"},
+		"part of a body":    {in: "Q\x00\x00\x00\x08ab", rest: "Q\x00\x00\x00\x08ab"},
+		"complete":          {in: "Q\x00\x00\x00\x06ab", body: "ab", ok: true},
+		"complete and more": {in: "Q\x00\x00\x00\x06abX", body: "ab", rest: "X", ok: true},
+		"length too low":    {in: "Q\x00\x00\x00\x03", rest: "Q\x00\x00\x00\x03", err: ErrLength},
+		"length over":       {in: "Q\x7f\xff\xff\xff", rest: "Q\x7f\xff\xff\xff", err: ErrTooLarge},
+		"length below 0":    {in: "Q\xff\xff\xff\xff", rest: "Q\xff\xff\xff\xff", err: ErrTooLarge},
 	} {
 		m, rest, ok, err := Next([]byte(c.in))
 		if string(m.Body) != c.body || string(rest) != c.rest || ok != c.ok || !errors.Is(err, c.err) {
@@ -39,7 +39,7 @@
 	}{
 		"nothing":                 {},
 		"type alone":              {in: "D"},
-		"whole":                   {in: row, ok: true},
+		"complete":                {in: row, ok: true},
 		"ready":                   {in: "Z\x00\x00\x00\x05I", ok: true},
 		"noise":                   {in: "\x00", bad: true},
 		"a client's message":      {in: "Q", bad: true},
--- a/internal/pgwire/startup_test.go
+++ b/internal/pgwire/startup_test.go
@@ -8,17 +8,17 @@
 
 // A startup message is a version with parameters, or one of the requests that stand in its place.
 func TestNextStartupReadsVersionsRequestsAndParameters(t *testing.T) {
-	whole := string(AppendStartup(nil, "user", "worker", "database", "catalog"))
+	complete := string(AppendStartup(nil, "user", "worker", "database", "catalog"))
 	for name, c := range map[string]struct {
 		in     string
 		want   Startup
 		rest   string
 		ok, er bool
 	}{
-		"nothing":         {},
-		"part":            {in: whole[:20], rest: whole[:20]},
-		"whole and more":  {in: whole + "Q", want: Startup{Code: ProtocolVersion, Params: map[string]string{"user": "worker", "database": "catalog"}}, rest: "Q", ok: true},
-		"request for TLS": {in: "\x00\x00\x00\x08\x04\xd2\x16\x2f", want: Startup{Code: SSLRequest, Params: map[string]string{}}, ok: true},
+		"nothing":           {},
+		"part":              {in: complete[:20], rest: complete[:20]},
+		"complete and more": {in: complete + "Q", want: Startup{Code: ProtocolVersion, Params: map[string]string{"user": "worker", "database": "catalog"}}, rest: "Q", ok: true},
+		"request for TLS":   {in: "\x00\x00\x00\x08\x04\xd2\x16\x2f", want: Startup{Code: SSLRequest, Params: map[string]string{}}, ok: true},
 		"to cancel": {in: "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x07\x01\x02\x03\x04",
 			want: Startup{CancelRequest, map[string]string{}, 7, [4]byte{1, 2, 3, 4}}, ok: true},
 		"to cancel, short": {in: "\x00\x00\x00\x0c\x04\xd2\x16\x2e\x00\x00\x00\x07", rest: "\x00\x00\x00\x0c\x04\xd2\x16\x2e\x00\x00\x00\x07", er: true},
