--- a/balance/api.go
+++ b/balance/api.go
@@ -209,7 +209,7 @@
 	HealthCheckAction                     // Host: check it
 	CloseIdleAction                       // Host: close its idle connections
 	GossipAction                          // Peer (-1: all), Data: send it to other gateways
-	LogAction                             // Text: write a log line
+	LogAction                             // Log: write a log line
 	SubscribeAction                       // follow the changes of the endpoint list
 	PollEndpointsAction                   // ask for the whole endpoint list once; not used by Router
 )
@@ -226,5 +226,5 @@
 	Token      int64
 	Peer       int // ordinal of a gateway; -1: all
 	Data       []byte
-	Text       string
+	Log        *LogEntry
 }
--- a/balance/decisionsrig_test.go
+++ b/balance/decisionsrig_test.go
@@ -29,7 +29,7 @@
 	)
 	h.Text(action.Host)
 	h.Text(string(action.Data))
-	h.Bool(action.Text != "")
+	h.Bool(action.Log != nil)
 }
 
 func (h actionHash) snapshot(snapshot balance.Snapshot) {
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -1,8 +1,6 @@
 package balance
 
 import (
-	"strconv"
-
 	"cloverrock/internal/gossip"
 )
 
@@ -51,7 +49,7 @@
 func (r *Router) handleGossip(peer int, data []byte) {
 	facts := r.gossip.Receive(r.now, peer, data)
 	if malformed := r.gossip.TakeMalformedReport(r.now); malformed > 0 {
-		r.log("balance: malformed gossip messages dropped count=" + strconv.Itoa(malformed))
+		r.log(LogEntry{Message: "balance: malformed gossip messages dropped", Count: malformed})
 	}
 	for i := range facts {
 		r.applyFact(&facts[i])
--- a/balance/health.go
+++ b/balance/health.go
@@ -80,7 +80,7 @@
 	host.backoff = min(max(2*host.backoff, r.searchInterval()), r.maxBackoff())
 	host.nextTryAt = r.now + r.spreadOverFleet(host.backoff)
 	if host.health != unhealthy {
-		r.log("balance: host unhealthy host=" + host.id)
+		r.log(LogEntry{Message: "balance: host unhealthy", Host: host.id})
 	}
 	host.health = unhealthy
 	host.unhealthyAt = r.now
--- a/balance/primary.go
+++ b/balance/primary.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"strconv"
 )
 
 const (
@@ -81,7 +80,7 @@
 	if group.confirmed && (group.primary == host || host.roleAsOf < group.primary.roleAsOf) {
 		return
 	}
-	r.log("balance: primary confirmed group=" + strconv.FormatInt(group.id, 10) + " host=" + host.id)
+	r.log(LogEntry{Message: "balance: primary confirmed", HasGroup: true, Group: group.id, Host: host.id})
 	group.primary = host
 	group.confirmed = true
 	group.round++
@@ -93,8 +92,9 @@
 	old := group.primary
 	if group.confirmed {
 		group.searchingSince = r.now
-		groupID := strconv.FormatInt(group.id, 10)
-		r.log("balance: primary lost group=" + groupID + " host=" + old.id + " reason=" + reason)
+		r.log(LogEntry{
+			Message: "balance: primary lost", HasGroup: true, Group: group.id, Host: old.id, Reason: reason,
+		})
 	}
 	group.confirmed = false
 	old.triedInRound = group.round
--- a/balance/router.go
+++ b/balance/router.go
@@ -173,7 +173,7 @@
 
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-func (r *Router) log(text string) { r.emit(Action{Kind: LogAction, Text: text}) }
+func (r *Router) log(entry LogEntry) { r.emit(Action{Kind: LogAction, Log: &entry}) }
 
 // randomFraction draws a number from 0 up to, and not including, 1.
 func (r *Router) randomFraction() float64 {
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -25,7 +25,7 @@
 		g.counts.GossipBytesSent += len(action.Data)
 		g.peers.Send(action.Peer, action.Data)
 	case balance.LogAction:
-		g.log.Info().Msg(action.Text)
+		g.writeLog(action.Log)
 	case balance.SubscribeAction:
 		g.endpoints.Subscribe()
 	case balance.PollEndpointsAction:
@@ -85,3 +85,21 @@
 		g.handle(balance.Event{Kind: balance.TimerEvent, Token: token})
 	})
 }
+
+// writeLog writes a line of the router's with its fields.
+func (g *Gateway) writeLog(entry *balance.LogEntry) {
+	event := g.log.Info()
+	if entry.HasGroup {
+		event.Int64("group", entry.Group)
+	}
+	if entry.Host != "" {
+		event.Str("host", entry.Host)
+	}
+	if entry.Reason != "" {
+		event.Str("reason", entry.Reason)
+	}
+	if entry.Count != 0 {
+		event.Int("count", entry.Count)
+	}
+	event.Msg(entry.Message)
+}
--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -44,8 +44,7 @@
 	maxLine = 1 << 20 // bytes
 
 	countsMessage    = "counts" // marks the lines that are added up
-	primaryConfirmed = "balance: primary confirmed group="
-	hostField        = " host="
+	primaryConfirmed = "balance: primary confirmed"
 	tallySize        = 5 // numbers of each host: succeeded, failed, timed out, others, mean milliseconds
 )
 
@@ -113,9 +112,8 @@
 // add adds one line's fields up.
 func (s *Second) add(fields map[string]any) {
 	message, _ := fields["message"].(string)
-	if change, ok := strings.CutPrefix(message, primaryConfirmed); ok {
-		group, host, _ := strings.Cut(change, hostField)
-		s.Changes["group "+group+" "+host]++
+	if message == primaryConfirmed {
+		s.Changes[fmt.Sprintf("group %v %v", fields["group"], fields["host"])]++
 	}
 	if message != countsMessage {
 		return
--- a/internal/lab/logstats/logstats_test.go
+++ b/internal/lab/logstats/logstats_test.go
@@ -9,7 +9,7 @@
 // Two gateways in one second, one of them also in the next; lines that are none of theirs.
 func TestReadAddsUpOverGateways(t *testing.T) {
 	dir := fstest.MapFS{
-		"n0.log": {Data: []byte(`1.100 {"time":5,"message":"balance: primary confirmed group=3 host=s-a"}
+		"n0.log": {Data: []byte(`1.100 {"time":5,"group":3,"host":"s-a","message":"balance: primary confirmed"}
 1.900 {"level":"debug","time":5,"requests":4,"probes":2,"attempts":{"s-a":[2,0,1,0,30],"s-b":[1,0,0,0,9]},"message":"counts"}
 2.900 {"level":"debug","time":5,"requests":1,"attempts":{},"message":"counts"}
 no line of a gateway
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -51,7 +51,7 @@
 	case balance.GossipAction:
 		b = appendGossip(b, a)
 	case balance.LogAction:
-		b = appendText(b, " reasonText=", oneLine(a.Text))
+		b = appendText(b, " reasonText=", oneLine(a.Log.String()))
 	case balance.SubscribeAction:
 		b = appendInt(b, " enable=", 1)
 	}
--- a/internal/simprotocol/actions_test.go
+++ b/internal/simprotocol/actions_test.go
@@ -21,7 +21,10 @@
 		{balance.Action{Kind: balance.CloseIdleAction, Host: "h-a"}, "release who=3 host=h-a"},
 		{balance.Action{Kind: balance.GossipAction, Peer: -1, Data: []byte("hi p7")}, "say who=3 whom=all contents=6869207037"},
 		{balance.Action{Kind: balance.GossipAction, Peer: 2}, "say who=3 whom=2 contents=-"},
-		{balance.Action{Kind: balance.LogAction, Text: "a\nb"}, "journal_line who=3 reasonText=a b"},
+		{balance.Action{Kind: balance.LogAction, Log: &balance.LogEntry{Message: "a\nb"}}, "journal_line who=3 reasonText=a b"},
+		{balance.Action{Kind: balance.LogAction, Log: &balance.LogEntry{
+			Message: "lost", HasGroup: true, Host: "h", Reason: "replica", Count: 2,
+		}}, "journal_line who=3 reasonText=lost group=0 host=h reason=replica count=2"},
 		{balance.Action{Kind: balance.SubscribeAction}, "stream_changes who=3 enable=1"},
 		{balance.Action{Kind: balance.PollEndpointsAction}, "reload who=3"},
 	} {
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -26,7 +26,7 @@
 		{"close", balance.Action{Kind: balance.CloseIdleAction, Host: "h"}},
 		{"tell all", balance.Action{Kind: balance.GossipAction, Peer: -1, Data: []byte{0, 127, 255}}},
 		{"tell one nothing", balance.Action{Kind: balance.GossipAction, Peer: 0}},
-		{"log", balance.Action{Kind: balance.LogAction, Text: "a\tb\nü"}},
+		{"log", balance.Action{Kind: balance.LogAction, Log: &balance.LogEntry{Message: "a\tb\nü"}}},
 		{"subscribe", balance.Action{Kind: balance.SubscribeAction}},
 		{"fetch", balance.Action{Kind: balance.PollEndpointsAction}},
 	}
