--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -208,7 +208,7 @@
 	if result != balance.Failed {
 		return result
 	}
-	c.pool.log.Warn().Str("host", c.host.id).Str("code", a.hostError.Code).Str("message", a.hostError.Message).
+	c.pool.log.Warn().Str("host", c.host.id).Str("code", a.hostError.Code).Str("text", a.hostError.Message).
 		Msg("backend: host answered with an error")
 	if c.state == dialing {
 		return balance.ConnectionRefused // nothing was sent yet
