--- a/internal/frontend/closing.go
+++ b/internal/frontend/closing.go
@@ -4,8 +4,8 @@
 // client is just sending, and a reset takes with it the answers that the client has not read yet. So our side ends
 // first, and the socket stays open until the client has ended its side too, or until its time is up.
 
-// closeRetryInterval is the time in microseconds that a client has to read before its connection is looked at again.
-const closeRetryInterval = 5e3
+// retryInterval is the time in microseconds that a client has to read its answers before more is done for it.
+const retryInterval = 5e3
 
 // Closed implements eventloop.Handler.
 func (c *client) Closed(error) { c.forget() }
@@ -94,7 +94,7 @@
 // retryLater calls f once the client has had some time to read; at most one call is pending.
 func (c *client) retryLater(f func()) {
 	c.retryTimer.Stop()
-	c.retryTimer = c.server.loop.CallAt(c.server.loop.Now()+closeRetryInterval, f)
+	c.retryTimer = c.server.loop.CallAt(c.server.loop.Now()+retryInterval, f)
 }
 
 // terminate ends the connection once everything that was written to it is on its way; further input is ignored.
