--- a/internal/app/process_test.go
+++ b/internal/app/process_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -15,6 +14,7 @@
 	"testing"
 	"time"
 
+	"cloverrock/internal/lab/loopback"
 	"cloverrock/internal/pgwire"
 )
 
@@ -46,17 +46,15 @@
 	return l.buf.String()
 }
 
-// unusedAddress returns an address at which nobody listens.
-func unusedAddress(t *testing.T) string {
+// reserveAddress returns an address at which nobody listens, and which no connection of this machine takes meanwhile: a
+// free port of 127.0.0.1 may become the source of one before the process listens there.
+func reserveAddress(t *testing.T) string {
 	t.Helper()
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	addresses, err := loopback.Reserve(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := listener.Close(); err != nil {
-		t.Fatal(err)
-	}
-	return listener.Addr().String()
+	return addresses[0]
 }
 
 // processMemoryMB is the memory limit in the configuration of processes.
@@ -66,7 +64,7 @@
 func (gw *harness) startProcess(sockets int, known bool) (*exec.Cmd, *logBuffer) {
 	t := gw.t
 	t.Helper()
-	gw.address = unusedAddress(t)
+	gw.address = reserveAddress(t)
 	file := filepath.Join(t.TempDir(), "config.json")
 	conf := string(gw.configFile(gw.discoveryListener.Addr()))
 	limits := fmt.Sprintf(`{"listen":%q,"limits":{"memory_mb":%d,"sockets":%d}`, gw.address, processMemoryMB, sockets)
