--- a/balance/admission.go
+++ b/balance/admission.go
@@ -1,33 +1,34 @@
 package balance
 
 const (
-	initialConcurrencyLimit = 4.0  // attempts in flight granted to a host of which nothing is known
-	minFleetConcurrency     = 5.5  // attempts of all gateways that keep all cores of a host at work
+	initialConcurrencyLimit = 4.0  // attempts in flight that a newly listed host is allowed
+	minFleetConcurrency     = 5.5  // attempts in flight, of all gateways, that use all cores of a host
 	limitGrowShare          = 0.28 // latency share below which the limit grows
 	limitCutShare           = 0.4  // latency share above which the limit is cut
-	limitCutFactor          = 0.8  // part of the limit that a cut leaves: several gateways cut at once
-	latencyShareWeight      = 0.15 // of a new value in the latency share: queues grow within a few answers
+	limitCutFactor          = 0.8  // factor of a cut; moderate, since several gateways cut at once
+	latencyShareWeight      = 0.15 // weight of a new value; high, since queues grow within a few answers
 
-	shedStartShare    = 0.3 // latency share above which a part of the reads is shed, all of them at 1
-	sparseRequestRate = 1.0 // requests per host and second; with fewer, load is judged by all hosts
+	shedStartShare    = 0.3 // latency share above which a part of the reads is shed; at 1 all are
+	sparseRequestRate = 1.0 // requests per host and second; below it, overload is judged over all hosts
 )
 
-// hostLoad is what a host is given and how it copes. The limit is an AIMD limit: it grows while answers take
-// little of their latency objective (limitGrowShare) and is cut when they take much of it (limitCutShare).
+// hostLoad is the load of a host and its concurrency limit. The limit is an AIMD limit (additive increase,
+// multiplicative decrease): it grows while answers take a small part of their latency objective
+// (limitGrowShare) and is cut when they take a large part of it (limitCutShare).
 type hostLoad struct {
 	inFlight         []*pendingRequest // attempts of this gateway
 	latency          latencyEstimate   // of successful answers
 	latencyShare     float64           // part of their latency objective that attempts take, moving average
 	concurrencyLimit float64           // attempts of this gateway allowed in flight
-	limitCutAt       int64
+	limitCutAt       int64             // when the limit was last cut
 
-	pauseLength int64 // µs; doubles while the host turns attempts away
-	pausedUntil int64 // nothing is sent before
+	pauseLength int64 // µs; doubles while the host rejects attempts
+	pausedUntil int64 // no attempt is sent before
 }
 
 // admits reports whether a host may be sent a request now: it is not excluded, it is healthy, this gateway
-// and the fleet are within their limits of attempts in flight, its slow start allows it, and it need not shed
-// the request.
+// and the fleet are within their limits of attempts in flight, its slow start allows it, and the request is
+// not shed.
 func (r *Router) admits(req *pendingRequest, host *hostState) bool {
 	if host.excluded || r.now < host.pausedUntil {
 		return false
@@ -39,8 +40,8 @@
 }
 
 // healthAdmits reports whether the health of a host allows an attempt. An unhealthy host gets a single one as
-// a trial when its backoff is half over; where there are health checks, only if they have failed for long,
-// since they may fail where requests would succeed.
+// a trial when half of its backoff has passed. Where there are health checks, they decide, and the trial is
+// allowed only at the longest backoff: health checks may fail where requests would succeed.
 func (r *Router) healthAdmits(host *hostState) bool {
 	if host.health == healthy {
 		return true
@@ -54,9 +55,9 @@
 	return !r.settings.HealthChecks || host.backoff >= r.maxBackoff()
 }
 
-// shouldShed reports whether a host is to be spared a read. Each gateway of a large fleet has too few
-// attempts in flight for a limit to bind, so each sheds a part of its reads that grows with the host's
-// latency share.
+// shouldShed reports whether to withhold a read from a host to shed load. Each gateway of a large fleet has
+// too few attempts in flight for a limit to bind, so each sheds a part of its reads that grows with the
+// host's latency share.
 func (r *Router) shouldShed(req *pendingRequest, host *hostState) bool {
 	overload := host.latencyShare
 	if r.traffic.requestRatePerHost < sparseRequestRate {
@@ -69,8 +70,8 @@
 	return true
 }
 
-// recordLatency takes how long an attempt took, in µs, and adjusts the limit. One that timed out counts as
-// having taken all of its objective: else a host would be judged by its quick answers alone.
+// recordLatency records how long an attempt took, in µs, and adjusts the limit. An attempt that timed out
+// counts as having taken at least its latency objective; otherwise only quick answers would count.
 func (r *Router) recordLatency(host *hostState, req *pendingRequest, latency int64, succeeded bool) {
 	host.pauseLength /= 2
 	share := float64(latency) / float64(req.class.LatencyObjective)
@@ -84,15 +85,15 @@
 	r.recordLatencyShare(host, share)
 }
 
-// recordLatencyShare takes the part of its objective that an attempt of this gateway took, or will take at
-// least.
+// recordLatencyShare records the part of its latency objective that an attempt of this gateway took, or has
+// taken so far.
 func (r *Router) recordLatencyShare(host *hostState, share float64) {
 	r.gossip.RecordLatencyShare(host.id, share, false)
 	r.adjustLimit(host, share)
 }
 
-// recordOverdueAttempts takes attempts that take long while they are still in flight: after half of their
-// objective and after all of it. No answer says as much as a late one does, and sooner.
+// recordOverdueAttempts records slow attempts while they are still in flight: after half of their latency
+// objective and after all of it. This detects overload sooner than waiting for the late answer.
 func (r *Router) recordOverdueAttempts(host *hostState) {
 	for _, req := range host.inFlight {
 		share := float64(req.overdueHalves+1) / 2
@@ -104,8 +105,8 @@
 	}
 }
 
-// adjustLimit adjusts a host's limit to the part of its objective that an answer took, here or at another
-// gateway. The limit is cut once in the time of an answer at most.
+// adjustLimit adjusts a host's limit to the part of its latency objective that an answer took, at this or
+// another gateway. The limit is cut at most once per mean latency.
 func (r *Router) adjustLimit(host *hostState, share float64) {
 	host.latencyShare += latencyShareWeight * (min(share, 1) - host.latencyShare)
 	cutIsDue := r.now-host.limitCutAt > int64(host.latency.mean)
@@ -119,7 +120,7 @@
 	}
 }
 
-// pauseHost leaves a host alone for a random time that doubles with each call.
+// pauseHost sends no attempts to a host for a random time, whose bound doubles with each call.
 func (r *Router) pauseHost(host *hostState) {
 	host.pauseLength = min(max(2*host.pauseLength, r.maintenanceInterval()), r.searchInterval())
 	host.pausedUntil = r.now + host.pauseLength/2 + r.rand.Below(host.pauseLength)
--- a/balance/api.go
+++ b/balance/api.go
@@ -1,9 +1,9 @@
 package balance
 
-// This file is the interface between the router and the program that embeds it. The package comment tells the
-// units.
+// This file is the interface between the router and the program that embeds it. Units are
+// listed in the package comment.
 
-// RetrySafety tells what happens when a request is executed more than once.
+// RetrySafety describes what happens if a request is executed more than once.
 type RetrySafety uint8
 
 // The kinds of retry safety.
@@ -13,7 +13,7 @@
 	NonIdempotent                     // it must not be executed twice
 )
 
-// DeduplicationScope tells where the repeats of a request with an idempotency key are dropped.
+// DeduplicationScope describes where the repeats of a request with an idempotency key are dropped.
 type DeduplicationScope uint8
 
 // The scopes of deduplication.
@@ -23,7 +23,7 @@
 	ScopeGroup                            // in its group
 )
 
-// Consistency tells how recent the data behind an answer must be.
+// Consistency describes how recent the data behind an answer must be.
 type Consistency uint8
 
 // The levels of consistency.
@@ -32,16 +32,16 @@
 	BoundedStaleness                    // no older than Class.MaxStaleness when the request is sent
 	ReadYourWrites                      // with all that its session has written
 	Linearizable                        // with all that was written before the request arrived
-	Write                               // not a read: the primary alone takes it
+	Write                               // not a read: only the primary accepts it
 )
 
 // Class describes one class of requests.
 type Class struct {
-	LatencyObjective    int64   // µs within which an answer is worth its full weight
+	LatencyObjective    int64   // µs within which an answer has its full priority weight
 	ObjectivePerWork    float64 // the objective grows by this multiple of Event.WorkHint
 	Deadline            int64   // µs after which clients of the class give up
-	PriorityWeight      float64 // worth of an answer, relative to other classes
-	LatePriorityWeight  float64 // share of that worth that an answer after the objective still has
+	PriorityWeight      float64 // value of an answer, relative to other classes
+	LatePriorityWeight  float64 // part of PriorityWeight that an answer after the objective still has
 	RetrySafety         RetrySafety
 	DeduplicationScope  DeduplicationScope // with IdempotencyKey
 	DeduplicationWindow int64              // with IdempotencyKey: µs for which repeats are dropped
@@ -49,7 +49,7 @@
 	MaxStaleness        int64 // with BoundedStaleness, µs
 }
 
-// Settings describe one deployment. They hold for the life of a router.
+// Settings describe one deployment. They do not change during the life of a router.
 type Settings struct {
 	Zone         int     // zone of this gateway
 	Classes      []Class // Event.Class is an index into it
@@ -58,12 +58,12 @@
 	MustSubscribe bool  // the endpoint list comes only after a SubscribeAction
 	HealthChecks  bool  // hosts answer health checks
 	Cancellation  bool  // attempts can be cancelled
-	MaxRetryAfter int64 // longest time that a rejected client is told to wait, µs
+	MaxRetryAfter int64 // upper limit of Action.RetryAfter, µs
 	MaxAttempts   int   // attempts of one request, the first one included
 	DialTimeout   int64 // µs
 
-	HostsCheckStaleness     bool    // hosts turn away reads for which they lag too far behind
-	RequestsCarrySessionAge bool    // Event.SessionWriteAge is given; else commits are remembered
+	HostsCheckStaleness     bool    // hosts reject reads for which they lag too far behind
+	RequestsCarrySessionAge bool    // Event.SessionWriteAge is set; otherwise the router remembers commits
 	CrossZoneCost           float64 // above 0: of equally busy hosts, the one in this zone is preferred
 
 	OnlyDrainingExcludes    bool    // a host that vanished from the list without draining may still serve
@@ -73,12 +73,12 @@
 	SlowStartOverloadWindow int64   // µs over which that multiple counts
 
 	Gateways              int     // gateways of the fleet, this one included; 0 or 1: no gossip
-	Ordinal               int     // number of this gateway in the fleet, from 0; -1: not known, no gossip
+	Ordinal               int     // index of this gateway in the fleet, from 0; -1: unknown, no gossip
 	GossipBytesPerRequest float64 // gossip bytes that each request pays for, counted for each receiver
 }
 
-// ZoneShares is what a fleet has agreed on about its zones. It is asked during decisions, so it must answer
-// at once. It only takes hosts out of a choice that has others.
+// ZoneShares gives the shares of zones that the fleet has agreed on. Router calls it on the goroutine that
+// calls Handle, so it must not block. A share excludes hosts only where other hosts remain.
 type ZoneShares interface {
 	// ReadShare returns the part of reads, from 0 to 1, that the replicas of a zone may get.
 	ReadShare(zone int) float64
@@ -91,7 +91,7 @@
 const (
 	Removed  EndpointState = iota // gone
 	Ready                         // serving
-	Draining                      // to get no new requests
+	Draining                      // gets no new requests
 )
 
 // Endpoint is one host in the endpoint list.
@@ -106,20 +106,20 @@
 	StartedAt int64   // when it last started; 0 if long ago
 }
 
-// Result tells how an attempt or a health check ended.
+// Result describes how an attempt or a health check ended.
 type Result uint8
 
 // The results of attempts and health checks.
 const (
 	Succeeded         Result = iota
 	Failed                   // the host answered with an error
-	Overloaded               // the host turned it away for lack of capacity
+	Overloaded               // the host rejected it for lack of capacity
 	TimedOut                 // no answer in time
 	ConnectionRefused        // no connection could be opened
 	ConnectionReset          // the connection broke
 	Canceled                 // ended by this side
 	NotSent                  // nothing was sent, for a reason on this side
-	NotPrimary               // the host turned a write away since it is not the primary
+	NotPrimary               // the host rejected a write since it is not the primary
 )
 
 // ProvesNotExecuted reports whether the result proves that the attempt was not executed.
@@ -142,7 +142,7 @@
 	Replica
 )
 
-// HostReport is a host's own account of itself. It may be somewhat old.
+// HostReport is the state that a host reports of itself. It may be outdated by the time it arrives.
 type HostReport struct {
 	HasPosition bool // Position is given
 	HasRole     bool // Primary is given
@@ -151,10 +151,10 @@
 	Primary  bool  // the host is the primary of its group
 }
 
-// EventKind tells what happened.
+// EventKind is the kind of an event.
 type EventKind uint8
 
-// The kinds of events, with the fields of Event that count.
+// The kinds of events, with the fields of Event that they use.
 const (
 	EndpointsEvent          EventKind = iota // Endpoints, Complete, or PollFailed alone
 	RequestEvent                             // Request, Class, Group, Key to WorkHint
@@ -165,13 +165,13 @@
 	GossipEvent                              // Peer, Data: a message of another gateway
 )
 
-// Event is one thing that happened. Kind tells which of the other fields count.
+// Event is one input of the router. Kind determines which of the other fields are used.
 type Event struct {
 	Kind EventKind
 
 	Endpoints  []Endpoint
-	Complete   bool // the endpoints are the whole list: hosts that it lacks are removed
-	PollFailed bool // the list could not be had
+	Complete   bool // Endpoints is the complete list: hosts that it lacks are removed
+	PollFailed bool // the list could not be fetched
 
 	Request         int64 // id of the request, unique among those that have no final answer yet
 	Class           int   // index into Settings.Classes
@@ -180,15 +180,15 @@
 	HasKey          bool
 	SessionWriteAge int64 // age of the session's last write; 0: none; negative if it is ahead of the clock
 	Deadline        int64 // time at which the client gives up
-	WorkHint        int64 // expected work, µs; 0 if not known
+	WorkHint        int64 // expected work, µs; 0 if unknown
 
 	Attempt  int // number of the attempt among those of its request, from 0
 	Host     string
 	Result   Result
-	Finished bool  // the client has been answered: there is nothing left to decide
+	Finished bool  // the client has been answered; the request needs no further action
 	Latency  int64 // of the attempt or health check, µs
-	Role     Role  // of the host, as its answer tells
-	Position int64 // log position that the answer tells; 0 if none
+	Role     Role  // of the host, from its answer
+	Position int64 // log position in the answer; 0 if none
 	Report   HostReport
 
 	Token int64 // not used by decisions
@@ -196,10 +196,10 @@
 	Data  []byte
 }
 
-// ActionKind tells what the embedding program is to do.
+// ActionKind is the kind of an action.
 type ActionKind uint8
 
-// The kinds of actions, with the fields of Action that count.
+// The kinds of actions, with the fields of Action that they use.
 const (
 	SendAction          ActionKind = iota // Request, Host: send it there; Timeout
 	CancelAction                          // Request, Attempt: end the attempt
@@ -211,10 +211,10 @@
 	GossipAction                          // Peer (-1: all), Data: send it to other gateways
 	LogAction                             // Text: write a log line
 	SubscribeAction                       // follow the changes of the endpoint list
-	PollEndpointsAction                   // ask for the whole endpoint list once; not used by Router
+	PollEndpointsAction                   // fetch the complete endpoint list once; not used by Router
 )
 
-// Action is one thing to do. Kind tells which of the other fields count.
+// Action is one instruction to the embedding program. Kind determines which of the other fields are used.
 type Action struct {
 	Kind       ActionKind
 	Request    int64
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -1,10 +1,11 @@
 package balance
 
-// requestBudget limits what is done beside first attempts. Each request earns a part of a token.
+// requestBudget limits retries and health checks in proportion to requests. Each request earns perRequest
+// tokens.
 type requestBudget struct {
 	tokens     float64
 	perRequest float64 // tokens that a request earns
-	capacity   float64 // tokens that can be saved up
+	capacity   float64 // upper limit of tokens
 }
 
 // newRequestBudget returns a full budget.
@@ -18,10 +19,10 @@
 // has reports whether the budget covers a cost in tokens.
 func (b *requestBudget) has(cost float64) bool { return b.tokens >= cost }
 
-// spend takes tokens; has must have reported that they are there.
+// spend removes tokens. The caller must have checked with has that they are available.
 func (b *requestBudget) spend(cost float64) { b.tokens -= cost }
 
-// tokenBucket is a budget that fills with time.
+// tokenBucket is a budget that is refilled at a rate over time.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt int64
--- a/balance/connections.go
+++ b/balance/connections.go
@@ -1,12 +1,12 @@
 package balance
 
 const (
-	maxIdleTimeout    = 30e6 // µs that idle connections are kept, where no host's table is full
+	maxIdleTimeout    = 30e6 // µs; idle timeout while no host's connection table is full
 	idleTimeoutGrowth = 20   // a shortened idle timeout grows by this part of itself a second
 	fullTableRefusals = 2    // refused dials in a row after which a host's connection table counts as full
 )
 
-// hostConnections is what the router knows of its connections to a host.
+// hostConnections is the state of this gateway's connections to a host.
 type hostConnections struct {
 	connected    bool // there may be open connections
 	refusedDials int  // new connections that were refused at once, in a row
@@ -15,17 +15,17 @@
 // closeIdleConnections closes a host's connections that have been idle for longer than the idle timeout.
 func (r *Router) closeIdleConnections(host *hostState) {
 	idle := host.connected && len(host.inFlight) == 0
-	if idle && r.now-host.lastHeardAt > r.idleTimeout {
+	if idle && r.now-host.lastContactAt > r.idleTimeout {
 		host.connected = false
 		r.emit(Action{Kind: CloseIdleAction, Host: host.id})
 	}
 }
 
-// hasFullTable reports whether the host refused several dials in a row. One alone may be a fault of a link.
+// hasFullTable reports whether the host refused several dials in a row. A single one may be a link failure.
 func (c *hostConnections) hasFullTable() bool { return c.refusedDials >= fullTableRefusals }
 
-// recordBrokenConnection takes a refused dial or a reset connection. A host with a full connection table
-// refuses new connections at once and leaves open ones alone; a bad link does neither.
+// recordBrokenConnection records a refused dial or a reset connection. A host with a full connection table
+// refuses new connections at once and does not reset open ones; a bad link does neither.
 func (r *Router) recordBrokenConnection(host *hostState, req *pendingRequest, event *Event) {
 	dialed := req != nil && req.dialed
 	quick := event.Latency < r.settings.DialTimeout/2
@@ -42,7 +42,7 @@
 	r.markSuspect(host)
 }
 
-// freeConnectionTable closes idle connections sooner where a host that is alive has refused dials: its
+// freeConnectionTable shortens the idle timeout if a host that is alive has refused dials, since its
 // connection table is full.
 func (r *Router) freeConnectionTable(host *hostState) {
 	if host.hasFullTable() {
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -26,13 +26,14 @@
 //     (primary.go). A read goes to the better of two replicas that are drawn at random among those whose log
 //     position satisfies its consistency (replicas.go, sessions.go); the primary is the last resort.
 //  3. A host takes the request only if it is listed and healthy and has capacity (endpoints.go, health.go,
-//     admission.go, slowstart.go). Otherwise the request goes on waiting.
-//  4. The outcome of the attempt updates what is known of the host (outcome.go) and ends the request, or
+//     admission.go, slowstart.go). Otherwise the request stays queued.
+//  4. The outcome of the attempt updates the state of the host (outcome.go) and ends the request, or
 //     decides whether it may be retried (retry.go). A request that may have been executed is retried only if
 //     its [RetrySafety] allows it and the retry budget has a token.
 //  5. A request that no host answers gets one final action: [RejectAction] where trying again is harmless,
-//     [FailAction] otherwise. It comes as soon as nothing more can be gained by waiting.
+//     [FailAction] otherwise. It is given as soon as waiting longer
+//     cannot help.
 //
-// Gateways of one fleet tell one another what their hosts report (gossip.go). A new router can start from the
-// knowledge of another (snapshot.go).
+// Gateways of one fleet exchange what their hosts report (gossip.go). A new router can start from the state
+// of another (snapshot.go).
 package balance
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -11,20 +11,20 @@
 	maxSubscribeBackoff = 200 // maintenance intervals
 )
 
-// hostListing is what the endpoint list says of a host.
+// hostListing is the state of a host in the endpoint list.
 type hostListing struct {
 	state     EndpointState
 	excluded  bool  // draining or removed: no new attempt may go there
-	startedAt int64 // latest start that the list has shown; 0 if long ago
+	startedAt int64 // latest start according to the list; 0 if long ago
 }
 
-// subscription is the state of following the endpoint list.
+// subscription is the state of the subscription to the endpoint list.
 type subscription struct {
-	retryAt int64 // when to subscribe again after a failure; 0 while it holds
+	retryAt int64 // when to subscribe again after a failure; 0 while subscribed
 	backoff int64 // µs
 }
 
-// subscriptionFailed schedules the next try; its wait doubles with each failure.
+// subscriptionFailed schedules the next attempt to subscribe; the backoff doubles with each failure.
 func (r *Router) subscriptionFailed() {
 	s := &r.subscription
 	shortest := minSubscribeBackoff * r.maintenanceInterval()
@@ -78,7 +78,7 @@
 	}
 	host.zone = endpoint.Zone
 	host.state = endpoint.State
-	startedAt := min(endpoint.StartedAt, r.now) // a start in the future is no reason to wait for it
+	startedAt := min(endpoint.StartedAt, r.now) // a clock that is ahead must not delay the host
 	if startedAt > host.startedAt {
 		host.startedAt = startedAt
 		host.crashed = false
@@ -89,7 +89,7 @@
 	r.updateExclusion(host)
 }
 
-// removeUnlisted takes hosts that a complete list does not name as removed.
+// removeUnlisted marks the hosts that a complete list lacks as removed.
 func (r *Router) removeUnlisted(listed map[string]bool) {
 	for _, host := range r.hostsByID {
 		if !listed[host.id] && host.state != Removed {
@@ -99,8 +99,8 @@
 	}
 }
 
-// updateExclusion excludes draining and removed hosts at once, without a grace period. Where the settings let
-// only draining exclude, a host that merely vanished from the list may still serve.
+// updateExclusion excludes draining and removed hosts at once, without a grace period. With
+// Settings.OnlyDrainingExcludes, a host that vanished from the list without draining may still serve.
 func (r *Router) updateExclusion(host *hostState) {
 	switch host.state {
 	case Draining:
@@ -124,7 +124,7 @@
 	r.gossip.AddHost(host.id, endpoint.Group)
 	r.hostsByID = insertByID(r.hostsByID, host)
 	group.members = insertByID(group.members, host)
-	// The list marks only what is or has been primary.
+	// The list also marks former primaries, so this is a guess.
 	if endpoint.Primary && group.primary == nil && group.round == 0 {
 		group.primary = host
 		group.round = 1
@@ -141,7 +141,7 @@
 	return slices.Insert(hosts, i, host)
 }
 
-// groupOf returns the group with an id, which it adds where there is none.
+// groupOf returns the group with an id, and adds it if it does not exist.
 func (r *Router) groupOf(id int64) *groupState {
 	i, known := r.findGroup(id)
 	if !known {
@@ -150,17 +150,18 @@
 	return r.groups[i]
 }
 
-// findGroup returns the index of a group in r.groups, which is sorted by id, and whether it is there.
+// findGroup returns the index of a group in r.groups, which is sorted by id, and whether it exists. For
+// an unknown group it is the index to insert it at.
 func (r *Router) findGroup(id int64) (index int, known bool) {
 	byID := func(group *groupState, id int64) int { return cmp.Compare(group.id, id) }
 	return slices.BinarySearchFunc(r.groups, id, byID)
 }
 
-// removeGoneHosts drops removed hosts of which nothing is awaited any more.
-func (r *Router) removeGoneHosts() {
+// removeUnusedHosts drops removed hosts that have no attempt or health check pending.
+func (r *Router) removeUnusedHosts() {
 	r.hostsByID = slices.DeleteFunc(r.hostsByID, func(host *hostState) bool {
-		gone := host.state == Removed && host.excluded
-		if !gone || len(host.inFlight) > 0 || host.checkPending {
+		removed := host.state == Removed && host.excluded
+		if !removed || len(host.inFlight) > 0 || host.checkPending {
 			return false
 		}
 		delete(r.hosts, host.id)
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -6,8 +6,8 @@
 	"cloverrock/internal/gossip"
 )
 
-// This file passes on to the other gateways of the fleet what hosts have told this one, and takes in what
-// they pass on. Package gossip decides what is worth telling, to whom and when.
+// This file publishes what hosts have reported to the other gateways of the fleet, and applies what they
+// publish. Package gossip decides what is sent to whom and when. Role and gossip.Role have the same numbers.
 
 // gossipConfig derives the configuration of gossip from the router's.
 func gossipConfig(settings *Settings) gossip.Config {
@@ -25,13 +25,14 @@
 	return config
 }
 
-// publishFact notes, for the other gateways, what a host itself has told.
+// publishFact passes what a host itself has reported to package gossip, for the other gateways.
 func (r *Router) publishFact(host *hostState, position int64, role Role) {
 	r.gossip.Record(gossip.HostFact{Host: host.id, Position: position, Role: gossip.Role(role)})
 }
 
-// checkForFleet checks the hosts of which this gateway is to tell the others.
-func (r *Router) checkForFleet() {
+// checkHostsForGossip starts health checks of the hosts whose position this gateway, as their coordinator,
+// lacks.
+func (r *Router) checkHostsForGossip() {
 	for _, id := range r.gossip.HostsToCheck(r.now) {
 		host := r.hosts[id]
 		if host.health == healthy {
@@ -47,7 +48,7 @@
 	}
 }
 
-// handleGossip takes a message of another gateway.
+// handleGossip applies a message of another gateway.
 func (r *Router) handleGossip(peer int, data []byte) {
 	facts := r.gossip.Receive(r.now, peer, data)
 	if malformed := r.gossip.TakeMalformedReport(r.now); malformed > 0 {
@@ -58,15 +59,15 @@
 	}
 }
 
-// applyFact takes what another gateway has heard of a host as if this one had heard it. A role is as old as
-// the position that came with it.
+// applyFact applies a fact that another gateway has observed as if this one had observed it. The role in it
+// is as old as the position.
 func (r *Router) applyFact(fact *gossip.HostFact) {
 	host := r.hosts[fact.Host]
 	if fact.Position > host.position {
 		r.recordPosition(host, fact.Position)
-		host.lastHeardAt = max(host.lastHeardAt, fact.Position)
+		host.lastContactAt = max(host.lastContactAt, fact.Position)
 		host.silentSince = max(host.silentSince, fact.Position)
-		// A host that is down does not advance, so it has come back.
+		// A host that is down does not advance its position, so it has recovered.
 		if host.health == unhealthy && fact.Position > host.unhealthyAt {
 			r.markHealthy(host)
 		}
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -38,7 +38,7 @@
 	fleet := newFleet(t, fleetSettings(20), hostList(5)...)
 	for _, router := range fleet.routers { // one replica is known, as after few reads
 		router.hosts["h1"].position = fleet.now
-		router.hosts["h1"].positionHeardAt = fleet.now
+		router.hosts["h1"].positionReceivedAt = fleet.now
 	}
 	fleet.run(1000*ms, boundedRead, 8*ms)
 	fleet.sent = map[string]int{}
--- a/balance/health.go
+++ b/balance/health.go
@@ -2,17 +2,17 @@
 
 const (
 	maxBackoffFactor    = 32   // search intervals: the longest backoff of an unhealthy host
-	failingErrorShare   = 0.25 // a host with a higher error share gets a read only if the other fails too
-	errorShareRetention = 0.8  // part of the error share kept each second, so that the host is tried again
+	failingErrorShare   = 0.25 // error share above which the other candidate is preferred for a read
+	errorShareRetention = 0.8  // decay of the error share per second, so that the host is tried again
 
-	checkTokensPerRequest = 2.0  // health checks that each request pays for
+	checkTokensPerRequest = 2.0  // health checks that each request earns
 	maxCheckTokens        = 10.0 // enough to check every member of a few groups
 
-	requiredCheck = 0.0 // tokens: a health check that a decision waits for is free
-	optionalCheck = 1.0 // tokens: any other one is paid for by the budget
+	requiredCheck = 0.0 // tokens; a health check that a decision waits for is not limited
+	optionalCheck = 1.0 // tokens; any other health check is limited by the budget
 )
 
-// health is what the router thinks of a host's ability to answer.
+// health is the router's assessment of whether a host answers.
 type health uint8
 
 const (
@@ -23,13 +23,13 @@
 
 // hostHealth is the health of a host and the evidence for it.
 type hostHealth struct {
-	health      health
-	silentSince int64   // since when attempts are in flight without any answer
-	lastHeardAt int64   // last sign of life
-	errorShare  float64 // part of the answers that were errors, of late
+	health        health
+	silentSince   int64   // since when attempts are in flight without any answer
+	lastContactAt int64   // last answer or newer position, seen by any gateway
+	errorShare    float64 // part of the recent answers that were errors
 
-	crashed     bool  // it went on refusing or breaking connections: it will come back cold
-	unhealthyAt int64 // when it was last found not to serve
+	crashed     bool  // it kept refusing or resetting connections: its caches will be cold when it returns
+	unhealthyAt int64 // when it was last found unhealthy
 	backoff     int64 // µs between tries of an unhealthy host
 	nextTryAt   int64
 
@@ -38,17 +38,19 @@
 	checkedAt    int64 // when the last health check was sent
 }
 
-// countError and countSuccess keep the share of errors among answers.
-func (h *hostHealth) countError()   { h.errorShare += ewmaWeight * (1 - h.errorShare) }
+// countError adds an error to the error share.
+func (h *hostHealth) countError() { h.errorShare += ewmaWeight * (1 - h.errorShare) }
+
+// countSuccess adds a successful answer to the error share.
 func (h *hostHealth) countSuccess() { h.errorShare -= ewmaWeight * h.errorShare }
 
-// isFailing reports whether the host mostly answers with errors.
+// isFailing reports whether the error share of the host is too high for reads.
 func (h *hostHealth) isFailing() bool { return h.errorShare > failingErrorShare }
 
-// markHealthy takes a sign of life. A host that crashed starts slowly, even if the list does not show its
-// start yet.
+// markHealthy records that a host has answered. A host that crashed begins its slow start, even if the
+// endpoint list does not show the restart yet.
 func (r *Router) markHealthy(host *hostState) {
-	host.lastHeardAt = r.now
+	host.lastContactAt = r.now
 	host.silentSince = r.now
 	host.backoff = 0
 	host.rechecked = false
@@ -61,7 +63,7 @@
 }
 
 // markSuspect stops sending to a host until a health check decides: a lossy link is not a crash, and a
-// crashed host comes back cold.
+// crashed host returns with cold caches.
 func (r *Router) markSuspect(host *hostState) {
 	if !r.settings.HealthChecks {
 		r.markUnhealthy(host, true)
@@ -73,7 +75,7 @@
 	}
 }
 
-// markUnhealthy notes that a host does not serve. Writes go on to the next member.
+// markUnhealthy notes that a host does not serve. Writes try the next member of the group.
 func (r *Router) markUnhealthy(host *hostState, crashed bool) {
 	host.crashed = host.crashed || crashed
 	host.rechecked = false
@@ -98,7 +100,7 @@
 	if host.health != healthy || len(host.inFlight) == 0 || !host.latency.known() {
 		return
 	}
-	// What other gateways hear of the host counts, and comes with a delay.
+	// Answers to other gateways count too, and are reported with a delay.
 	reportDelay := float64(r.gossip.MaxReportDelay(host.id))
 	patience := max(host.latency.patience(len(host.inFlight)), float64(r.maintenanceInterval())) + reportDelay
 	if float64(r.now-host.silentSince) > patience {
@@ -109,7 +111,7 @@
 // startHealthCheck checks a host if that is allowed and the budget covers the cost in tokens. It reports
 // whether it did.
 func (r *Router) startHealthCheck(host *hostState, cost float64) bool {
-	// A result may be lost for good, so it is not awaited for ever.
+	// A result may be lost, so it is awaited for a limited time.
 	awaited := host.checkPending && r.now-host.checkedAt < r.maxBackoff()
 	affordable := cost == requiredCheck || r.checkBudget.has(cost)
 	if !r.settings.HealthChecks || awaited || host.excluded || !affordable {
@@ -122,8 +124,8 @@
 	return true
 }
 
-// checkUnhealthyMembers checks the members of a group that a request has come for, when they are due: a
-// gateway with little traffic checks little.
+// checkUnhealthyMembers checks the unhealthy members of a group that are due. It runs when a request for the
+// group arrives, so that a gateway with little traffic checks seldom.
 func (r *Router) checkUnhealthyMembers(group *groupState) {
 	for _, member := range group.members {
 		if member.health != healthy && r.now >= member.nextTryAt {
@@ -132,8 +134,8 @@
 	}
 }
 
-// handleHealthCheck takes the result of a health check. Being turned away is a sign of life, too: many
-// gateways that check at once fill a host's table.
+// handleHealthCheck applies the result of a health check. A rejection also proves that the host is alive:
+// many gateways that check at once may fill its connection table.
 func (r *Router) handleHealthCheck(event *Event) {
 	host := r.hosts[event.Host]
 	if host == nil {
@@ -152,14 +154,14 @@
 	r.dispatch(host.group)
 }
 
-// handleFailedCheck takes a health check that the host did not answer. One broken connection is not a crash:
-// a host that crashed breaks the next one as well, and at once.
+// handleFailedCheck applies a health check that the host did not answer. A single broken connection does not
+// make a host unhealthy: if it crashed, the next connection breaks at once as well.
 func (r *Router) handleFailedCheck(host *hostState, result Result) {
 	broken := result == ConnectionRefused || result == ConnectionReset
-	heardMeanwhile := host.lastHeardAt >= host.checkedAt
+	contactSinceCheck := host.lastContactAt >= host.checkedAt
 	switch {
-	case heardMeanwhile || result == NotSent:
-		// The failure proves nothing.
+	case contactSinceCheck || result == NotSent:
+		// The failure is no evidence about the host.
 	case broken && host.health == healthy:
 		r.markSuspect(host)
 	case broken && host.health == suspect && !host.rechecked:
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// handleOutcome takes the end of an attempt: what it tells of the host, and what becomes of the request.
+// handleOutcome applies the outcome of an attempt to the host, and ends or retries the request.
 func (r *Router) handleOutcome(event *Event) {
 	host := r.hosts[event.Host]
-	req := r.requests[event.Request] // nil if it was forgotten
+	req := r.requests[event.Request] // nil if it was finished and removed
 	if host == nil {
 		return
 	}
@@ -22,7 +22,7 @@
 	r.dispatch(host.group)
 }
 
-// endAttempt takes an attempt out of those in flight, if it is the current one of its request.
+// endAttempt removes an attempt from those in flight, if it is the current one of its request.
 func (r *Router) endAttempt(req *pendingRequest, attempt int) {
 	host := req.host
 	if host == nil || req.attempt != attempt {
@@ -34,7 +34,7 @@
 	req.host = nil
 }
 
-// recordOutcome takes from an outcome what it tells of the host. The request may be nil.
+// recordOutcome records what an outcome shows about the host. The request may be nil.
 func (r *Router) recordOutcome(host *hostState, req *pendingRequest, event *Event) {
 	if event.Position > 0 {
 		r.recordPosition(host, event.Position)
@@ -61,7 +61,8 @@
 	}
 }
 
-// recordAnswer takes what any answer of a host tells: that it is alive, and its role.
+// recordAnswer records what any answer shows about its host: that it is alive, and its role. The request may
+// be nil.
 func (r *Router) recordAnswer(host *hostState, req *pendingRequest, event *Event) {
 	r.markHealthy(host)
 	role := event.Role
@@ -77,7 +78,7 @@
 	r.publishFact(host, event.Position, role)
 }
 
-// recordSuccess takes what a successful answer tells. The request may be nil.
+// recordSuccess records a successful answer. The request may be nil.
 func (r *Router) recordSuccess(host *hostState, req *pendingRequest, event *Event) {
 	host.countSuccess()
 	if req == nil {
--- a/balance/primary.go
+++ b/balance/primary.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	freshRoleIntervals   = 4 // search intervals for which a role that was reported is not asked for again
-	searchBackoffDivisor = 8 // a search that has lasted a time waits for a part of it before its next checks
-	newRoundDivisor      = 4 // without health checks, a new round begins after a part of the longest backoff
+	freshRoleIntervals   = 4 // search intervals for which a reported role is considered current
+	searchBackoffDivisor = 8 // of the duration of a search: the wait between its checks
+	newRoundDivisor      = 4 // of the longest backoff: without health checks, the duration of a round
 )
 
-// hostRole is what the router knows of a host's role. Later evidence replaces earlier evidence.
+// hostRole is the role of a host and the evidence for it. Later evidence replaces earlier evidence.
 type hostRole struct {
 	role         Role
-	roleAsOf     int64 // time of which the role is known
-	wasPrimary   bool  // seen as primary, and no answer has denied it since
+	roleAsOf     int64 // time of the evidence for role
+	wasPrimary   bool  // seen as primary, and no later answer came from a replica
 	triedInRound int   // round of the group in which writes last tried the host
 	nextSearchAt int64 // no search checks the host before
 }
@@ -23,13 +23,13 @@
 // groupPrimary is the discovery of a group's primary.
 type groupPrimary struct {
 	primary        *hostState // the member that writes go to; nil while they are held
-	confirmed      bool       // an answer or report named it; otherwise it is the next guess
-	round          int        // of trying all members; 0 before the first guess
+	confirmed      bool       // an answer or report showed it; otherwise it is a guess
+	round          int        // number of the round, in which writes try each member once; 0 at first
 	searchingSince int64
 }
 
-// recordReport takes a host's own account of itself. Its role counts as of the position in it: so an old
-// report that arrives late does not overrule a newer answer.
+// recordReport applies a host's report of itself. The role in it is as old as the position in it, so a report
+// that arrives late does not override a newer answer.
 func (r *Router) recordReport(host *hostState, report *HostReport) {
 	asOf := r.now - int64(r.healthCheckRTT)
 	if report.HasPosition {
@@ -49,13 +49,13 @@
 	}
 }
 
-// recordPosition notes that a host has just reported a log position. Positions never go back.
+// recordPosition notes that a host has just reported a log position. Positions never decrease.
 func (r *Router) recordPosition(host *hostState, position int64) {
 	host.position = max(host.position, position)
-	host.positionHeardAt = r.now
+	host.positionReceivedAt = r.now
 }
 
-// recordRole takes evidence of a host's role as of a time. The latest evidence wins, also between two hosts
+// recordRole records evidence of a host's role as of a time. The latest evidence wins, also between two hosts
 // that both claim to be primary.
 func (r *Router) recordRole(host *hostState, role Role, asOf int64) {
 	if asOf < host.roleAsOf {
@@ -71,8 +71,8 @@
 	}
 }
 
-// confirmPrimary makes a host that is known as primary the target of writes, unless a later claim stands
-// against it.
+// confirmPrimary makes a host that reported itself as primary the target of writes, unless another member
+// did so later.
 func (r *Router) confirmPrimary(host *hostState) {
 	group := host.group
 	if host.excluded {
@@ -88,7 +88,7 @@
 	r.dispatch(group)
 }
 
-// demotePrimary stops writes to the primary and goes on to the next member.
+// demotePrimary stops writes to the primary and tries the next member. The reason is for the log line.
 func (r *Router) demotePrimary(group *groupState, reason string) {
 	old := group.primary
 	if group.confirmed {
@@ -102,8 +102,8 @@
 	r.searchPrimary(group)
 }
 
-// tryNextMember guesses the next member in the order of ids, after the last one tried, as primary. It passes
-// over those that this round has tried and those that were reported as replicas lately. At the end of the
+// tryNextMember guesses the next member in the order of ids, after the last one tried, as primary. It skips
+// those that this round has tried and those that were recently reported as replicas. At the end of the
 // round there is no primary, and writes are held.
 func (r *Router) tryNextMember(group *groupState, last *hostState) {
 	start := slices.Index(group.members, last) + 1
@@ -118,7 +118,7 @@
 	}
 }
 
-// mayBePrimary reports whether writes should try a member of which nobody knows that it is the primary.
+// mayBePrimary reports whether writes should try a member that is not confirmed as primary.
 func (r *Router) mayBePrimary(member *hostState) bool {
 	if member.triedInRound == member.group.round || member.excluded || member.health != healthy {
 		return false
@@ -127,8 +127,9 @@
 	return member.role != Replica || !roleIsFresh
 }
 
-// searchPrimary looks for an unconfirmed primary while requests wait: by health checks, less often the longer
-// it takes, or by another round of guesses where there are no health checks.
+// searchPrimary searches for the primary of a group that has none confirmed. While requests wait it checks
+// the members, less often the longer the search takes. Without health checks it begins another round of
+// guesses.
 func (r *Router) searchPrimary(group *groupState) {
 	waiting := len(group.queue) > 0
 	if group.searchingSince == 0 && waiting { // no primary was ever confirmed
@@ -167,8 +168,8 @@
 	return host
 }
 
-// primaryForRead returns the primary if a read may go there now, or nil. One that is only guessed does not
-// qualify: its data may be of any age.
+// primaryForRead returns the primary if a read may go there now, or nil. A guessed primary does
+// not qualify: its data may be of any age.
 func (r *Router) primaryForRead(req *pendingRequest) *hostState {
 	host := req.group.primary
 	if host == nil || !host.wasPrimary || host.role == Replica || !r.admits(req, host) {
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// maxUnplacedReads is the number of reads of a group that find no host before its other reads are left for
-// later.
+// maxUnplacedReads is how many reads of a group may find no host in one dispatch before the remaining reads
+// are skipped.
 const maxUnplacedReads = 8
 
-// handleRequest takes a new request. One of a group that no list has named is rejected: there is no host to
-// wait for, and a client may name any number of such groups.
+// handleRequest queues and dispatches a new request. A request for a group that no list has named is
+// rejected: no host can answer it, and a client may name any number of such groups.
 func (r *Router) handleRequest(event *Event) {
 	i, known := r.findGroup(event.Group)
 	if !known || event.Class < 0 || event.Class >= len(r.settings.Classes) {
@@ -28,6 +28,7 @@
 	r.checkUnhealthyMembers(req.group)
 }
 
+// newRequest returns the state of a new request; its objective and deadline count from now.
 func (r *Router) newRequest(event *Event, group *groupState) *pendingRequest {
 	class := &r.settings.Classes[event.Class]
 	objective := class.LatencyObjective + int64(class.ObjectivePerWork*float64(event.WorkHint))
@@ -45,7 +46,7 @@
 	}
 }
 
-// enqueue adds a request to the queue of its group, or gives it up if nothing can come of it any more.
+// enqueue adds a request to the queue of its group, or gives it up if it has expired.
 func (r *Router) enqueue(req *pendingRequest) {
 	if r.expired(req) {
 		r.giveUp(req)
@@ -56,15 +57,14 @@
 	req.group.queue = slices.Insert(req.group.queue, i, req)
 }
 
-// compareQueued orders a queue: late requests last, then by priority weight for the time taken, then the
-// newest first. With more requests than can be served, oldest first would send each with too little time
-// left.
+// compareQueued orders a queue: late requests last, then by priority weight per service time, then newest
+// first. Under overload, oldest first would send each request with too little time left.
 func (r *Router) compareQueued(a, b *pendingRequest) int {
-	worthA := a.class.PriorityWeight / float64(r.traffic.classCost[a.classIndex])
-	worthB := b.class.PriorityWeight / float64(r.traffic.classCost[b.classIndex])
+	valueRateA := a.class.PriorityWeight / float64(r.traffic.classCost[a.classIndex])
+	valueRateB := b.class.PriorityWeight / float64(r.traffic.classCost[b.classIndex])
 	return cmp.Or(
 		cmp.Compare(a.lateness, b.lateness),
-		cmp.Compare(worthB, worthA),
+		cmp.Compare(valueRateB, valueRateA),
 		cmp.Compare(b.objectiveAt, a.objectiveAt),
 	)
 }
@@ -74,7 +74,7 @@
 	return cmp.Compare(float64(r.now)+float64(req.group.latency), float64(req.objectiveAt))
 }
 
-// dispatch sends the queued requests of a group that a host may be sent now.
+// dispatch sends the queued requests of a group for which a host has capacity now.
 func (r *Router) dispatch(group *groupState) {
 	writesBlocked := false
 	unplacedReads := 0
@@ -124,11 +124,12 @@
 	r.emit(Action{Kind: SendAction, Request: req.id, Host: host.id})
 }
 
-// expireQueue gives up the requests of a group that wait in vain, and puts late ones behind the others.
+// expireQueue gives up the queued requests of a group that can no longer succeed, and moves late ones to the
+// end of the queue.
 func (r *Router) expireQueue(group *groupState) {
 	group.queue = slices.DeleteFunc(group.queue, func(req *pendingRequest) bool {
 		req.lateness = r.lateness(req)
-		if !req.finished && r.waitsInVain(req) {
+		if !req.finished && r.shouldGiveUp(req) {
 			r.giveUp(req)
 		}
 		return req.finished
@@ -136,18 +137,18 @@
 	slices.SortStableFunc(group.queue, r.compareQueued)
 }
 
-// waitsInVain reports whether a queued request is to be given up: its time is over, or it is late and a late
-// answer is worth nothing, or it is a read that no host has received by half of its time: so its client can
-// still try again.
-func (r *Router) waitsInVain(req *pendingRequest) bool {
-	worthless := req.lateness > 0 && req.class.LatePriorityWeight == 0
+// shouldGiveUp reports whether a queued request is to be given up: it has expired, or it is late and its
+// class gives late answers no weight, or it is a read that no host has received by half of its time, so that
+// its client has time left to try again.
+func (r *Router) shouldGiveUp(req *pendingRequest) bool {
+	lateAndUseless := req.lateness > 0 && req.class.LatePriorityWeight == 0
 	halfOver := r.now+r.maintenanceInterval() >= req.halfTimeAt
 	unservedRead := !req.isWrite() && !req.reachedHost && halfOver
-	return worthless || unservedRead || r.expired(req)
+	return lateAndUseless || unservedRead || r.expired(req)
 }
 
-// expired reports whether nothing more can come of a request that is not in flight: its client leaves before
-// the next maintenance sees it, or its repeat would no longer be dropped.
+// expired reports whether a request that is not in flight can no longer succeed: its deadline passes before
+// the next maintenance run, or a repeat of it might no longer be deduplicated.
 func (r *Router) expired(req *pendingRequest) bool {
 	return r.now+2*r.maintenanceInterval() >= req.deadline || r.deduplicationLapsed(req, r.now)
 }
--- a/balance/replicas.go
+++ b/balance/replicas.go
@@ -6,16 +6,15 @@
 )
 
 const (
-	// connectedWeight is how much more often a host is drawn that the gateway has a connection to: new
-	// connections cost hosts work, and those of all gateways together very much.
+	// connectedWeight is how much more often a host with an open connection is drawn. New connections cost
+	// hosts work, which adds up over all gateways.
 	connectedWeight = 16.0
-	// maxUncheckedAttempts is the number of attempts after which a read goes only to hosts known to be fresh
-	// enough.
+	// maxUncheckedAttempts is the number of attempts after which a read goes only to hosts whose known
+	// position satisfies it.
 	maxUncheckedAttempts = 2
-	// positionChecks is the number of replicas that are asked for their position for a read that waits for
-	// one.
+	// positionChecks is the number of replicas that are checked for a read that waits for a position.
 	positionChecks = 2
-	// positionWaitInterval is the search intervals between two such checks for the same read.
+	// positionWaitInterval is the time between two such checks for the same read, in search intervals.
 	positionWaitInterval = 3
 )
 
@@ -78,19 +77,19 @@
 
 // longReadHosts is the number of members that long reads go to: as many as their part of all work asks for,
 // but neither the primary nor the last replica. A long read may keep its host from applying the log; spread
-// over all replicas they would leave none fresh.
+// over all replicas, long reads would leave none fresh.
 func (r *Router) longReadHosts(group *groupState) int {
 	available := float64(len(group.members) - 2)
 	return max(1, int(r.traffic.longReadShare*available))
 }
 
-// takesLongReads reports whether a host counts among those that long reads go to. All gateways see the same
-// ones.
+// takesLongReads reports whether a host counts among those that long reads go to. All gateways
+// select the same hosts.
 func (h *hostState) takesLongReads() bool {
 	return h.health == healthy && !h.excluded && !h.warmingUp && !h.isFailing()
 }
 
-// skipsMember reports whether a read passes over a member, whatever its state: the primary, the host of the
+// skipsMember reports whether a read skips a member, whatever its state: the primary, the host of the
 // last failed attempt where there are others, and hosts in a zone that reads avoid.
 func (r *Router) skipsMember(req *pendingRequest, member *hostState) bool {
 	group := req.group
@@ -103,23 +102,24 @@
 	return r.zoneShares != nil && r.avoidsZone(req, member)
 }
 
-// mayHaveCaughtUp reports whether a read may try a replica that is not known to be fresh enough: if the host
-// itself checks staleness, and by its last known lag it should be fresh, or was heard of too long ago to say.
+// mayHaveCaughtUp reports whether a read may try a replica whose known position does not satisfy it: if the
+// host itself checks staleness, and it should be fresh by its last known lag or that lag is outdated.
 func (r *Router) mayHaveCaughtUp(req *pendingRequest, host *hostState, minPosition int64) bool {
 	if !r.settings.HostsCheckStaleness || req.attemptsSent > maxUncheckedAttempts {
 		return false
 	}
-	lag := host.positionHeardAt - host.position
+	lag := host.positionReceivedAt - host.position
 	tooFarBehind := r.now-lag < minPosition
-	heardLately := r.now-host.positionHeardAt < max(2*r.searchInterval(), lag)
-	return !tooFarBehind || !heardLately
+	positionIsRecent := r.now-host.positionReceivedAt < max(2*r.searchInterval(), lag)
+	return !tooFarBehind || !positionIsRecent
 }
 
-// replicaDraw keeps the two hosts with the least keys. Hosts known to be fresh replace all others.
+// replicaDraw is a weighted draw of two hosts: those with the lowest keys. Hosts whose known position
+// satisfies the read replace all others.
 type replicaDraw struct {
 	first, second       *hostState
 	firstKey, secondKey float64
-	fresh               bool // the hosts are known to be fresh enough
+	fresh               bool // the known positions of the hosts satisfy the read
 }
 
 func (d *replicaDraw) add(host *hostState, key float64, fresh bool) {
@@ -135,8 +135,8 @@
 	}
 }
 
-// drawKey draws an exponential time; the least of several is a draw by weight. A host in slow start weighs as
-// much as it can do, and one with an open connection more.
+// drawKey draws an exponentially distributed key; the lowest of several keys is a draw by weight. The weight
+// is the capacity share of a host in slow start, and higher with an open connection.
 func (r *Router) drawKey(host *hostState) float64 {
 	weight := r.slowStartShare(host)
 	if host.connected {
@@ -153,8 +153,8 @@
 	return draw.first
 }
 
-// preferred reports whether a read goes to host a rather than b: to the one that does not fail, then to the
-// zone of the gateway where crossing has a cost, then to the one with less load.
+// preferred reports whether a read goes to host a rather than b: the one that is not failing, then
+// the one in the zone of the gateway if crossing zones has a cost, then the one with less load.
 func (r *Router) preferred(a, b *hostState) bool {
 	if a.isFailing() != b.isFailing() { // errors are quick, so a failing host looks idle
 		return b.isFailing()
@@ -167,33 +167,35 @@
 	return r.lessLoaded(a, b)
 }
 
-// lessLoaded reports whether a read goes to host a by load. All gateways see the same difference, so each
-// moves only a part of its reads: together, of those that come meanwhile, as many as even the difference out.
+// lessLoaded reports whether a read goes to host a by load. All gateways see the same difference in load, so
+// each moves only a part of its reads: together as many of those that start before the next digest as balance
+// the difference.
 func (r *Router) lessLoaded(a, b *hostState) bool {
-	loadA, coming := r.gossip.Load(r.now, a.id)
+	loadA, starting := r.gossip.Load(r.now, a.id)
 	loadB, _ := r.gossip.Load(r.now, b.id)
 	difference := float64(len(b.inFlight)-len(a.inFlight)) + loadB - loadA
-	if b.connected && !a.connected { // the difference must be worth a new connection
-		difference -= coming / 2
+	if b.connected && !a.connected { // the difference must outweigh the cost of a new connection
+		difference -= starting / 2
 	}
-	return difference+coming/2 > coming*r.randomFraction()
+	return difference+starting/2 > starting*r.randomFraction()
 }
 
-// primaryOrWait returns the primary for a read that no replica can take now, or nil if it is to wait. What a
-// session has just written is at the primary; a bounded read first asks whether a replica has caught up.
+// primaryOrWait returns the primary for a read that no replica can take now, or nil if it is to wait. The
+// primary has what a session has just written; a read with bounded staleness first checks whether a replica
+// has caught up.
 func (r *Router) primaryOrWait(req *pendingRequest, minPosition int64, freshIsBusy bool) *hostState {
 	primary := r.primaryForRead(req)
 	wantsReplica := primary == nil || req.class.Consistency == BoundedStaleness
-	// Where a fresh replica is only busy, or hosts check staleness themselves, asking would tell nothing new.
-	askHelps := !freshIsBusy && minPosition > 0 && !r.settings.HostsCheckStaleness
-	if wantsReplica && askHelps && r.waitForPosition(req) {
+	// A check does not help if a fresh replica is merely busy, or if hosts check staleness themselves.
+	checkHelps := !freshIsBusy && minPosition > 0 && !r.settings.HostsCheckStaleness
+	if wantsReplica && checkHelps && r.waitForPosition(req) {
 		return nil
 	}
 	return primary
 }
 
 // waitForPosition checks the positions of some replicas for a read, and reports whether it is to wait for
-// them. With little traffic, known positions are old at every read; to check ahead of need would cost more.
+// them. With little traffic, known positions are outdated at every read; checking in advance would cost more.
 func (r *Router) waitForPosition(req *pendingRequest) bool {
 	if r.now >= req.positionWaitUntil+positionWaitInterval*r.searchInterval() {
 		r.checkPositions(req)
@@ -205,8 +207,8 @@
 	return slices.ContainsFunc(req.group.members, pending)
 }
 
-// checkPositions checks some replicas, from a random one on, and sets how long the read waits for the
-// results.
+// checkPositions checks up to positionChecks replicas, starting at a random one, and sets how long the read
+// waits for the results.
 func (r *Router) checkPositions(req *pendingRequest) {
 	req.positionWaitUntil = r.now
 	members := req.group.members
@@ -228,8 +230,8 @@
 	}
 }
 
-// isPositionChecked reports whether a host is being checked or was so lately; otherwise it starts a health
-// check.
+// isPositionChecked reports whether a host is being checked or was checked recently.
+// Otherwise it starts a health check and reports whether that was allowed.
 func (r *Router) isPositionChecked(host *hostState) bool {
 	if host.checkPending || r.now-host.checkedAt < r.searchInterval() {
 		return true
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -1,9 +1,11 @@
 package balance
 
 const (
-	retryTokensPerRequest = 0.1  // for each request: retries can't feed an overload
-	maxRetryTokens        = 20.0 // what calm times save up for a crash
+	retryTokensPerRequest = 0.1  // low, so that retries cannot amplify an overload
+	maxRetryTokens        = 20.0 // reserve for the retries after a crash
 	retryCost             = 1.0  // tokens
+
+	retryAfterJitterDivisor = 8 // shed reads retry within the last eighth of the longest wait
 )
 
 // handleFailedAttempt decides what follows an attempt that did not succeed: a retry or the final answer.
@@ -31,7 +33,7 @@
 }
 
 // deduplicationLapsed reports whether the repeat of a request with an idempotency key, sent now, may come too
-// late to be dropped.
+// late to be deduplicated.
 func (r *Router) deduplicationLapsed(req *pendingRequest, now int64) bool {
 	if !req.mayHaveExecuted() || req.class.RetrySafety != IdempotencyKey {
 		return false
@@ -39,10 +41,10 @@
 	return now+r.maintenanceInterval() >= req.executedAt+req.class.DeduplicationWindow
 }
 
-// AttemptStillValid reports whether the attempt in flight of a request may still be written. It is to be
-// asked just before the first byte: while a connection opened, the host may have been excluded, or its known
-// position may have become too old. An attempt that is not valid is to end as NotSent, which brings a new
-// decision.
+// AttemptStillValid reports whether the attempt in flight of a request may still be written. Call it just
+// before the first byte: while the connection was opened, the host may have been excluded, or its known
+// position may have become too old. Report an attempt that is not valid as NotSent; the router then decides
+// again.
 func (r *Router) AttemptStillValid(now int64, id int64) bool {
 	req := r.requests[id]
 	if req == nil || req.finished || req.host == nil || req.host.excluded {
@@ -57,7 +59,7 @@
 	return req.host.position >= now-req.class.MaxStaleness
 }
 
-// handleClientDisconnected ends a request for whose answer nobody waits any more.
+// handleClientDisconnected ends a request whose client has disconnected.
 func (r *Router) handleClientDisconnected(event *Event) {
 	req := r.requests[event.Request]
 	if req == nil {
@@ -69,7 +71,7 @@
 	r.finish(req)
 }
 
-// giveUp gives the final answer.
+// giveUp emits the final answer: a rejection if the client may repeat the request, otherwise a failure.
 func (r *Router) giveUp(req *pendingRequest) {
 	if req.mayBeRepeated() {
 		r.emit(Action{Kind: RejectAction, Request: req.id, RetryAfter: r.retryAfter(req)})
@@ -80,7 +82,7 @@
 }
 
 // mayBeRepeated reports whether it is harmless that the client tries again, which a rejection promises:
-// nothing was executed, or repeats do no harm wherever they run.
+// it was not executed, or a repeat is harmless on any host.
 func (req *pendingRequest) mayBeRepeated() bool {
 	if !req.mayHaveExecuted() || req.class.RetrySafety == Idempotent {
 		return true
@@ -88,17 +90,17 @@
 	return req.class.RetrySafety == IdempotencyKey && req.class.DeduplicationScope == ScopeGlobal
 }
 
-// retryAfter is how long a rejected client is to wait, µs. One whose read was shed waits as long as the
-// settings allow: to come back at once would undo the shedding.
+// retryAfter is how long a rejected client should wait, µs. A shed read waits nearly as long as the settings
+// allow, since an immediate retry would defeat the shedding. The jitter spreads the retries.
 func (r *Router) retryAfter(req *pendingRequest) int64 {
 	longest := r.settings.MaxRetryAfter
 	if req.shed {
-		return longest - r.rand.Below(longest/8)
+		return longest - r.rand.Below(longest/retryAfterJitterDivisor)
 	}
 	return min(req.class.LatencyObjective/2, longest)
 }
 
-// finish forgets a request that has its final answer, but not before its last attempt has come back.
+// finish marks a request as answered, and removes it once its last attempt has ended.
 func (r *Router) finish(req *pendingRequest) {
 	req.finished = true
 	if req.host == nil {
--- a/balance/router.go
+++ b/balance/router.go
@@ -12,16 +12,17 @@
 const (
 	second = 1e6 // µs
 
-	// minMaintenanceInterval, in µs, is fine against latency objectives and coarse enough to be cheap.
+	// minMaintenanceInterval is the shortest time between two runs of maintenance, µs: short compared with
+	// latency objectives, and long enough to be cheap.
 	minMaintenanceInterval = 20e3
-	// searchIntervalFactor is the maintenance intervals between two searches for a primary: reports are no
-	// fresher.
+	// searchIntervalFactor is the shortest time between two searches for a primary, in maintenance intervals;
+	// reports are not updated more often.
 	searchIntervalFactor = 5
-	// assumedGateways stands in for a fleet size that the settings don't tell.
+	// assumedGateways is the assumed size of the fleet if Settings.Gateways is 0.
 	assumedGateways = 6
 )
 
-// Router decides for one gateway. It is not safe for concurrent use.
+// Router decides where one gateway sends its requests. It is not safe for concurrent use.
 type Router struct {
 	settings Settings
 	rand     random.Source
@@ -30,7 +31,7 @@
 	actions  []Action // collected for the caller
 
 	hosts     map[string]*hostState
-	hostsByID []*hostState // the same, sorted by id
+	hostsByID []*hostState // the values of hosts, sorted by id
 	groups    []*groupState
 	requests  map[int64]*pendingRequest
 
@@ -39,16 +40,16 @@
 	traffic      trafficStats
 
 	retryBudget         requestBudget // retries of what may have been executed
-	checkBudget         requestBudget // health checks that no decision waits for
+	checkBudget         requestBudget // health checks that no decision waits for (optionalCheck)
 	healthCheckRTT      movingAverage // µs
 	idleTimeout         int64         // how long idle connections are kept, µs
-	minConcurrencyLimit float64       // attempts in flight on a host that a cut limit still allows
+	minConcurrencyLimit float64       // lower bound of hostLoad.concurrencyLimit
 
 	gossip     *gossip.State
 	zoneShares ZoneShares // nil: all zones may be read
 }
 
-// SettingsError reports a setting that no router can work with.
+// SettingsError reports an invalid setting.
 type SettingsError struct {
 	Setting     string // name of the field of Settings or Class
 	Requirement string // what is required of it
@@ -56,7 +57,7 @@
 
 func (e *SettingsError) Error() string { return "balance: " + e.Setting + " " + e.Requirement }
 
-// validate returns a *SettingsError for the first unusable setting.
+// validate returns a *SettingsError for the first invalid setting.
 func (s *Settings) validate() error {
 	if s.TickInterval <= 0 {
 		return &SettingsError{"TickInterval", "must be positive"}
@@ -98,8 +99,8 @@
 	}, nil
 }
 
-// Handle takes one event, at a time that is not before that of the last one, and appends the actions that
-// follow from it.
+// Handle processes one event and appends the resulting actions. The time, in µs, must not be before that of
+// the previous call.
 func (r *Router) Handle(now int64, event Event, actions []Action) []Action {
 	r.now = now
 	r.actions = actions
@@ -127,7 +128,7 @@
 	return r.actions
 }
 
-// start begins the router's clocks at its first event.
+// start initializes what needs the time of the first event.
 func (r *Router) start() {
 	r.started = true
 	r.sessions.rotatedAt = r.now
@@ -138,7 +139,7 @@
 	r.scheduleMaintenance()
 }
 
-// runMaintenance does what time alone brings about.
+// runMaintenance does the periodic work.
 func (r *Router) runMaintenance() {
 	r.renewSubscription()
 	r.sessions.rotate(r.now)
@@ -148,8 +149,8 @@
 		r.closeIdleConnections(host)
 	}
 	r.measureTraffic()
-	r.checkForFleet()
-	r.removeGoneHosts()
+	r.checkHostsForGossip()
+	r.removeUnusedHosts()
 	for _, group := range r.groups {
 		if !group.confirmed {
 			r.searchPrimary(group)
@@ -175,13 +176,14 @@
 
 func (r *Router) log(text string) { r.emit(Action{Kind: LogAction, Text: text}) }
 
-// randomFraction draws a number from 0 up to, and not including, 1.
+// randomFraction draws a number in [0, 1).
 func (r *Router) randomFraction() float64 {
 	return float64(r.rand.Below(1<<30)) / (1 << 30)
 }
 
-// spreadOverFleet draws a random time for what a single gateway would do after the given wait, in µs. It
-// grows with the root of the number of gateways: the first to act tells the others, and no two act in step.
+// spreadOverFleet returns a random time, in µs, for what a single gateway would do after the given wait. It
+// grows with the square root of the number of gateways: gateways do not act in step, and the first to act
+// informs the others.
 func (r *Router) spreadOverFleet(wait int64) int64 {
 	if r.settings.Gateways < 2 {
 		return wait
--- a/balance/sessions.go
+++ b/balance/sessions.go
@@ -1,21 +1,21 @@
 package balance
 
-// commitRetention is how long, in µs, a session's commit is remembered by itself, at least.
+// commitRetention is the shortest time for which a commit is remembered by session, µs.
 const commitRetention = 10e6
 
 // sessionCommits remembers the position of the last commit of each session, by session key. Old ones are
 // folded into one floor that covers all of them.
 type sessionCommits struct {
 	recent, older map[int64]int64
-	rotatedAt     int64 // when recent was begun
-	floor         int64 // no forgotten session has a commit beyond it
+	rotatedAt     int64 // when recent was created
+	floor         int64 // no session that was dropped has a later commit
 }
 
 func newSessionCommits() sessionCommits {
 	return sessionCommits{recent: map[int64]int64{}, older: map[int64]int64{}}
 }
 
-// rotate folds the older commits into the floor once the recent ones have been kept for long enough.
+// rotate folds the older commits into the floor once commitRetention has passed.
 func (s *sessionCommits) rotate(now int64) {
 	if now-s.rotatedAt <= commitRetention {
 		return
@@ -33,21 +33,21 @@
 	s.recent[key] = max(s.recent[key], position)
 }
 
-// position returns a position that shows all commits of a session.
+// position returns a position that covers all commits of a session.
 func (s *sessionCommits) position(key int64) int64 {
 	return max(s.floor, s.recent[key], s.older[key])
 }
 
-// recordCommit remembers the commit of a successful write, unless requests tell of their session's writes
-// themselves.
+// recordCommit remembers the commit of a successful write, unless requests carry the age of their session's
+// last write.
 func (r *Router) recordCommit(req *pendingRequest, position int64) {
 	if req.isWrite() && req.hasKey && position > 0 && !r.settings.RequestsCarrySessionAge {
 		r.sessions.record(req.sessionKey, position)
 	}
 }
 
-// sessionPosition is the position that a host must have applied to show what the session of a new request has
-// written; 0 if any will do.
+// sessionPosition is the position that a host must have applied to show the writes of the session of a new
+// request; 0 if any will do.
 func (r *Router) sessionPosition(class *Class, event *Event) int64 {
 	switch {
 	case class.Consistency != ReadYourWrites:
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -1,14 +1,14 @@
 package balance
 
-// hostSlowStart paces requests to a host that has just started and is not warm yet.
+// hostSlowStart paces requests to a host that has just started and whose caches are cold.
 type hostSlowStart struct {
 	warmingUp   bool
 	slowStartAt int64       // when the host started
-	startBucket tokenBucket // attempts that it may be sent
+	startBucket tokenBucket // attempts that this gateway may send
 }
 
-// beginSlowStart notes that a host has started. The bucket begins with a random part of a token: with a whole
-// one at each of hundreds of gateways, they would overload the host at once.
+// beginSlowStart begins the slow start of a host that started at a time. The bucket begins with a random part
+// of a token, since hundreds of gateways with one token each would overload the host at once.
 func (r *Router) beginSlowStart(host *hostState, at int64) {
 	host.warmingUp = true
 	host.slowStartAt = at
@@ -17,8 +17,8 @@
 	host.latencyShare = 0
 }
 
-// slowStartShare is the part of its capacity that a host has by now, at least: it grows linearly to 1. The
-// end of the slow start is noted here.
+// slowStartShare is the least part of its capacity that a host has now. It grows linearly to 1, at which the
+// slow start is ended here.
 func (r *Router) slowStartShare(host *hostState) float64 {
 	age := r.now - host.slowStartAt
 	duration := r.settings.SlowStartDuration
@@ -32,14 +32,14 @@
 
 // slowStartAdmits reports whether a host's slow start leaves a token for a request. The bucket earns this
 // gateway's part of what all requests ask of a host, times half of what overloads a cold one. A long read
-// needs its whole cost.
+// needs tokens for all of its cost, any other request one token.
 func (r *Router) slowStartAdmits(req *pendingRequest, host *hostState) bool {
 	share := r.slowStartShare(host)
 	if !host.warmingUp {
 		return true
 	}
 	rate := float64(r.traffic.requestRatePerHost) * share * r.settings.SlowStartOverloadFactor / 2
-	// The bucket holds what a quarter of the window earns.
+	// The bucket holds what it earns in a quarter of the window.
 	capacity := max(1, rate*float64(r.settings.SlowStartOverloadWindow)/(4*second))
 	host.startBucket.refill(r.now, rate, capacity)
 	tokens := host.startBucket.tokens
@@ -50,7 +50,7 @@
 	return tokens >= 1
 }
 
-// spendSlowStart takes the cost of a request from a host's slow start.
+// spendSlowStart removes the cost of a request from the bucket of a host in slow start.
 func (r *Router) spendSlowStart(host *hostState, req *pendingRequest) {
 	if host.warmingUp {
 		host.startBucket.tokens -= r.costFactor(req)
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -1,35 +1,35 @@
 package balance
 
-// This file takes out of a router what a fresh one needs, and gives it to one. What of it is kept, and for
-// how long it is believed, is decided outside.
+// This file saves the state of a router that a new one can start from, and restores it. The embedding program
+// decides what is stored and for how long it is valid.
 
-// HostSnapshot is what a router knows of a host. A zero value tells nothing.
+// HostSnapshot is the saved state of a host. Zero fields are unknown.
 type HostSnapshot struct {
 	Host             string
 	Group            int64
-	Position         int64 // the host has applied its log up to here, at least
-	PositionAt       int64 // when that was heard
-	Primary          bool  // it was primary when last heard
-	Down             bool  // it was unhealthy
-	SlowStartUntil   int64
+	Position         int64   // the host has applied its log at least up to here
+	PositionAt       int64   // when Position was received
+	Primary          bool    // its last known role was primary
+	Down             bool    // the host was unhealthy
+	SlowStartUntil   int64   // end of its slow start; 0 if it was in none
 	ConcurrencyLimit float64 // attempts of one gateway allowed in flight
 }
 
-// GroupSnapshot is what a router knows of a group.
+// GroupSnapshot is the confirmed primary of a group.
 type GroupSnapshot struct {
 	Group      int64
-	Primary    string // the member that an answer or report has named as primary
-	ObservedAt int64  // time of which that is known
+	Primary    string // the member that an answer or report showed to be the primary
+	ObservedAt int64  // time of that evidence
 }
 
-// Snapshot is what a router knows at a time. Hosts and groups are in the order of their ids.
+// Snapshot is the state of a router that another one can start from. Hosts and groups are sorted by id.
 type Snapshot struct {
 	Groups       []GroupSnapshot
 	Hosts        []HostSnapshot
-	SessionFloor int64 // a position that shows all writes of sessions that were forgotten
+	SessionFloor int64 // a position that covers all commits of sessions that were dropped
 }
 
-// Snapshot returns what the router knows.
+// Snapshot returns the state that Restore accepts.
 func (r *Router) Snapshot() Snapshot {
 	snapshot := Snapshot{SessionFloor: r.sessions.floor}
 	for _, group := range r.groups {
@@ -54,21 +54,21 @@
 		Host:       host.id,
 		Group:      host.group.id,
 		Position:   host.position,
-		PositionAt: host.positionHeardAt,
+		PositionAt: host.positionReceivedAt,
 		Primary:    host.role == Primary,
 		Down:       host.health == unhealthy,
 	}
 	if host.warmingUp {
 		snapshot.SlowStartUntil = host.slowStartAt + r.settings.SlowStartDuration
 	}
-	if host.latency.known() { // a limit that no answer has adjusted tells nothing
+	if host.latency.known() { // a limit that no answer has adjusted is still the initial one
 		snapshot.ConcurrencyLimit = host.concurrencyLimit
 	}
 	return snapshot
 }
 
-// Restore gives a router what another one knew, and appends the actions that follow. What the router has seen
-// itself takes precedence; hosts and groups that it does not know are ignored.
+// Restore applies the state of another router, and appends the resulting actions. The router's own
+// observations take precedence; hosts and groups that no endpoint list has named are ignored.
 func (r *Router) Restore(now int64, snapshot Snapshot, actions []Action) []Action {
 	r.now = now
 	r.actions = actions
@@ -82,41 +82,42 @@
 	return r.actions
 }
 
-func (r *Router) restoreHost(known *HostSnapshot) {
-	host := r.hosts[known.Host]
-	if host == nil || host.group.id != known.Group {
+// restoreHost applies the saved state of a host. Only its position is used if the host has answered already.
+func (r *Router) restoreHost(saved *HostSnapshot) {
+	host := r.hosts[saved.Host]
+	if host == nil || host.group.id != saved.Group {
 		return
 	}
-	if known.Position > host.position {
-		host.position = known.Position
-		host.positionHeardAt = max(host.positionHeardAt, known.PositionAt)
+	if saved.Position > host.position {
+		host.position = saved.Position
+		host.positionReceivedAt = max(host.positionReceivedAt, saved.PositionAt)
 	}
-	if host.lastHeardAt != 0 {
+	if host.lastContactAt != 0 {
 		return
 	}
-	if known.ConcurrencyLimit > 0 { // it was adjusted to the load of an earlier time
-		host.concurrencyLimit = min(known.ConcurrencyLimit, 2*initialConcurrencyLimit)
+	if saved.ConcurrencyLimit > 0 { // limited, since it was adjusted to an earlier load
+		host.concurrencyLimit = min(saved.ConcurrencyLimit, 2*initialConcurrencyLimit)
 	}
-	if known.SlowStartUntil > r.now && !host.warmingUp {
-		r.beginSlowStart(host, known.SlowStartUntil-r.settings.SlowStartDuration)
+	if saved.SlowStartUntil > r.now && !host.warmingUp {
+		r.beginSlowStart(host, saved.SlowStartUntil-r.settings.SlowStartDuration)
 	}
-	if known.Down && host.health == healthy {
+	if saved.Down && host.health == healthy {
 		r.markUnhealthy(host, false)
 	}
 }
 
-// restoreGroup takes the named primary as a guess, like that of the endpoint list: the first answer decides.
-func (r *Router) restoreGroup(known *GroupSnapshot) {
-	host := r.hosts[known.Primary]
-	i, inList := r.findGroup(known.Group)
+// restoreGroup makes the saved primary the guess, like that of the endpoint list: the first answer decides.
+func (r *Router) restoreGroup(saved *GroupSnapshot) {
+	host := r.hosts[saved.Primary]
+	i, inList := r.findGroup(saved.Group)
 	if host == nil || !inList || host.group != r.groups[i] || host.group.confirmed {
 		return
 	}
-	if host.excluded || host.health != healthy || host.roleAsOf > known.ObservedAt {
+	if host.excluded || host.health != healthy || host.roleAsOf > saved.ObservedAt {
 		return
 	}
 	group := host.group
-	// Reads that need the primary no longer go to the one that was guessed before.
+	// Reads that need the primary must not go to the previous guess.
 	if old := group.primary; old != nil && old != host {
 		old.wasPrimary = false
 	}
--- a/balance/state.go
+++ b/balance/state.go
@@ -1,6 +1,6 @@
 package balance
 
-// hostState is what the router knows of one host. The parts are defined beside the concern that owns them.
+// hostState is the state of one host. Its embedded parts are defined in the files that use them.
 type hostState struct {
 	id    string
 	zone  int
@@ -13,11 +13,11 @@
 	hostLoad
 	hostSlowStart
 
-	position        int64 // the host has applied its log up to here, at least; never goes back
-	positionHeardAt int64 // when that was heard
+	position           int64 // the host has applied its log at least up to here; never decreases
+	positionReceivedAt int64 // when position was received
 }
 
-// groupState is what the router knows of a primary and its replicas, and the requests that wait for them.
+// groupState is the state of a group of hosts, and the queue of its requests.
 type groupState struct {
 	id      int64
 	members []*hostState // sorted by id
@@ -27,7 +27,7 @@
 	latency movingAverage     // of successful answers of all members, µs
 }
 
-// pendingRequest is a request that is owed a final answer, or whose last attempt has not come back yet.
+// pendingRequest is a request without a final answer, or one whose last attempt has not ended yet.
 type pendingRequest struct {
 	id         int64
 	class      *Class
@@ -38,7 +38,7 @@
 	objectiveAt int64 // an answer by then meets the latency objective
 	halfTimeAt  int64 // half of the time to the deadline has passed
 	deadline    int64
-	minPosition int64   // ReadYourWrites: a position that shows the session's writes
+	minPosition int64   // with ReadYourWrites: a position that covers the session's writes
 	lateness    int     // order in the queue: above 0 if the objective can no longer be met
 	shedRank    float64 // 0 to 1: of two reads the one with the higher rank is shed first
 
@@ -47,8 +47,8 @@
 	host              *hostState // where the attempt is in flight; nil while the request waits
 	lastHost          *hostState // where the last failed attempt was
 	sentAt            int64
-	overdueHalves     int // halves of its latency objective that the attempt has taken while in flight
-	positionWaitUntil int64
+	overdueHalves     int   // halves of its latency objective that the attempt has taken while in flight
+	positionWaitUntil int64 // how long the read waits for health checks to report positions
 
 	executedAt   int64 // when the first attempt that may have been executed was sent; 0 if none
 	executedZone int   // zone of the host of that attempt
@@ -56,11 +56,11 @@
 	hasKey      bool
 	dialed      bool // the attempt in flight needed a new connection
 	reachedHost bool // a host has received the request
-	shed        bool // a host with capacity was withheld to shed load
-	finished    bool // the final answer is given; only the last attempt is still awaited
+	shed        bool // a host with capacity was withheld from it to shed load
+	finished    bool // the final answer was given; only the last attempt is still pending
 }
 
-// isWrite reports whether the primary alone may take the request.
+// isWrite reports whether only the primary accepts the request.
 func (req *pendingRequest) isWrite() bool { return req.class.Consistency == Write }
 
 // mayHaveExecuted reports whether an earlier attempt may have been executed.
--- a/balance/traffic.go
+++ b/balance/traffic.go
@@ -1,8 +1,8 @@
 package balance
 
 const (
-	requestRateRetention = 0.9 // part of the average request rate that is kept each second
-	longCostFactor       = 2.0 // a read that takes more than this multiple of the mean time is a long one
+	requestRateRetention = 0.9 // weight of the previous average request rate in each update
+	longCostFactor       = 2.0 // multiple of the mean cost above which a read is long
 )
 
 // trafficStats are averages over the requests of this gateway.
@@ -16,7 +16,7 @@
 	requestRatePerHost movingAverage // requests of this gateway for each host and second
 }
 
-// newTrafficStats takes latency objectives for costs, until attempts are measured.
+// newTrafficStats returns statistics that use latency objectives as costs until attempts are measured.
 func newTrafficStats(classes []Class) trafficStats {
 	var stats trafficStats
 	for i := range classes {
@@ -38,7 +38,7 @@
 	}
 }
 
-// measureTraffic updates, once a second, the request rate and all that fades with time.
+// measureTraffic updates the request rate, the error shares and the idle timeout once a second.
 func (r *Router) measureTraffic() {
 	stats := &r.traffic
 	elapsed := r.now - stats.measuredAt
@@ -55,12 +55,12 @@
 	r.idleTimeout = min(r.idleTimeout+r.idleTimeout/idleTimeoutGrowth, maxIdleTimeout)
 }
 
-// costFactor is the work of a request as a multiple of the mean, 1 at least.
+// costFactor is the cost of a request as a multiple of the mean cost, at least 1.
 func (r *Router) costFactor(req *pendingRequest) float64 {
 	return max(1, float64(r.traffic.classCost[req.classIndex]/r.traffic.meanCost))
 }
 
-// isLongRead reports whether a request is a read of eventual consistency that takes much longer than most.
+// isLongRead reports whether a request is a read of eventual consistency whose cost is above longCostFactor.
 func (r *Router) isLongRead(req *pendingRequest) bool {
 	return req.class.Consistency == Eventual && r.costFactor(req) > longCostFactor
 }
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -5,17 +5,20 @@
 	"slices"
 )
 
-// SetZoneShares sets what the fleet has agreed on about zones; nil: nothing.
+// zoneRankFactor derives from the shed rank of a read another rank, independent of it.
+const zoneRankFactor = 1024
+
+// SetZoneShares sets the shares of zones that the fleet has agreed on; nil if all zones are in full use.
 func (r *Router) SetZoneShares(shares ZoneShares) { r.zoneShares = shares }
 
 // avoidsZone reports whether a read avoids a host in a zone from which the fleet moves traffic away. It does
-// so only where a replica of its group is healthy in a zone that takes all of its reads.
+// so only if a healthy replica of the group is in a zone in full use.
 func (r *Router) avoidsZone(req *pendingRequest, host *hostState) bool {
 	elsewhere := func(member *hostState) bool {
 		usable := member != host.group.primary && member.health == healthy && !member.excluded
 		return usable && r.zoneShares.ReadShare(member.zone) == 1
 	}
-	rank := math.Mod(req.shedRank*1024, 1) // independent of the rank that decides on load shedding
+	rank := math.Mod(req.shedRank*zoneRankFactor, 1)
 	if rank < r.zoneShares.ReadShare(host.zone) {
 		return false
 	}
