--- a/balance/queue.go
+++ b/balance/queue.go
@@ -21,7 +21,7 @@
 	r.retryBudget.earn()
 	r.checkBudget.earn()
 	r.recordRequest(req)
-	req.shedRank = r.randomFraction()
+	req.shedRank = r.rand.Fraction()
 	r.requests[req.id] = req
 	r.enqueue(req)
 	r.dispatch(req.group)
--- a/balance/replicas.go
+++ b/balance/replicas.go
@@ -142,7 +142,7 @@
 	if host.connected {
 		weight *= connectedWeight
 	}
-	return -math.Log(1-r.randomFraction()) / weight
+	return -math.Log(1-r.rand.Fraction()) / weight
 }
 
 // betterOf returns the better one of the drawn hosts, or nil if none was drawn.
@@ -177,7 +177,7 @@
 	if b.connected && !a.connected { // the difference must outweigh the cost of a new connection
 		difference -= starting / 2
 	}
-	return difference+starting/2 > starting*r.randomFraction()
+	return difference+starting/2 > starting*r.rand.Fraction()
 }
 
 // primaryOrWait returns the primary for a read that no replica can take now, or nil if it is to wait. The
--- a/balance/router.go
+++ b/balance/router.go
@@ -176,11 +176,6 @@
 
 func (r *Router) log(text string) { r.emit(Action{Kind: LogAction, Text: text}) }
 
-// randomFraction draws a number in [0, 1).
-func (r *Router) randomFraction() float64 {
-	return float64(r.rand.Below(1<<30)) / (1 << 30)
-}
-
 // spreadOverFleet returns a random time, in µs, for what a single gateway would do after the given wait. It
 // grows with the square root of the number of gateways: gateways do not act in step, and the first to act
 // informs the others.
@@ -188,5 +183,5 @@
 	if r.settings.Gateways < 2 {
 		return wait
 	}
-	return int64((0.5 + r.randomFraction()) * math.Sqrt(float64(r.settings.Gateways)) * float64(wait))
+	return int64((0.5 + r.rand.Fraction()) * math.Sqrt(float64(r.settings.Gateways)) * float64(wait))
 }
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -12,7 +12,7 @@
 func (r *Router) beginSlowStart(host *hostState, at int64) {
 	host.warmingUp = true
 	host.slowStartAt = at
-	host.startBucket = tokenBucket{tokens: r.randomFraction(), refilledAt: r.now}
+	host.startBucket = tokenBucket{tokens: r.rand.Fraction(), refilledAt: r.now}
 	host.concurrencyLimit = 1
 	host.latencyShare = 0
 }
--- a/internal/gossip/coordinator.go
+++ b/internal/gossip/coordinator.go
@@ -13,28 +13,28 @@
 	maxCandidates            = 8         // gateways that may coordinate a group
 	silentCoordinatorBackoff = 5_000_000 // mean time, in microseconds, for which a silent coordinator is passed over
 	propagationDelay         = 40_000    // microseconds from a report until the digest that contains it arrives
-	checkTokensPerAttempt    = 0.1       // checks that an attempt at a replica pays for
+	checkTokensPerAttempt    = 0.1       // checks that each attempt at a replica earns
 	checkTokenBurst          = 8.0       // checks; enough for all hosts of a group at its start
 )
 
-// groupState is a group of hosts and what is known of its coordinator.
+// groupState is a group of hosts, its coordinator, and, on the coordinator, what the next digest contains.
 type groupState struct {
 	hash             uint32
 	hosts            []*hostState
 	hostsByShortHash map[uint16]*hostState
-	candidates       []int // ordinals of the gateways that may coordinate it, the preferred one first
+	candidates       []int // ordinals of the gateways that may coordinate it, in order of preference
 
 	awaitingSince      int64 // when the oldest report was sent that no digest has answered; 0 if none
 	awaitedCoordinator int   // the receiver of that report
 
 	// As the coordinator.
-	hasNews       bool // something was reported since the last digest
-	lastReportAt  int64
-	firstReportAt int64
-	checkTokens   float64 // hosts that HostsToCheck may still name
-	started       int     // attempts reported since the last digest
-	lastDigestAt  int64
-	nextDigestAt  int64
+	hasUnpublished bool // something was reported since the last digest
+	lastReportAt   int64
+	firstReportAt  int64
+	checkTokens    float64 // hosts that HostsToCheck may still name
+	started        int     // attempts reported since the last digest
+	lastDigestAt   int64
+	nextDigestAt   int64
 
 	attemptRate    float64 // attempts at replicas, per second
 	digestSentAt   int64   // when the newest digest received had been sent; 0 if none was received
@@ -42,7 +42,7 @@
 }
 
 // ensureGroup returns the group's state, and creates it on first use. Two groups with one hash share a coordinator;
-// their hosts are told apart by their own hashes.
+// their hosts are distinguished by their own hashes.
 func (s *State) ensureGroup(id int64) *groupState {
 	hash := uint32(xxhash.Sum64String("group "+strconv.FormatInt(id, 10)) >> 40)
 	if group := s.groupsByHash[hash]; group != nil {
@@ -59,8 +59,8 @@
 	return group
 }
 
-// rankCandidates ranks gateways for a group by rendezvous hashing: each gateway finds the same order, groups spread
-// evenly, and a gateway that is passed over moves only the groups that it coordinated.
+// rankCandidates ranks gateways for a group by rendezvous hashing: all gateways compute the same order, groups
+// spread evenly, and a silent gateway moves only the groups that it coordinated.
 func rankCandidates(groupHash uint32, gateways int) []int {
 	type candidate struct {
 		score   uint64
@@ -86,7 +86,7 @@
 	return ordinals
 }
 
-// coordinator is the first candidate that is not known to be silent.
+// coordinator is the first candidate that is not marked as silent, or the first one if all are.
 func (s *State) coordinator(now int64, group *groupState) int {
 	for _, ordinal := range group.candidates {
 		if ordinal == s.conf.Ordinal || s.silentUntil[ordinal] <= now {
@@ -96,20 +96,17 @@
 	return group.candidates[0]
 }
 
-// isCoordinator tells whether this gateway coordinates a group.
+// isCoordinator reports whether this gateway coordinates a group.
 func (s *State) isCoordinator(now int64, group *groupState) bool {
 	return s.coordinator(now, group) == s.conf.Ordinal
 }
 
-// randomFraction draws a number from 0 on and below 1.
-func (s *State) randomFraction() float64 { return float64(s.rand.Below(1<<30)) / (1 << 30) }
-
-// hasRecentDigest tells whether a digest was received that still describes the group.
+// hasRecentDigest reports whether the newest digest received is recent enough to be used.
 func (g *groupState) hasRecentDigest(now int64) bool {
 	return g.digestSentAt != 0 && now-g.digestSentAt <= max(countLifetime, 2*g.digestInterval)
 }
 
-// awaitDigest notes that a report goes to a coordinator, whose digest is expected.
+// awaitDigest records that a report was sent to a coordinator, whose digest is expected.
 func (g *groupState) awaitDigest(now int64, coordinator int) {
 	if g.awaitingSince == 0 || g.awaitedCoordinator != coordinator {
 		g.awaitingSince = now
@@ -117,7 +114,8 @@
 	}
 }
 
-// passOverSilentCoordinator gives up, for a while, a coordinator that was sent reports and sends no digest.
+// passOverSilentCoordinator marks a coordinator as silent for a random backoff if it was sent reports and sent no
+// digest.
 func (s *State) passOverSilentCoordinator(now int64, group *groupState) {
 	timeout := max(s.conf.FreshnessWindow, group.digestInterval) + s.conf.FreshnessWindow/2
 	if group.awaitingSince == 0 || now-group.awaitingSince <= timeout {
@@ -128,7 +126,8 @@
 	group.awaitingSince = 0
 }
 
-// MaxReportDelay is the longest time, in microseconds, for which no digest may name a host that answers some gateway.
+// MaxReportDelay is the longest time, in microseconds, until an answer of a host to another gateway is known here; 0 if
+// unknown.
 func (s *State) MaxReportDelay(id string) int64 {
 	host := s.hosts[id]
 	if host == nil || host.group.digestSentAt == 0 {
@@ -137,9 +136,9 @@
 	return host.group.digestInterval + 2*propagationDelay
 }
 
-// HostsToCheck returns the hosts that this gateway, as their coordinator, wants to be asked for their position. A
+// HostsToCheck returns the ids of hosts whose position this gateway, as their coordinator, needs a health check for. A
 // replica whose position is unknown gets no reads with bounded staleness, and without reads its position stays unknown.
-// Replicas that lag far behind are checked seldom, and none is while the group is idle.
+// Replicas that lag far behind are checked seldom, and none while the group is idle.
 func (s *State) HostsToCheck(now int64) (ids []string) {
 	for _, group := range s.groups {
 		idle := group.lastReportAt == 0 || now-group.lastReportAt > s.maxUncheckedAge()
@@ -160,6 +159,7 @@
 // maxUncheckedAge is how old a replica's position may become, in microseconds, before the replica is checked.
 func (s *State) maxUncheckedAge() int64 { return s.conf.FreshnessWindow / 2 }
 
+// needsCheck reports whether the position of a replica is outdated and its last check long enough ago.
 func (s *State) needsCheck(now int64, host *hostState) bool {
 	if host.latest.Role == Primary || now-host.latestAt <= s.maxUncheckedAge() {
 		return false
@@ -169,6 +169,6 @@
 	return now-host.checkedAt > pause
 }
 
-// isIsolated tells whether this gateway receives nothing, or all of it too late to be used. As a coordinator it would
-// broadcast little more than its own observations and be taken for one that knows; silent, it is passed over.
+// isIsolated reports whether this gateway receives no messages, or only outdated ones. As a coordinator it would then
+// broadcast little more than its own observations; while it is silent, others replace it.
 func (s *State) isIsolated(now int64) bool { return now-s.newestSentAt > s.conf.FreshnessWindow }
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -3,23 +3,23 @@
 // The pace of digests.
 const (
 	minDigestInterval     = 40_000    // microseconds; reports are not fresher
-	relaxedIntervalFactor = 2         // a digest waits until requests have paid its price so many times
-	rateWarmup            = 1_000_000 // microseconds from the first report on, before which the attempt rate is not known
-	// After this fraction of the freshness window the next digest is due, whatever it costs while the rate is not known
-	// and as soon as it is paid for once afterwards: else positions become too old to be used.
-	pressingNumerator   = 2
-	pressingDenominator = 5
+	relaxedIntervalFactor = 2         // multiple of the time in which requests pay for a digest, until the next one
+	rateWarmup            = 1_000_000 // microseconds from the first report until the attempt rate is known
+	// After this fraction of the freshness window the next digest is due, at any cost while the rate is unknown and
+	// afterwards as soon as it is paid for once: otherwise positions become too old to be used.
+	urgentNumerator   = 2
+	urgentDenominator = 5
 )
 
-// buildDigest returns what this gateway, as the coordinator of a group, broadcasts now, or nil.
+// buildDigest returns the digest that this gateway, as the coordinator of a group, is to broadcast now, or nil.
 func (s *State) buildDigest(now int64, group *groupState) []byte {
-	if !group.hasNews || now < group.nextDigestAt || s.isIsolated(now) {
+	if !group.hasUnpublished || now < group.nextDigestAt || s.isIsolated(now) {
 		return nil
 	}
 	group.updateAttemptRate(now)
 	group.started = 0
 	group.lastDigestAt = now
-	group.hasNews = false
+	group.hasUnpublished = false
 
 	entries, primaryLeads := s.buildEntries(now, group)
 	interval := s.nextInterval(now, group, digestHeaderSize+len(entries))
@@ -29,7 +29,7 @@
 	return append(message, entries...)
 }
 
-// updateAttemptRate takes the attempts since the last digest into the rate, a moving average over a second or so.
+// updateAttemptRate adds the attempts since the last digest to the rate, a moving average over about a second.
 func (g *groupState) updateAttemptRate(now int64) {
 	if g.lastDigestAt == 0 {
 		g.firstReportAt = now
@@ -69,13 +69,13 @@
 	return primary
 }
 
-// appendHost appends a host's entry if there is something to say of it, it can be named and the message has space left.
+// appendHost appends a host's entry if it is not empty, its short hash is unambiguous and the message has space left.
 func (s *State) appendHost(entries []byte, now int64, host *hostState, isPrimary bool) []byte {
 	load := s.totalLoad(now, host)
 	fact := host.latest
 	host.reportedSamples.writeTo(&fact)
-	roleHolds := isPrimary || fact.Role == Replica // a former primary has no role to publish
-	hasNewPosition := fact.Position > host.publishedPosition && fact.Role != Unknown && roleHolds
+	roleIsCurrent := isPrimary || fact.Role == Replica // a former primary has no role to publish
+	hasNewPosition := fact.Position > host.publishedPosition && fact.Role != Unknown && roleIsCurrent
 	isEmpty := load == 0 && host.reportedSamples.count == 0 && !hasNewPosition
 	isAmbiguous := host.group.hostsByShortHash[shortHash(host.hash)] != host
 	isFull := digestHeaderSize+len(entries)+entrySize > MaxMessage
@@ -88,14 +88,14 @@
 		fact.Position = 0
 	}
 	if isPrimary {
-		host.concurrencyCap.adjust(fact.LatencyShare, load, s.randomFraction())
+		host.concurrencyCap.adjust(fact.LatencyShare, load, s.rand.Fraction())
 	}
 	host.reportedSamples = latencySamples{}
 	return appendEntry(entries, now, host.hash, fact, load)
 }
 
 // totalLoad is how many attempts all gateways have in flight at a host. Where another gateway publishes digests of the
-// group too, some gateways can't reach one of the two, and the higher number is nearer to the truth.
+// group too, some gateways can't reach one of the two coordinators, and the higher number is more accurate.
 func (s *State) totalLoad(now int64, host *hostState) float64 {
 	load := float64(s.inFlightByOthers(now, host) + host.inFlight)
 	if host.group.hasRecentDigest(now) {
@@ -104,23 +104,23 @@
 	return load
 }
 
-// nextInterval is how many microseconds after a digest of a size the next one follows: as soon as the group's requests
-// have paid for it, within the limits above.
+// nextInterval is the time in microseconds from a digest of a size, in bytes, until the next one: as soon as the
+// group's requests have paid for it, within the limits above.
 func (s *State) nextInterval(now int64, group *groupState, size int) int64 {
 	cost := float64(size * (s.conf.Gateways - 1)) // bytes
-	paid := maxInterval * 2.0
+	paidInterval := maxInterval * 2.0
 	if group.attemptRate > 0 {
-		paid = min(paid, cost/(group.attemptRate*s.conf.BytesPerRequest)*1e6)
+		paidInterval = min(paidInterval, cost/(group.attemptRate*s.conf.BytesPerRequest)*1e6)
 	}
-	pressing := float64(s.conf.FreshnessWindow) * pressingNumerator / pressingDenominator
+	urgent := float64(s.conf.FreshnessWindow) * urgentNumerator / urgentDenominator
 	if now-group.firstReportAt >= rateWarmup {
-		pressing = max(pressing, paid)
+		urgent = max(urgent, paidInterval)
 	}
-	return int64(min(max(relaxedIntervalFactor*paid, minDigestInterval), pressing))
+	return int64(min(max(relaxedIntervalFactor*paidInterval, minDigestInterval), urgent))
 }
 
-// receiveDigest takes a digest of another gateway and returns the facts in it. Loads are taken only from the
-// coordinator to which this gateway reports: another one knows a part of them.
+// receiveDigest applies a digest of another gateway and returns the facts in it. Loads are used only from the
+// coordinator to which this gateway reports, since another one has only a part of them.
 func (s *State) receiveDigest(now, sentAt int64, from int, body []byte) ([]HostFact, error) {
 	d, err := readDigest(sentAt, body)
 	if err != nil {
@@ -150,7 +150,7 @@
 		}
 		host.recordLatest(now, e.HostFact)
 		if isFollowed && host.latest.Role == Primary { // the entry has no role if the primary has stopped answering
-			host.concurrencyCap.adjust(e.LatencyShare, e.load, s.randomFraction())
+			host.concurrencyCap.adjust(e.LatencyShare, e.load, s.rand.Fraction())
 		}
 		if e.Position > 0 || e.LatencyShare > 0 || e.Failing {
 			e.Host = host.id
@@ -160,7 +160,7 @@
 	return facts, nil
 }
 
-// follow takes over a digest's head. Hosts without an entry have nothing in flight.
+// follow applies a digest's header. Hosts without an entry have no attempts in flight.
 func (g *groupState) follow(sentAt int64, d *digest) {
 	g.digestSentAt = sentAt
 	g.digestInterval = d.interval
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// Gateways name hosts by the same codes and pass a group's keeping on in the same order, though they run other versions.
+// Gateways name hosts by the same codes and pass a group's keeping on in the same order, though they run other
+// versions.
 func TestGoldenCodesAndOrder(t *testing.T) {
 	cases := []golden.Case{{Name: "bounds", Form: fmt.Sprint(MaxMessage, " ", Broadcast)}}
 	for _, host := range []string{"", "host-a", "10.0.0.1:5432"} {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,16 +1,16 @@
-// Package gossip decides what the gateways of a fleet tell one another about the hosts, to whom, when, and which of it
-// is believed.
+// Package gossip exchanges facts about hosts between the gateways of a fleet. It decides what is sent to whom and when,
+// and which received facts are valid.
 //
-// A single gateway sees each host seldom; together the gateways see it often. Each group of hosts has a coordinator
-// among the gateways, which each gateway determines for itself (coordinator.go). A gateway sends reports to the
-// coordinator alone: what it heard from a host and how many attempts it has in flight there. The coordinator adds these
-// up and broadcasts one short digest, as often as the group's requests pay for. The traffic of a second therefore
-// follows the requests and the groups; only digests are multiplied by the number of gateways.
+// A single gateway contacts each host seldom; together the gateways contact it often. Each group of hosts has a
+// coordinator among the gateways, which each gateway determines for itself (coordinator.go). A gateway sends reports to
+// the coordinator alone: what a host has answered and how many attempts it has in flight there. The coordinator
+// aggregates them and broadcasts one short digest, as often as the byte budget of the group's requests allows. Traffic
+// therefore grows with requests and groups; only digests are multiplied by the number of gateways.
 //
-// Correctness does not depend on who coordinates: two coordinators at a time do no harm, since positions only rise and
-// loads are taken from the one that a gateway reports to, and without one a gateway knows what it has seen itself.
-// Messages may be lost, delayed, duplicated or reordered. The package does no I/O, reads no clock and starts no
-// goroutine; the same calls give the same messages.
+// Correctness does not depend on who coordinates: two coordinators at a time are harmless, since positions only
+// increase and loads are used only from the coordinator that a gateway reports to. Without a coordinator a gateway uses
+// its own observations. Messages may be lost, delayed, duplicated or reordered. The package does no I/O, reads no clock
+// and starts no goroutine; the same calls give the same messages.
 package gossip
 
 import (
@@ -29,12 +29,13 @@
 	Replica
 )
 
-// HostFact is what is known of a host. Times are microseconds since 1970, positions are times of the log.
+// HostFact is the state of a host as one or more gateways observed it. Positions are commit times in the host's log, in
+// microseconds since 1970.
 type HostFact struct {
 	Host         string
-	Position     int64   // applied at least up to here; 0 if not known
+	Position     int64   // the host has applied its log at least up to here; 0 if unknown
 	Role         Role    // as of Position
-	LatencyShare float64 // recent response time as a share of the latency objective; 0 if not known
+	LatencyShare float64 // recent response time as a share of the latency objective; 0 if unknown
 	Failing      bool    // most recent answers were errors
 }
 
@@ -44,7 +45,7 @@
 	Data []byte
 }
 
-// Broadcast is the receiver of what goes to all gateways.
+// Broadcast is the value of Message.To for a message to all gateways.
 const Broadcast = -1
 
 // Config describes the fleet.
@@ -55,7 +56,7 @@
 	FreshnessWindow int64   // microseconds for which a fact is useful to others
 }
 
-// enabled tells whether there is anybody to exchange facts with.
+// enabled reports whether there are other gateways to exchange facts with.
 func (c *Config) enabled() bool {
 	if c.Ordinal < 0 || c.Ordinal >= c.Gateways {
 		return false
@@ -65,9 +66,9 @@
 
 // Intervals in microseconds.
 const (
-	malformedReportInterval = 10_000_000 // least time between two reports of malformed messages to the log
-	reportInterval          = 20_000     // least time between two rounds of reports, so that one message carries several
-	countLifetime           = 1_000_000  // an in-flight count that was not repeated for so long is void
+	malformedReportInterval = 10_000_000 // shortest time between two log lines on malformed messages
+	reportInterval          = 20_000     // shortest time between two rounds of reports, so that one message carries several
+	countLifetime           = 1_000_000  // an in-flight count expires unless it is repeated within this time
 )
 
 // State is one gateway's part in the exchange. It is not safe for concurrent use.
@@ -75,7 +76,7 @@
 	conf         Config
 	rand         random.Source
 	hosts        map[string]*hostState
-	hostsByHash  map[uint32]*hostState  // nil where two hosts share a hash: nothing is believed of either
+	hostsByHash  map[uint32]*hostState  // nil where two hosts share a hash: facts of either are dropped
 	groups       []*groupState          // in the order of their creation, so that the same calls give the same messages
 	groupsByHash map[uint32]*groupState // the same by hash
 	silentUntil  map[int]int64          // by gateway: a silent coordinator is passed over until then
@@ -85,12 +86,12 @@
 	newestSentAt   int64 // when the newest message that was received had been sent
 	overloadRatio  float64
 
-	malformed           int // messages that could not be read
+	malformed           int // messages that could not be decoded
 	malformedReported   int // of these, the ones that TakeMalformedReport has returned
 	malformedReportedAt int64
 }
 
-// New returns a state that knows no host.
+// New returns a state without hosts; the seed feeds its random numbers.
 func New(c Config, seed uint64) *State {
 	return &State{
 		conf:         c,
@@ -102,7 +103,7 @@
 	}
 }
 
-// AddHost makes a host of a group known, so that messages about it are understood.
+// AddHost adds a host of a group. Messages about other hosts are ignored.
 func (s *State) AddHost(id string, groupID int64) {
 	if !s.conf.enabled() || s.hosts[id] != nil {
 		return
@@ -115,7 +116,7 @@
 	group.hosts = append(group.hosts, host)
 }
 
-// RemoveHost forgets a host: nothing more is sent or believed of it.
+// RemoveHost removes a host: nothing about it is sent or accepted any more.
 func (s *State) RemoveHost(id string) {
 	host := s.hosts[id]
 	if host == nil {
@@ -129,7 +130,7 @@
 	s.pendingReports = slices.DeleteFunc(s.pendingReports, isHost)
 }
 
-// addUnique puts a value under its hash. Two values with one hash can't be told apart: the hash then stands for none.
+// addUnique adds a value under its hash. Two values with the same hash are ambiguous: the hash then maps to nil.
 func addUnique[K comparable, V any](m map[K]*V, hash K, value *V) {
 	if _, taken := m[hash]; taken {
 		value = nil
@@ -137,18 +138,18 @@
 	m[hash] = value
 }
 
-// removeUnique takes a value out. A shared hash stays marked as such, since old messages may still arrive.
+// removeUnique removes a value. A shared hash stays marked as ambiguous, since old messages may still arrive.
 func removeUnique[K comparable, V any](m map[K]*V, hash K, value *V) {
 	if m[hash] == value {
 		delete(m, hash)
 	}
 }
 
-// MalformedMessages is the number of messages that could not be read.
+// MalformedMessages is the number of messages that could not be decoded.
 func (s *State) MalformedMessages() int { return s.malformed }
 
-// TakeMalformedReport returns how many messages could not be read since it last returned a number above 0. It does so
-// at most once in ten seconds, so that a sender of garbage can't fill the log.
+// TakeMalformedReport returns how many messages could not be decoded since it last returned a number above 0. It
+// does so at most once per malformedReportInterval, so that a faulty sender cannot fill the log.
 func (s *State) TakeMalformedReport(now int64) int {
 	n := s.malformed - s.malformedReported
 	if n == 0 {
@@ -178,8 +179,8 @@
 	return messages
 }
 
-// Receive takes a message of another gateway and returns the facts in it that are to be believed. A message of which
-// any part can't be read has no effect.
+// Receive applies a message of another gateway and returns the facts in it about known hosts. A message with any
+// malformed part is counted and has no effect.
 func (s *State) Receive(now int64, from int, data []byte) []HostFact {
 	if !s.conf.enabled() {
 		return nil
@@ -192,6 +193,7 @@
 	return facts
 }
 
+// receive is Receive with an error for a malformed message.
 func (s *State) receive(now int64, from int, data []byte) ([]HostFact, error) {
 	version, sentAt, body, err := readHeader(now, data)
 	if err != nil {
--- a/internal/gossip/host.go
+++ b/internal/gossip/host.go
@@ -1,6 +1,6 @@
 package gossip
 
-// hostState is what is known of one host.
+// hostState is the state of one host: own observations, reports of others and the last digest.
 type hostState struct {
 	id    string
 	hash  uint32
@@ -14,8 +14,8 @@
 	started          int // attempts started since the last report
 	reportDue        bool
 
-	latest            HostFact // the latest position that any gateway reported, with the role as of it
-	latestAt          int64    // when it came to be known
+	latest            HostFact // the latest position that any gateway reported, with the role at that position
+	latestAt          int64    // when it was received
 	checkedAt         int64    // as its coordinator: when HostsToCheck named it last
 	publishedPosition int64
 	reportedSamples   latencySamples
@@ -28,7 +28,7 @@
 	ownInPublishedLoad int     // this gateway's part of it
 }
 
-// latencySamples sums up response times as shares of their latency objective.
+// latencySamples is the sum of response times as shares of their latency objective.
 type latencySamples struct {
 	sum           float64
 	count, errors int
@@ -56,7 +56,7 @@
 	sentAt   int64
 }
 
-// Record takes what a host itself has told this gateway.
+// Record records what a host itself has reported to this gateway.
 func (s *State) Record(fact HostFact) {
 	host := s.hosts[fact.Host]
 	if host != nil && fact.Position > host.ownFact.Position {
@@ -70,11 +70,12 @@
 const overloadWeight = 0.03
 
 // OverloadRatio is the share of this gateway's recent attempts, at all hosts together, that took all of their latency
-// objective or were rejected. It serves a gateway that meets each host too seldom to judge it. The response time of
+// objective or were rejected. It is for gateways that contact each host too seldom to judge it. The response time of
 // answers within the objective does not count, since at rest it differs from deployment to deployment.
 func (s *State) OverloadRatio() float64 { return s.overloadRatio }
 
-// RecordLatencyShare takes the response time of a host as a share of the latency objective, or that it was an error.
+// RecordLatencyShare records an answer of a host: its response time as a share of the latency objective, and whether it
+// was an error.
 func (s *State) RecordLatencyShare(id string, share float64, failed bool) {
 	s.overloadRatio -= overloadWeight * s.overloadRatio
 	if share >= 1 {
@@ -86,7 +87,7 @@
 	}
 }
 
-// SetInFlight takes how many attempts this gateway has in flight at a host now.
+// SetInFlight sets how many attempts this gateway has in flight at a host.
 func (s *State) SetInFlight(id string, n int) {
 	host := s.hosts[id]
 	if host == nil || host.inFlight == n {
@@ -97,7 +98,7 @@
 	s.scheduleReport(host)
 }
 
-// scheduleReport has a host reported, unless another shares its hash.
+// scheduleReport includes a host in the next report, unless another host shares its hash.
 func (s *State) scheduleReport(host *hostState) {
 	if !host.reportDue && s.hostsByHash[host.hash] == host {
 		host.reportDue = true
@@ -106,7 +107,7 @@
 }
 
 // Load is how many attempts other gateways have in flight at a host, and how many of the group's are about to start
-// that no digest contains yet. Both are 0 while nothing recent is known.
+// that no digest contains yet. Both are 0 without a recent digest.
 func (s *State) Load(now int64, id string) (inFlight, starting float64) {
 	host := s.hosts[id]
 	if host == nil {
@@ -123,7 +124,7 @@
 	return inFlight, group.attemptRate * float64(group.digestInterval+propagationDelay) / 1e6
 }
 
-// recordLatest takes over a later position of the host's log.
+// recordLatest records a position and role if the position is the latest so far.
 func (h *hostState) recordLatest(now int64, fact HostFact) {
 	if fact.Position > h.latest.Position {
 		h.latest = HostFact{Host: h.id, Position: fact.Position, Role: fact.Role}
@@ -131,7 +132,7 @@
 	}
 }
 
-// recordCount takes how many attempts a gateway has in flight; a count that is overtaken or outdated is ignored.
+// recordCount records how many attempts a gateway has in flight. A count that is reordered or outdated is ignored.
 func (h *hostState) recordCount(now, sentAt int64, from, inFlight int) {
 	count := &h.reportedCounts[from]
 	if sentAt < count.sentAt || now-sentAt > countLifetime {
@@ -141,8 +142,8 @@
 	*count = reportedCount{inFlight, sentAt}
 }
 
-// expireCounts removes, from time to time, the counts that other gateways have not repeated: they crashed, or their
-// reports were lost.
+// expireCounts removes the counts that other gateways have not repeated within countLifetime: they crashed, or their
+// reports were lost. It runs at most four times per countLifetime.
 func (h *hostState) expireCounts(now int64, self int) {
 	if now-h.countsExpiredAt <= countLifetime/4 {
 		return
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -12,11 +12,11 @@
 // Messages are in network byte order. Both kinds begin with the version (1 byte) and the time of sending (4 bytes: the
 // low half of the milliseconds since 1970). The numbers below are sizes in bytes unless they say bits.
 //
-//	report  for each host: hash of its id 3, age 2 (milliseconds from its position to the sending; all ones: not
-//	        known), role 2 bits and latency share 6 bits, the sender's attempts in flight 1, and the attempts
+//	report  for each host: hash of its id 3, age 2 (milliseconds from its position to the sending; all ones:
+//	        unknown), role 2 bits and latency share 6 bits, the sender's attempts in flight 1, and the attempts
 //	        started since its last report 1
 //	digest  hash of the group 3, interval until the next digest 1 (in 20 ms), first entry is the primary 1 bit,
-//	        rate of attempts 7 bits; for each host: short hash 2, age 1 (in 4 ms; all ones: not known), load
+//	        rate of attempts 7 bits; for each host: short hash 2, age 1 (in 4 ms; all ones: unknown), load
 //	        5 bits and latency share 3 bits
 //
 // Hosts are named by hashes, since indexes into a list differ between gateways that hold different lists. Ages are
@@ -40,21 +40,31 @@
 	maxInterval     = maxDigestAge * intervalStep
 	primaryLeadsBit = 0x80
 	maxByteCount    = math.MaxUint8
+
+	// Latency shares and attempt rates are sent as logarithms; code 0 means unknown.
+	codesPerDoubling = 8
+	codeOfShareOne   = 32 // the 6-bit code of a latency share of 1
+	codeOfRateOne    = 24 // the 7-bit code of one attempt per second
+	shareMask        = 63 // the low 6 bits of a byte, beside the role
+	roleShift        = 6  // bits
+	loadShift        = 3  // bits
+	shareBandMask    = 7  // the low 3 bits of a byte, beside the load
+
 	// maxClockLead is how far ahead of our clock, in microseconds, a sender's may be. A position further ahead is
-	// invalid: if it were believed, a replica would serve reads whatever its real position.
+	// invalid: if it were accepted, a replica would serve reads whatever its real position.
 	maxClockLead = 50_000
 )
 
-// errMalformedMessage is a message that can't be read; errUnknownSender one of a gateway outside the fleet.
+// Errors of receive: a message that can't be decoded, and one of a gateway outside the fleet.
 var (
 	errMalformedMessage = errors.New("gossip: malformed message")
 	errUnknownSender    = errors.New("gossip: sender is not a gateway of the fleet")
 )
 
-// hostHash is a host's name on the wire, in 24 bits.
+// hostHash identifies a host on the wire, in 24 bits.
 func hostHash(id string) uint32 { return uint32(xxhash.Sum64String(id) >> 40) }
 
-// shortHash is a host's name in digests, unique within its group only.
+// shortHash identifies a host in digests, within its group.
 func shortHash(hash uint32) uint16 { return uint16(hash) }
 
 func readUint24(b []byte) uint32 { return uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]) }
@@ -75,7 +85,7 @@
 	if version != reportVersion && version != digestVersion {
 		return 0, 0, nil, fmt.Errorf("%w: version %d", errMalformedMessage, version)
 	}
-	// Of the times with these low bits the one nearest to now is meant; messages do not live for days.
+	// Of the times with these low bits the one nearest to now is meant: the low bits repeat after 49 days.
 	nowMillis := now / millisecond
 	lead := int32(binary.BigEndian.Uint32(b[1:]) - uint32(nowMillis))
 	sentAt = (nowMillis + int64(lead)) * millisecond
@@ -89,7 +99,7 @@
 type report struct {
 	HostFact
 	hash              uint32
-	inFlight, started int
+	inFlight, started int // attempts
 }
 
 // appendReport writes one host. A position of more than 65 s ago, or one ahead of the clock, is left out.
@@ -100,23 +110,23 @@
 	}
 	b = appendUint24(b, r.hash)
 	b = binary.BigEndian.AppendUint16(b, uint16(age))
-	b = append(b, byte(r.Role)<<6|packShare(r.HostFact))
+	b = append(b, byte(r.Role)<<roleShift|packLatencyShare(r.HostFact))
 	return append(b, byte(min(r.inFlight, maxByteCount)), byte(min(r.started, maxByteCount)))
 }
 
 func readReport(sentAt int64, b []byte) (report, error) {
 	r := report{hash: readUint24(b), inFlight: int(b[6]), started: int(b[7])}
-	role := Role(b[5] >> 6)
+	role := Role(b[5] >> roleShift)
 	if age := int64(binary.BigEndian.Uint16(b[3:])); age != unknownAge {
 		r.Position = sentAt - age*millisecond
 		r.Role = role
 	}
-	switch packed := b[5] & 63; packed {
+	switch packed := b[5] & shareMask; packed {
 	case 0:
-	case failingShare:
+	case failingLatencyShare:
 		r.Failing = true
 	default:
-		r.LatencyShare = math.Exp2((float64(packed) - 32) / 8)
+		r.LatencyShare = math.Exp2((float64(packed) - codeOfShareOne) / codesPerDoubling)
 	}
 	if role > Replica {
 		return r, fmt.Errorf("%w: role %d", errMalformedMessage, role)
@@ -127,25 +137,27 @@
 	return r, nil
 }
 
-// failingShare marks, in place of a share, that most answers were errors.
-const failingShare = 63
+// failingLatencyShare marks, in place of a share, that most answers were errors.
+const failingLatencyShare = 63
 
-// packShare packs a share into 6 bits: 0 if it is not known, else eight steps for each doubling, with 1 in the middle.
-func packShare(fact HostFact) byte {
+// packLatencyShare packs a share into 6 bits: 0 if it is unknown, else eight steps for each doubling, with 1 in the
+// middle.
+func packLatencyShare(fact HostFact) byte {
 	if fact.Failing {
-		return failingShare
+		return failingLatencyShare
 	}
 	if fact.LatencyShare <= 0 || math.IsNaN(fact.LatencyShare) {
 		return 0
 	}
-	return byte(min(max(math.Round(8*math.Log2(fact.LatencyShare))+32, 1), failingShare-1))
+	code := math.Round(codesPerDoubling*math.Log2(fact.LatencyShare)) + codeOfShareOne
+	return byte(min(max(code, 1), failingLatencyShare-1))
 }
 
-// digest is what a coordinator broadcasts about its group.
+// digest is a decoded digest.
 type digest struct {
-	group       uint32 // hash
-	interval    int64  // microseconds until the next digest
-	attemptRate float64
+	group       uint32  // hash
+	interval    int64   // microseconds until the next digest
+	attemptRate float64 // attempts at replicas, per second
 	entries     []entry
 }
 
@@ -153,13 +165,14 @@
 type entry struct {
 	HostFact
 	shortHash uint16
-	load      float64
+	load      float64 // attempts in flight, of all gateways
 }
 
 func appendDigestHeader(b []byte, group uint32, interval int64, attemptRate float64, primaryLeads bool) []byte {
 	packedRate := byte(0)
-	if attemptRate > 0 { // in eight steps for each doubling, from an eighth per second on
-		packedRate = byte(min(max(math.Round(8*math.Log2(attemptRate))+24, 1), primaryLeadsBit-1))
+	if attemptRate > 0 {
+		code := math.Round(codesPerDoubling*math.Log2(attemptRate)) + codeOfRateOne
+		packedRate = byte(min(max(code, 1), primaryLeadsBit-1))
 	}
 	if primaryLeads {
 		packedRate |= primaryLeadsBit
@@ -168,8 +181,8 @@
 	return append(appendUint24(b, group), byte(steps), packedRate)
 }
 
-// shareBands are what the 3 bits of a share stand for. They are closest together where decisions depend on them.
-var shareBands = [...]float64{0, 0.08, 0.18, 0.26, 0.36, 0.55, 1}
+// latencyShareBands are what the 3 bits of a share stand for. They are closest together where decisions depend on them.
+var latencyShareBands = [...]float64{0, 0.08, 0.18, 0.26, 0.36, 0.55, 1}
 
 // failingBand marks, in place of a share, that most answers were errors.
 const failingBand = 7
@@ -177,15 +190,15 @@
 func appendEntry(b []byte, now int64, hash uint32, fact HostFact, load float64) []byte {
 	age := int64(maxDigestAge + 1)
 	if fact.Position > 0 && fact.Position <= now {
-		sentAt := now / millisecond * millisecond // as the header says
+		sentAt := now / millisecond * millisecond // as in the header
 		age = min((sentAt-fact.Position+digestAgeStep-1)/digestAgeStep, maxDigestAge+1)
 	}
 	b = binary.BigEndian.AppendUint16(b, shortHash(hash))
-	return append(b, byte(max(age, 0)), packLoad(load)<<3|packBand(fact))
+	return append(b, byte(max(age, 0)), packLoad(load)<<loadShift|packShareBand(fact))
 }
 
-// packBand returns the band nearest to a fact's share, by ratio.
-func packBand(fact HostFact) byte {
+// packShareBand returns the band nearest to a fact's share, by ratio.
+func packShareBand(fact HostFact) byte {
 	if fact.Failing {
 		return failingBand
 	}
@@ -193,7 +206,7 @@
 		return 0
 	}
 	band := 1
-	for band+1 < len(shareBands) && fact.LatencyShare > math.Sqrt(shareBands[band]*shareBands[band+1]) {
+	for band+1 < len(latencyShareBands) && fact.LatencyShare > math.Sqrt(latencyShareBands[band]*latencyShareBands[band+1]) {
 		band++
 	}
 	return byte(band)
@@ -222,7 +235,7 @@
 	}
 	d := digest{group: readUint24(b), interval: int64(b[3]) * intervalStep}
 	if packedRate := b[4] &^ primaryLeadsBit; packedRate > 0 {
-		d.attemptRate = math.Exp2((float64(packedRate) - 24) / 8)
+		d.attemptRate = math.Exp2((float64(packedRate) - codeOfRateOne) / codesPerDoubling)
 	}
 	isPrimary := b[4]&primaryLeadsBit != 0
 	for b = b[bodyHeader:]; len(b) > 0; b = b[entrySize:] {
@@ -237,7 +250,7 @@
 }
 
 func readEntry(sentAt int64, b []byte, isPrimary bool) entry {
-	e := entry{shortHash: binary.BigEndian.Uint16(b), load: unpackLoad(b[3] >> 3)}
+	e := entry{shortHash: binary.BigEndian.Uint16(b), load: unpackLoad(b[3] >> loadShift)}
 	if age := int64(b[2]); age <= maxDigestAge {
 		e.Position = sentAt - age*digestAgeStep
 		e.Role = Replica
@@ -245,10 +258,10 @@
 			e.Role = Primary
 		}
 	}
-	if band := b[3] & 7; band == failingBand {
+	if band := b[3] & shareBandMask; band == failingBand {
 		e.Failing = true
 	} else {
-		e.LatencyShare = shareBands[band]
+		e.LatencyShare = latencyShareBands[band]
 	}
 	return e
 }
--- a/internal/gossip/report.go
+++ b/internal/gossip/report.go
@@ -28,7 +28,7 @@
 	return messages
 }
 
-// takeReport returns what is to be reported of a host, and begins to gather the next report.
+// takeReport returns what is to be reported about a host, and begins the next report.
 func (h *hostState) takeReport() report {
 	r := report{HostFact: h.ownFact, hash: h.hash, inFlight: h.inFlight, started: h.started}
 	r.Host = h.id
@@ -40,7 +40,8 @@
 	return r
 }
 
-// receiveReport takes a report of another gateway, as the coordinator of its hosts, and returns the facts in it.
+// receiveReport applies a report of another gateway to the hosts that this one coordinates, and returns the facts in
+// it.
 func (s *State) receiveReport(now, sentAt int64, from int, body []byte) ([]HostFact, error) {
 	if len(body)%reportSize != 0 {
 		return nil, fmt.Errorf("%w: report of %d bytes", errMalformedMessage, len(body))
@@ -66,20 +67,20 @@
 	return facts, nil
 }
 
-// applyReport adds what a gateway has reported of a host to what the next digest says.
+// applyReport adds a gateway's report of a host to the next digest.
 func (s *State) applyReport(now, sentAt int64, from int, host *hostState, r *report) {
 	group := host.group
-	group.hasNews = true
+	group.hasUnpublished = true
 	group.lastReportAt = now
 	isNewPrimary := r.Role == Primary && host.latest.Role != Primary && r.Position > host.latest.Position
-	if isNewPrimary { // writes wait for this news
+	if isNewPrimary { // writes wait for it, so the digest is due at once
 		group.nextDigestAt = now
 	}
 	host.recordLatest(now, r.HostFact)
 	if r.LatencyShare > 0 || r.Failing {
 		host.reportedSamples.add(r.LatencyShare, r.Failing)
 	}
-	if host.latest.Role != Primary { // attempts at the primary are no choice among replicas
+	if host.latest.Role != Primary { // attempts at the primary are not chosen by load
 		group.started += r.started
 		group.checkTokens = min(checkTokenBurst, group.checkTokens+checkTokensPerAttempt*float64(r.started))
 	}
--- a/internal/random/random.go
+++ b/internal/random/random.go
@@ -5,7 +5,7 @@
 // value is its state; the initial one is the seed. It is not safe for concurrent use.
 type Source uint64
 
-// Below returns a number from 0 up to, but not including, n. For n of 1 or less it returns 0, and draws all the same.
+// Below returns a number from 0 up to, but not including, n. For n of 1 or less it returns 0, but still draws once.
 // Its bias towards small numbers is negligible for n far below 2^64.
 func (s *Source) Below(n int64) int64 {
 	*s += 0x9e3779b97f4a7c15
@@ -14,3 +14,9 @@
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return int64((z ^ z>>31) % uint64(max(n, 1)))
 }
+
+// Fraction returns a number in [0, 1), a multiple of 2^-30. It draws once.
+func (s *Source) Fraction() float64 {
+	const steps = 1 << 30
+	return float64(s.Below(steps)) / steps
+}
--- a/internal/random/random_test.go
+++ b/internal/random/random_test.go
@@ -25,3 +25,17 @@
 		t.Error("a draw without a range did not advance the source")
 	}
 }
+
+// A fraction takes one draw, and is that draw as a part of 2^30.
+func TestFractionIsOneDrawBelowOne(t *testing.T) {
+	fractions, draws := Source(7), Source(7)
+	for range 1000 {
+		fraction := fractions.Fraction()
+		if want := float64(draws.Below(1<<30)) / (1 << 30); fraction != want || fraction < 0 || fraction >= 1 {
+			t.Fatalf("fraction %v, want %v", fraction, want)
+		}
+	}
+	if fractions != draws {
+		t.Error("a fraction takes more than one draw")
+	}
+}
