--- a/internal/agreement/agreement.go
+++ b/internal/agreement/agreement.go
@@ -1,18 +1,18 @@
 // Package agreement decides when a fleet has agreed on a value, and from which moment on that value is in effect
 // everywhere.
 //
-// What gateways observe is evidence, which each publishes as its vote. What follows from the votes is proposed for the
-// next epoch of a topic by one gateway, or by a few that do not know of one another; by the order of proposals
-// (crdt.HighestEpoch) all gateways come to keep the same one. It takes effect at a moment that is far enough ahead for
-// nearly all gateways to have received it; a gateway that receives it later acts later, and counts that. Two values are
-// in effect at two gateways for no longer than the time between their receiving the decision, and no value without a
-// quorum: a gateway that sees no more than half of the members alive proposes nothing, and keeps the last decision until
-// that expires.
+// Each gateway publishes what it observes as its vote. The value that follows from the votes is proposed for the next
+// epoch of a topic by one gateway, or by several at the same time; the merge order of proposals (crdt.HighestEpoch)
+// makes all gateways converge on one of them. It takes effect at a time far enough ahead for nearly all gateways to
+// have received it; a gateway that receives it later applies it later, and counts that (Lateness). Two gateways have
+// different values in effect for no longer than the time between their receiving the decision. No value is proposed
+// without a quorum: a gateway that sees no more than half of the members alive proposes nothing, and the last decision
+// stays in effect until it expires.
 //
-// This is weaker than consensus: two proposers within one majority may both succeed, and the value that is not kept may
-// have been in effect at some gateways for a moment. It is therefore for values that do no harm either way, such as the
-// share of a zone; what must be unique belongs in the store. The package does no I/O, reads no clock and starts no
-// goroutine.
+// This is weaker than consensus: two proposers within one majority may both succeed, and the value that loses may have
+// been in effect at some gateways for a short time. It is therefore suitable only for values that are safe either way,
+// such as the share of a zone; what must be unique belongs in the store. The package does no I/O, reads no clock and
+// starts no goroutine.
 package agreement
 
 import (
@@ -30,10 +30,10 @@
 	Self          string
 	VoteKind      crdt.Kind
 	DecisionKind  crdt.Kind
-	EffectDelay   int64 // from a proposal until its effect: longer than a message takes to reach nearly all
-	ProposerDelay int64 // how long a proposer waits for each one that ranks before it
-	VoteTTL       int64 // how long a vote counts
-	DecisionTTL   int64 // how long a decision lasts while there is no quorum
+	EffectDelay   int64 // from a proposal until it takes effect: longer than a message takes to reach nearly all gateways
+	ProposerDelay int64 // how long a proposer waits for each member that ranks before it
+	VoteTTL       int64 // how long a vote is valid
+	DecisionTTL   int64 // how long a decision stays in effect without a quorum
 	RequireQuorum bool  // false only in experiments that show why a quorum is required
 }
 
@@ -54,12 +54,13 @@
 type Decision struct {
 	Epoch       uint64
 	Value       []byte
-	Previous    []byte // in effect until EffectiveAt; as long as Value
+	Previous    []byte // in effect until EffectiveAt; has the length of Value
 	EffectiveAt int64  // microseconds since 1970
 	Proposer    string
 }
 
-// encode lays a decision out so that of two for one epoch the lesser value, then the earlier moment, is kept.
+// encode returns a decision in an encoding whose byte order decides between two for one epoch: the lesser value wins,
+// then the earlier time of effect.
 func (d *Decision) encode() []byte {
 	b := append([]byte{byte(len(d.Value))}, d.Value...)
 	b = binary.BigEndian.AppendUint64(b, uint64(d.EffectiveAt))
@@ -69,6 +70,7 @@
 
 var errTruncatedDecision = errors.New("agreement: truncated decision")
 
+// decodeDecision is the inverse of encode. The slices of the result share the entry's memory.
 func decodeDecision(e *crdt.Entry) (Decision, error) {
 	b := e.Value
 	if len(b) == 0 || len(b) < 1+2*int(b[0])+8 {
@@ -85,7 +87,7 @@
 	}, nil
 }
 
-// Vote is what a member says of a topic.
+// Vote is the vote of a member on a topic.
 type Vote struct {
 	Member string
 	Body   []byte
@@ -112,16 +114,16 @@
 	Max             int64 // microseconds
 }
 
-// New returns a participant whose votes and decisions are entries of a state.
+// New returns a participant that stores votes and decisions as entries of the state.
 func New(conf Config, state *crdt.State) *Participant {
 	return &Participant{conf: conf, state: state, pending: map[string]pendingProposal{}}
 }
 
-// Lateness tells how many decisions were received too late.
+// Lateness returns how many decisions were received after they had taken effect.
 func (p *Participant) Lateness() Lateness { return p.lateness }
 
-// Vote publishes what this gateway observes, if that is new or half of the last vote's time is over; the entry is to be
-// sent to the other members.
+// Vote stores this gateway's vote if it has changed or half of VoteTTL has passed since the last one. It reports
+// whether it did; the caller sends the entry to the other members.
 func (p *Participant) Vote(now int64, topic string, body []byte) (crdt.Entry, bool) {
 	last, found := p.state.Get(crdt.Key{Kind: p.conf.VoteKind, Name: topic, Origin: p.conf.Self})
 	if found && string(last.Value) == string(body) && now-last.Timestamp < p.conf.VoteTTL/2 {
@@ -130,8 +132,8 @@
 	return p.state.Put(now, p.conf.VoteKind, topic, body), true
 }
 
-// Votes returns the current votes of all members. The last vote of a dead member counts until it expires: else the part
-// of a partitioned fleet that has found only some of the other members dead could pass for a majority with its own votes
+// Votes returns the current votes of all members. The last vote of a dead member counts until it expires: otherwise a
+// minority partition that has detected only some of the other members as dead could reach a majority with its own votes
 // alone.
 func (p *Participant) Votes(now int64, topic string, members Members) (votes []Vote) {
 	p.state.Each(p.conf.VoteKind, topic, func(e *crdt.Entry) bool {
@@ -145,12 +147,12 @@
 	return votes
 }
 
-// HasQuorum tells whether more than half of the members are alive.
+// HasQuorum reports whether more than half of the members are alive.
 func (p *Participant) HasQuorum(members Members) bool {
 	return !p.conf.RequireQuorum || 2*members.AliveCount() > len(members)
 }
 
-// Latest is the decision of the highest epoch that is known, in effect or not yet.
+// Latest returns the decision of the highest epoch received, in effect or not yet; false if there is none.
 func (p *Participant) Latest(topic string) (Decision, bool) {
 	e, found := p.state.Get(crdt.Key{Kind: p.conf.DecisionKind, Name: topic})
 	if !found {
@@ -160,11 +162,11 @@
 	return decision, err == nil
 }
 
-// InEffect is the value that is in effect now, and its epoch. Without a decision that is the default, in epoch 0.
-func (p *Participant) InEffect(now int64, topic string, byDefault []byte) (value []byte, epoch uint64) {
+// InEffect returns the value that is in effect now, and its epoch. Without a decision it is the default, in epoch 0.
+func (p *Participant) InEffect(now int64, topic string, defaultValue []byte) (value []byte, epoch uint64) {
 	decision, found := p.Latest(topic)
 	if !found {
-		return byDefault, 0
+		return defaultValue, 0
 	}
 	if now < decision.EffectiveAt {
 		return decision.Previous, decision.Epoch - 1
@@ -172,16 +174,16 @@
 	return decision.Value, decision.Epoch
 }
 
-// Propose is called with the value that this gateway wants, until the value is decided or withdrawn. It proposes when
-// this gateway's turn has come: the living member that ranks first proposes at once and the others one after the other,
-// so that mostly one does. The entry is to be sent to the other members.
-func (p *Participant) Propose(now int64, topic string, value, byDefault []byte, members Members) (crdt.Entry, bool) {
+// Propose proposes a value for the next epoch once this gateway's turn has come, and reports whether it did; the caller
+// sends the entry to the other members. Call it repeatedly with the same value until the value is decided or withdrawn.
+// The live member that ranks first proposes at once and the others one after the other, so that mostly one does.
+func (p *Participant) Propose(now int64, topic string, value, defaultValue []byte, members Members) (crdt.Entry, bool) {
 	last, found := p.Latest(topic)
 	isPending := found && now < last.EffectiveAt // one decision at a time
 	if isPending || !p.HasQuorum(members) {
 		return crdt.Entry{}, false
 	}
-	previous := byDefault
+	previous := defaultValue
 	if found {
 		previous = last.Value
 	}
@@ -206,11 +208,11 @@
 	return p.state.PutEpoch(now, p.conf.DecisionKind, topic, epoch, decision.encode()), true
 }
 
-// Withdraw notes that this gateway wants no change any more.
+// Withdraw cancels a proposal whose turn has not come.
 func (p *Participant) Withdraw(topic string) { delete(p.pending, topic) }
 
-// proposerRank is how many living members propose before this one in an epoch. By rendezvous hashing another member
-// ranks first in each epoch.
+// proposerRank is how many live members propose before this one in an epoch. Rendezvous hashing changes the order with
+// the epoch.
 func (p *Participant) proposerRank(topic string, epoch uint64, members Members) (rank int) {
 	score := func(name string) uint64 {
 		key := binary.LittleEndian.AppendUint64(nil, epoch)
@@ -227,8 +229,8 @@
 	return rank
 }
 
-// Apply takes note of entries that were merged, and returns the decisions among them. An entry that is no decision is
-// passed over.
+// Apply returns the decisions among entries that were merged into the state, and counts those that are late. Other and
+// malformed entries are skipped.
 func (p *Participant) Apply(now int64, changed []crdt.Entry) (decisions []Decision) {
 	for i := range changed {
 		if changed[i].Kind != p.conf.DecisionKind {
@@ -248,8 +250,8 @@
 	return decisions
 }
 
-// Resend writes the last decision again before it expires, while there is a quorum; the entry is to be sent to the other
-// members. Without a quorum the decision expires after DecisionTTL.
+// Resend renews the last decision once half of DecisionTTL has passed, while there is a quorum. It reports whether it
+// did; the caller sends the entry to the other members. Without a quorum the decision expires after DecisionTTL.
 func (p *Participant) Resend(now int64, topic string, members Members) (crdt.Entry, bool) {
 	e, found := p.state.Get(crdt.Key{Kind: p.conf.DecisionKind, Name: topic})
 	if !found || now-e.Timestamp < p.conf.DecisionTTL/2 || !p.HasQuorum(members) {
--- a/internal/agreement/agreement_test.go
+++ b/internal/agreement/agreement_test.go
@@ -44,8 +44,8 @@
 	return members
 }
 
-// Several members propose at once without knowing of one another: whatever reaches whom in which order, all come to keep
-// the same proposal, one that was made, and epochs only rise.
+// Several members propose at once without knowing of one another: whatever reaches whom in which order, all come to
+// keep the same proposal, one that was made, and epochs only rise.
 func TestAllMembersKeepOneOfTheProposals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "gateways")
--- a/internal/agreement/decisions_test.go
+++ b/internal/agreement/decisions_test.go
@@ -10,9 +10,9 @@
 	"cloverrock/internal/golden"
 )
 
-// This file holds the decisions of the package as they are: a storm of calls, always the same one, is played, and a hash of
-// all that is answered is compared with the one in testdata/decisions.txt. A change that is to leave all decisions alone
-// leaves the hashes alone. One that means to change decisions runs the test with -update and says why.
+// This file holds the decisions of the package as they are: a storm of calls, always the same one, is played, and a
+// hash of all that is answered is compared with the one in testdata/decisions.txt. A change that is to leave all
+// decisions alone leaves the hashes alone. One that means to change decisions runs the test with -update and says why.
 
 const goldenFile = "decisions.txt"
 
--- a/internal/crdt/antientropy.go
+++ b/internal/crdt/antientropy.go
@@ -1,12 +1,12 @@
 package crdt
 
-// maxMessageSize is about how many bytes of entries one message has; the rest goes into further messages.
+// maxMessageSize is the approximate size of the entries in one message, in bytes; more entries take more messages.
 const maxMessageSize = 32 << 10
 
-// entryHeaderSize is about how many bytes an entry takes in a message beside its texts.
+// entryHeaderSize is the approximate size of an encoded entry without its strings, in bytes.
 const entryHeaderSize = 32
 
-// StartRound returns the first message of an anti-entropy round, for a member whose entries this gateway may lack.
+// StartRound returns the first message of an anti-entropy round, to be sent to any other member.
 func (s *State) StartRound(round uint64) *Message {
 	m := &Message{Round: round}
 	for group := range digestGroups {
@@ -15,16 +15,17 @@
 	return m
 }
 
-// groupDigest is the hash of a group's buckets. A bucket's place counts, since two that were swapped would cancel out.
+// groupDigest is the hash of a group's buckets. A bucket's index is part of it, since otherwise two
+// swapped buckets would give the same hash.
 func (s *State) groupDigest(group int) (sum uint64) {
-	const goldenRatio = 0x9e3779b97f4a7c15 // 2^64 / phi, a usual multiplier for hashes
+	const goldenRatio = 0x9e3779b97f4a7c15 // 2^64 / phi, the multiplier of Fibonacci hashing
 	for bucket, hash := range s.digest[group] {
 		sum ^= (hash + uint64(bucket) + 1) * goldenRatio
 	}
 	return sum
 }
 
-// Receive applies a message, and returns the answers to it and the entries that changed this state.
+// Receive applies a message. It returns the answers, to be sent to its sender, and the entries that changed the state.
 func (s *State) Receive(now int64, m *Message) (answers []*Message, changed []Entry) {
 	s.counts.Messages++
 	changed = s.Merge(now, m.Entries...)
@@ -44,12 +45,13 @@
 	return answers, changed
 }
 
-// CaughtUpRound is the latest round started here after which this gateway knew all that the other one did.
+// CaughtUpRound is the latest round started here that has completed: this state then contained all entries of the other
+// member.
 func (s *State) CaughtUpRound() uint64 { return s.caughtUpRound }
 
 func (s *State) caughtUp(round uint64) { s.caughtUpRound = max(s.caughtUpRound, round) }
 
-// compareGroups answers the first message of a round.
+// compareGroups answers the first message of a round with the bucket hashes of the groups that differ.
 func (s *State) compareGroups(m *Message) *Message {
 	answer := &Message{Round: m.Round}
 	for group, hash := range m.GroupDigests {
@@ -62,7 +64,7 @@
 	return answer
 }
 
-// compareBuckets answers with the entries of the buckets that differ, and requests the other's.
+// compareBuckets answers with the entries of the buckets that differ, and requests the other member's.
 func (s *State) compareBuckets(m *Message) []*Message {
 	var differing, wanted []int
 	for i, group := range m.DifferingGroups {
--- a/internal/crdt/entry.go
+++ b/internal/crdt/entry.go
@@ -1,11 +1,11 @@
-// Package crdt is a small replicated map (a state-based CRDT) that the gateways of a fleet share. Each gateway holds all
-// entries, merges what it receives in any order and any number of times, and catches up by anti-entropy rounds after it
-// was away.
+// Package crdt is a small replicated map (a state-based CRDT) that the gateways of a fleet share. Each gateway holds
+// all entries, merges what it receives in any order and any number of times, and catches up by anti-entropy rounds
+// after it was disconnected.
 //
 // The merge of two entries of one key is the greater of them by a total order. It is therefore commutative, associative
-// and idempotent for each kind of entry; kinds differ in their order (MergeRule). Each gateway drops an entry for itself
-// when its time to live is over, counted from the evidence that it rests on: nothing has to be retracted over broken
-// links, and memory is bounded. The package does no I/O, reads no clock and starts no goroutine.
+// and idempotent for each kind of entry; kinds differ in their order (MergeRule). Each gateway drops an entry on its
+// own when its time to live, counted from its timestamp, has passed: nothing has to be retracted over broken links, and
+// memory is bounded. The package does no I/O, reads no clock and starts no goroutine.
 //
 // See Shapiro, Preguiça, Baquero, Zawirski: Conflict-free Replicated Data Types (2011).
 package crdt
@@ -18,19 +18,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind is what an entry is about; the numbers are on the wire.
+// Kind is the kind of an entry; the numbers are on the wire.
 type Kind uint8
 
-// MergeRule is the order of a kind's entries.
+// MergeRule is the total order that decides which of two entries of one key is kept.
 type MergeRule uint8
 
 const (
-	// LastWriterWins is for what a single writer says of itself: the later incarnation, then the later sequence.
+	// LastWriterWins is for entries with a single writer: the later incarnation wins, then the later sequence.
 	LastWriterWins MergeRule = iota
-	// MaxValue is for numbers that only rise, whoever writes them, such as positions: the value has 8 bytes.
+	// MaxValue is for numbers with any number of writers that only increase, such as positions. The value is a
+	// big-endian number of 8 bytes.
 	MaxValue
 	// HighestEpoch is for agreed values: the sequence is the epoch. Of two values proposed for one epoch the lesser is
-	// kept; a proposer has to encode values so that the more cautious one is less.
+	// kept, so values must be encoded such that the safer one is less.
 	HighestEpoch
 )
 
@@ -38,7 +39,7 @@
 type KindConfig struct {
 	Name         string
 	Rule         MergeRule
-	TTL          int64 // microseconds for which an entry counts after its timestamp
+	TTL          int64 // microseconds from its timestamp until an entry is dropped
 	MaxValueSize int   // bytes
 }
 
@@ -60,14 +61,14 @@
 	Kind        Kind
 	Name        string
 	Origin      string
-	Incarnation uint64 // of the origin's process: it rises with each start
+	Incarnation uint64 // of the origin's process; increases with each start
 	Sequence    uint64
-	Timestamp   int64 // of the evidence; microseconds since 1970
+	Timestamp   int64 // of the evidence that the entry is based on; microseconds since 1970
 	Deleted     bool  // a tombstone
 	Value       []byte
 }
 
-// Key is the entry's.
+// Key returns the entry's key.
 func (e *Entry) Key() Key { return Key{e.Kind, e.Name, e.Origin} }
 
 // numericValue is the value of a MaxValue entry.
@@ -98,7 +99,7 @@
 		bytes.Compare(e.Value, other.Value))
 }
 
-// deletedOrder has a tombstone win over an entry that is equal otherwise.
+// deletedOrder makes a tombstone win over an otherwise equal entry.
 func deletedOrder(e *Entry) int {
 	if e.Deleted {
 		return 1
@@ -106,7 +107,7 @@
 	return 0
 }
 
-// hash stands for an entry in digests. It is the same in all versions.
+// hash is the hash of an entry in digests. It is part of the protocol and must not change.
 func (e *Entry) hash() uint64 {
 	digest := xxhash.New()
 	var buf [8]byte
@@ -123,6 +124,7 @@
 	return digest.Sum64()
 }
 
+// hash decides the bucket of a key. It is part of the protocol and must not change.
 func (k Key) hash() uint64 {
 	digest := xxhash.New()
 	_, _ = digest.Write([]byte{byte(k.Kind), byte(len(k.Name))}) // writing to it never fails
--- a/internal/crdt/message.go
+++ b/internal/crdt/message.go
@@ -6,10 +6,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Message is what gateways exchange in anti-entropy rounds, and how a single entry is spread. In a round the gateway
-// that starts it sends the hashes of its digest groups; the answer has the bucket hashes of the groups that differ; then
-// both send the entries of the buckets that still differ. Each message is self-contained: lost, late and duplicated ones
-// do no harm.
+// Message is a message of an anti-entropy round, or a broadcast of single entries. In a round the gateway that starts
+// it sends the hashes of its digest groups; the answer has the bucket hashes of the groups that differ; then both send
+// the entries of the buckets that still differ. Each message is self-contained: lost, late and duplicated ones are
+// harmless.
 type Message struct {
 	_msgpack        struct{} `msgpack:",as_array"` //nolint:unused // has the encoder write an array
 	GroupDigests    []uint64 // first message of a round: a hash for each group
@@ -18,11 +18,11 @@
 	WantedBuckets   []int    // requests the entries of buckets, each numbered group x 16 + bucket
 	Entries         []Entry
 	Identical       bool // answers a first message without a difference
-	Final           bool // the last of the wanted entries: who started the round has caught up
+	Final           bool // the last of the wanted entries: the member that started the round has caught up
 	Round           uint64
 }
 
-// MessageError is a message that can't be read.
+// MessageError reports a message that can't be decoded.
 type MessageError struct {
 	From string
 	Err  error
@@ -33,9 +33,9 @@
 // Unwrap returns the cause.
 func (e *MessageError) Unwrap() error { return e.Err }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do.
 func (e *MessageError) Remedy() string {
-	return "see that all gateways run versions that can speak to one another, and that nothing else sends to this address"
+	return "check that all gateways run compatible versions, and that nothing else sends to this address"
 }
 
 // Encode returns a message's bytes on the wire.
@@ -47,7 +47,7 @@
 	return b, nil
 }
 
-// Decode reads a message. Its error is a *MessageError.
+// Decode decodes a message of a member. Its error is a *MessageError.
 func Decode(from string, b []byte) (*Message, error) {
 	m := &Message{}
 	if err := msgpack.Unmarshal(b, m); err != nil {
--- a/internal/crdt/state.go
+++ b/internal/crdt/state.go
@@ -15,10 +15,10 @@
 
 const (
 	maxNameSize       = 128     // bytes of a name or an origin
-	defaultMaxEntries = 100_000 // of a state
+	defaultMaxEntries = 100_000 // entries of a state
 )
 
-// Config describes the state.
+// Config configures a state.
 type Config struct {
 	Self         string // this gateway's name
 	Incarnation  uint64 // of this process; later processes of the name have a greater one
@@ -27,20 +27,20 @@
 	MaxEntries   int   // 0: 100 000
 }
 
-// Counts tells what became of received entries.
+// Counts counts received messages, and received entries by what became of them.
 type Counts struct {
 	Merged            int // changed the state
-	NotNewer          int // known already, or older than the known one
+	NotNewer          int // already present, or older than the present one
 	UnknownKind       int
 	Malformed         int // too long, or of the wrong form for the kind
 	FromFuture        int // a timestamp too far ahead
 	Expired           int // received after the time to live
 	OverLimit         int // not kept, since the state was full
-	ConflictingOrigin int // written under this gateway's own name by another process
+	ConflictingOrigin int // written under this gateway's name by another process
 	Messages          int
 }
 
-// ConflictingOriginError is another process that writes entries under this gateway's name.
+// ConflictingOriginError reports another process that writes entries under this gateway's name.
 type ConflictingOriginError struct {
 	Name        string
 	Incarnation uint64
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("another process writes entries under the name %s (incarnation %d)", e.Name, e.Incarnation)
 }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do.
 func (e *ConflictingOriginError) Remedy() string {
 	return "give each gateway a name of its own (the key name of the configuration, or EDGE_NAME) and restart one of the two"
 }
@@ -76,7 +76,7 @@
 	return &State{conf: conf}
 }
 
-// Counts tells what became of received entries.
+// Counts returns the counts since New.
 func (s *State) Counts() Counts { return s.counts }
 
 // TakeConflictingOrigin returns the first conflict since it was last called; nil if there was none.
@@ -89,16 +89,17 @@
 // Len is the number of entries, tombstones included.
 func (s *State) Len() int { return s.entries.Len() }
 
-// MemoryBytes is about what the entries take in memory.
+// MemoryBytes is the approximate memory use of the entries, in bytes.
 func (s *State) MemoryBytes() int { return s.memoryBytes }
 
-// entryOverhead is about how many bytes an entry takes beside its texts: the struct, its tree node and its tree key.
+// entryOverhead is the approximate memory use of an entry without its strings, in bytes: struct, tree node and tree
+// key.
 const entryOverhead = 176
 
 // treeKey orders entries by kind, name and origin.
 func treeKey(k Key) string { return string(rune(k.Kind)) + k.Name + "\x00" + k.Origin }
 
-// bucketOf is the place of a key in digests.
+// bucketOf returns the group and the bucket of a key in digests.
 func bucketOf(k Key) (group, bucket int) {
 	hash := k.hash()
 	return int(hash % digestGroups), int(hash / digestGroups % bucketsPerGroup)
@@ -112,6 +113,7 @@
 	s.memoryBytes += n * (entryOverhead + 2*len(e.Name) + 2*len(e.Origin) + len(e.Value))
 }
 
+// store sets an entry and updates the digest.
 func (s *State) store(e Entry) {
 	key := treeKey(e.Key())
 	if old, ok := s.entries.Get(key); ok {
@@ -126,12 +128,13 @@
 	return s.write(now, kind, name, value, false)
 }
 
-// Delete writes a tombstone, and returns it for the other gateways. It lives as long as any copy of what it deletes, so
-// that no older copy comes back.
+// Delete writes a tombstone, and returns it for the other gateways. It expires no earlier than any copy of the
+// deleted entry, so that no older copy reappears.
 func (s *State) Delete(now int64, kind Kind, name string) Entry {
 	return s.write(now, kind, name, nil, true)
 }
 
+// write stores a new entry of this gateway, with the next sequence.
 func (s *State) write(now int64, kind Kind, name string, value []byte, deleted bool) Entry {
 	s.sequence++
 	e := Entry{
@@ -148,15 +151,15 @@
 	return e
 }
 
-// PutEpoch writes a value for an epoch. It is merged like what others write, and the entry that is kept is returned,
-// which may be another proposal for that epoch.
+// PutEpoch writes a value for an epoch of a HighestEpoch kind. It is merged like a received entry; PutEpoch returns the
+// entry that is kept, which may be another proposal for that epoch.
 func (s *State) PutEpoch(now int64, kind Kind, name string, epoch uint64, value []byte) Entry {
 	s.Merge(now, Entry{Kind: kind, Name: name, Sequence: epoch, Timestamp: now, Value: slices.Clone(value)})
 	kept, _ := s.Get(Key{Kind: kind, Name: name})
 	return kept
 }
 
-// Merge takes entries in and returns those that changed the state.
+// Merge merges entries and returns those that changed the state.
 func (s *State) Merge(now int64, entries ...Entry) (changed []Entry) {
 	for _, e := range entries {
 		if s.merge(now, e) {
@@ -166,6 +169,7 @@
 	return changed
 }
 
+// merge reports whether an entry was valid and newer than the present one.
 func (s *State) merge(now int64, e Entry) bool {
 	kind, valid := s.validate(now, &e)
 	if !valid {
@@ -188,7 +192,7 @@
 	return true
 }
 
-// validate counts an entry that must not be merged.
+// validate returns the entry's kind, or counts why it must not be merged.
 func (s *State) validate(now int64, e *Entry) (kind KindConfig, valid bool) {
 	kind, known := s.conf.Kinds[e.Kind]
 	switch {
@@ -206,7 +210,7 @@
 	return kind, false
 }
 
-// fits tells whether an entry has the form that its kind requires.
+// fits reports whether an entry has the form that its kind requires.
 func (k *KindConfig) fits(e *Entry) bool {
 	if len(e.Value) > k.MaxValueSize || len(e.Name) > maxNameSize || len(e.Origin) > maxNameSize {
 		return false
@@ -218,8 +222,8 @@
 	return hasOrigin == (k.Rule == LastWriterWins)
 }
 
-// detectConflict finds entries that another process has written under this gateway's name. Those of an earlier process
-// of the same gateway come back like any copy and are no conflict.
+// detectConflict finds entries that another process has written under this gateway's name. Copies of entries of an
+// earlier process of the same gateway are no conflict.
 func (s *State) detectConflict(e *Entry) {
 	if e.Origin != s.conf.Self || e.Incarnation < s.conf.Incarnation {
 		return
@@ -249,14 +253,14 @@
 	})
 }
 
-// Expire drops the entries whose time to live is over, and returns this gateway's own entries of which half of the time
-// is over, to be written again.
+// Expire drops the entries whose time to live has passed, and returns this gateway's own entries for which half of it
+// has passed, to be written again.
 func (s *State) Expire(now int64) (toRefresh []Entry) {
 	var expired []string
 	s.entries.Scan(func(key string, e *Entry) bool {
 		ttl := s.conf.Kinds[e.Kind].TTL
 		if e.Deleted {
-			ttl += s.conf.MaxClockSkew // a copy written by a clock that is ahead lives so much longer
+			ttl += s.conf.MaxClockSkew // a copy with a timestamp ahead of this clock expires that much later
 		}
 		isOwn := e.Origin == s.conf.Self && e.Incarnation == s.conf.Incarnation
 		if e.Timestamp+ttl < now {
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 )
 
-// keyedBroadcast is a message that is being spread.
+// keyedBroadcast is a broadcast that replaces a queued one with the same key.
 type keyedBroadcast struct {
 	key  string
 	data []byte
@@ -25,12 +25,12 @@
 // Finished implements memberlist.Broadcast.
 func (b *keyedBroadcast) Finished() {}
 
-// delegate receives messages from the library and gives it those to spread.
+// delegate implements memberlist.Delegate: it receives messages and provides queued broadcasts.
 type delegate Members
 
 func (d *delegate) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg takes the sender's name off a message. One without a whole name is ignored.
+// NotifyMsg removes the sender's name from a message and passes both on. A truncated message is ignored.
 func (d *delegate) NotifyMsg(b []byte) {
 	if len(b) == 0 || len(b) < 1+int(b[0]) {
 		return
@@ -53,7 +53,7 @@
 func (d *delegate) LocalState(bool) []byte        { return nil }
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
-// events notes which members have died. One that has left in order is no member any more.
+// events implements memberlist.EventDelegate: it records when members failed. A member that left gracefully is removed.
 type events Members
 
 func (e *events) NotifyJoin(node *memberlist.Node) {
@@ -74,7 +74,7 @@
 
 func (e *events) NotifyUpdate(*memberlist.Node) {}
 
-// conflicts reports two processes under one name.
+// conflicts implements memberlist.ConflictDelegate: it logs two processes under one name.
 type conflicts Members
 
 func (c *conflicts) NotifyConflict(_, other *memberlist.Node) {
@@ -82,7 +82,7 @@
 	c.conf.Log.Error().Err(err).Str("remedy", err.Remedy()).Msg("membership: duplicate name")
 }
 
-// libraryLog passes the library's log on at debug level: events for operators are logged by this module itself.
+// libraryLog writes the library's log at debug level; this package itself logs the events for operators.
 type libraryLog struct{ log zerolog.Logger }
 
 func (l libraryLog) Write(b []byte) (int, error) {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,8 +1,8 @@
 // Package membership keeps track of which gateways of a fleet are alive, and carries messages between them.
 //
-// Failure detection and the spreading of messages are those of hashicorp/memberlist (the SWIM protocol with the Lifeguard
-// extensions). This package gives it a transport that can go through a relay, and remembers members that have died, since
-// a quorum is counted of all members.
+// Failure detection and broadcasts are those of hashicorp/memberlist (the SWIM protocol with the Lifeguard extensions).
+// This package adds a transport that can go through a relay, and remembers members that have failed, since a quorum is
+// counted over all members.
 package membership
 
 import (
@@ -28,13 +28,13 @@
 	gossipInterval = 100 * time.Millisecond
 	probeInterval  = 500 * time.Millisecond
 	probeTimeout   = 250 * time.Millisecond
-	// pushPullInterval is for the list of members only; what members tell one another has rounds of its own.
+	// pushPullInterval is for the member list only; package crdt synchronizes entries in its own rounds.
 	pushPullInterval = 30 * time.Second
-	// deadNodeReclaimTime lets a gateway that restarts have another address.
+	// deadNodeReclaimTime is how soon a restarted gateway may use its name at another address.
 	deadNodeReclaimTime = time.Second
 )
 
-// Config describes this gateway's part.
+// Config configures this gateway's membership.
 type Config struct {
 	Name          string
 	Listen        string                            // address and port, for TCP and UDP
@@ -45,19 +45,19 @@
 	Log           zerolog.Logger
 }
 
-// DuplicateNameError is a second process under a name that is in use.
+// DuplicateNameError reports a second process under a name that is in use.
 type DuplicateNameError struct{ Name, Address string }
 
 func (e *DuplicateNameError) Error() string {
 	return fmt.Sprintf("another process runs under the name %s at %s", e.Name, e.Address)
 }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do.
 func (e *DuplicateNameError) Remedy() string {
 	return "give each gateway a name of its own (the key name, or EDGE_NAME), or end the process at that address"
 }
 
-// ListenError is an address that can't be listened on.
+// ListenError reports an address that can't be listened on.
 type ListenError struct {
 	Address string
 	Err     error
@@ -68,19 +68,19 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do.
 func (e *ListenError) Remedy() string {
 	return "name an address of this machine whose TCP and UDP ports are both free"
 }
 
-// UnknownMemberError is a member that is not alive, or does not exist.
+// UnknownMemberError reports a member that is not alive or does not exist.
 type UnknownMemberError struct{ Name string }
 
 func (e *UnknownMemberError) Error() string {
-	return fmt.Sprintf("membership: %s is not a living member", e.Name)
+	return fmt.Sprintf("membership: %s is not a live member", e.Name)
 }
 
-// Members is this gateway as a member of its fleet. Its methods may be called from any goroutine.
+// Members is the member list and message transport of this gateway. Its methods may be called from any goroutine.
 type Members struct {
 	conf  Config
 	list  *memberlist.Memberlist
@@ -115,7 +115,7 @@
 	library := m.libraryConfig(address, &transport{NetTransport: inner, relay: conf.Relay}, logger)
 	m.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: library.RetransmitMult, NumNodes: m.count}
 	if m.list, err = memberlist.Create(library); err != nil {
-		_ = inner.Shutdown() // the error that is returned says more
+		_ = inner.Shutdown() // the returned error is the cause
 		return nil, fmt.Errorf("membership: start: %w", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -153,7 +153,7 @@
 	return m.list.NumMembers()
 }
 
-// join contacts the configured addresses, with a growing pause, while this gateway knows no other member.
+// join contacts the configured addresses, with exponential backoff, whenever this gateway has no other member.
 func (m *Members) join(ctx context.Context) {
 	for backoff := minJoinBackoff; ; backoff = min(2*backoff, maxJoinBackoff) {
 		if m.list.NumMembers() < 2 && len(m.conf.Join) > 0 {
@@ -169,7 +169,7 @@
 	}
 }
 
-// Close leaves the fleet in order: the others do not count this gateway as a member any more.
+// Close leaves the fleet gracefully, so that the others no longer count this gateway as a member.
 func (m *Members) Close() {
 	m.stop()
 	m.wg.Wait()
@@ -181,7 +181,7 @@
 	}
 }
 
-// Snapshot returns the members. Those that died count as members until DeadRetention is over.
+// Snapshot returns the members. Failed ones count as members, not alive, until DeadRetention has passed.
 func (m *Members) Snapshot() agreement.Members {
 	members := agreement.Members{}
 	for _, node := range m.list.Members() {
@@ -199,7 +199,7 @@
 	return members
 }
 
-// Broadcast spreads a message to all members; a message replaces an earlier one of its key that is still queued.
+// Broadcast queues a message to all members. It replaces an earlier message with the same key that is still queued.
 func (m *Members) Broadcast(key string, message []byte) {
 	m.queue.QueueBroadcast(&keyedBroadcast{key, message})
 }
@@ -219,7 +219,7 @@
 	return &UnknownMemberError{name}
 }
 
-// withSender puts the sender's name, after its length, before a message.
+// withSender prepends this gateway's name, with its length in one byte, to a message.
 func (m *Members) withSender(message []byte) []byte {
 	b := append([]byte{byte(len(m.conf.Name))}, m.conf.Name...)
 	return append(b, message...)
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is the library's transport, or one that sends everything through a relay with the receiver's address before
-// it.
+// transport is the library's transport. With a relay, it sends all traffic there, each datagram and stream headed by
+// the receiver's address.
 type transport struct {
 	*memberlist.NetTransport
 	relay string // address; empty: none
@@ -35,8 +35,8 @@
 	}
 	_ = conn.SetDeadline(time.Now().Add(timeout)) // fails only on a connection on which the write fails too
 	if _, err := io.WriteString(conn, address+"\n"); err != nil {
-		_ = conn.Close() // the error of the write says more
-		return nil, err  // not wrapped, since the library tells network errors by their type
+		_ = conn.Close() // the write error is the cause
+		return nil, err  // not wrapped, since the library checks network errors by type
 	}
 	return conn, nil
 }
