--- a/internal/agreement/agreement_test.go
+++ b/internal/agreement/agreement_test.go
@@ -44,8 +44,8 @@
 	return members
 }
 
-// Several members propose at once without knowing of one another: whatever reaches whom in which order, all come to
-// keep the same proposal, one that was made, and epochs only rise.
+// Several members propose at the same time. In whatever order proposals arrive, all members converge on the same one,
+// which was proposed, and epochs never decrease.
 func TestAllMembersKeepOneOfTheProposals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "gateways")
@@ -92,7 +92,7 @@
 	})
 }
 
-// requireSameDecision checks that a participant keeps a decision as its last one.
+// requireSameDecision checks that the latest decision of a participant is the given one.
 func requireSameDecision(t *rapid.T, participant *Participant, want Decision) {
 	t.Helper()
 	got, _ := participant.Latest(topic)
@@ -101,8 +101,8 @@
 	}
 }
 
-// Before its moment the previous value is in effect; a member that receives the decision later counts that; half of the
-// members decide nothing; and a decision is written again before it expires.
+// Until its time of effect the previous value is in effect; a member that receives the decision later counts it as
+// late; half of the members decide nothing; and a decision is renewed before it expires.
 func TestDecisionTakesEffectAtItsMomentAndIsResent(t *testing.T) {
 	a, s := newParticipant("n0")
 	if _, ok := a.Propose(start, topic, []byte{0, 100}, none, newMembers(2, 2)); ok {
--- a/internal/agreement/decisions_test.go
+++ b/internal/agreement/decisions_test.go
@@ -10,9 +10,9 @@
 	"cloverrock/internal/golden"
 )
 
-// This file holds the decisions of the package as they are: a storm of calls, always the same one, is played, and a
-// hash of all that is answered is compared with the one in testdata/decisions.txt. A change that is to leave all
-// decisions alone leaves the hashes alone. One that means to change decisions runs the test with -update and says why.
+// This file compares the decisions of the package with recorded ones: it makes a fixed sequence of random calls and
+// compares a hash of all results with the one in testdata/decisions.txt. A change that must not alter decisions leaves the
+// hashes as they are. One that does alter them runs the test with -update and states why.
 
 const goldenFile = "decisions.txt"
 
@@ -27,7 +27,7 @@
 	none                  = []byte{100, 100}
 )
 
-// member is one gateway of the storm.
+// member is one gateway of the fleet.
 type member struct {
 	name        string
 	state       *crdt.State
@@ -41,15 +41,15 @@
 	answers *golden.Hash
 }
 
-func newFleet(majority bool, seed uint64) *fleet {
+func newFleet(requireQuorum bool, seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(2026, seed)), now: 1_700_000_000 * second, answers: golden.NewHash()}
-	forms := map[crdt.Kind]crdt.KindConfig{kindVotes: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 16},
+	kinds := map[crdt.Kind]crdt.KindConfig{kindVotes: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 16},
 		kindDecided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: 20 * second, MaxValueSize: 64}}
 	for i := range 5 {
 		name := "n" + strconv.Itoa(i)
-		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: forms})
+		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: kinds})
 		participant := agreement.New(agreement.Config{Self: name, VoteKind: kindVotes, DecisionKind: kindDecided, EffectDelay: second, ProposerDelay: second / 5,
-			VoteTTL: 5 * second, DecisionTTL: 20 * second, RequireQuorum: majority}, state)
+			VoteTTL: 5 * second, DecisionTTL: 20 * second, RequireQuorum: requireQuorum}, state)
 		f.members = append(f.members, &member{name, state, participant})
 	}
 	return f
@@ -70,8 +70,8 @@
 	f.answers.Text(decision.Proposer)
 }
 
-// tell writes down an entry that is to be told, and has most others hear it.
-func (f *fleet) tell(from *member, entry crdt.Entry, ok bool) {
+// broadcast hashes an entry that is to be sent, and delivers it to most others.
+func (f *fleet) broadcast(from *member, entry crdt.Entry, ok bool) {
 	f.answers.Bool(ok)
 	if !ok {
 		return
@@ -79,12 +79,12 @@
 	f.entry(entry)
 	for _, other := range f.members {
 		if other != from && f.random.IntN(10) < 8 {
-			f.hear(other, entry)
+			f.deliver(other, entry)
 		}
 	}
 }
 
-func (f *fleet) hear(m *member, entry crdt.Entry) {
+func (f *fleet) deliver(m *member, entry crdt.Entry) {
 	for _, decision := range m.participant.Apply(f.now+int64(f.random.IntN(int(2*second))), m.state.Merge(f.now, entry)) {
 		f.decision(decision)
 	}
@@ -93,17 +93,17 @@
 }
 
 func (f *fleet) newMembers(m *member) agreement.Members {
-	roll := agreement.Members{}
+	members := agreement.Members{}
 	for _, other := range f.members {
 		if f.random.IntN(20) > 0 {
-			roll[other.name] = other == m || f.random.IntN(10) < 7
+			members[other.name] = other == m || f.random.IntN(10) < 7
 		}
 	}
-	return roll
+	return members
 }
 
-// ask writes down what a member says when asked.
-func (f *fleet) ask(m *member, members agreement.Members) {
+// recordAnswers hashes the results of a member's queries.
+func (f *fleet) recordAnswers(m *member, members agreement.Members) {
 	for _, vote := range m.participant.Votes(f.now, topic, members) {
 		f.answers.Text(vote.Member)
 		f.answers.Text(string(vote.Body))
@@ -122,42 +122,42 @@
 	f.now += int64(f.random.IntN(int(second / 10)))
 	m := f.members[f.random.IntN(len(f.members))]
 	if decision, ok := m.participant.Latest(topic); ok && f.now < decision.EffectiveAt && f.random.IntN(20) == 0 {
-		f.now = decision.EffectiveAt // the very moment of its effect
-		f.ask(m, f.newMembers(m))
+		f.now = decision.EffectiveAt // exactly when it takes effect
+		f.recordAnswers(m, f.newMembers(m))
 	}
 	members := f.newMembers(m)
 	choice := []byte{byte(f.now / (3 * second) % 3), byte(f.random.IntN(8) / 7)}
 	switch f.random.IntN(12) {
 	case 0, 1:
 		entry, ok := m.participant.Vote(f.now, topic, choice[:1])
-		f.tell(m, entry, ok)
+		f.broadcast(m, entry, ok)
 	case 2, 3, 4, 5:
 		if f.now/(60*second)%2 == 1 {
-			return // a calm minute, in which nothing is due
+			return // a minute without proposals
 		}
 		entry, ok := m.participant.Propose(f.now, topic, choice, none, members)
-		f.tell(m, entry, ok)
+		f.broadcast(m, entry, ok)
 	case 6:
 		entry, ok := m.participant.Resend(f.now, topic, members)
-		f.tell(m, entry, ok)
+		f.broadcast(m, entry, ok)
 	case 7:
 		if f.random.IntN(5) == 0 {
 			m.participant.Withdraw(topic)
 		}
 	case 8:
 		m.state.Expire(f.now)
-	case 9: // what is no decision, for a topic of its own
+	case 9: // a malformed decision, for a topic of its own
 		broken := crdt.Entry{Kind: kindDecided, Name: "broken", Sequence: uint64(f.random.IntN(9)), Timestamp: f.now, Value: []byte{9, 9}}
-		f.hear(m, broken)
+		f.deliver(m, broken)
 	default:
-		f.ask(m, members)
+		f.recordAnswers(m, members)
 	}
 	if f.random.IntN(1000) == 0 {
 		f.now += 15 * second
 	}
 }
 
-// What a fleet agrees on, and who proposes it when, stays as it was when the golden file was written.
+// What a fleet agrees on, and who proposes it when, is as recorded in the golden file.
 func TestDecisionsStayTheSame(t *testing.T) {
 	var lines []string
 	for i, majority := range []bool{true, false} {
--- a/internal/agreement/golden_test.go
+++ b/internal/agreement/golden_test.go
@@ -12,7 +12,7 @@
 	"cloverrock/internal/golden"
 )
 
-// A decision has the same bytes as ever, and they are read as what was agreed on.
+// The encoding of a decision does not change, and decodes to the same decision.
 func TestGoldenDecisions(t *testing.T) {
 	tests := []struct {
 		name string
@@ -41,25 +41,25 @@
 	}
 }
 
-// Votes and proposals go out as the same bytes as ever, and gateways propose in the same order whatever their versions.
+// The encoding of votes and proposals does not change, nor does the order of proposers: versions must agree on both.
 func TestGoldenEntriesAndRanks(t *testing.T) {
 	c, _ := newParticipant("n0")
 	var cases []golden.Case
-	add := func(name string, entry crdt.Entry, told bool) {
+	add := func(name string, entry crdt.Entry, sent bool) {
 		b, err := crdt.Encode(&crdt.Message{Entries: []crdt.Entry{entry}})
-		if err != nil || !told {
-			t.Fatal(name, err, told)
+		if err != nil || !sent {
+			t.Fatal(name, err, sent)
 		}
 		cases = append(cases, golden.Case{Name: name, Form: hex.EncodeToString(b)})
 	}
-	vote, told := c.Vote(start, topic, []byte{1, 2, 3})
-	add("vote", vote, told)
-	first, told := c.Propose(start, topic, []byte{0, 100}, none, newMembers(1, 0))
-	add("first epoch", first, told)
-	next, told := c.Propose(start+2*second, topic, []byte{50, 100}, none, newMembers(1, 0))
-	add("next epoch", next, told)
-	again, told := c.Resend(start+400*second, topic, newMembers(1, 0))
-	add("again", again, told)
+	vote, sent := c.Vote(start, topic, []byte{1, 2, 3})
+	add("vote", vote, sent)
+	first, sent := c.Propose(start, topic, []byte{0, 100}, none, newMembers(1, 0))
+	add("first epoch", first, sent)
+	next, sent := c.Propose(start+2*second, topic, []byte{50, 100}, none, newMembers(1, 0))
+	add("next epoch", next, sent)
+	again, sent := c.Resend(start+400*second, topic, newMembers(1, 0))
+	add("again", again, sent)
 	for epoch := range uint64(8) {
 		cases = append(cases, golden.Case{Name: fmt.Sprint("rank in epoch ", epoch), Form: strconv.Itoa(c.proposerRank(topic, epoch, newMembers(9, 1)))})
 	}
--- a/internal/fleet/errors_test.go
+++ b/internal/fleet/errors_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each error says what an operator can do.
+// Each error has a remedy for operators.
 func TestErrorsSayWhatAnOperatorCanDo(t *testing.T) {
 	for _, err := range []error{&ZonesError{1}, &PinError{"x", []string{"a", "b"}}} {
 		var remedied interface{ Remedy() string }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,9 +1,10 @@
-// Package fleet is the component of the program that lets gateways decide together: it connects the modules that decide
-// (crdt, agreement, zonefailover) with a running gateway and with the other members.
+// Package fleet runs zone failover in a gateway: it connects the modules that decide (crdt, agreement, zonefailover)
+// with the gateway and with the other members of its fleet (membership).
 //
-// The gateway's own goroutine reports the outcomes of attempts; the decision loop merges what others send and decides;
-// the send loop sends; the shares in effect are published in a value that the gateway reads. These are connected by
-// rings of a fixed size, which drop and count their oldest element when they are full. No request waits for any of it.
+// The gateway's goroutine pushes the outcomes of attempts, the decision loop merges received messages and decides, and
+// the send loop sends messages. They are connected by rings of a fixed size, which drop and count their oldest element
+// when they are full. The shares in effect are published in an atomic value that the gateway reads. Requests never wait
+// for any of this.
 package fleet
 
 import (
@@ -38,13 +39,13 @@
 	messageRingSize = 1024 // of the inbox, and of the outbox
 )
 
-// message is received from a member, or to be sent to one. One to send without a member is for all.
+// message is a message received from a member or to be sent to one. A message to send without a member is a broadcast.
 type message struct {
 	member, key string
 	data        []byte
 }
 
-// outcome is how an attempt or a health check ended, as the gateway saw it.
+// outcome is the outcome of an attempt or a health check.
 type outcome struct {
 	host    string
 	class   int // of the request, or gateway.HealthCheckClass
@@ -53,7 +54,7 @@
 	at      time.Time
 }
 
-// zoneShares are the shares in effect by zone, for the gateway to read.
+// zoneShares publishes the shares in effect, in hundredths by zone, to the gateway. Safe for concurrent use.
 type zoneShares struct{ shares atomic.Pointer[[]byte] }
 
 // ReadShare implements balance.ZoneShares.
@@ -64,23 +65,23 @@
 	return 1
 }
 
-// Component is the fleet's part of one gateway, around another component.
+// Component adds zone failover to another component of the program.
 type Component struct {
 	app.Component
-	settings   *settings.Fleet
-	reread     func() (*settings.Settings, error)
-	log        zerolog.Logger
-	conf       *config.Config
-	unitNames  []string // zones, or regions where they are configured
-	unitOfZone []int    // index into unitNames, by zone
-	ctx        context.Context
-	stop       context.CancelFunc
-	wg         sync.WaitGroup
+	settings       *settings.Fleet
+	rereadSettings func() (*settings.Settings, error)
+	log            zerolog.Logger
+	conf           *config.Config
+	unitNames      []string // units of failover: zones, or regions where they are configured
+	unitOfZone     []int    // index into unitNames, by zone
+	ctx            context.Context
+	stop           context.CancelFunc
+	wg             sync.WaitGroup
 
 	outcomes   *ring[outcome]
 	inbox      *ring[message]
 	outbox     *ring[message]
-	overrides  chan map[string]string // by unit, as in the settings
+	overrides  chan map[string]string // by unit, as in the settings file
 	zoneShares zoneShares
 
 	gateway app.Gateway
@@ -101,27 +102,28 @@
 	hostsUpdatedAt time.Time
 }
 
-// hostLocation is where a host is.
+// hostLocation is the unit and the group of a host.
 type hostLocation struct {
 	unit  int
 	group int64
 }
 
-// Wrap returns the fleet's component around another one. It starts when the gateway is attached.
+// Wrap returns a component that adds zone failover to another one. It starts in Attach; rereadSettings is called in
+// ReloadConfig.
 func Wrap(inner app.Component, set *settings.Fleet, reread func() (*settings.Settings, error), log zerolog.Logger) *Component {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Component{
-		Component: inner,
-		settings:  set,
-		reread:    reread,
-		log:       log.With().Str("part", "fleet").Logger(),
-		ctx:       ctx,
-		stop:      stop,
-		outcomes:  newRing[outcome](outcomeRingSize),
-		inbox:     newRing[message](messageRingSize),
-		outbox:    newRing[message](messageRingSize),
-		overrides: make(chan map[string]string, 1),
-		hosts:     map[string]hostLocation{},
+		Component:      inner,
+		settings:       set,
+		rereadSettings: reread,
+		log:            log.With().Str("part", "fleet").Logger(),
+		ctx:            ctx,
+		stop:           stop,
+		outcomes:       newRing[outcome](outcomeRingSize),
+		inbox:          newRing[message](messageRingSize),
+		outbox:         newRing[message](messageRingSize),
+		overrides:      make(chan map[string]string, 1),
+		hosts:          map[string]hostLocation{},
 	}
 }
 
@@ -131,21 +133,22 @@
 	return c.conf
 }
 
-// ReloadConfig implements app.Component: overrides of zones are read again with the configuration.
+// ReloadConfig implements app.Component: it also reads the overrides of zones from the settings file again.
 func (c *Component) ReloadConfig() (*config.Config, error) {
-	set, err := c.reread()
+	set, err := c.rereadSettings()
 	if err != nil {
 		c.log.Error().Err(err).Msg("fleet: settings not reloaded, the previous ones stay in effect")
 	} else if set.Fleet != nil && set.Fleet.Zones != nil {
 		select {
 		case c.overrides <- set.Fleet.Zones.Pin:
-		default: // the previous reload has not been taken yet
+		default: // the previous reload has not been applied yet
 		}
 	}
 	return c.Component.ReloadConfig()
 }
 
-// Attach implements app.Component. A fleet that can't be joined is logged, and the gateway runs without it.
+// Attach implements app.Component: it joins the fleet and starts the loops. If that fails, it logs the error, and the
+// gateway runs without zone failover.
 func (c *Component) Attach(g app.Gateway) {
 	c.Component.Attach(g)
 	c.gateway = g
@@ -153,7 +156,7 @@
 	if set == nil {
 		return
 	}
-	c.buildUnits(set.Regions)
+	c.assignUnits(set.Regions)
 	if len(c.unitNames) < 2 {
 		err := &ZonesError{len(c.unitNames)}
 		c.log.Warn().Err(err).Str("remedy", err.Remedy()).Msg("fleet: zone failover is off")
@@ -175,6 +178,7 @@
 	c.log.Info().Strs("zones", c.unitNames).Str("listen", c.settings.Listen).Msg("fleet: zone failover is on")
 }
 
+// join opens the membership. Received messages go to the inbox.
 func (c *Component) join() (err error) {
 	c.members, err = membership.Open(membership.Config{
 		Name:      c.conf.Name,
@@ -197,8 +201,8 @@
 	entry.Msg(event)
 }
 
-// buildUnits gives each zone its unit: its region, or itself.
-func (c *Component) buildUnits(regions map[string]string) {
+// assignUnits assigns each zone its unit of failover: its region, or the zone itself.
+func (c *Component) assignUnits(regions map[string]string) {
 	for _, zone := range c.conf.Names.Zones {
 		name := zone
 		if region := regions[zone]; region != "" {
@@ -223,8 +227,8 @@
 	c.Component.Close()
 }
 
-// sendLoop sends what is in the outbox. A member that does not answer delays messages for others, so the outbox is
-// bounded.
+// sendLoop sends the messages in the outbox one after the other. A member that does not answer delays the messages to
+// others; the outbox then drops its oldest ones.
 func (c *Component) sendLoop() {
 	for {
 		select {
--- a/internal/fleet/loop.go
+++ b/internal/fleet/loop.go
@@ -18,11 +18,11 @@
 	ticksPerDecision   = 2
 	hostUpdateInterval = time.Second
 	roundInterval      = 2500 * time.Millisecond // between anti-entropy rounds
-	catchUpInterval    = roundInterval / 5       // between them while catching up
+	catchUpInterval    = roundInterval / 5       // between rounds while catching up
 	stallThreshold     = 2 * time.Second         // a longer gap between ticks means that this process did not run
 )
 
-// decisionLoop merges, decides and publishes. It alone uses the modules that decide.
+// decisionLoop merges messages, decides and publishes shares. Only its goroutine uses the modules that decide.
 func (c *Component) decisionLoop() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -45,6 +45,7 @@
 	}
 }
 
+// tick does the periodic work. It also runs after each change of the overrides.
 func (c *Component) tick(now time.Time) {
 	c.detectStall(now)
 	if now.Sub(c.hostsUpdatedAt) > hostUpdateInterval {
@@ -60,8 +61,8 @@
 	c.publish(now.UnixMicro())
 }
 
-// detectStall finds that this process did not run for a while. What it knows of the others is outdated then, and what it
-// observed is its own stall: it has to catch up before it votes.
+// detectStall detects that this process did not run for a while. Its copy of the entries is then outdated, and its
+// evidence shows its own stall: it drops the evidence and catches up before it votes again.
 func (c *Component) detectStall(now time.Time) {
 	gap := now.Sub(c.lastTickAt)
 	c.lastTickAt = now
@@ -74,7 +75,7 @@
 	c.evidence = c.newEvidence()
 }
 
-// synchronize starts an anti-entropy round when one is due.
+// synchronize starts an anti-entropy round when one is due, and ends the catching up when a round has completed.
 func (c *Component) synchronize(now time.Time, members agreement.Members) {
 	sinceRound := now.Sub(c.lastRoundAt)
 	if sinceRound > roundInterval || c.catchingUp && sinceRound > catchUpInterval {
@@ -88,7 +89,7 @@
 	}
 }
 
-// updateHosts takes over the locations of hosts from the gateway's endpoint list.
+// updateHosts updates the locations of hosts from the gateway's endpoint list.
 func (c *Component) updateHosts() {
 	_, list, ok := c.gateway.Snapshot()
 	if !ok {
@@ -102,7 +103,7 @@
 	}
 }
 
-// observe takes an outcome as evidence about its zone, unless it says nothing about the host.
+// observe adds an outcome to the evidence about its zone, unless it is none: the gateway itself ended the attempt.
 func (c *Component) observe(o outcome) {
 	location, known := c.hosts[o.host]
 	if !known {
@@ -130,7 +131,7 @@
 	c.evidence.Observe(observation)
 }
 
-// receive applies a message of another member, and answers it.
+// receive applies a message of another member, answers it, and forwards the changes of a broadcast.
 func (c *Component) receive(m message) {
 	decoded, err := crdt.Decode(m.member, m.data)
 	if err != nil {
@@ -142,13 +143,13 @@
 	for _, decision := range c.agreement.Apply(now, changed) {
 		c.log.Info().
 			Uint64("epoch", decision.Epoch).
-			Ints("shares", toInts(decision.Value)).
+			Ints("shares", sharesToInts(decision.Value)).
 			Str("by", decision.Proposer).
 			Int64("ahead_ms", (decision.EffectiveAt-now)/1000).
 			Msg("fleet: decision received")
 	}
 	isBroadcast := len(decoded.GroupDigests) == 0 && decoded.Round == 0
-	if isBroadcast { // spread it further
+	if isBroadcast { // forwarded once by each member that it changes
 		c.broadcast(changed...)
 	}
 	for _, answer := range answers {
@@ -159,14 +160,15 @@
 	}
 }
 
-func toInts(b []byte) (ints []int) {
+// sharesToInts converts shares for a log field; bytes would be logged as text.
+func sharesToInts(b []byte) (ints []int) {
 	for _, n := range b {
 		ints = append(ints, int(n))
 	}
 	return ints
 }
 
-// broadcast sends entries to all members, each in a message that replaces an earlier one of its key.
+// broadcast queues entries for all members, each in a message that replaces a queued one with the same key.
 func (c *Component) broadcast(entries ...crdt.Entry) {
 	for _, e := range entries {
 		key := fmt.Sprint(e.Kind, "/", e.Name, "/", e.Origin)
@@ -174,12 +176,12 @@
 	}
 }
 
-// send sends a message to one member.
+// send queues a message for one member.
 func (c *Component) send(member string, m *crdt.Message) {
 	c.enqueue(message{member: member}, m)
 }
 
-// enqueue puts an encoded message into the outbox.
+// enqueue encodes the content of a message and adds it to the outbox.
 func (c *Component) enqueue(m message, content *crdt.Message) {
 	data, err := crdt.Encode(content)
 	if err != nil {
@@ -204,7 +206,7 @@
 	}
 }
 
-// decide votes, and proposes what follows from all votes.
+// decide votes, proposes what follows from all votes, drops expired entries, and logs events and dropped elements.
 func (c *Component) decide(now int64, members agreement.Members) {
 	if vote, isNew := c.zones.Vote(now, c.evidence.Assess(now, c.zones.OwnZone())); isNew {
 		c.broadcast(vote)
@@ -243,7 +245,7 @@
 	event.Msg("fleet: " + entry.Message)
 }
 
-// publish has the gateway read the shares in effect.
+// publish passes the shares in effect, overrides included, to the gateway, and logs each change.
 func (c *Component) publish(now int64) {
 	shares := make([]byte, len(c.unitOfZone))
 	for zone, unit := range c.unitOfZone {
@@ -256,7 +258,7 @@
 	_, epoch := c.zones.InEffect(now)
 	c.zoneShares.shares.Store(&shares)
 	c.log.Info().
-		Ints("shares", toInts(shares)).
+		Ints("shares", sharesToInts(shares)).
 		Uint64("epoch", epoch).
 		Int64("late_ms", c.zones.InEffectFor(now)/1000).
 		Msg("in force") // the lab reads this line
--- a/internal/fleet/modules.go
+++ b/internal/fleet/modules.go
@@ -15,9 +15,9 @@
 // Times in microseconds.
 const (
 	maxClockSkew      = 5 * second
-	voteEntryTTL      = 60 * second  // how long a vote is kept
-	voteTTL           = 30 * second  // how long a vote counts
-	decisionTTL       = 600 * second // without a quorum
+	voteEntryTTL      = 60 * second  // how long a vote is stored
+	voteTTL           = 30 * second  // how long a vote is valid
+	decisionTTL       = 600 * second // how long a decision stays in effect without a quorum
 	proposerDelay     = second / 5
 	maxEvacuationTime = 300 * second
 	backoffReset      = 600 * second
@@ -28,15 +28,15 @@
 const (
 	maxVoteSize      = 1 + 4*255 // bytes: a vote on 255 zones
 	maxDecisionSize  = 1024      // bytes
-	requiredShare    = 0.6       // of the gateways that know a zone's health, for a decision
-	maxMinViews      = 3         // gateways that must know a zone's health, in fleets of nine or more
+	requiredShare    = 0.6       // part of the gateways with a view of a zone's health that decides
+	maxMinViews      = 3         // gateways that must have a view of a zone's health, in fleets of nine or more
 	maxLatencyShare  = 0.6       // of the latency objective
 	minEvidenceHosts = 3
 	minFailingGroups = 2
 	minFailingShare  = 0.6 // of a zone's hosts
 )
 
-// What the setting zones.without turns off, for experiments.
+// The values of the setting zones.without, which turns off safeguards for experiments.
 const (
 	withoutQuorum   = "quorum"
 	withoutPace     = "pace"
@@ -101,7 +101,7 @@
 	})
 }
 
-// milliseconds converts to microseconds.
+// milliseconds converts milliseconds to microseconds.
 func milliseconds(ms int) int64 { return int64(ms) * 1000 }
 
 // ownUnit is the unit of this gateway's zone; -1 if it has none.
@@ -112,19 +112,19 @@
 	return -1
 }
 
-// setOverrides puts the operators' overrides, as in the settings, in place of the previous ones.
+// setOverrides replaces all overrides by those in the settings. One of an unknown zone is logged and ignored.
 func (c *Component) setOverrides(pins map[string]string) {
 	for unit := range c.unitNames {
 		c.zones.SetOverride(unit, zonefailover.NoOverride)
 	}
-	byName := map[string]zonefailover.Override{"kept": zonefailover.ForceInUse, "left": zonefailover.ForceEvacuated}
+	overrideByPin := map[string]zonefailover.Override{"kept": zonefailover.ForceInUse, "left": zonefailover.ForceEvacuated}
 	for zone, pin := range pins {
 		unit := slices.Index(c.unitNames, zone)
 		if unit < 0 {
 			c.logError(&PinError{zone, c.unitNames}, "fleet: zone override ignored")
 			continue
 		}
-		c.zones.SetOverride(unit, byName[pin])
+		c.zones.SetOverride(unit, overrideByPin[pin])
 		c.log.Info().Str("zone", zone).Str("pin", pin).Msg("fleet: zone override set")
 	}
 }
--- a/internal/fleet/ring.go
+++ b/internal/fleet/ring.go
@@ -10,7 +10,7 @@
 
 func newRing[T any](size int) *ring[T] { return &ring[T]{ch: make(chan T, size)} }
 
-// push adds an element; it never waits.
+// push adds an element without blocking. It may be called from any goroutine.
 func (r *ring[T]) push(v T) {
 	for {
 		select {
--- a/internal/gossip/decisions_test.go
+++ b/internal/gossip/decisions_test.go
@@ -10,32 +10,32 @@
 	"cloverrock/internal/gossip"
 )
 
-// This file holds the decisions of the package as they are: a storm of calls, always the same one, is played, and a
-// hash of all that is answered is compared with the one in testdata/decisions.txt. A change that is to leave all
-// decisions alone leaves the hashes alone. One that means to change decisions runs the test with -update and says why.
+// This file compares the decisions of the package with recorded ones: it makes a fixed sequence of random calls and
+// compares a hash of all results with the one in testdata/decisions.txt. A change that must not alter decisions leaves the
+// hashes as they are. One that does alter them runs the test with -update and states why.
 
 const goldenFile = "decisions.txt"
 
-// gateway is one of the storm's, with what others have told it and not yet reached it.
+// gateway is one gateway and the messages that are on their way to it.
 type gateway struct {
 	ordinal int
 	state   *gossip.State
-	inbox   []letter
+	inbox   []datagram
 }
 
-type letter struct {
+type datagram struct {
 	from int
 	data []byte
 }
 
-// fleet is some gateways that hear the same hosts.
+// fleet is some gateways with the same hosts.
 type fleet struct {
 	random   *rand.Rand
 	now      int64
 	hosts    []string
 	gateways []*gateway
 	answers  *golden.Hash
-	sent     []letter
+	sent     []datagram
 }
 
 func newFleet(conf gossip.Config, seed uint64, ordinals []int) *fleet {
@@ -43,7 +43,7 @@
 	for i := range 40 {
 		f.hosts = append(f.hosts, "host"+strconv.Itoa(i))
 	}
-	f.hosts[4], f.hosts[8] = "host249", "host561" // two of one group that digests can't tell apart
+	f.hosts[4], f.hosts[8] = "host249", "host561" // two of one group with the same short hash
 	for _, ordinal := range ordinals {
 		conf.Ordinal = ordinal
 		g := &gateway{ordinal: ordinal, state: gossip.New(conf, seed+uint64(ordinal))}
@@ -55,52 +55,52 @@
 	return f
 }
 
-func (f *fleet) odds(part float64) bool { return f.random.Float64() < part }
+func (f *fleet) chance(part float64) bool { return f.random.Float64() < part }
 
-// due writes down what a gateway tells, and puts it on its way to the others; some is lost, repeated or garbled.
-func (f *fleet) due(g *gateway) {
+// sendPending hashes the pending messages of a gateway and sends them to the others; some are lost or misdirected.
+func (f *fleet) sendPending(g *gateway) {
 	messages := g.state.PendingMessages(f.now)
 	f.answers.Numbers(int64(g.ordinal), int64(len(messages)))
 	for _, message := range messages {
 		f.answers.Numbers(int64(message.To))
 		f.answers.Text(string(message.Data))
-		f.sent = append(f.sent, letter{g.ordinal, message.Data})
+		f.sent = append(f.sent, datagram{g.ordinal, message.Data})
 		for _, other := range f.gateways {
-			if other != g && (message.To == gossip.Broadcast || message.To == other.ordinal || f.odds(0.02)) && f.odds(0.9) {
-				other.inbox = append(other.inbox, letter{g.ordinal, slices.Clone(message.Data)})
+			if other != g && (message.To == gossip.Broadcast || message.To == other.ordinal || f.chance(0.02)) && f.chance(0.9) {
+				other.inbox = append(other.inbox, datagram{g.ordinal, slices.Clone(message.Data)})
 			}
 		}
 	}
 }
 
-func (f *fleet) hear(g *gateway) {
-	if f.odds(0.03) && len(f.sent) > 0 { // an old one, from whomever
+func (f *fleet) deliver(g *gateway) {
+	if f.chance(0.03) && len(f.sent) > 0 { // an old one, from a random sender
 		old := f.sent[f.random.IntN(len(f.sent))]
-		g.inbox = append(g.inbox, letter{f.random.IntN(330) - 10, slices.Clone(old.data)})
+		g.inbox = append(g.inbox, datagram{f.random.IntN(330) - 10, slices.Clone(old.data)})
 	}
-	if f.odds(0.01) { // nothing that can be read
-		g.inbox = append(g.inbox, letter{0, []byte{3}})
+	if f.chance(0.01) { // a truncated one
+		g.inbox = append(g.inbox, datagram{0, []byte{3}})
 	}
 	for _, l := range g.inbox {
-		if f.odds(0.05) {
+		if f.chance(0.05) {
 			l.data[f.random.IntN(len(l.data))] ^= byte(1 + f.random.IntN(255))
 		}
-		if f.odds(0.02) {
+		if f.chance(0.02) {
 			l.data = l.data[:f.random.IntN(len(l.data))]
 		}
-		f.take(g, l)
-		if f.odds(0.1) && len(l.data) > 11 { // as of the same moment, with something else in the first report
+		f.receive(g, l)
+		if f.chance(0.1) && len(l.data) > 11 { // as of the same moment, with something else in the first report
 			l.data[11] ^= 3
-			f.take(g, l)
+			f.receive(g, l)
 		}
 	}
 	g.inbox = nil
 }
 
-// take writes down what a gateway believes of a message; its clock may be behind the sender's.
-func (f *fleet) take(g *gateway, l letter) {
+// receive hashes the facts that a gateway accepts from a message; its clock may be behind the sender's.
+func (f *fleet) receive(g *gateway, l datagram) {
 	now := f.now
-	if f.odds(0.2) {
+	if f.chance(0.2) {
 		now -= 40e3 + int64(f.random.IntN(20e3))
 	}
 	facts := g.state.Receive(now, l.from, l.data)
@@ -113,27 +113,27 @@
 	}
 }
 
-// learn has a gateway hear from a host itself.
-func (f *fleet) learn(g *gateway, i int) {
+// record records an answer of a host at a gateway.
+func (f *fleet) record(g *gateway, i int) {
 	role := gossip.Replica
 	if i < 4 {
 		role = gossip.Primary
 	}
-	if f.odds(0.03) {
+	if f.chance(0.03) {
 		role = gossip.Role(f.random.IntN(3))
 	}
 	age := int64(f.random.IntN(200e3))
-	if f.odds(0.05) {
+	if f.chance(0.05) {
 		age = int64(f.random.IntN(80e6)) - 5e6
 	}
 	g.state.Record(gossip.HostFact{Host: f.hosts[i], Position: f.now - age, Role: role})
 }
 
-// ask writes down what a gateway says when asked.
-func (f *fleet) ask(g *gateway, i int) {
-	out, coming := g.state.Load(f.now, f.hosts[i])
-	f.answers.Float(out)
-	f.answers.Float(coming)
+// recordAnswers hashes the results of a gateway's queries.
+func (f *fleet) recordAnswers(g *gateway, i int) {
+	inFlight, starting := g.state.Load(f.now, f.hosts[i])
+	f.answers.Float(inFlight)
+	f.answers.Float(starting)
 	f.answers.Float(g.state.OverloadRatio())
 	f.answers.Bool(g.state.AtCapacity(f.now, f.hosts[i]))
 	f.answers.Numbers(g.state.MaxReportDelay(f.hosts[i]), int64(g.state.MalformedMessages()), int64(g.state.TakeMalformedReport(f.now)))
@@ -148,13 +148,13 @@
 	i := min(f.random.IntN(len(f.hosts)), f.random.IntN(len(f.hosts)))
 	switch f.random.IntN(10) {
 	case 0, 1:
-		f.learn(g, i)
+		f.record(g, i)
 	case 2, 3:
 		share := f.random.Float64() * 0.5
 		if trouble {
 			share *= 3
 		}
-		g.state.RecordLatencyShare(f.hosts[i], share, trouble && f.odds(0.4))
+		g.state.RecordLatencyShare(f.hosts[i], share, trouble && f.chance(0.4))
 	case 4, 5:
 		n := f.random.IntN(6)
 		if trouble {
@@ -162,18 +162,18 @@
 		}
 		g.state.SetInFlight(f.hosts[i], n)
 	case 6, 7:
-		f.due(g)
+		f.sendPending(g)
 	case 8:
-		f.hear(g)
+		f.deliver(g)
 	default:
-		f.ask(g, i)
+		f.recordAnswers(g, i)
 	}
-	if f.odds(0.002) {
+	if f.chance(0.002) {
 		g.state.RemoveHost(f.hosts[i])
-	} else if f.odds(0.01) {
+	} else if f.chance(0.01) {
 		g.state.AddHost(f.hosts[i], int64(i%4))
 	}
-	if f.odds(0.0005) {
+	if f.chance(0.0005) {
 		f.now += int64(f.random.IntN(6e6))
 		g.state.RemoveHost("nobody")
 	}
@@ -187,7 +187,7 @@
 	return f.answers.String()
 }
 
-// What gateways tell, believe and answer stays as it was when the golden file was written.
+// What gateways send, accept and answer is as recorded in the golden file.
 func TestDecisionsStayTheSame(t *testing.T) {
 	var everyOne []int
 	for ordinal := range 10 {
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -59,17 +59,17 @@
 func (e *events) NotifyJoin(node *memberlist.Node) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.diedAt, node.Name)
+	delete(e.failedAt, node.Name)
 }
 
 func (e *events) NotifyLeave(node *memberlist.Node) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if node.State == memberlist.StateLeft {
-		delete(e.diedAt, node.Name)
+		delete(e.failedAt, node.Name)
 		return
 	}
-	e.diedAt[node.Name] = time.Now()
+	e.failedAt[node.Name] = time.Now()
 }
 
 func (e *events) NotifyUpdate(*memberlist.Node) {}
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -9,9 +9,9 @@
 	"cloverrock/internal/golden"
 )
 
-// What a member says is headed by its name as ever, and is heard under that name.
+// The encoding of a message with its sender does not change, and decodes to both.
 func TestGoldenMessages(t *testing.T) {
-	tests := []struct{ name, from, said string }{
+	tests := []struct{ name, from, content string }{
 		{"nothing", "a", ""},
 		{"usual", "edge-1", "\x00message\xff"},
 		{"longest name", strings.Repeat("n", 255), "m"},
@@ -19,7 +19,7 @@
 	var cases []golden.Case
 	for _, test := range tests {
 		m := &Members{conf: Config{Name: test.from}}
-		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(m.withSender([]byte(test.said)))})
+		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(m.withSender([]byte(test.content)))})
 	}
 	stored := golden.Check(t, "messages.golden", cases)
 	for _, test := range tests {
@@ -27,13 +27,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		heard := false
-		m := &Members{conf: Config{OnMessage: func(from string, said []byte) {
-			heard = from == test.from && bytes.Equal(said, []byte(test.said))
+		received := false
+		m := &Members{conf: Config{OnMessage: func(from string, content []byte) {
+			received = from == test.from && bytes.Equal(content, []byte(test.content))
 		}}}
 		(*delegate)(m).NotifyMsg(b)
-		if !heard {
-			t.Errorf("%s is not heard as it was said", test.name)
+		if !received {
+			t.Errorf("%s is not received as it was sent", test.name)
 		}
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -86,8 +86,8 @@
 	list  *memberlist.Memberlist
 	queue *memberlist.TransmitLimitedQueue
 
-	mu     sync.Mutex           // guards diedAt
-	diedAt map[string]time.Time // by member
+	mu       sync.Mutex           // guards diedAt
+	failedAt map[string]time.Time // by member
 
 	stop context.CancelFunc
 	wg   sync.WaitGroup
@@ -102,7 +102,7 @@
 	if conf.DeadRetention == 0 {
 		conf.DeadRetention = defaultDeadRetention
 	}
-	m := &Members{conf: conf, diedAt: map[string]time.Time{}}
+	m := &Members{conf: conf, failedAt: map[string]time.Time{}}
 	logger := log.New(libraryLog{conf.Log}, "", 0)
 	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
 		BindAddrs: []string{address.Addr().String()},
@@ -189,9 +189,9 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for name, at := range m.diedAt {
+	for name, at := range m.failedAt {
 		if time.Since(at) > m.conf.DeadRetention {
-			delete(m.diedAt, name)
+			delete(m.failedAt, name)
 		} else if !members[name] {
 			members[name] = false
 		}
--- a/internal/zonefailover/capacity.go
+++ b/internal/zonefailover/capacity.go
@@ -1,6 +1,6 @@
 package zonefailover
 
-// updateBaselines notes the least response time of each zone, which it has with little load.
+// updateBaselines records the lowest mean response time of each zone, taken as its response time without load.
 func (s *State) updateBaselines() {
 	for i := range s.zones {
 		_, latencyShare, measured := totalLoad(s.votes, i)
@@ -10,8 +10,8 @@
 	}
 }
 
-// hasSeenLoadElsewhere tells whether a zone other than i answers slower than at its best. Without that nothing is known
-// about the capacity of the others.
+// hasSeenLoadElsewhere reports whether a zone other than i answers slower than its baseline. Without that, the capacity
+// of the others is unknown.
 func (s *State) hasSeenLoadElsewhere(i int) bool {
 	for other, baseline := range s.baseline {
 		_, latencyShare, measured := totalLoad(s.votes, other)
@@ -22,11 +22,12 @@
 	return false
 }
 
-// shareToKeep is the share of a zone that has to remain in use since the other zones lack the capacity for it.
+// shareToKeep is the share of a zone, in hundredths, that has to remain in use since the other zones lack the capacity
+// for it.
 //
 // In processor sharing a host with utilization u takes 1/(1-u) times as long to answer as an idle one. A zone's
-// utilization therefore follows from its response time now and at its least, and the utilization that it may reach from
-// MaxLatencyShare.
+// utilization is therefore 1 - baseline/response time, and the highest utilization allowed follows from MaxLatencyShare
+// in the same way.
 func (s *State) shareToKeep(i int) byte {
 	if !s.conf.CheckCapacity {
 		return 0
--- a/internal/zonefailover/capacity_test.go
+++ b/internal/zonefailover/capacity_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The part of a zone stays in use that the others lack the capacity for. Of two zones that fail at once one is evacuated.
+// The part of a zone stays in use that the others lack the capacity for. Of two zones that fail at once one is
+// evacuated.
 func TestEvacuationIsLimitedByTheOtherZonesCapacity(t *testing.T) {
 	sim := newSimulation(t, 30, nil)
 	sim.run(6 * second) // the baseline: 20 of 100
--- a/internal/zonefailover/decisions_test.go
+++ b/internal/zonefailover/decisions_test.go
@@ -11,9 +11,9 @@
 	"cloverrock/internal/zonefailover"
 )
 
-// This file holds the decisions of the package as they are: a storm of calls, always the same one, is played, and a hash of
-// all that is answered is compared with the one in testdata/decisions.txt. A change that is to leave all decisions alone
-// leaves the hashes alone. One that means to change decisions runs the test with -update and says why.
+// This file compares the decisions of the package with recorded ones: it makes a fixed sequence of random calls and
+// compares a hash of all results with the one in testdata/decisions.txt. A change that must not alter decisions leaves
+// the hashes as they are. One that does alter them runs the test with -update and states why.
 
 const goldenFile = "decisions.txt"
 
@@ -24,7 +24,7 @@
 	kindDecided crdt.Kind = 2
 )
 
-// gateway is one of the storm's, with what it sees of the zones and what it holds of them.
+// gateway is one gateway with its evidence and its state of the zones.
 type gateway struct {
 	name     string
 	state    *crdt.State
@@ -32,66 +32,66 @@
 	zones    *zonefailover.State
 }
 
-// fleet is some gateways before zones that fail and come back.
+// fleet is some gateways that use zones which fail and recover.
 type fleet struct {
-	random   *rand.Rand
-	now      int64
-	conf     zonefailover.Config
-	gateways []*gateway
-	failing  []float64 // part of the ends that fail, by zone
-	busy     []float64 // of their aim, what answers take, by zone
-	answers  *golden.Hash
+	random       *rand.Rand
+	now          int64
+	conf         zonefailover.Config
+	gateways     []*gateway
+	failing      []float64 // part of the attempts that fail, by zone
+	latencyShare []float64 // response time as a share of the latency objective, by zone
+	answers      *golden.Hash
 }
 
 func newFleet(conf zonefailover.Config, seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(2027, seed)), now: 1_700_000_000 * second, conf: conf, answers: golden.NewHash(),
-		failing: make([]float64, len(conf.Zones)), busy: make([]float64, len(conf.Zones))}
-	forms := map[crdt.Kind]crdt.KindConfig{kindVotes: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 64},
+		failing: make([]float64, len(conf.Zones)), latencyShare: make([]float64, len(conf.Zones))}
+	kinds := map[crdt.Kind]crdt.KindConfig{kindVotes: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 64},
 		kindDecided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: 60 * second, MaxValueSize: 80}}
 	for i := range 9 {
 		conf.OwnZone = i%(len(conf.Zones)+1) - 1
 		name := "n" + strconv.Itoa(i)
-		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: forms})
-		council := agreement.New(agreement.Config{Self: name, VoteKind: kindVotes, DecisionKind: kindDecided, EffectDelay: second, ProposerDelay: second / 5,
+		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: kinds})
+		participant := agreement.New(agreement.Config{Self: name, VoteKind: kindVotes, DecisionKind: kindDecided, EffectDelay: second, ProposerDelay: second / 5,
 			VoteTTL: 30 * second, DecisionTTL: 60 * second, RequireQuorum: true}, state)
-		sight := zonefailover.NewEvidenceCollector(zonefailover.EvidenceConfig{Zones: len(conf.Zones), Window: 3 * second, MinHosts: 3, MinFailingGroups: 2, FailingShare: 0.6})
-		f.gateways = append(f.gateways, &gateway{name, state, sight, zonefailover.New(conf, council)})
+		collector := zonefailover.NewEvidenceCollector(zonefailover.EvidenceConfig{Zones: len(conf.Zones), Window: 3 * second, MinHosts: 3, MinFailingGroups: 2, FailingShare: 0.6})
+		f.gateways = append(f.gateways, &gateway{name, state, collector, zonefailover.New(conf, participant)})
 	}
 	return f
 }
 
-func (f *fleet) odds(part float64) bool { return f.random.Float64() < part }
+func (f *fleet) chance(part float64) bool { return f.random.Float64() < part }
 
-// see has a gateway see some ends of attempts and probes.
-func (f *fleet) see(g *gateway) {
+// observe adds observations of attempts and health checks at a gateway.
+func (f *fleet) observe(g *gateway) {
 	for range 30 {
 		zone, host := f.random.IntN(len(f.conf.Zones)), f.random.IntN(8)
-		end := zonefailover.Observation{Host: "host" + strconv.Itoa(zone*8+host), Zone: zone, Group: int64(host % 4), Failed: f.odds(f.failing[zone]),
-			HealthCheck: f.odds(0.2), At: f.now - int64(f.random.IntN(int(second/5)))}
-		if f.odds(0.9) {
-			end.LatencyShare = f.busy[zone] * (0.5 + f.random.Float64())
+		observation := zonefailover.Observation{Host: "host" + strconv.Itoa(zone*8+host), Zone: zone, Group: int64(host % 4), Failed: f.chance(f.failing[zone]),
+			HealthCheck: f.chance(0.2), At: f.now - int64(f.random.IntN(int(second/5)))}
+		if f.chance(0.9) {
+			observation.LatencyShare = f.latencyShare[zone] * (0.5 + f.random.Float64())
 		}
-		if f.odds(0.01) {
-			end.Zone += f.random.IntN(5) - 2
+		if f.chance(0.01) {
+			observation.Zone += f.random.IntN(5) - 2
 		}
-		g.evidence.Observe(end)
+		g.evidence.Observe(observation)
 	}
 }
 
-// told writes down an entry that is to be told, and has most others hear it.
-func (f *fleet) told(from *gateway, entry crdt.Entry) {
+// broadcast hashes an entry that is to be sent, and merges it at most others.
+func (f *fleet) broadcast(from *gateway, entry crdt.Entry) {
 	f.answers.Numbers(int64(entry.Kind), int64(entry.Sequence), entry.Timestamp)
 	f.answers.Text(entry.Name)
 	f.answers.Text(entry.Origin)
 	f.answers.Text(string(entry.Value))
 	for _, other := range f.gateways {
-		if other != from && f.odds(0.9) {
+		if other != from && f.chance(0.9) {
 			other.state.Merge(f.now, entry)
 		}
 	}
 }
 
-// vote has a gateway say what it sees, and writes that down.
+// vote lets a gateway vote, and hashes its views.
 func (f *fleet) vote(g *gateway) {
 	views := g.evidence.Assess(f.now, g.zones.OwnZone())
 	for _, view := range views {
@@ -99,18 +99,18 @@
 	}
 	entry, ok := g.zones.Vote(f.now, views)
 	if f.answers.Bool(ok); ok {
-		f.told(g, entry)
+		f.broadcast(g, entry)
 	}
 }
 
-// decide has a gateway decide, and writes down all that it then holds.
+// decide lets a gateway decide, and hashes its log and its shares.
 func (f *fleet) decide(g *gateway) {
 	members := agreement.Members{}
 	for _, other := range f.gateways {
-		members[other.name] = other == g || f.odds(0.95)
+		members[other.name] = other == g || f.chance(0.95)
 	}
 	for _, entry := range g.zones.Decide(f.now, members) {
-		f.told(g, entry)
+		f.broadcast(g, entry)
 	}
 	for _, line := range g.zones.TakeLog() {
 		f.answers.Text(line.Zone)
@@ -126,26 +126,26 @@
 	g.state.Expire(f.now)
 }
 
-// change has a zone fail or recover, and answers take more or less of their aim.
-func (f *fleet) change() {
+// changeZones lets zones fail or recover, and changes their response times.
+func (f *fleet) changeZones() {
 	for zone := range f.failing {
-		f.failing[zone], f.busy[zone] = 0.02, 0.05+f.random.Float64()*0.9
+		f.failing[zone], f.latencyShare[zone] = 0.02, 0.05+f.random.Float64()*0.9
 	}
-	if f.odds(0.7) {
+	if f.chance(0.7) {
 		f.failing[f.random.IntN(len(f.failing))] = 0.5 + f.random.Float64()
 	}
-	if f.odds(0.1) { // and another
+	if f.chance(0.1) { // and another
 		f.failing[f.random.IntN(len(f.failing))] = 1
 	}
-	if f.odds(0.1) {
+	if f.chance(0.1) {
 		g := f.gateways[f.random.IntN(len(f.gateways))]
 		g.zones.SetOverride(f.random.IntN(len(f.failing)), zonefailover.Override(f.random.IntN(3)))
 	}
-	if f.odds(0.1) { // a vote and a decision of who has other zones in mind
+	if f.chance(0.1) { // a vote and a decision with another number of zones
 		g := f.gateways[0]
-		f.told(g, g.state.Put(f.now, kindVotes, "zones", []byte{1, 9}))
+		f.broadcast(g, g.state.Put(f.now, kindVotes, "zones", []byte{1, 9}))
 		_, epoch := g.zones.InEffect(f.now)
-		f.told(g, g.state.PutEpoch(f.now, kindDecided, "zones", epoch+1, []byte{1, 100, 0, 0, 0, 0, 0, 0, 0, 0, 100, 'x'}))
+		f.broadcast(g, g.state.PutEpoch(f.now, kindDecided, "zones", epoch+1, []byte{1, 100, 0, 0, 0, 0, 0, 0, 0, 0, 100, 'x'}))
 	}
 }
 
@@ -154,13 +154,13 @@
 	for round := range 450 {
 		f.now += second/4 + int64(f.random.IntN(int(second/2)))
 		if round%25 == 10 {
-			f.change()
-			f.now += int64(f.random.IntN(int(5 * second))) // nothing is seen for a while
+			f.changeZones()
+			f.now += int64(f.random.IntN(int(5 * second))) // a time without observations
 		}
 		for _, g := range f.gateways {
 			f.now += int64(f.random.IntN(1000))
-			if f.odds(0.95) {
-				f.see(g)
+			if f.chance(0.95) {
+				f.observe(g)
 			}
 			f.vote(g)
 			f.decide(g)
@@ -169,7 +169,7 @@
 	return f.answers.String()
 }
 
-// What gateways see of zones, vote, and come to hold stays as it was when the golden file was written.
+// The views, votes and shares of gateways are as recorded in the golden file.
 func TestDecisionsStayTheSame(t *testing.T) {
 	base := zonefailover.Config{Zones: []string{"a", "b", "c"}, MaxEvacuated: 1, RequiredShare: 0.6, MinViews: 3, MaxLatencyShare: 0.6,
 		RecoverySteps: []byte{2, 5, 10, 20, 40, 70, zonefailover.FullShare}, StepDuration: 2 * second, EvacuationTime: 4 * second, MaxEvacuationTime: 20 * second,
--- a/internal/zonefailover/evacuation_test.go
+++ b/internal/zonefailover/evacuation_test.go
@@ -6,8 +6,8 @@
 	"cloverrock/internal/agreement"
 )
 
-// A zone stays in use if half of the gateways find it unhealthy, if one does, if those inside it do while they are cut off
-// with it, and if the fleet is partitioned so that no part has a majority.
+// A zone stays in use if half of the gateways find it unhealthy, if one does, if those inside it do while they are cut
+// off with it, and if the fleet is partitioned so that no part has a majority.
 func TestZoneStaysInUseWithoutQuorumOfOutsideGateways(t *testing.T) {
 	for name, play := range map[string]func(sim *simulation){
 		"half find it unhealthy": func(sim *simulation) { sim.failZoneFor(func(i int) bool { return i%2 == 0 }) },
@@ -54,8 +54,8 @@
 	}
 }
 
-// A third of the gateways is stopped while a zone is evacuated. When they go on they receive the decision, follow it and
-// count that it was late.
+// A third of the gateways is stopped while a zone is evacuated. When they go on they receive the decision, follow it
+// and count that it was late.
 func TestStoppedGatewaysFollowTheDecisionLate(t *testing.T) {
 	sim := newSimulation(t, 30, nil)
 	sim.run(3 * second)
--- a/internal/zonefailover/evidence.go
+++ b/internal/zonefailover/evidence.go
@@ -1,22 +1,22 @@
 package zonefailover
 
 const (
-	forgottenWeight     = 0.2       // a host with fewer observations left, after fading, is forgotten
-	silentFailures      = 1.5       // failures, after fading, after which a host without recent success is failing
-	latencySamples      = 10        // over which a host's response time is averaged
-	rateInterval        = 1_000_000 // microseconds; request rates are updated no more often
-	rateSmoothing       = 0.3       // weight of a new request rate in the moving average
-	maxPackedRate       = 65535
-	maxPackedLatency    = 255
-	rateUnitsPerRequest = 10 // a vote's request rate is in tenths per second
+	minRetainedWeight      = 0.2       // a host whose observations weigh less, after fading, is removed
+	silentFailureThreshold = 1.5       // failures, after fading, above which a host without recent success is failing
+	latencySamples         = 10        // number of answers over which a host's response time is averaged
+	rateInterval           = 1_000_000 // microseconds; shortest time between two updates of the request rates
+	rateSmoothing          = 0.3       // weight of a new request rate in the moving average
+	maxPackedRate          = 65535
+	maxPackedLatency       = 255
+	rateUnitsPerRequest    = 10 // a vote's request rate is in tenths per second
 )
 
 // EvidenceCollector gathers what one gateway observes of each zone: the outcomes of attempts and health checks, host by
 // host, over some seconds.
 //
-// A zone is found unhealthy when most of its hosts, of more than one group, fail while another zone mostly does not. One
-// failing host or one failing group does not make a zone unhealthy, and a gateway whose own link fails sees all zones
-// fail and reports none.
+// A zone is unhealthy when most of its hosts, of more than one group, fail while another zone mostly does not. One
+// failing host or one failing group does not make a zone unhealthy. A gateway whose own link fails sees all zones fail
+// and reports none as unhealthy.
 type EvidenceCollector struct {
 	conf           EvidenceConfig
 	hosts          map[string]*hostEvidence
@@ -25,16 +25,16 @@
 	ratesUpdatedAt int64
 }
 
-// EvidenceConfig says what counts. Times are microseconds.
+// EvidenceConfig has the thresholds for the health of a zone. Times are microseconds.
 type EvidenceConfig struct {
 	Zones            int
-	Window           int64   // after which an observation has faded away
-	MinHosts         int     // hosts of a zone that must have been observed
-	MinFailingGroups int     // groups that must fail, or all of the zone if it has fewer
-	FailingShare     float64 // of the observed hosts that must fail
+	Window           int64   // time in which the weight of an observation falls to 0
+	MinHosts         int     // observed hosts of a zone below which its health is unknown
+	MinFailingGroups int     // groups with a failing host for an unhealthy zone, or all groups if it has fewer
+	FailingShare     float64 // part of the observed hosts that fail in an unhealthy zone
 }
 
-// hostEvidence is what was observed of a host.
+// hostEvidence is the evidence about one host.
 type hostEvidence struct {
 	zone          int
 	group         int64
@@ -51,7 +51,7 @@
 	Zone         int
 	Group        int64
 	Failed       bool    // no answer, connection refused or reset, or an error
-	LatencyShare float64 // response time as a share of the latency objective; 0 if not known
+	LatencyShare float64 // response time as a share of the latency objective; 0 if unknown
 	HealthCheck  bool
 	At           int64 // microseconds since 1970
 }
@@ -66,26 +66,26 @@
 	}
 }
 
-// fade reduces the weight of earlier observations by their age.
+// fade reduces the weight of earlier observations by the time since the last fade.
 func (h *hostEvidence) fade(now, window int64) {
 	age := now - h.fadedAt
 	if age <= 0 {
 		return
 	}
-	keep := max(0, 1-float64(age)/float64(window))
-	h.succeeded *= keep
-	h.failed *= keep
+	retained := max(0, 1-float64(age)/float64(window))
+	h.succeeded *= retained
+	h.failed *= retained
 	h.fadedAt = now
 }
 
-// isFailing tells whether a host fails. A busy host that stops answering has many earlier successes to its credit: that
-// it has had none for a while outweighs them.
+// isFailing reports whether a host is failing: it has more failures than successes, or it has stopped answering. The
+// latter detects a busy host sooner, whose earlier successes would outweigh its failures.
 func (h *hostEvidence) isFailing(now, window int64) bool {
-	hasStopped := h.failed > silentFailures && now-h.lastSuccessAt > window/2
+	hasStopped := h.failed > silentFailureThreshold && now-h.lastSuccessAt > window/2
 	return h.failed > h.succeeded || hasStopped
 }
 
-// Observe takes one observation. One of an unknown zone is ignored.
+// Observe adds one observation. One of an unknown zone is ignored.
 func (c *EvidenceCollector) Observe(o Observation) {
 	if o.Zone < 0 || o.Zone >= c.conf.Zones {
 		return
@@ -110,21 +110,21 @@
 	}
 }
 
-// zoneEvidence sums up the hosts of a zone.
+// zoneEvidence is the sum of the evidence about the hosts of a zone.
 type zoneEvidence struct {
 	observed, failing, measured int // hosts
 	groups, failingGroups       map[int64]bool
 	latencyShare                float64 // sum over the measured hosts
 }
 
-// Assess returns what this gateway finds of each zone; own is its own zone, -1 if it has none.
-func (c *EvidenceCollector) Assess(now int64, own int) []ZoneView {
-	zones := c.sumUp(now)
+// Assess returns this gateway's view of each zone; ownZone is the zone of the gateway, -1 if it has none.
+func (c *EvidenceCollector) Assess(now int64, ownZone int) []ZoneView {
+	zones := c.sumByZone(now)
 	c.updateRates(now)
 	views := make([]ZoneView, c.conf.Zones)
 	for i := range zones {
 		zone := &zones[i]
-		view := ZoneView{Health: c.health(zones, i, own)}
+		view := ZoneView{Health: c.health(zones, i, ownZone)}
 		view.RequestRate = uint16(min(c.requestRate[i]*rateUnitsPerRequest, maxPackedRate))
 		if zone.measured > 0 {
 			view.LatencyShare = byte(min(100*zone.latencyShare/float64(zone.measured), maxPackedLatency))
@@ -134,8 +134,8 @@
 	return views
 }
 
-// sumUp adds up the hosts by zone, and forgets those without recent observations.
-func (c *EvidenceCollector) sumUp(now int64) []zoneEvidence {
+// sumByZone adds up the hosts by zone, and removes those without recent observations.
+func (c *EvidenceCollector) sumByZone(now int64) []zoneEvidence {
 	zones := make([]zoneEvidence, c.conf.Zones)
 	for i := range zones {
 		zones[i].groups = map[int64]bool{}
@@ -143,7 +143,7 @@
 	}
 	for id, host := range c.hosts {
 		host.fade(now, c.conf.Window)
-		if host.succeeded+host.failed < forgottenWeight {
+		if host.succeeded+host.failed < minRetainedWeight {
 			delete(c.hosts, id)
 			continue
 		}
@@ -161,6 +161,7 @@
 	return zones
 }
 
+// updateRates updates the moving averages of the request rates.
 func (c *EvidenceCollector) updateRates(now int64) {
 	elapsed := now - c.ratesUpdatedAt
 	if elapsed < rateInterval {
@@ -173,16 +174,16 @@
 	c.ratesUpdatedAt = now
 }
 
-// health judges a zone. Where no other zone does well, or the failing zone is this gateway's own, the fault may be the
-// gateway's own link, and the zone's health is unknown.
-func (c *EvidenceCollector) health(zones []zoneEvidence, i, own int) Health {
+// health is the health of a zone. If no other zone is healthy, or the failing zone is this gateway's own, the fault may
+// be the gateway's own link, and the zone's health is unknown.
+func (c *EvidenceCollector) health(zones []zoneEvidence, i, ownZone int) Health {
 	if zones[i].observed < c.conf.MinHosts {
 		return Unknown
 	}
 	if !c.isFailing(&zones[i]) {
 		return Healthy
 	}
-	if i == own {
+	if i == ownZone {
 		return Unknown
 	}
 	for other := range zones {
@@ -193,6 +194,7 @@
 	return Unknown
 }
 
+// isFailing reports whether more than one host, most hosts, and enough groups of a zone are failing.
 func (c *EvidenceCollector) isFailing(zone *zoneEvidence) bool {
 	if zone.failing <= 1 {
 		return false
--- a/internal/zonefailover/golden_test.go
+++ b/internal/zonefailover/golden_test.go
@@ -10,7 +10,7 @@
 	"cloverrock/internal/golden"
 )
 
-// A vote's body has the same bytes as ever, and they say of each zone what was found.
+// The encoding of a vote does not change, and decodes to the view of each zone.
 func TestGoldenVotes(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -39,7 +39,7 @@
 	}
 }
 
-// What is proposed, and the vote before it, have the same bytes as ever: a share for each zone, in the order of the zones.
+// The encoding of a proposal and a vote does not change: a share for each zone, in the order of the zones.
 func TestGoldenProposal(t *testing.T) {
 	const start = 1_000_000_000
 	state := crdt.New(crdt.Config{Self: "a", Incarnation: 1, Kinds: map[crdt.Kind]crdt.KindConfig{
@@ -47,17 +47,17 @@
 	participant := agreement.New(agreement.Config{Self: "a", VoteKind: 1, DecisionKind: 2, EffectDelay: 1, VoteTTL: start, DecisionTTL: start, RequireQuorum: true}, state)
 	s := New(Config{Zones: []string{"x", "y", "z"}, OwnZone: 0, MaxEvacuated: 1, RequiredShare: 0.6, MinViews: 1, MaxLatencyShare: 0.6, RecoverySteps: []byte{50, FullShare}, StepDuration: 1, EvacuationTime: 1}, participant)
 	vote, voted := s.Vote(start, []ZoneView{{Healthy, 20, 5}, {Unhealthy, 200, 5}, {Healthy, 20, 5}})
-	told := s.Decide(start, agreement.Members{"a": true})
-	if !voted || len(told) != 1 {
-		t.Fatalf("%d entries are told", len(told))
+	sent := s.Decide(start, agreement.Members{"a": true})
+	if !voted || len(sent) != 1 {
+		t.Fatalf("%d entries are sent", len(sent))
 	}
-	told = append(told, vote)
-	b, err := crdt.Encode(&crdt.Message{Entries: told})
+	sent = append(sent, vote)
+	b, err := crdt.Encode(&crdt.Message{Entries: sent})
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "proposal.golden", []golden.Case{{Name: "proposal and vote", Form: hex.EncodeToString(b)}})
 	if s.Share(start+1, 0) != FullShare || s.Share(start+1, 1) != 0 {
-		t.Errorf("in force are %d and %d", s.Share(start+1, 0), s.Share(start+1, 1))
+		t.Errorf("in effect are %d and %d", s.Share(start+1, 0), s.Share(start+1, 1))
 	}
 }
--- a/internal/zonefailover/log.go
+++ b/internal/zonefailover/log.go
@@ -12,7 +12,7 @@
 	Proposal      *Proposal // if Message is about a proposal
 }
 
-// Proposal is a share that this gateway has proposed, and the votes that it follows from.
+// Proposal is a share that this gateway has proposed, and the votes that led to it.
 type Proposal struct {
 	Share byte
 	Votes VoteCount
@@ -27,14 +27,15 @@
 	logFullUse        = "zone in full use again"
 )
 
-// TakeLog returns the events since it was last called.
+// TakeLog returns and removes the events since the last call.
 func (s *State) TakeLog() []LogEntry {
 	entries := s.log
 	s.log = nil
 	return entries
 }
 
-// logChange logs that another share of a zone is in effect; the next step follows in some microseconds, 0 if none does.
+// logChange logs that another share of a zone is in effect. The time until the next step is in microseconds; 0 if there
+// is none.
 func (s *State) logChange(i int, message string, previousShare byte, nextStepIn int64) {
 	s.log = append(s.log, LogEntry{
 		Zone:          s.conf.Zones[i],
--- a/internal/zonefailover/simulation_test.go
+++ b/internal/zonefailover/simulation_test.go
@@ -46,8 +46,8 @@
 	data     []byte
 }
 
-// simulation is a fleet on one clock, with messages that take time and get lost. They spread as by memberlist: each entry
-// is sent a few times to members drawn at random, and from time to time there is a round with one of them.
+// simulation is a fleet on one clock, with messages that take time and get lost. They spread as by memberlist: each
+// entry is sent a few times to members drawn at random, and from time to time there is a round with one of them.
 type simulation struct {
 	t         *testing.T
 	rand      *rand.Rand
--- a/internal/zonefailover/vote.go
+++ b/internal/zonefailover/vote.go
@@ -2,7 +2,7 @@
 
 import "cloverrock/internal/agreement"
 
-// Health is what a gateway finds of a zone; the numbers are on the wire.
+// Health is a gateway's assessment of a zone; the numbers are on the wire.
 type Health byte
 
 // The states of health.
@@ -12,18 +12,18 @@
 	Unhealthy
 )
 
-// ZoneView is what one gateway finds of one zone.
+// ZoneView is one gateway's view of one zone.
 type ZoneView struct {
 	Health       Health
-	LatencyShare byte   // mean response time in hundredths of the latency objective, 255 at most
+	LatencyShare byte   // mean response time in hundredths of the latency objective, at most 255
 	RequestRate  uint16 // recent requests to the zone, in tenths per second
 }
 
 const viewSize = 4 // bytes
 
 // encodeVote returns a vote's body: the gateway's zone (255 if none) and its view of each zone.
-func encodeVote(own int, views []ZoneView) []byte {
-	b := []byte{byte(own)}
+func encodeVote(ownZone int, views []ZoneView) []byte {
+	b := []byte{byte(ownZone)}
 	for _, view := range views {
 		b = append(b, byte(view.Health), view.LatencyShare, byte(view.RequestRate>>8), byte(view.RequestRate))
 	}
@@ -31,7 +31,7 @@
 }
 
 // decodeVote reads the gateway's zone and its view of one zone; false if the body has none.
-func decodeVote(b []byte, zone int) (own int, view ZoneView, ok bool) {
+func decodeVote(b []byte, zone int) (ownZone int, view ZoneView, ok bool) {
 	at := 1 + zone*viewSize
 	if len(b) < at+viewSize || b[at] > byte(Unhealthy) {
 		return 0, ZoneView{}, false
@@ -44,40 +44,41 @@
 	return int(b[0]), view, true
 }
 
-// differs tells whether views are worth a new vote: if a zone's health or the number of zones is another, or a figure has
+// differs reports whether views justify a new vote: a zone's health or the number of zones has changed, or a figure has
 // changed by more than a third.
 func differs(last, views []ZoneView) bool {
 	for i := range views {
 		if i >= len(last) || last[i].Health != views[i].Health {
 			return true
 		}
-		if hasMoved(float64(last[i].LatencyShare), float64(views[i].LatencyShare)) {
+		if changedMuch(float64(last[i].LatencyShare), float64(views[i].LatencyShare)) {
 			return true
 		}
-		if hasMoved(float64(last[i].RequestRate), float64(views[i].RequestRate)) {
+		if changedMuch(float64(last[i].RequestRate), float64(views[i].RequestRate)) {
 			return true
 		}
 	}
 	return false
 }
 
-func hasMoved(a, b float64) bool { return max(a, b) > 1.33*min(a, b)+10 }
+// changedMuch reports whether two figures differ by more than a third and an absolute margin for small figures.
+func changedMuch(a, b float64) bool { return max(a, b) > 1.33*min(a, b)+10 }
 
-// VoteCount is how many gateways outside a zone find it in which health.
+// VoteCount counts the votes on a zone of the gateways outside it, by the health in them.
 type VoteCount struct {
 	Healthy, Unhealthy, Unknown int
-	latencyShare                float64 // mean response time by those that find it healthy
+	latencyShare                float64 // mean of the gateways that find it healthy, as a share of the latency objective
 }
 
-// views is how many gateways know the zone's health.
-func (v *VoteCount) views() int { return v.Healthy + v.Unhealthy }
+// known is how many gateways know the zone's health.
+func (v *VoteCount) known() int { return v.Healthy + v.Unhealthy }
 
-// countVotes adds up the votes of gateways outside a zone. Those inside have no say: they may be cut off with it, and
-// then see all other zones fail.
+// countVotes adds up the votes of gateways outside a zone. Those inside do not count: they may be partitioned with it,
+// and then see all other zones fail.
 func countVotes(votes []agreement.Vote, zone int) (count VoteCount) {
 	for _, vote := range votes {
-		own, view, ok := decodeVote(vote.Body, zone)
-		if !ok || own == zone {
+		voterZone, view, ok := decodeVote(vote.Body, zone)
+		if !ok || voterZone == zone {
 			continue
 		}
 		switch view.Health {
@@ -96,8 +97,8 @@
 	return count
 }
 
-// totalLoad adds up what all gateways send to a zone, in tenths of a request per second, and the mean response time by
-// those of them that have measured it, as a share of the latency objective.
+// totalLoad returns the request rate of all gateways to a zone, in tenths of a request per second, and the mean
+// response time over the gateways that have measured it, as a share of the latency objective.
 func totalLoad(votes []agreement.Vote, zone int) (requestRate, latencyShare float64, measured bool) {
 	n := 0
 	for _, vote := range votes {
--- a/internal/zonefailover/zonefailover.go
+++ b/internal/zonefailover/zonefailover.go
@@ -1,12 +1,12 @@
-// Package zonefailover decides when a fleet evacuates a zone that fails, and by which steps it returns traffic to it.
-// Where zones belong to regions, a zone here is a region with all of its hosts.
+// Package zonefailover decides when a fleet evacuates a failing zone, and in which steps traffic returns to it. If
+// zones are grouped into regions, a zone here is a region with all of its hosts.
 //
-// Each gateway judges the health of each zone by its own observations (evidence.go) and publishes that as its vote. A
-// zone is evacuated when most of the gateways that are outside of it and know its health find it unhealthy, and only as
-// far as the other zones have the capacity for its load (capacity.go). Traffic returns by rising shares, each agreed on
-// like the evacuation, at a pace that hosts with cold caches bear, and the return is undone when the zone fails again.
-// Package agreement provides one epoch and one moment of effect for all gateways. This package does no I/O, reads no
-// clock and starts no goroutine.
+// Each gateway assesses the health of each zone from its own observations (evidence.go) and publishes that as its vote.
+// A zone is evacuated when most of the gateways outside it that have a view of its health find it unhealthy, and only
+// as far as the other zones have the capacity for its load (capacity.go). Traffic returns in increasing shares, each
+// agreed on like the evacuation, at a pace that hosts with cold caches can serve. If the zone fails again, it is
+// evacuated again. Package agreement provides one epoch and one time of effect for all gateways. This package does no
+// I/O, reads no clock and starts no goroutine.
 package zonefailover
 
 import (
@@ -19,21 +19,21 @@
 // FullShare is the share of a zone that is used in full, in hundredths.
 const FullShare = 100
 
-// Config says how zones are evacuated. Times are microseconds.
+// Config configures the evacuation and recovery of zones. Times are microseconds.
 type Config struct {
 	Zones   []string // names, by index
 	OwnZone int      // this gateway's zone; -1: none
 
 	MaxEvacuated    int     // zones that may be evacuated at a time
-	RequiredShare   float64 // of the gateways that know a zone's health, the part that must find it unhealthy
-	MinViews        int     // gateways that must know the zone's health
+	RequiredShare   float64 // part of the gateways with a view of a zone's health that must find it unhealthy
+	MinViews        int     // gateways that must have a view of the zone's health
 	MaxLatencyShare float64 // response time, as a share of the latency objective, up to which zones may be loaded
 
-	RecoverySteps     []byte // shares of a recovery, rising, the last FullShare
-	StepDuration      int64  // least time of a step
-	EvacuationTime    int64  // least time for which a zone stays evacuated; doubled with each recovery that fails
+	RecoverySteps     []byte // shares of a recovery in hundredths, increasing, the last FullShare
+	StepDuration      int64  // shortest duration of a step
+	EvacuationTime    int64  // shortest time for which a zone stays evacuated; doubled with each failed recovery
 	MaxEvacuationTime int64  // limit of the doubling
-	BackoffReset      int64  // time in full use after which EvacuationTime is as configured again
+	BackoffReset      int64  // time in full use after which the doubling is reset
 
 	// False only in experiments that show why these are required.
 	PacedRecovery, CheckCapacity bool
@@ -49,23 +49,23 @@
 	ForceEvacuated
 )
 
-// State is one gateway's state of all zones. It is not safe for concurrent use.
+// State is one gateway's part in zone failover. It is not safe for concurrent use.
 type State struct {
 	conf       Config
 	agreement  *agreement.Participant
 	zones      []zone
-	epoch      uint64 // the last one that followDecision has seen in effect
+	epoch      uint64 // the last epoch that followDecision has seen in effect
 	fullShares []byte // all zones in full use
 	log        []LogEntry
 	lastVote   []ZoneView
-	baseline   []float64        // least response time of a zone, as a share of the latency objective; 0: not known
-	votes      []agreement.Vote // of the Decide that is running
+	baseline   []float64        // lowest response time of a zone, as a share of the latency objective; 0: unknown
+	votes      []agreement.Vote // the votes of the current call of Decide
 }
 
 type zone struct {
 	override       Override
-	share          byte  // in effect
-	since          int64 // when it took effect
+	share          byte  // in effect, in hundredths
+	since          int64 // when share took effect
 	evacuationTime int64 // microseconds for which the zone stays evacuated the next time
 }
 
@@ -84,12 +84,12 @@
 	return s
 }
 
-// topic is that of all votes and decisions. There is one for all zones, since a decision has to limit how many zones are
-// evacuated together and whether the remaining ones have the capacity.
+// topic is the topic of all votes and decisions. There is one for all zones, since a decision has to limit how many
+// zones are evacuated at a time and to check the capacity of the remaining ones.
 const topic = "zones"
 
-// Vote publishes what this gateway finds, if that differs from its last vote or that is due for renewal; the entry is to
-// be sent to the other members.
+// Vote stores this gateway's vote if the views differ from its last vote or that is due for renewal. It reports whether
+// it did; the caller sends the entry to the other members.
 func (s *State) Vote(now int64, views []ZoneView) (crdt.Entry, bool) {
 	if !differs(s.lastVote, views) {
 		views = s.lastVote
@@ -104,7 +104,7 @@
 // SetOverride sets an operator's order for a zone.
 func (s *State) SetOverride(zone int, override Override) { s.zones[zone].override = override }
 
-// Share is how much of a zone is to be used now, in hundredths.
+// Share returns the share of a zone that is to be used now, in hundredths, overrides included.
 func (s *State) Share(now int64, zone int) byte {
 	switch s.zones[zone].override {
 	case ForceInUse:
@@ -116,7 +116,7 @@
 	return shareOf(shares, zone)
 }
 
-// OwnZone is this gateway's zone; -1: none.
+// OwnZone returns this gateway's zone; -1 if it has none.
 func (s *State) OwnZone() int { return s.conf.OwnZone }
 
 // InEffect returns the shares that are in effect and their epoch, without overrides.
@@ -124,7 +124,7 @@
 	return s.agreement.InEffect(now, topic, s.fullShares)
 }
 
-// InEffectFor is for how many microseconds the latest decision has been in effect; 0 if it is not.
+// InEffectFor returns for how many microseconds the latest decision has been in effect; 0 if it is not.
 func (s *State) InEffectFor(now int64) int64 {
 	if latest, found := s.agreement.Latest(topic); found && now >= latest.EffectiveAt {
 		return now - latest.EffectiveAt
@@ -140,8 +140,8 @@
 	return FullShare
 }
 
-// Decide judges all zones, and returns the entries to be sent to the other members: a proposal when this gateway's turn
-// has come, or the last decision before it expires.
+// Decide assesses all zones from the votes, and returns the entries to be sent to the other members: a proposal when
+// this gateway's turn has come, or the last decision when it is due for renewal. Call it periodically.
 func (s *State) Decide(now int64, members agreement.Members) (toSend []crdt.Entry) {
 	s.votes = s.agreement.Votes(now, topic, members)
 	s.followDecision(now)
@@ -180,7 +180,7 @@
 	return shares, isChange
 }
 
-// followDecision takes over the shares that have come into effect.
+// followDecision applies the shares that have come into effect.
 func (s *State) followDecision(now int64) {
 	shares, epoch := s.InEffect(now)
 	effectiveAt := now
@@ -199,14 +199,14 @@
 	}
 }
 
-// resetBackoff forgets failed recoveries when a zone has been in full use for long.
+// resetBackoff resets a zone's evacuation time when it has been in full use for longer than BackoffReset.
 func (s *State) resetBackoff(now int64, i int, share byte) {
 	if share == FullShare && now-s.zones[i].since > s.conf.BackoffReset {
 		s.zones[i].evacuationTime = s.conf.EvacuationTime
 	}
 }
 
-// changeShare takes over another share of a zone. A share that falls during a recovery means that the recovery failed.
+// changeShare applies and logs a new share of a zone. A lower share during a recovery means that the recovery failed.
 func (s *State) changeShare(i int, share byte, effectiveAt int64) {
 	z := &s.zones[i]
 	previous := z.share
@@ -225,7 +225,8 @@
 	}
 }
 
-// nextShare is the share of a zone that should be decided next, if a change is due; wanted has the shares of all zones.
+// nextShare is the share of a zone that should be decided next, if a change is due; wanted has the shares of all zones
+// that are decided so far.
 func (s *State) nextShare(now int64, i int, wanted []byte) (share byte, isDue bool) {
 	z := &s.zones[i]
 	votes := countVotes(s.votes, i)
@@ -239,8 +240,8 @@
 	}
 	if isUnhealthy && z.share > 0 {
 		share = s.shareToKeep(i)
-		showsInVotes := now-z.since > s.conf.StepDuration/4 // before that, votes are about the previous share
-		return share, share < z.share && showsInVotes
+		visibleInVotes := now-z.since > s.conf.StepDuration/4 // before that, votes are about the previous share
+		return share, share < z.share && visibleInVotes
 	}
 	if !s.isHealthy(&votes) || !s.mayRecover(now, z, &votes) {
 		return 0, false
@@ -248,18 +249,18 @@
 	return s.nextRecoveryStep(z.share), true
 }
 
-// isUnhealthy tells whether enough votes find a zone unhealthy for evacuating it.
+// isUnhealthy reports whether enough votes find a zone unhealthy to evacuate it.
 func (s *State) isUnhealthy(votes *VoteCount) bool {
-	return votes.views() >= s.conf.MinViews && float64(votes.Unhealthy) >= s.conf.RequiredShare*float64(votes.views())
+	return votes.known() >= s.conf.MinViews && float64(votes.Unhealthy) >= s.conf.RequiredShare*float64(votes.known())
 }
 
-// isHealthy tells whether enough votes find a zone healthy for returning to it.
+// isHealthy reports whether enough votes find a zone healthy to return traffic to it.
 func (s *State) isHealthy(votes *VoteCount) bool {
-	return votes.views() >= 1 && float64(votes.Unhealthy) <= (1-s.conf.RequiredShare)*float64(votes.views())
+	return votes.known() >= 1 && float64(votes.Unhealthy) <= (1-s.conf.RequiredShare)*float64(votes.known())
 }
 
-// mayRecover tells whether a healthy zone that is not in full use may take the next step. A step is held while response
-// times are too long.
+// mayRecover reports whether a healthy zone that is not in full use may take the next step. A step is held while
+// response times are too long.
 func (s *State) mayRecover(now int64, z *zone, votes *VoteCount) bool {
 	if z.share == 0 {
 		return now-z.since >= z.evacuationTime
