--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// A gateway of hundreds meets a host once in some seconds, and knows few well. If all its attempts together
-// take all of their objectives, it sheds most reads from each host; but no writes, and nothing once attempts
-// are quick again.
+// A gateway among hundreds contacts each host only every few seconds. If its attempts at all hosts together
+// take all of their latency objectives, it sheds most reads, but no writes, and nothing once attempts are
+// quick again.
 func TestSparseTrafficShedsReadsByTheOverloadOfAllHosts(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	router := rig.router
@@ -48,7 +48,7 @@
 		return router.admits(read, host)
 	}
 	if !admitsRead() || read.shed {
-		t.Error("shed before anything is known")
+		t.Error("shed without any measured latency")
 	}
 	for range 200 {
 		router.recordLatencyShare(other, 1)
@@ -58,7 +58,7 @@
 	}
 	router.traffic.requestRatePerHost = 2
 	if !admitsRead() {
-		t.Error("shed by a gateway that meets each host often")
+		t.Error("shed by a gateway that contacts each host often")
 	}
 	router.traffic.requestRatePerHost = 0.5
 	if !router.admits(write, host) {
@@ -101,8 +101,8 @@
 	t.Error("not rejected by half of its time")
 }
 
-// Each of a few gateways must be able to have more than one attempt in flight, or cores of a host stand idle;
-// for each of many, or of an unknown number, one is enough.
+// In a small fleet each gateway must be allowed several attempts in flight, or cores of a host stay idle; in
+// a large one, or one of unknown size, a single attempt is enough.
 func TestMinimumLimitDependsOnTheNumberOfGateways(t *testing.T) {
 	for gateways, want := range map[int]int{0: 1, 1: 4, 2: 3, 3: 2, 80: 1, 1000: 1} {
 		settings := testSettings()
--- a/balance/connections_test.go
+++ b/balance/connections_test.go
@@ -22,7 +22,7 @@
 			rig.answer(id, "a", Succeeded, Primary, rig.now)
 		}
 		id, _ := rig.request(keyedWrite)
-		for attempt := range 2 { // one alone may be a fault of a link
+		for attempt := range 2 { // a single one may be a link failure
 			if rig.router.idleTimeout < maxIdleTimeout {
 				t.Errorf("%s: idle timeout %d us after one", c.name, rig.router.idleTimeout)
 			}
@@ -46,10 +46,10 @@
 	rig.answer(id, host, Succeeded, Replica, rig.now)
 	rig.router.idleTimeout = 1000 * ms
 	if hasAction(rig.advance(900*ms), CloseIdleAction, anyRequest) {
-		t.Error("closed before its time")
+		t.Error("closed before the idle timeout")
 	}
 	closing := findAction(rig.advance(300*ms), CloseIdleAction, anyRequest)
 	if closing == nil || closing.Host != host {
-		t.Error("an idle connection was kept")
+		t.Error("an idle connection was not closed")
 	}
 }
--- a/balance/decisions_test.go
+++ b/balance/decisions_test.go
@@ -8,14 +8,14 @@
 	"cloverrock/internal/golden"
 )
 
-// This file holds the decisions of the package as they are: a storm of events, always the same one, is played
-// on routers, and a hash of all that they answer is compared with the one in testdata/decisions.txt. A change
-// that is to leave all decisions alone leaves the hashes alone. One that means to change decisions runs the
-// test with -update and says why.
+// This file compares the decisions of the package with recorded ones: it passes a fixed sequence of random
+// events to routers and compares a hash of all their actions with the one in testdata/decisions.txt. A change
+// that must not alter decisions leaves the hashes as they are. One that does alter them runs the test with
+// -update and states why.
 
 const goldenFile = "decisions.txt"
 
-// baseSettings are those that each storm changes.
+// baseSettings are the settings that each simulation changes.
 func baseSettings() balance.Settings {
 	return balance.Settings{
 		Zone:                    1,
@@ -31,12 +31,12 @@
 	}
 }
 
-// The same events always give the same actions, and those that were given when the golden file was written.
+// The same events always give the same actions, as recorded in the golden file.
 func TestDecisionsStayTheSame(t *testing.T) {
 	storms := []struct {
 		name     string
 		change   func(s *balance.Settings)
-		ordinals []int // of the gateways that play
+		ordinals []int // of the simulated gateways
 	}{
 		{"plain", func(*balance.Settings) {}, []int{0}},
 		{"probes", func(s *balance.Settings) {
@@ -96,7 +96,7 @@
 			Classes:      []balance.Class{{LatencyObjective: 1, Deadline: 1}},
 		}
 		if _, err := balance.New(settings, 1); err != nil {
-			t.Fatal("usable settings were rejected: ", err)
+			t.Fatal("valid settings were rejected: ", err)
 		}
 		change(&settings)
 		if _, err := balance.New(settings, 1); err == nil || !strings.HasPrefix(err.Error(), "balance: ") {
--- a/balance/decisionsevents_test.go
+++ b/balance/decisionsevents_test.go
@@ -6,9 +6,9 @@
 	"cloverrock/balance"
 )
 
-// This file has the events of the storm of decisions_test.go. The order of random draws must stay.
+// This file has the events of the simulation of decisions_test.go. The order of random draws must not change.
 
-// sendEndpoints passes all hosts or some, or a failed poll.
+// sendEndpoints passes a complete or partial endpoint list, or a failed poll.
 func (sim *simulation) sendEndpoints(gateway *simulatedGateway) {
 	event := balance.Event{
 		Kind:       balance.EndpointsEvent,
@@ -48,7 +48,7 @@
 	event.Deadline = sim.now + sim.classes[event.Class].Deadline
 	switch sim.random.IntN(60) {
 	case 0:
-		event.Deadline = sim.now + 10e3 // its client leaves at once
+		event.Deadline = sim.now + 10e3 // no time left for an answer
 	case 1:
 		event.Group = 99
 	case 2:
@@ -92,7 +92,7 @@
 	i := sim.random.IntN(len(gateway.attempts))
 	attempt := gateway.attempts[i]
 	host := sim.hostNamed(attempt.host)
-	if sim.goesOn(host, &attempt) {
+	if sim.staysInFlight(host, &attempt) {
 		return
 	}
 	if sim.chance(0.97) {
@@ -122,19 +122,19 @@
 	sim.handle(gateway, event)
 }
 
-// goesOn reports whether an attempt at a host that answers late, or never, is to stay in flight.
-func (sim *simulation) goesOn(host *simulatedHost, attempt *simulatedAttempt) bool {
+// staysInFlight reports whether an attempt at a slow or crashed host is not ended yet.
+func (sim *simulation) staysInFlight(host *simulatedHost, attempt *simulatedAttempt) bool {
 	late := host.condition == conditionSlow || host.condition == conditionCrashed
 	return late && sim.now-attempt.sentAt < 400e3 && sim.chance(0.9)
 }
 
-// isWrite reports whether a class is one of writes; a request may have a class that does not exist.
+// isWrite reports whether a class consists of writes; a request may have a class that does not exist.
 func (sim *simulation) isWrite(class int) bool {
 	exists := class >= 0 && class < len(sim.classes)
 	return exists && sim.classes[class].Consistency == balance.Write
 }
 
-// fillAnswer fills in, for most answers, what the host tells of itself; some contradict others.
+// fillAnswer fills in, for most answers, the position, role and report of the host; some contradict others.
 func (sim *simulation) fillAnswer(event *balance.Event, host *simulatedHost) {
 	if !event.Result.Answered() || !sim.chance(0.8) {
 		return
@@ -156,7 +156,7 @@
 	sim.handle(gateway, balance.Event{Kind: balance.ClientDisconnectedEvent, Request: gateway.unanswered[i]})
 }
 
-// answerHealthCheck ends the oldest health check; some results are lost for good.
+// answerHealthCheck ends the oldest health check; some results are lost.
 func (sim *simulation) answerHealthCheck(gateway *simulatedGateway) {
 	if len(gateway.healthChecks) == 0 {
 		return
@@ -182,7 +182,7 @@
 	sim.handle(gateway, event)
 }
 
-// deliverGossip passes a message of any gateway, sometimes garbled.
+// deliverGossip passes a message of a random gateway, sometimes corrupted.
 func (sim *simulation) deliverGossip(gateway *simulatedGateway) {
 	from := sim.randomGateway()
 	event := balance.Event{Kind: balance.GossipEvent, Peer: from.ordinal, Data: []byte{3, 1, 2}}
--- a/balance/decisionsrig_test.go
+++ b/balance/decisionsrig_test.go
@@ -10,10 +10,10 @@
 	"cloverrock/internal/golden"
 )
 
-// This file is the storm of events of decisions_test.go. The golden hashes depend on each draw of a random
-// number: the number of draws and their order must stay.
+// This file is the simulation of decisions_test.go. The golden hashes depend on each random number: the
+// number of draws and their order must not change.
 
-// actionHash hashes what a router answers. The texts of log lines are left out: they may be reworded.
+// actionHash hashes the actions of a router. The texts of log lines are excluded: they may be reworded.
 type actionHash struct{ *golden.Hash }
 
 func (h actionHash) action(action balance.Action) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// condition is the state that a simulated host is in.
+// condition is the state of a simulated host.
 type condition int
 
 const (
@@ -61,7 +61,7 @@
 	conditionCount
 )
 
-// resultsOf are the results of attempts and health checks in each condition; one is drawn.
+// resultsOf are the possible results of attempts and health checks in each condition.
 var resultsOf = map[condition][]balance.Result{
 	conditionNormal:     {balance.Succeeded},
 	conditionLagging:    {balance.Succeeded, balance.Succeeded, balance.NotPrimary},
@@ -77,7 +77,7 @@
 	condition condition
 }
 
-// simulation is the hosts and routers of a storm.
+// simulation is a set of simulated hosts and the routers that use them.
 type simulation struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -90,7 +90,7 @@
 	classes   []balance.Class
 }
 
-// simulatedAttempt is one in flight.
+// simulatedAttempt is an attempt in flight.
 type simulatedAttempt struct {
 	request int64
 	sentAt  int64
@@ -99,7 +99,7 @@
 	host    string
 }
 
-// simulatedGateway is one router and what it waits for.
+// simulatedGateway is one router and its pending attempts, answers and health checks.
 type simulatedGateway struct {
 	router       *balance.Router
 	ordinal      int
@@ -245,7 +245,7 @@
 	sim.apply(gateway, gateway.router.Handle(sim.now, event, nil))
 }
 
-// apply hashes what a router answered and carries it out.
+// apply hashes the actions of a router and carries them out.
 func (sim *simulation) apply(gateway *simulatedGateway, actions []balance.Action) {
 	sim.hash.Numbers(int64(gateway.ordinal), int64(len(actions)))
 	for _, action := range actions {
@@ -271,7 +271,7 @@
 	}
 }
 
-// restart has a fresh router go on in place of a gateway's, with a snapshot of the old one.
+// restart replaces the router of a gateway by a new one that restores a snapshot of the old one.
 func (sim *simulation) restart(gateway *simulatedGateway, settings balance.Settings) {
 	snapshot := gateway.router.Snapshot()
 	for i := range snapshot.Hosts {
@@ -284,9 +284,9 @@
 	sim.apply(gateway, gateway.router.Restore(sim.now, snapshot, nil))
 }
 
-// step plays one event at a random gateway; busy scales the rate of requests.
+// step passes one event to a random gateway; busy scales the rate of requests.
 func (sim *simulation) step(busy float64) {
-	if sim.chance(0.8) { // some come at the same time
+	if sim.chance(0.8) { // some events have the same time
 		sim.now += int64(sim.random.IntN(7e3))
 	}
 	gateway := sim.randomGateway()
@@ -311,12 +311,12 @@
 	case draw < 0.998:
 		sim.changeHost()
 	default:
-		sim.now += int64(sim.random.IntN(2e6)) // nothing happens for a while
+		sim.now += int64(sim.random.IntN(2e6)) // a time without events
 	}
 }
 
-// playStorm plays thousands of events, calm and busy times, a long silence, and a restart of each gateway. It
-// returns a hash of all that the routers answered.
+// playStorm simulates thousands of events at low and high request rates, a long pause, and a restart of each
+// gateway. It returns a hash of all actions of the routers.
 func playStorm(t *testing.T, settings balance.Settings, seed uint64, ordinals []int) string {
 	t.Helper()
 	settings.Classes = allClasses()
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -47,7 +47,7 @@
 		Request:  1,
 		Deadline: now + 1000*ms,
 	}, nil))
-	// Host a is no longer the primary: it turned the write away, which goes to the next member.
+	// Host a is no longer the primary: it rejected the write, which goes to the next member.
 	now += 20 * ms
 	show(router.Handle(now, balance.Event{
 		Kind:    balance.OutcomeEvent,
--- a/balance/fleetrig_test.go
+++ b/balance/fleetrig_test.go
@@ -9,7 +9,7 @@
 	"cloverrock/internal/random"
 )
 
-// routerFleet is many routers before hosts that answer, in one process and on one clock. Gossip takes 10 ms.
+// routerFleet is many routers and the hosts that answer them, on one simulated clock. Gossip takes 10 ms.
 type routerFleet struct {
 	t           *testing.T
 	now         int64
@@ -94,7 +94,7 @@
 	return fleet
 }
 
-// restart puts a new router in the place of one; what was under way there is forgotten.
+// restart replaces a router by a new one; events on their way to the old one are dropped.
 func (f *routerFleet) restart(i int, endpoints []Endpoint) {
 	router, err := New(f.routers[i].settings, uint64(1000+i))
 	if err != nil {
@@ -105,7 +105,7 @@
 	f.handle(i, Event{Kind: EndpointsEvent, Complete: true, Endpoints: endpoints})
 }
 
-// schedule adds an event behind those of the same time.
+// schedule adds an event after those of the same time.
 func (f *routerFleet) schedule(at int64, router int, event Event) {
 	byTime := func(e scheduledEvent, at int64) int { return cmp.Compare(e.at, at) }
 	i, _ := slices.BinarySearchFunc(f.events, at+1, byTime)
@@ -170,7 +170,7 @@
 	})
 }
 
-// run lets time pass, in which a request of a class comes to a random router at each interval.
+// run advances the clock, and passes a request of a class to a random router at each interval.
 func (f *routerFleet) run(duration int64, class int, interval int64) {
 	end := f.now + duration
 	for at := f.now; ; at += interval {
@@ -196,7 +196,7 @@
 	}
 }
 
-// fillAnswer fills in what the host tells of itself at the time of its answer.
+// fillAnswer sets the role and position of the host at the time of its answer.
 func (f *routerFleet) fillAnswer(event *Event) {
 	if !event.Result.Answered() {
 		return
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// Eighty gateways that each see a host once in seconds know its position from one another: reads go to
-// replicas, and few health checks are needed. Without gossip every read would ask first, or burden the
-// primary.
+// Eighty gateways that each contact a host only every few seconds receive its position from one another:
+// reads go to replicas, and few health checks are needed. Without gossip every read would need a health check
+// first, or load the primary.
 func TestGatewaysShareKnownPositions(t *testing.T) {
 	checksFor400Reads := func(settings Settings) (*routerFleet, int) {
 		fleet := newFleet(t, settings, hostList(5)...)
-		fleet.run(1000*ms, boundedRead, 10*ms) // all get to know the hosts
+		fleet.run(1000*ms, boundedRead, 10*ms) // all receive the positions of the hosts
 		fleet.checks = 0
 		fleet.sent = map[string]int{}
-		fleet.run(4000*ms, boundedRead, 10*ms) // 100 a second, 1.25 each
+		fleet.run(4000*ms, boundedRead, 10*ms) // 100 reads per second, 1.25 per gateway
 		return fleet, fleet.checks
 	}
 	fleet, checks := checksFor400Reads(fleetSettings(80))
@@ -32,11 +32,11 @@
 	}
 }
 
-// The replicas that are heard of first do not keep the others out: those would get no bounded reads, and so
-// would not be heard of.
+// Replicas of unknown position get reads too. Otherwise they would get no reads with bounded staleness, and
+// their positions would stay unknown.
 func TestReplicasOfUnknownPositionGetReadsToo(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(20), hostList(5)...)
-	for _, router := range fleet.routers { // one replica is known, as after few reads
+	for _, router := range fleet.routers { // the position of one replica is known, as after few reads
 		router.hosts["h1"].position = fleet.now
 		router.hosts["h1"].positionReceivedAt = fleet.now
 	}
@@ -63,12 +63,13 @@
 	fleet.run(100*ms, boundedRead, 50*ms)
 	for i, router := range fleet.routers {
 		if primary := router.groups[0].primary; primary == nil || primary.id != "h3" {
-			t.Fatalf("gateway %d does not know the new primary after 100 ms", i)
+			t.Fatalf("gateway %d has not confirmed the new primary after 100 ms", i)
 		}
 	}
 }
 
-// Gossip can't name a host that no list has, revive one that the list has removed, or move a position back.
+// Gossip can't add a host that no endpoint list has, restore one that the list has removed, or decrease a
+// position.
 func TestGossipDoesNotOverruleTheEndpointList(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(2), hostList(3)...)
 	fleet.run(300*ms, boundedRead, 5*ms)
@@ -76,17 +77,17 @@
 	position := router.hosts["h1"].position
 	removed := []Endpoint{{Host: "h2", Group: 1, State: Removed}}
 	router.Handle(fleet.now, Event{Kind: EndpointsEvent, Endpoints: removed}, nil)
-	fleet.run(200*ms, boundedRead, 5*ms) // the other still hears and tells of it
+	fleet.run(200*ms, boundedRead, 5*ms) // the other gateway still uses and reports it
 	if host := router.hosts["h2"]; host != nil && !host.excluded {
 		t.Error("a removed host came back by gossip")
 	}
 	if router.hosts["h1"].position < position {
-		t.Error("a position went back")
+		t.Error("a position decreased")
 	}
 }
 
-// Of two replicas, the one goes first that has less in flight from all gateways, but not for all gateways at
-// once: what they move together evens out the difference. Old reports don't count.
+// Of two replicas, reads go to the one with fewer attempts in flight from all gateways, but not all reads of
+// all gateways at once: together they move as many as balance the difference. Outdated reports don't count.
 func TestLoadOfOtherGatewaysCounts(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(20), hostList(3)...)
 	fleet.serviceTime = func(host string, _ int) (int64, Result) {
@@ -103,12 +104,12 @@
 	gossip := fleet.routers[0].gossip
 	load, coming := gossip.Load(fleet.now, "h1")
 	if math.Abs(load-float64(inFlight)) > 4 || load == 0 || coming <= 0 {
-		t.Fatalf("%.0f in flight at h1 by gossip, in truth %d; %.1f coming", load, inFlight, coming)
+		t.Fatalf("%.0f in flight at h1 by gossip, actually %d; %.1f starting", load, inFlight, coming)
 	}
 	if share := float64(fleet.sent["h1"]) / float64(fleet.sent["h1"]+fleet.sent["h2"]); share > 0.3 {
 		t.Errorf("%.2f of the reads went to the host that takes 40 times as long", share)
 	}
 	if load, coming := gossip.Load(fleet.now+5000*ms, "h1"); load != 0 || coming != 0 {
-		t.Errorf("reports of 5 s ago count: %.0f in flight, %.1f coming", load, coming)
+		t.Errorf("reports of 5 s ago count: %.0f in flight, %.1f starting", load, coming)
 	}
 }
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -25,12 +25,12 @@
 	rig.now += 5000 * ms
 	rig.report(host, false, rig.now)
 	if !rig.host(host).warmingUp {
-		t.Fatal("a host that refused connections and is back counts as warm")
+		t.Fatal("a host that refused connections and has recovered is not in slow start")
 	}
 }
 
-// Links that break connections now and then prove nothing of the host: checked once more it answers, and it
-// is given as much as before, at once.
+// A link that breaks connections occasionally is no evidence against the host: a second health check
+// succeeds, and the host gets as many requests as before, at once.
 func TestOneBrokenHealthCheckDoesNotMakeAHostUnhealthy(t *testing.T) {
 	for _, result := range []Result{ConnectionRefused, ConnectionReset} {
 		rig := readyRig(t, testSettings())
@@ -57,7 +57,7 @@
 	}
 }
 
-// A broken health check of a healthy host, with no suspicion before it, proves nothing either.
+// A single broken health check of a healthy host only makes it suspect.
 func TestBrokenHealthCheckMakesAHealthyHostSuspect(t *testing.T) {
 	for _, result := range []Result{ConnectionRefused, ConnectionReset} {
 		rig := readyRig(t, testSettings())
@@ -69,7 +69,7 @@
 		rig.report(host.id, false, rig.now)
 		rig.router.startHealthCheck(host, requiredCheck)
 		rig.now += ms
-		host.checkedAt = rig.now // later than its last sign of life
+		host.checkedAt = rig.now // later than its last contact
 		rig.endCheck(host.id, result)
 		if host.health != suspect {
 			t.Errorf("%v: health %d", result, host.health)
@@ -89,7 +89,7 @@
 	}
 	actions = append(rig.report("a", true, rig.now), rig.advance(40*ms)...)
 	if sentTo(actions, id) != "a" || rig.host("a").warmingUp {
-		t.Fatalf("the primary answers and must be used, as a warm one: %v", actions)
+		t.Fatalf("the primary answers and must be used without slow start: %v", actions)
 	}
 }
 
@@ -99,7 +99,7 @@
 	rig.now += 10 * ms
 	id, actions := rig.request(eventualRead)
 	if sentTo(actions, id) != "b" {
-		t.Fatal("want the replica that is left")
+		t.Fatal("want the remaining replica")
 	}
 	rig.answer(id, "b", ConnectionReset, RoleUnknown, 0)
 	rig.now += 5 * ms
@@ -143,13 +143,13 @@
 	if !hasCheck(rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)) {
 		t.Fatal("want a health check of a suspect host")
 	}
-	rig.advance(10000 * ms) // and its result never comes
+	rig.advance(10000 * ms) // and its result is lost
 	if _, actions := rig.request(keyedWrite); !hasCheck(actions) {
 		t.Error("the host is never checked again")
 	}
 }
 
-// A health check that was never sent, for a reason on this side, proves nothing of its host.
+// A health check that was not sent, for a reason on this side, is no evidence about its host.
 func TestHealthCheckThatWasNotSentProvesNothing(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	rig.advance(1000 * ms)
@@ -162,8 +162,7 @@
 	}
 }
 
-// The tick interval is how often a router may act, not how often it should: with a shorter one it checks no
-// more.
+// The tick interval limits how often a router may act; a shorter one does not cause more health checks.
 func TestCheckRateDoesNotFollowTheTickInterval(t *testing.T) {
 	checks := func(tick int64) int {
 		settings := fleetSettings(1)
--- a/balance/primary_test.go
+++ b/balance/primary_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Where no primary was ever confirmed, the search counts from the first request that waits. Counted from time
-// zero, the second check would come after an eighth of all time, and the write would wait until it expires.
+// Where no primary was ever confirmed, the search is timed from the first request that waits. Timed from
+// zero, the backoff would be an eighth of the clock's value, and the write would wait until it expires.
 func TestSearchForANeverConfirmedPrimaryContinues(t *testing.T) {
 	rig := newRig(t, testSettings(), threeHosts()...)
 	searchTime := 2 * rig.router.searchInterval()
@@ -44,7 +44,7 @@
 	for range 3 {
 		host := sentTo(actions, id)
 		if host == "" {
-			t.Fatal("the write does not try the next member")
+			t.Fatal("the write did not try the next member")
 		}
 		actions = rig.answer(id, host, NotPrimary, RoleUnknown, 0)
 	}
@@ -55,7 +55,7 @@
 		rig.report(host, false, rig.now) // from before the new primary was promoted
 	}
 	if !hasCheck(rig.advance(searchTime)) {
-		t.Fatal("the search has ended after one health check")
+		t.Fatal("the search ended after one health check")
 	}
 	if actions := rig.report("b", true, rig.now); sentTo(actions, id) != "b" {
 		t.Fatalf("the write does not go to the primary that was found: %+v", actions)
--- a/balance/queue_test.go
+++ b/balance/queue_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// No list has named the group, so there is no host to wait for, and a thousand such groups must not be
-// remembered.
+// No endpoint list has named the group, so no host can answer, and a thousand such groups must not use
+// memory.
 func TestRequestOfAnUnknownGroupIsRejectedAtOnce(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	groups := len(rig.router.groups)
@@ -84,13 +84,13 @@
 		}
 	}
 	if len(rig.router.groups) != groups || len(rig.router.requests) != 0 {
-		t.Errorf("%d groups and %d requests are remembered",
+		t.Errorf("%d groups and %d requests are stored",
 			len(rig.router.groups), len(rig.router.requests))
 	}
 }
 
-// A read that no host has received by half of its time is rejected; a write, or a read that a host turned
-// away, goes on waiting.
+// A read that no host has received by half of its time is rejected; a write, or a read that a host
+// rejected, stays queued.
 func TestUnservedReadIsRejectedAtHalfItsTime(t *testing.T) {
 	for _, c := range []struct {
 		class    int
--- a/balance/replicas_test.go
+++ b/balance/replicas_test.go
@@ -21,7 +21,7 @@
 		rig := newRig(t, testSettings(), threeHosts()...)
 		rig.reportAll(rig.now - c.lag)
 		id, actions := rig.requestAs(c.class, 5, c.writeAge)
-		if sentTo(actions, id) == "" && hasCheck(actions) { // it waits for the positions of the replicas
+		if sentTo(actions, id) == "" && hasCheck(actions) { // the read waits for positions of replicas
 			rig.report("b", false, rig.now-c.lag)
 			actions = append(rig.report("c", false, rig.now-c.lag), rig.advance(40*ms)...)
 		}
@@ -56,8 +56,8 @@
 	}
 }
 
-// A host that answers with errors is quick, and so looks idle: reads go to the others until it is tried
-// again.
+// A host that answers with errors is quick, and therefore looks idle. Reads go to the other hosts until the
+// error share has decayed and it is tried again.
 func TestFailingHostAttractsNoReads(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	failedOf100 := func() int {
@@ -98,7 +98,7 @@
 		t.Fatalf("want a health check of a replica and the read waiting for it: %+v", actions)
 	}
 	if host := sentTo(rig.report(check.Host, false, rig.now-100*ms), id); host != check.Host {
-		t.Errorf("the read went to %q, not to the replica that reported to be fresh", host)
+		t.Errorf("the read went to %q, not to the replica that reported a sufficient position", host)
 	}
 }
 
@@ -109,7 +109,7 @@
 	rig.report("a", true, rig.now)
 	sent := map[string]int{}
 	for range 80 {
-		rig.now += 1500 * ms // known positions are too old at every read, while the known lag would do
+		rig.now += 1500 * ms // known positions are too old at every read, but the lag is small enough
 		id, actions := rig.request(boundedRead)
 		host := sentTo(actions, id)
 		sent[host]++
@@ -120,7 +120,7 @@
 	}
 }
 
-// New connections of all gateways together cost hosts much: reads stay with connected hosts.
+// New connections of all gateways together are expensive for hosts, so reads prefer connected hosts.
 func TestReadsPreferConnectedHosts(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(1), hostList(3)...)
 	fleet.run(300*ms, boundedRead, 5*ms)
@@ -144,15 +144,15 @@
 	}
 }
 
-// A long read may keep a replica from applying the log: all gateways send them to the same one, and the
-// others stay fresh. Where that one drains, the next takes over.
+// A long read may delay the replication of its host: all gateways send long reads to the same replica, and
+// the others stay fresh. If that one drains, the next one replaces it.
 func TestLongReadsKeepToOneReplica(t *testing.T) {
 	for seed := range uint64(8) {
 		rig := readyRig(t, longReadSettings())
 		rig.router.rand.Below(int64(seed + 1))
 		for range 20 {
 			rig.now += 100 * ms
-			for range 9 { // the other requests show what is long
+			for range 9 { // the other requests keep the mean cost low
 				id, actions := rig.request(boundedRead)
 				rig.answer(id, sentTo(actions, id), Succeeded, Replica, rig.now)
 			}
@@ -164,7 +164,7 @@
 		}
 		rig.list(Endpoint{Host: "b", State: Draining, Weight: 1})
 		if id, actions := rig.request(eventualRead); sentTo(actions, id) != "c" {
-			t.Fatal("the next replica does not take the long reads over")
+			t.Fatal("long reads do not go to the next replica")
 		}
 	}
 }
@@ -186,8 +186,8 @@
 	}
 }
 
-// Where hosts check staleness, a replica that lagged when it was last heard of is tried again once it may
-// have caught up: else nothing would tell that it has. One that lagged much is left alone for longer.
+// Where hosts check staleness, a replica that lagged at its last report is tried again once it may have
+// caught up: otherwise it would never report again. The wait is longer for one that lagged more.
 func TestReplicaThatLaggedIsTriedAgain(t *testing.T) {
 	rig := newRig(t, longReadSettings(), threeHosts()...)
 	rig.reportAll(rig.now - 5000*ms)
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -32,7 +32,7 @@
 					t.Fatal("not sent")
 				}
 				actions = rig.answer(id, host, result, RoleUnknown, 0)
-				actions = append(actions, rig.report("a", true, rig.now)...) // ends any suspicion
+				actions = append(actions, rig.report("a", true, rig.now)...) // a suspect host becomes healthy
 				got := retried
 				if hasAction(actions, RejectAction, id) {
 					got = rejected
@@ -82,8 +82,7 @@
 	}
 }
 
-// A retry that was decided on within the window may wait for its connection: past the window it is not
-// written.
+// A retry within the window may wait for its connection. After the window it must not be written.
 func TestKeyedRetryIsNotWrittenPastItsWindow(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(keyedWrite)
@@ -105,15 +104,15 @@
 	id, actions := rig.request(boundedRead)
 	host := sentTo(actions, id)
 	if !hasAction(rig.disconnect(id), CancelAction, id) {
-		t.Fatal("the attempt goes on without a client")
+		t.Fatal("the attempt was not canceled")
 	}
 	rig.answer(id, host, Canceled, RoleUnknown, 0)
 	if len(rig.router.requests) != 0 || len(rig.host(host).inFlight) != 0 {
-		t.Fatal("the finished request is still kept")
+		t.Fatal("the finished request was not removed")
 	}
 }
 
-// While a connection opens, a decision may become outdated: then the attempt may not be written.
+// While a connection is opened, a decision may become outdated. The attempt must then not be written.
 func TestAttemptBecomesInvalidWhileItsConnectionOpens(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[boundedRead].Deadline *= 2
--- a/balance/rig_test.go
+++ b/balance/rig_test.go
@@ -4,7 +4,7 @@
 
 const ms = int64(1000) // µs
 
-// base is the time at which every test starts: far enough from zero for positions to lie behind it.
+// base is the time at which every test starts: far enough from zero for earlier positions to be positive.
 const base = 1000 * 1000 * ms
 
 // The classes of testSettings.
@@ -89,14 +89,14 @@
 	}
 }
 
-// threeUnmarkedHosts are the same where the list marks no primary.
+// threeUnmarkedHosts are threeHosts without a primary in the endpoint list.
 func threeUnmarkedHosts() []Endpoint {
 	endpoints := threeHosts()
 	endpoints[0].Primary = false
 	return endpoints
 }
 
-// routerRig drives a router and keeps its last actions.
+// routerRig drives a router and holds its last actions.
 type routerRig struct {
 	router      *Router
 	now         int64
@@ -121,7 +121,7 @@
 	return rig
 }
 
-// readyRig is a rig of threeHosts, all of which have just reported to be up to date.
+// readyRig is a rig of threeHosts, all of which have just reported a current position.
 func readyRig(t *testing.T, settings Settings) *routerRig {
 	t.Helper()
 	rig := newRig(t, settings, threeHosts()...)
@@ -138,7 +138,7 @@
 	return rig.actions
 }
 
-// listAll passes a complete endpoint list, list a part of one.
+// listAll passes a complete endpoint list; list passes a partial one.
 func (rig *routerRig) listAll(endpoints ...Endpoint) {
 	rig.handle(Event{Kind: EndpointsEvent, Complete: true, Endpoints: endpoints})
 }
@@ -147,7 +147,7 @@
 	return rig.handle(Event{Kind: EndpointsEvent, Endpoints: endpoints})
 }
 
-// advance passes time with maintenance at each interval and returns all actions of that time.
+// advance moves the clock with maintenance at each interval and returns all actions of that time.
 func (rig *routerRig) advance(duration int64) []Action {
 	var all []Action
 	for end := rig.now + duration; rig.now < end; {
@@ -160,7 +160,7 @@
 // request passes a new request of a class and returns its id.
 func (rig *routerRig) request(class int) (int64, []Action) { return rig.requestAs(class, 0, 0) }
 
-// requestAs does so for a session (0: none) whose last write has an age (0: none).
+// requestAs passes a new request of a session (0: none) whose last write has the given age (0: none).
 func (rig *routerRig) requestAs(class int, session, writeAge int64) (int64, []Action) {
 	rig.lastRequest++
 	return rig.lastRequest, rig.handle(Event{
@@ -191,17 +191,17 @@
 	})
 }
 
-// disconnect tells that the client of a request has left.
+// disconnect passes the disconnection of a request's client.
 func (rig *routerRig) disconnect(id int64) []Action {
 	return rig.handle(Event{Kind: ClientDisconnectedEvent, Request: id})
 }
 
-// endCheck passes the result of a health check that tells nothing else.
+// endCheck passes the result of a health check without a report.
 func (rig *routerRig) endCheck(host string, result Result) []Action {
 	return rig.handle(Event{Kind: HealthCheckEvent, Host: host, Result: result, Latency: 20 * ms})
 }
 
-// report passes a successful health check with a host's account of itself.
+// report passes a successful health check with a host's report of itself.
 func (rig *routerRig) report(host string, primary bool, position int64) []Action {
 	return rig.handle(Event{
 		Kind:    HealthCheckEvent,
--- a/balance/router_test.go
+++ b/balance/router_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// badEvents are events that should not come, by name.
+// badEvents are invalid events, by description.
 func badEvents() map[string]Event {
 	twice := append(threeHosts(), threeHosts()...)
 	contradictory := threeHosts()
@@ -55,7 +55,7 @@
 		for class := range rig.router.settings.Classes {
 			rig.request(class)
 		}
-		rig.advance(4000 * ms) // all clients give up
+		rig.advance(4000 * ms) // until all requests have expired
 		for _, host := range rig.router.hostsByID {
 			for len(host.inFlight) > 0 {
 				req := host.inFlight[0]
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -8,9 +8,9 @@
 	"cloverrock/internal/random"
 )
 
-// This file plays random events on a router and checks on every action the rules that hold always: no attempt
-// at an excluded host, one attempt at a time, no unsafe retry, no read of a host that is not known to be
-// fresh enough, one final answer in time, and a rejection only where trying again is harmless.
+// This file passes random events to a router and checks the invariants on every action: no attempt at an
+// excluded host, one attempt at a time, no unsafe retry, no read from a host whose known position does not
+// satisfy it, one final answer in time, and a rejection only where trying again is harmless.
 
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
@@ -45,7 +45,7 @@
 	}
 }
 
-// ruleChecker plays random events and knows the truth that the router's actions are checked against.
+// ruleChecker passes random events and holds the actual state that the router's actions are checked against.
 type ruleChecker struct {
 	t    *testing.T
 	rig  *routerRig
@@ -59,13 +59,13 @@
 
 	primary    string
 	applied    map[string]int64 // true log positions
-	known      map[string]int64 // what the router may know of them
-	wasPrimary map[string]bool  // as the router may know
+	known      map[string]int64 // by host: the highest position that the router may have received
+	wasPrimary map[string]bool  // by host: the router may have received this role
 	drainedAt  map[string]int64
 	commits    map[int64]int64 // by session
 }
 
-// checkedRequest is what is known of a request that is not over.
+// checkedRequest is a request without a final answer, or with an attempt in flight.
 type checkedRequest struct {
 	class           *Class
 	classIndex      int
@@ -88,7 +88,7 @@
 // checkedHosts are the ids of threeHosts.
 var checkedHosts = []string{"a", "b", "c"}
 
-// playRandomEvents checks the rules on what a router does and returns all its actions.
+// playRandomEvents checks the rules on the actions of a router and returns all of them.
 func playRandomEvents(t *testing.T, settings Settings, seed uint64) []Action {
 	t.Helper()
 	checker := &ruleChecker{
@@ -110,18 +110,18 @@
 	return checker.log
 }
 
-// draw returns a number from 0 up to, and not including, n.
+// draw returns a number in [0, n).
 func (c *ruleChecker) draw(n int) int { return int(c.rand.Below(int64(n))) }
 
 func (c *ruleChecker) settings() *Settings { return &c.rig.router.settings }
 
-// failf ends the test; the seed shows how to repeat it.
+// failf ends the test and prints the seed that reproduces the failure.
 func (c *ruleChecker) failf(format string, args ...any) {
 	c.t.Helper()
 	c.t.Fatalf("seed %d: "+format, append([]any{c.seed}, args...)...)
 }
 
-// step passes some time and plays one random event.
+// step advances the clock and passes one random event.
 func (c *ruleChecker) step() {
 	c.rig.now += int64(c.draw(8)) * ms
 	c.replicate()
@@ -178,7 +178,7 @@
 	if class.Consistency == ReadYourWrites && c.commits[session] > 0 {
 		request.minPosition = c.commits[session]
 		if c.settings().RequestsCarrySessionAge {
-			event.SessionWriteAge = max(1, c.rig.now-request.minPosition) // 0 would tell of no write
+			event.SessionWriteAge = max(1, c.rig.now-request.minPosition) // 0 means no write
 			request.minPosition = c.rig.now - event.SessionWriteAge
 		}
 	}
@@ -237,13 +237,13 @@
 	c.check(c.rig.handle(event))
 }
 
-// fillAnswer fills in what the host tells of itself, and notes what the router may know from it.
+// fillAnswer sets the role and position of the host, and records that the router has received them.
 func (c *ruleChecker) fillAnswer(event *Event, request *checkedRequest) {
 	event.Role = Replica
 	if event.Host == c.primary {
 		event.Role = Primary
 	}
-	if c.seed%2 == 0 && event.Role == Replica { // answers tell positions
+	if c.seed%2 == 0 && event.Role == Replica { // answers carry positions
 		event.Position = c.applied[event.Host]
 	}
 	if event.Result == Succeeded && request.class.Consistency == Write {
@@ -288,7 +288,7 @@
 	c.check(c.rig.list(Endpoint{Host: host, State: state, Weight: 1}))
 }
 
-// endOverdueAttempts ends what is in flight at its deadline.
+// endOverdueAttempts ends the attempts that are in flight at their deadline.
 func (c *ruleChecker) endOverdueAttempts() {
 	overdue := func(attempt checkedAttempt) bool {
 		return c.requests[attempt.request].deadline <= c.rig.now
@@ -353,7 +353,7 @@
 	}
 }
 
-// checkFreshness checks that the router knew the host of a read to be fresh enough, unless hosts check that.
+// checkFreshness checks that the known position of a read's host satisfied the read, unless hosts check that.
 func (c *ruleChecker) checkFreshness(request *checkedRequest, host string) {
 	needed := request.minPosition
 	switch request.class.Consistency {
@@ -382,7 +382,7 @@
 	}
 }
 
-// checkFinalAnswers checks that each request got its final answer in time, and forgets those that are over.
+// checkFinalAnswers checks that each request got its final answer in time, and removes those that ended.
 func (c *ruleChecker) checkFinalAnswers() {
 	for id := int64(1); id <= c.rig.lastRequest; id++ {
 		request := c.requests[id]
@@ -390,7 +390,7 @@
 			continue
 		}
 		if !request.final && c.rig.now > request.deadline+20*ms && request.inFlight == 0 {
-			// The router is woken only by its own timer, which may be due.
+			// The router acts only on its own timer, which may be due.
 			c.check(c.rig.handle(Event{Kind: TimerEvent}))
 			if !request.final {
 				c.failf("request %d got no final answer", id)
--- a/balance/sessions_test.go
+++ b/balance/sessions_test.go
@@ -18,7 +18,7 @@
 	rig.advance(3 * int64(commitRetention))
 	sessions := &rig.router.sessions
 	if len(sessions.recent)+len(sessions.older) != 0 {
-		t.Fatal("old commits are remembered one by one")
+		t.Fatal("old commits are still stored by session")
 	}
 	if sessions.position(5) == 0 {
 		t.Fatal("old commits are not covered by the floor")
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -12,7 +12,7 @@
 	rig := readyRig(t, settings)
 	rig.list(Endpoint{Host: "b", State: Ready, Weight: 1, StartedAt: rig.now})
 	sent := map[string]int{}
-	for i := range 400 { // two seconds, 200 a second, all answered at once
+	for i := range 400 { // two seconds, 200 requests per second, all answered at once
 		rig.now += 5 * ms
 		id, actions := rig.request(eventualRead)
 		host := sentTo(actions, id)
@@ -42,7 +42,7 @@
 
 func TestGroupThatIsColdAsAWholeServesOn(t *testing.T) {
 	rig := readyRig(t, testSettings())
-	serve := func(requests int) int { // 100 a second, answered at once
+	serve := func(requests int) int { // 100 requests per second, answered at once
 		sent := 0
 		for i := range requests {
 			rig.now += 10 * ms
@@ -59,9 +59,10 @@
 	}
 	serve(500)
 	rig.startAll()
-	// Warm members took some 33 a second each: a cold one may have a fifth of that, and more as it warms up.
+	// Warm members served about 33 requests per second each: a cold one may get a fifth of that, and more as
+	// it warms up.
 	if sent := serve(300); sent < 30 || sent > 150 {
-		t.Fatalf("%d of 300 requests sent to a group that is cold as a whole", sent)
+		t.Fatalf("%d of 300 requests sent to a group of cold hosts only", sent)
 	}
 }
 
@@ -91,8 +92,8 @@
 		rig.advance(1000 * ms)
 		sentCold += goesToC()
 	}
-	// In these 40 s the warm host had some 10 attempts of each gateway. Cold, it may have no more in two
-	// seconds than the overload factor times a cold host's part of that.
+	// In these 40 s the warm host got about 10 attempts of each gateway. A cold one may get, in two seconds,
+	// at most the overload factor times a cold host's share of that.
 	coldShare := settings.SlowStartInitialShare + 0.1
 	most := float64(sentWarm) / 40 * 2 * settings.SlowStartOverloadFactor * coldShare
 	if float64(sentCold) > most || sentCold == 0 {
@@ -100,9 +101,9 @@
 	}
 }
 
-// serveByWork passes 200 requests a second, answers them at once, and adds the time that they take, in µs, to
-// the work of their hosts. One of each longEvery requests is an eventual read, which takes 15 times as long
-// as the others.
+// serveByWork sends 200 requests per second, answers them at once, and adds their service time, in µs, to the
+// work of their hosts. One in longEvery requests is an eventual read, which takes 15 times as long as the
+// others.
 func (rig *routerRig) serveByWork(duration, longEvery int64, work map[string]float64) {
 	for end := rig.now + duration; rig.now < end; {
 		rig.now += 5 * ms
@@ -141,7 +142,7 @@
 	})
 }
 
-// A cold host's budget is work: counted in requests, long reads would overload it.
+// The budget of a cold host is measured in work. Measured in requests, long reads would overload it.
 func TestColdHostIsPacedByWork(t *testing.T) {
 	rig := readyRig(t, longReadSettings())
 	work := map[string]float64{}
@@ -154,7 +155,7 @@
 	most := warm * (settings.SlowStartInitialShare + 0.1) * settings.SlowStartOverloadFactor
 	for host, cold := range work {
 		if cold > most {
-			t.Errorf("cold %s took %.0f ms of work in a second, %.0f at most", host, cold/1e3, most/1e3)
+			t.Errorf("cold %s got %.0f ms of work in a second, want at most %.0f", host, cold/1e3, most/1e3)
 		}
 	}
 	rig.serveByWork(1000*ms, 10, work)
@@ -198,9 +199,9 @@
 	return worst
 }
 
-// play starts one of five hosts under a load of 1.2 times what warm hosts can do. A third of the gateways
-// hear of the start two seconds late, another third restarts then. It returns when attempts were sent to the
-// host by gateways that had been told, and when it started.
+// play starts one of five hosts under a load of 1.2 times the capacity of warm hosts. A third of the gateways
+// receive the start two seconds late, another third restarts at that time. It returns the times of attempts
+// sent to the host by gateways that had received the start, and the time of the start.
 func (c *coldStart) play(t *testing.T, gateways int) (sentAt []int64, startedAt int64) {
 	t.Helper()
 	const hosts = 5
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A fresh router sends writes to the primary that the other one found, without a search.
+// A new router sends writes to the primary in the snapshot, without a search.
 func TestRestoredPrimaryIsAFirstGuess(t *testing.T) {
 	old := readyRig(t, testSettings())
 	old.report("a", false, old.now)
@@ -12,7 +12,7 @@
 	if len(snapshot.Groups) != 1 || snapshot.Groups[0].Primary != "c" {
 		t.Fatalf("%+v", snapshot)
 	}
-	fresh := newRig(t, testSettings(), threeHosts()...) // its list names a
+	fresh := newRig(t, testSettings(), threeHosts()...) // its endpoint list marks a
 	fresh.router.Restore(fresh.now, snapshot, nil)
 	id, actions := fresh.request(unsafeWrite)
 	if host := sentTo(actions, id); host != "c" {
@@ -26,7 +26,7 @@
 	}
 }
 
-// What a router has seen itself takes precedence, and unknown hosts are ignored.
+// A router's own observations take precedence over a snapshot, and unknown hosts are ignored.
 func TestOwnObservationsOverruleASnapshot(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	snapshot := Snapshot{
@@ -45,11 +45,11 @@
 		t.Errorf("%+v", actions)
 	}
 	if id, actions := rig.request(unsafeWrite); sentTo(actions, id) != "a" {
-		t.Error("the primary that was seen gets no writes")
+		t.Error("the primary that answered gets no writes")
 	}
 }
 
-// A host restored as unhealthy gets nothing until a health check is answered, and a cold one keeps to its
+// A host restored as unhealthy gets no requests until a health check is answered, and a cold one stays in
 // slow start.
 func TestRestoredUnhealthyAndColdHostsAreSpared(t *testing.T) {
 	rig := newRig(t, testSettings(), threeHosts()...)
@@ -69,6 +69,6 @@
 	rig.advance(2 * rig.router.searchInterval())
 	send := findAction(rig.report("a", true, rig.now), SendAction, anyRequest)
 	if send == nil || send.Host != "a" {
-		t.Errorf("a host that answers again gets nothing: %+v", send)
+		t.Errorf("a host that answers again gets no requests: %+v", send)
 	}
 }
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -7,7 +7,7 @@
 
 func (z zoneShareMap) ReadShare(zone int) float64 { return z[zone] }
 
-// threeZones are threeHosts in a zone each.
+// threeZones are threeHosts, each in its own zone.
 func threeZones() []Endpoint {
 	endpoints := threeHosts()
 	endpoints[1].Zone = 1
@@ -34,8 +34,8 @@
 	}
 }
 
-// Reads of a group that has no other zone go on, writes go where the primary is, and no read goes to a
-// replica that is too old for it.
+// A group without a host in another zone still gets reads, writes go to the primary in any zone, and no read
+// goes to a replica whose position is too old.
 func TestReadsAvoidEvacuatedZonesOnlyWhereOthersServe(t *testing.T) {
 	rig := newRig(t, testSettings(), threeZones()...)
 	rig.reportAll(rig.now)
