--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -52,7 +52,7 @@
 }
 
 // A replica's promotion, seen by one gateway, lets the others send writes without a search of their own.
-func TestNewPrimaryIsToldToAllGateways(t *testing.T) {
+func TestNewPrimaryIsPublishedToAllGateways(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(80), hostList(5)...)
 	fleet.run(500*ms, boundedRead, 10*ms)
 	fleet.roleOf = primaryIs("h3")
@@ -70,7 +70,7 @@
 
 // Gossip can't add a host that no endpoint list has, restore one that the list has removed, or decrease a
 // position.
-func TestGossipDoesNotOverruleTheEndpointList(t *testing.T) {
+func TestGossipDoesNotOverrideTheEndpointList(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(2), hostList(3)...)
 	fleet.run(300*ms, boundedRead, 5*ms)
 	router := fleet.routers[0]
@@ -88,7 +88,7 @@
 
 // Of two replicas, reads go to the one with fewer attempts in flight from all gateways, but not all reads of
 // all gateways at once: together they move as many as balance the difference. Outdated reports don't count.
-func TestLoadOfOtherGatewaysCounts(t *testing.T) {
+func TestReadsGoToTheHostLessLoadedByAllGateways(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(20), hostList(3)...)
 	fleet.serviceTime = func(host string, _ int) (int64, Result) {
 		if host == "h1" {
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -127,7 +127,7 @@
 	t.Fatal("the host was never tried again")
 }
 
-func TestOverloadedHealthCheckIsASignOfLife(t *testing.T) {
+func TestOverloadedHealthCheckMakesAHostHealthy(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(keyedWrite)
 	rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)
@@ -150,7 +150,7 @@
 }
 
 // A health check that was not sent, for a reason on this side, is no evidence about its host.
-func TestHealthCheckThatWasNotSentProvesNothing(t *testing.T) {
+func TestUnsentHealthCheckDoesNotChangeHealth(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	rig.advance(1000 * ms)
 	host := rig.host("a")
--- a/balance/primary_test.go
+++ b/balance/primary_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestOldReportDoesNotOverruleANewerAnswer(t *testing.T) {
+func TestOldReportDoesNotOverrideANewerAnswer(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	isPrimary := func(id string) bool {
 		primary := rig.router.groups[0].primary
--- a/balance/replicas_test.go
+++ b/balance/replicas_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestReplicasOfOldPositionsShareReads(t *testing.T) {
+func TestReplicasWithOldPositionsShareReads(t *testing.T) {
 	settings := testSettings()
 	settings.HostsCheckStaleness = true
 	rig := newRig(t, settings, threeHosts()...)
@@ -146,7 +146,7 @@
 
 // A long read may delay the replication of its host: all gateways send long reads to the same replica, and
 // the others stay fresh. If that one drains, the next one replaces it.
-func TestLongReadsKeepToOneReplica(t *testing.T) {
+func TestLongReadsGoToOneReplica(t *testing.T) {
 	for seed := range uint64(8) {
 		rig := readyRig(t, longReadSettings())
 		rig.router.rand.Below(int64(seed + 1))
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -83,7 +83,7 @@
 }
 
 // A retry within the window may wait for its connection. After the window it must not be written.
-func TestKeyedRetryIsNotWrittenPastItsWindow(t *testing.T) {
+func TestKeyedRetryIsNotWrittenAfterItsWindow(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(keyedWrite)
 	firstSentAt := rig.now
--- a/balance/router_test.go
+++ b/balance/router_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestUnusableSettingsAreNamed(t *testing.T) {
+func TestErrorNamesTheInvalidSetting(t *testing.T) {
 	for want, settings := range map[string]Settings{
 		"TickInterval":     {},
 		"MaxAttempts":      {TickInterval: 1},
--- a/balance/sessions_test.go
+++ b/balance/sessions_test.go
@@ -26,7 +26,7 @@
 }
 
 // A commit that was rounded up to whole milliseconds may lie ahead of the clock.
-func TestCommitAheadOfTheClockBindsReads(t *testing.T) {
+func TestReadWaitsForACommitAheadOfTheClock(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, actions := rig.requestAs(sessionRead, 5, -ms/2)
 	if host := sentTo(actions, id); host == "b" || host == "c" {
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -40,7 +40,7 @@
 	rig.list(endpoints...)
 }
 
-func TestGroupThatIsColdAsAWholeServesOn(t *testing.T) {
+func TestGroupOfColdHostsStillServes(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	serve := func(requests int) int { // 100 requests per second, answered at once
 		sent := 0
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -27,7 +27,7 @@
 }
 
 // A router's own observations take precedence over a snapshot, and unknown hosts are ignored.
-func TestOwnObservationsOverruleASnapshot(t *testing.T) {
+func TestOwnObservationsOverrideASnapshot(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	snapshot := Snapshot{
 		Groups: []GroupSnapshot{
@@ -51,7 +51,7 @@
 
 // A host restored as unhealthy gets no requests until a health check is answered, and a cold one stays in
 // slow start.
-func TestRestoredUnhealthyAndColdHostsAreSpared(t *testing.T) {
+func TestRestoredHostsStayUnhealthyOrInSlowStart(t *testing.T) {
 	rig := newRig(t, testSettings(), threeHosts()...)
 	rig.router.Restore(rig.now, Snapshot{Hosts: []HostSnapshot{
 		{Host: "a", Down: true},
--- a/internal/agreement/agreement_test.go
+++ b/internal/agreement/agreement_test.go
@@ -46,7 +46,7 @@
 
 // Several members propose at the same time. In whatever order proposals arrive, all members converge on the same one,
 // which was proposed, and epochs never decrease.
-func TestAllMembersKeepOneOfTheProposals(t *testing.T) {
+func TestAllMembersConvergeOnOneProposal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "gateways")
 		var participants []*Participant
@@ -103,7 +103,7 @@
 
 // Until its time of effect the previous value is in effect; a member that receives the decision later counts it as
 // late; half of the members decide nothing; and a decision is renewed before it expires.
-func TestDecisionTakesEffectAtItsMomentAndIsResent(t *testing.T) {
+func TestDecisionTakesEffectAtItsTimeAndIsResent(t *testing.T) {
 	a, s := newParticipant("n0")
 	if _, ok := a.Propose(start, topic, []byte{0, 100}, none, newMembers(2, 2)); ok {
 		t.Error("half of the members decide")
--- a/internal/crdt/antientropy_test.go
+++ b/internal/crdt/antientropy_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A round makes two states identical, whatever each had, with messages that are encoded and decoded. Who started it
-// knows when it has caught up.
+// A round makes two states identical, whatever their entries, with messages that are encoded and decoded. The member
+// that started it detects when it has caught up.
 func TestRoundMakesStatesIdentical(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newState("g"), newState("h")
@@ -25,7 +25,7 @@
 		queue := []packet{{b, a, a.StartRound(7)}}
 		for n := 0; len(queue) > 0; n++ {
 			if n > 50 {
-				t.Fatal("the round does not end")
+				t.Fatal("the round did not end")
 			}
 			next := queue[0]
 			queue = queue[1:]
--- a/internal/crdt/golden_test.go
+++ b/internal/crdt/golden_test.go
@@ -12,7 +12,7 @@
 	"cloverrock/internal/golden"
 )
 
-// goldenState holds entries of each kind, one of them dead.
+// goldenState holds entries of each kind, one of them deleted.
 func goldenState() *State {
 	s := newState("a")
 	s.Put(start, lastWriterWins, "one", []byte("value"))
@@ -23,7 +23,7 @@
 	return s
 }
 
-// Each form of a message has the same bytes as ever, and they are read as the message that was sent.
+// The encoding of each form of a message does not change, and decodes to the same message.
 func TestGoldenMessages(t *testing.T) {
 	asked, other := goldenState().StartRound(math.MaxUint64), newState("b")
 	answers, _ := other.Receive(start, asked)
@@ -70,7 +70,7 @@
 	}
 }
 
-// The same entries have the same digests at all gateways, whatever versions they run.
+// The digests of given entries do not change: gateways of different versions must agree on them.
 func TestGoldenDigests(t *testing.T) {
 	var cases []golden.Case
 	add := func(name string, number any) {
--- a/internal/crdt/state_test.go
+++ b/internal/crdt/state_test.go
@@ -29,7 +29,7 @@
 	return New(Config{Self: self, Incarnation: 1, Kinds: kindConfigs, MaxClockSkew: 5 * second})
 }
 
-// drawEntries draws entries of few keys, so that they conflict.
+// drawEntries draws entries with few different keys, so that they conflict.
 func drawEntries() *rapid.Generator[[]Entry] {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry {
 		e := Entry{Kind: Kind(rapid.IntRange(1, 3).Draw(t, "kind")), Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
@@ -56,7 +56,7 @@
 
 var equal = cmp.Options{cmpopts.EquateEmpty(), cmpopts.IgnoreUnexported(Entry{})}
 
-// In whatever order, how often and in whatever parts entries are merged, the state and its digest are the same.
+// The state and its digest do not depend on the order, the repetition or the grouping of merges.
 func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawEntries().Draw(t, "entries")
@@ -77,8 +77,8 @@
 	})
 }
 
-// A merged number never falls, nor does an epoch, nor the incarnation of a writer.
-func TestEntriesNeverGoBack(t *testing.T) {
+// Merged numbers, epochs and incarnations of a writer never decrease.
+func TestMergeNeverRestoresAnOlderEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newState("g")
 		previous := map[Key]Entry{}
@@ -94,7 +94,7 @@
 	})
 }
 
-// isBefore tells whether an entry has gone back behind another one of its key.
+// isBefore reports whether an entry is older than another one of its key.
 func isBefore(e, other *Entry) bool {
 	switch kindConfigs[e.Kind].Rule {
 	case MaxValue:
@@ -107,7 +107,7 @@
 	return false
 }
 
-// A deleted entry does not come back with an older copy, however late that arrives, and everything expires.
+// A deleted entry does not reappear with an older copy, however late that arrives, and all entries expire.
 func TestDeletedEntryStaysDeletedUntilItExpires(t *testing.T) {
 	s, far := newState("g"), newState("h")
 	old := s.Put(start, lastWriterWins, "a", []byte("v"))
@@ -178,7 +178,7 @@
 	}
 }
 
-// The time of a merge and the memory with ten entries of each of a thousand gateways.
+// The time of a merge and the memory use with ten entries of each of a thousand gateways.
 func BenchmarkThousandGateways(b *testing.B) {
 	s := newState("g")
 	for i := range 10000 {
--- a/internal/fleet/errors_test.go
+++ b/internal/fleet/errors_test.go
@@ -6,7 +6,7 @@
 )
 
 // Each error has a remedy for operators.
-func TestErrorsSayWhatAnOperatorCanDo(t *testing.T) {
+func TestErrorsHaveARemedy(t *testing.T) {
 	for _, err := range []error{&ZonesError{1}, &PinError{"x", []string{"a", "b"}}} {
 		var remedied interface{ Remedy() string }
 		if !errors.As(err, &remedied) || remedied.Remedy() == "" || err.Error() == "" {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// A zone without a share, since the configuration named it later, is used in full.
+// A zone that was added to the configuration later has no share and is used in full.
 func TestZoneWithoutAShareIsUsedInFull(t *testing.T) {
 	s := &zoneShares{}
 	s.shares.Store(&[]byte{0, 40})
--- a/internal/fleet/ring_test.go
+++ b/internal/fleet/ring_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A full ring drops its oldest elements and counts them; pushing never waits.
+// A full ring drops its oldest elements and counts them; push never blocks.
 func TestFullRingDropsItsOldestAndCountsIt(t *testing.T) {
 	r := newRing[int](3)
 	for i := range 5 {
@@ -17,7 +17,7 @@
 		}
 	}
 	if r.dropped.Load() != 2 {
-		t.Errorf("%d are counted as dropped", r.dropped.Load())
+		t.Errorf("%d elements are counted as dropped", r.dropped.Load())
 	}
 }
 
--- a/internal/gossip/concurrency_test.go
+++ b/internal/gossip/concurrency_test.go
@@ -4,8 +4,9 @@
 	"testing"
 )
 
-// All gateways together send less and less to a primary whose answers take all of their objective, but none is locked
-// out for good: the less is in flight, the more gateways may proceed. When the primary has recovered the cap goes.
+// All gateways together send fewer and fewer attempts to a primary whose answers take all of their latency objective,
+// but none is blocked permanently: the fewer attempts are in flight, the more gateways may proceed. When the primary
+// has recovered, the cap is removed.
 func TestOverloadedPrimaryIsCappedUntilItRecovers(t *testing.T) {
 	const gateways = 40
 	f := newFleet(gateways, 5)
@@ -20,7 +21,7 @@
 	run := func(duration int64, share float64, inFlight int) {
 		for end := f.now + duration; f.now < end; f.step() {
 			for i, s := range f.states {
-				s.SetInFlight(hostName(0), min(1, max(0, inFlight-i))) // so many gateways have one
+				s.SetInFlight(hostName(0), min(1, max(0, inFlight-i))) // inFlight gateways have one each
 				s.toggleInFlight(hostName(1))
 			}
 			s := f.states[int(f.now/ms)%gateways]
@@ -42,6 +43,6 @@
 	}
 	run(4000*ms, 0.1, 20)
 	if n := atCapacity(); n != 0 {
-		t.Errorf("%d gateways hold back long after", n)
+		t.Errorf("%d gateways hold back long after the recovery", n)
 	}
 }
--- a/internal/gossip/coordinator_test.go
+++ b/internal/gossip/coordinator_test.go
@@ -8,8 +8,8 @@
 	"cloverrock/internal/random"
 )
 
-// When the coordinator crashes or is stopped, reports go to the next candidate, which broadcasts. When the first one is
-// back, all gateways return to it.
+// When the coordinator crashes or is stopped, reports go to the next candidate, which broadcasts. When the first one
+// has recovered, all gateways return to it.
 func TestNextCandidateCoordinatesWhileTheCoordinatorIsSilent(t *testing.T) {
 	const gateways, hosts = 30, 5
 	f := newFleet(gateways, hosts)
@@ -25,13 +25,13 @@
 	delete(f.stopped, first)
 	f.run(hosts, 9000*ms)
 	if got := f.coordinators((first + 1) % gateways)[0]; got != first {
-		t.Errorf("coordinator %d long after %d is back", got, first)
+		t.Errorf("coordinator %d long after %d has recovered", got, first)
 	}
 }
 
-// A coordinator that can send but receives nothing, or receives all too late, knows little more than its own
-// observations: it falls silent, and another gateway coordinates until it receives again. The same holds where it
-// coordinated no group before.
+// A coordinator that can send but receives no messages, or only outdated ones, has little more than its own
+// observations: it stops sending digests, and another gateway coordinates until it receives again. The same holds for a
+// gateway that coordinated no group before.
 func TestCoordinatorThatReceivesNothingIsPassedOver(t *testing.T) {
 	const gateways, hosts = 30, 5
 	for _, late := range []int64{0, 1000 * ms} {
@@ -44,7 +44,7 @@
 			f.isLost = func(_, to int) bool { return to == first }
 		}
 		f.run(hosts, 1700*ms)
-		for range 80 { // gateways that try it again wait for a while
+		for range 80 { // gateways try it again after a backoff
 			f.run(hosts, 100*ms)
 			if age := f.maxPositionAge(hosts, others); age > 300*ms {
 				t.Fatalf("late %d ms: %d ms after, a host's position is known as of %d ms ago", late/ms, (f.now-base)/ms-2000, age/ms)
@@ -75,7 +75,7 @@
 		t.Errorf("a host's position is known as of %d ms ago", age/ms)
 	}
 	if f.coordinators(cut)[0] == first {
-		t.Error("a gateway goes on reporting to a coordinator that it can't reach")
+		t.Error("a gateway still reports to a coordinator that it can't reach")
 	}
 }
 
@@ -98,7 +98,7 @@
 
 // Requests reach one of five hosts. The coordinator, and no other gateway, has the other hosts checked, at a limited
 // rate, and none once the group is idle.
-func TestOnlyTheCoordinatorChecksUnheardHosts(t *testing.T) {
+func TestOnlyTheCoordinatorChecksHostsWithoutReports(t *testing.T) {
 	f := newFleet(4, 5)
 	checked := map[string]int{}
 	for f.now < base+2000*ms {
@@ -112,7 +112,7 @@
 					t.Fatalf("gateway %d has hosts checked", i)
 				}
 				checked[h]++
-				if h == hostName(1) { // it answers; the others are silent, and one of them is far behind
+				if h == hostName(1) { // it answers; the others do not, and one of them lags far behind
 					s.Record(HostFact{Host: h, Position: f.now - 20*ms, Role: Replica})
 				} else if h == hostName(2) {
 					s.Record(HostFact{Host: h, Position: f.now - 4000*ms, Role: Replica})
@@ -135,7 +135,7 @@
 		}
 	}
 	if checked[hostName(3)] > 2 {
-		t.Errorf("%v checked while nobody reads", checked)
+		t.Errorf("%v checked while there are no reads", checked)
 	}
 }
 
--- a/internal/gossip/decisions_test.go
+++ b/internal/gossip/decisions_test.go
@@ -11,8 +11,8 @@
 )
 
 // This file compares the decisions of the package with recorded ones: it makes a fixed sequence of random calls and
-// compares a hash of all results with the one in testdata/decisions.txt. A change that must not alter decisions leaves the
-// hashes as they are. One that does alter them runs the test with -update and states why.
+// compares a hash of all results with the one in testdata/decisions.txt. A change that must not alter decisions leaves
+// the hashes as they are. One that does alter them runs the test with -update and states why.
 
 const goldenFile = "decisions.txt"
 
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What one gateway hears, all gateways soon know, and the traffic follows the hosts and not the gateways.
-func TestFactsReachTheWholeFleetSoon(t *testing.T) {
+// What one gateway records, all gateways receive soon, and the number of digests depends on groups, not on gateways.
+func TestFactsReachAllGatewaysSoon(t *testing.T) {
 	const gateways, hosts = 80, 20
 	f := newFleet(gateways, hosts)
 	f.run(hosts, 3000*ms)
@@ -16,13 +16,13 @@
 	if got := f.coordinators(3); !slices.Equal(got, f.coordinators(70)) {
 		t.Errorf("gateways disagree on coordinators: %v", got)
 	}
-	// Each of 4 groups has at most 25 digests a second.
+	// Each of 4 groups has at most 25 digests per second.
 	if most := 4 * 3 * 25; f.digests > most || f.digests < 30 {
-		t.Errorf("%d digests in 3 s, want %d at most", f.digests, most)
+		t.Errorf("%d digests in 3 s, want at most %d", f.digests, most)
 	}
 }
 
-// Digests are sent only as often as the requests pay for, however many gateways there are.
+// Digests are sent only as often as the byte budget of requests allows, whatever the number of gateways.
 func TestDigestTrafficIsBoundedByRequests(t *testing.T) {
 	const hosts, gateways = 5, 400
 	f := newFleet(gateways, hosts)
@@ -35,7 +35,7 @@
 		}
 		f.step()
 	}
-	warmup := 6 * 50 * gateways // bytes of the first second, when the rate is not known
+	warmup := 6 * 50 * gateways // bytes of the first second, while the rate is unknown
 	if most := int(testConfig(2, 0).BytesPerRequest)*requests + warmup; f.bytes > most {
 		t.Errorf("%d bytes delivered for %d requests", f.bytes, requests)
 	}
@@ -45,13 +45,13 @@
 	unnumbered := New(testConfig(3, -1), 1)
 	unnumbered.AddHost("x", 1)
 	if len(unnumbered.hosts) != 0 {
-		t.Error("a gateway without a number takes part")
+		t.Error("a gateway without an ordinal takes part")
 	}
 }
 
-// Messages are lost, late, duplicated and reordered: positions only rise, and a role is as old as its position. Of two
-// hosts that were primary the later one is.
-func TestPositionsNeverGoBack(t *testing.T) {
+// Messages are lost, late, duplicated and reordered: positions never decrease, and a role is as old as its
+// position. Of two hosts that were primary, the one with the later position is published as such.
+func TestPositionsNeverDecrease(t *testing.T) {
 	f := newFleet(2, 5)
 	k := f.coordinators(0)[0]
 	coordinator := f.states[k]
@@ -79,7 +79,7 @@
 	}
 }
 
-// A host that becomes slow or fails is published though its position stands still.
+// A host that becomes slow or fails is published even if its position does not advance.
 func TestLatencyIsPublishedWithoutANewPosition(t *testing.T) {
 	f := newFleet(2, 5)
 	k := f.coordinators(0)[0]
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -38,7 +38,7 @@
 
 func hostName(h int) string { return "s-" + strconv.Itoa(h) }
 
-// newFleet returns gateways that know hosts in groups of five.
+// newFleet returns gateways with hosts in groups of five.
 func newFleet(gateways, hosts int) *fleet {
 	f := &fleet{now: base, isLost: noLoss, stopped: map[int]bool{}, extraDelay: map[int]int64{}}
 	for ordinal := range gateways {
@@ -52,7 +52,8 @@
 	return f
 }
 
-// step moves the clock by 5 ms. Messages take 10 ms; a stopped gateway receives what was sent to it when it goes on.
+// step moves the clock by 5 ms. Messages take 10 ms; a stopped gateway receives the messages sent to it when it
+// resumes.
 func (f *fleet) step() {
 	f.now += 5 * ms
 	f.deliver()
@@ -103,7 +104,7 @@
 	}
 }
 
-// run has the running gateways, in turn, hear from each host every 5 ms for a duration.
+// run lets the running gateways in turn record an answer of each host every 5 ms, for a duration.
 func (f *fleet) run(hosts int, duration int64) {
 	for end := f.now + duration; f.now < end; f.step() {
 		for h := range hosts {
@@ -118,7 +119,7 @@
 	}
 }
 
-// maxPositionAge is the greatest age of a host's position as known by the gateways that are selected.
+// maxPositionAge is the greatest age of a host's position among the selected gateways.
 func (f *fleet) maxPositionAge(hosts int, selects func(ordinal int) bool) (age int64) {
 	for ordinal, state := range f.states {
 		if !selects(ordinal) {
@@ -134,7 +135,7 @@
 
 func all(int) bool { return true }
 
-// coordinators are those of each group as one gateway determines them.
+// coordinators returns the coordinator of each group as one gateway determines it.
 func (f *fleet) coordinators(ordinal int) (ordinals []int) {
 	state := f.states[ordinal]
 	for _, group := range state.groups {
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -12,7 +12,7 @@
 
 const goldenNow = 1_700_000_000_123_000
 
-// A report has the same bytes as ever, and they say what was reported.
+// The encoding of a report does not change, and decodes to what was reported.
 func TestGoldenReports(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -44,7 +44,7 @@
 	}
 }
 
-// A digest has the same bytes as ever, and they say what was told.
+// The encoding of a digest does not change, and decodes to what was published.
 func TestGoldenDigests(t *testing.T) {
 	told := func(position int64, role Role, share float64, failing bool, code uint16, load float64) entry {
 		return entry{HostFact{Position: position, Role: role, LatencyShare: share, Failing: failing}, code, load}
@@ -82,8 +82,8 @@
 	}
 }
 
-// Gateways name hosts by the same codes and pass a group's keeping on in the same order, though they run other
-// versions.
+// Hashes of hosts and the order of a group's candidates do not change: gateways of different versions must agree on
+// them.
 func TestGoldenCodesAndOrder(t *testing.T) {
 	cases := []golden.Case{{Name: "bounds", Form: fmt.Sprint(MaxMessage, " ", Broadcast)}}
 	for _, host := range []string{"", "host-a", "10.0.0.1:5432"} {
@@ -99,7 +99,7 @@
 	golden.Check(t, "codes.golden", cases)
 }
 
-// opened takes the head off a message that was written down.
+// opened removes the header of a recorded message.
 func opened(t *testing.T, form string) (version byte, sent int64, body []byte) {
 	t.Helper()
 	b, err := hex.DecodeString(form)
--- a/internal/gossip/host_test.go
+++ b/internal/gossip/host_test.go
@@ -16,7 +16,7 @@
 	f.states[a].SetInFlight(hostName(1), 2)
 	f.states[b].SetInFlight(hostName(1), 1)
 	f.states[k].SetInFlight(hostName(1), 4)
-	f.states[c].SetInFlight(hostName(2), 40) // more than a digest is exact about
+	f.states[c].SetInFlight(hostName(2), 40) // more than a digest encodes exactly
 	for range 60 {
 		for _, m := range f.packets { // every message arrives twice
 			f.states[m.to].Receive(f.now, m.from, m.data)
@@ -33,12 +33,12 @@
 	}
 	f.stopped[b] = true // crashes with one in flight
 	for range 400 {
-		f.states[a].toggleInFlight(hostName(0)) // digests go on
+		f.states[a].toggleInFlight(hostName(0)) // so that digests are still sent
 		f.states[k].toggleInFlight(hostName(0))
 		f.step()
 	}
 	if n, _ := load(c); n != 4 { // those of a have expired, too: it has not reported them for 2 s
-		t.Errorf("%.0f in flight after two gateways were silent, want the coordinator's 4", n)
+		t.Errorf("%.0f in flight after two gateways stopped reporting, want the coordinator's 4", n)
 	}
 	for range 400 {
 		f.step()
@@ -49,7 +49,7 @@
 }
 
 // A report older than the sender's previous one, or older than the lifetime of a count, does not change the load.
-func TestOvertakenReportsDoNotChangeLoads(t *testing.T) {
+func TestReorderedReportsDoNotChangeLoads(t *testing.T) {
 	f := newFleet(2, 5)
 	k := f.coordinators(0)[0]
 	coordinator, from := f.states[k], 1-k
@@ -64,8 +64,8 @@
 	}
 }
 
-// Two hosts with one hash can't be told apart: neither is reported nor believed.
-func TestHostsThatShareAHashAreLeftOut(t *testing.T) {
+// Two hosts with the same hash are ambiguous: neither is reported, and facts about them are ignored.
+func TestHostsThatShareAHashAreExcluded(t *testing.T) {
 	seen := map[uint32]string{}
 	var a, b string
 	for i := 0; b == ""; i++ {
@@ -80,11 +80,11 @@
 	s.AddHost(b, 1)
 	m := appendReport(newMessage(base, reportVersion), base, &report{HostFact{Position: base, Role: Replica}, hostHash(a), 1, 1})
 	if f := s.Receive(base, 1, m); f != nil {
-		t.Errorf("believed %+v", f)
+		t.Errorf("accepted %+v", f)
 	}
 	s.Record(HostFact{Host: a, Position: base, Role: Primary})
 	if len(s.pendingReports) != 0 {
-		t.Error("a host that can't be told apart is reported")
+		t.Error("a host with an ambiguous hash is reported")
 	}
 	s.RemoveHost(b)
 	s.RemoveHost(a)
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// malformedMessages are messages that must not be read, by what is wrong with them.
+// malformedMessages are messages that must be rejected, by the reason.
 func malformedMessages() map[string][]byte {
 	report := appendReport(newMessage(base, reportVersion), base, &report{HostFact{Position: base, Role: Replica}, hostHash(hostName(0)), 3, 1})
 	digest := appendEntry(appendDigestHeader(newMessage(base, digestVersion), 77, 40*ms, 20, true), base, hostHash(hostName(0)), HostFact{Position: base - ms}, 3)
@@ -20,7 +20,7 @@
 	}
 }
 
-// A malformed message changes nothing and is counted, and the count is reported at most once in ten seconds.
+// A malformed message has no effect and is counted, and the count is reported at most once in ten seconds.
 func TestMalformedMessagesHaveNoEffect(t *testing.T) {
 	s := New(testConfig(2, 0), 1)
 	s.AddHost(hostName(0), 1)
@@ -42,7 +42,7 @@
 	}
 }
 
-// Whatever is received, no position lies ahead of the clock and no message that is sent is too long.
+// Whatever is received, no accepted position is ahead of the clock and no message exceeds the maximum size.
 func FuzzReceive(f *testing.F) {
 	for _, m := range malformedMessages() {
 		f.Add(m)
@@ -56,7 +56,7 @@
 		s.AddHost(hostName(1), 1)
 		for _, fact := range s.Receive(base, 1, m) {
 			if fact.Position > base+maxClockLead || fact.Role > Replica || math.IsNaN(fact.LatencyShare) || s.hosts[fact.Host] == nil {
-				t.Errorf("believed %+v", fact)
+				t.Errorf("accepted %+v", fact)
 			}
 		}
 		for now := base; now < base+200*ms; now += 5 * ms {
--- a/internal/random/random_test.go
+++ b/internal/random/random_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Decisions and their golden files depend on the numbers for a seed. These are the published first ones of splitmix64 for
-// the seed 1234567.
+// Decisions and their golden files depend on the numbers for a seed. These are the published first ones of splitmix64
+// for the seed 1234567.
 func TestSequenceForASeedIsFixed(t *testing.T) {
 	source := Source(1234567)
 	for i, want := range []uint64{6457827717110365317, 3203168211198807973, 9817491932198370423, 4593380528125082431} {
@@ -26,7 +26,7 @@
 	}
 }
 
-// A fraction takes one draw, and is that draw as a part of 2^30.
+// A fraction is one draw below 2^30, divided by 2^30.
 func TestFractionIsOneDrawBelowOne(t *testing.T) {
 	fractions, draws := Source(7), Source(7)
 	for range 1000 {
--- a/internal/zonefailover/capacity_test.go
+++ b/internal/zonefailover/capacity_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// The part of a zone stays in use that the others lack the capacity for. Of two zones that fail at once one is
+// A zone keeps the share in use for which the others lack the capacity. Of two zones that fail at the same time, one is
 // evacuated.
 func TestEvacuationIsLimitedByTheOtherZonesCapacity(t *testing.T) {
 	sim := newSimulation(t, 30, nil)
-	sim.run(6 * second) // the baseline: 20 of 100
+	sim.run(6 * second) // the baseline: 20 hundredths
 	sim.view = func(_ *gateway, z int) ZoneView {
 		v := ZoneView{Health: Healthy, LatencyShare: 50, RequestRate: 100}
 		if z == 0 && sim.now > beginning+10*second {
--- a/internal/zonefailover/evacuation_test.go
+++ b/internal/zonefailover/evacuation_test.go
@@ -6,8 +6,8 @@
 	"cloverrock/internal/agreement"
 )
 
-// A zone stays in use if half of the gateways find it unhealthy, if one does, if those inside it do while they are cut
-// off with it, and if the fleet is partitioned so that no part has a majority.
+// A zone stays in use if half of the gateways find it unhealthy, if one does, if only those inside it do while they are
+// partitioned with it, and if the fleet is partitioned so that no part has a majority.
 func TestZoneStaysInUseWithoutQuorumOfOutsideGateways(t *testing.T) {
 	for name, play := range map[string]func(sim *simulation){
 		"half find it unhealthy": func(sim *simulation) { sim.failZoneFor(func(i int) bool { return i%2 == 0 }) },
@@ -54,8 +54,8 @@
 	}
 }
 
-// A third of the gateways is stopped while a zone is evacuated. When they go on they receive the decision, follow it
-// and count that it was late.
+// A third of the gateways is stopped while a zone is evacuated. When they resume, they receive the decision, apply it
+// and count it as late.
 func TestStoppedGatewaysFollowTheDecisionLate(t *testing.T) {
 	sim := newSimulation(t, 30, nil)
 	sim.run(3 * second)
@@ -78,7 +78,7 @@
 	}
 }
 
-// Operators' overrides precede what was decided.
+// Operators' overrides take precedence over decisions.
 func TestOverridesPrecedeDecisions(t *testing.T) {
 	sim := newSimulation(t, 12, nil)
 	sim.failZoneFor(everybody)
@@ -97,8 +97,8 @@
 	}
 }
 
-// Without a quorum a minority evacuates a zone, and without paced recovery a zone returns at once: the tests above do
-// depend on them.
+// Without a quorum a minority evacuates a zone, and without paced recovery a zone returns at once. This shows that the
+// other tests depend on both.
 func TestQuorumAndPacedRecoveryAreNecessary(t *testing.T) {
 	sim := newSimulation(t, 30, func(_ *Config, a *agreement.Config) { a.RequireQuorum = false })
 	sim.failZoneFor(everybody)
@@ -118,7 +118,7 @@
 }
 
 // The time of an evacuation and the traffic for it stay within bounds as the fleet grows: run with -v for a table.
-func TestEvacuationTimeAndTrafficByFleetSize(t *testing.T) {
+func TestEvacuationTimeAndTrafficAreBounded(t *testing.T) {
 	sizes := []int{10, 50}
 	if testing.Verbose() {
 		sizes = append(sizes, 100, 300)
@@ -150,7 +150,7 @@
 			t.Logf("%d gateways, loss %.1f: evacuated %d ms after the zone failed, 99 of 100 within %d ms, the last within %d; %d bytes per gateway and second at rest, %d while it agreed; %d bytes held",
 				n, loss, (first-failedAt)/ms, (p99-first)/ms, (last-first)/ms, atRest/n/20, int64(total-atRest)*second/int64(n)/(sim.now-failedAt), sim.gateways[0].state.MemoryBytes())
 			if p99-first > second || atRest/n/20 > 20_000 {
-				t.Errorf("%d gateways, loss %.1f: 99 of 100 evacuated within %d ms, %d bytes a second", n, loss, (p99-first)/ms, atRest/n/20)
+				t.Errorf("%d gateways, loss %.1f: 99 of 100 evacuated within %d ms, %d bytes per second", n, loss, (p99-first)/ms, atRest/n/20)
 			}
 		}
 	}
--- a/internal/zonefailover/evidence_test.go
+++ b/internal/zonefailover/evidence_test.go
@@ -6,7 +6,7 @@
 )
 
 // A zone is unhealthy only if most of its hosts, of several groups, fail and the fault is not the gateway's own.
-func TestHealthOfAZoneFromObservations(t *testing.T) {
+func TestZoneIsUnhealthyOnlyIfMostHostsOfSeveralGroupsFail(t *testing.T) {
 	for name, c := range map[string]struct {
 		failed func(host, zone int, group int64) bool
 		want   [3]Health
@@ -40,15 +40,15 @@
 	}
 }
 
-// The many successes of a busy zone before it falls silent do not delay that it is found unhealthy.
-func TestBusyZoneThatFallsSilentIsUnhealthySoon(t *testing.T) {
+// The successes of a busy zone before it stops answering do not delay its detection as unhealthy.
+func TestBusyZoneThatStopsAnsweringIsUnhealthySoon(t *testing.T) {
 	evidence := NewEvidenceCollector(EvidenceConfig{Zones: 2, Window: 4 * second, MinHosts: 3, MinFailingGroups: 2, FailingShare: 0.6})
 	health, now := Healthy, beginning
 	for ; health != Unhealthy; now += 10 * ms {
 		for h := range 8 {
 			silent := h%2 == 0 && now > beginning+10*second
 			if silent && (now/ms/10)%50 != 0 {
-				continue // a suspected host gets a health check from time to time
+				continue // a suspect host gets a health check occasionally
 			}
 			evidence.Observe(Observation{Host: strconv.Itoa(h), Zone: h % 2, Group: int64(h / 4), Failed: silent, At: now})
 		}
@@ -57,7 +57,7 @@
 			t.Fatal("is not found unhealthy after 3 s")
 		}
 		if health == Unhealthy && now <= beginning+10*second {
-			t.Fatal("is found unhealthy while it does well")
+			t.Fatal("is found unhealthy while it answers")
 		}
 	}
 }
--- a/internal/zonefailover/recovery_test.go
+++ b/internal/zonefailover/recovery_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A failing zone is evacuated by all gateways at one moment and recovers step by step, each step at one moment and at a
-// pace that cold hosts bear; also if a fifth of the messages is lost.
+// A failing zone is evacuated by all gateways at the same time and recovers in steps, each at the same time at all
+// gateways and at a pace that cold hosts can serve; also if a fifth of the messages is lost.
 func TestZoneIsEvacuatedAtOnceAndRecoversInSteps(t *testing.T) {
 	for _, loss := range []float64{0, 0.2} {
 		sim := newSimulation(t, 60, nil)
@@ -51,7 +51,7 @@
 	return at[0], at[len(at)*99/100-1], at[len(at)-1]
 }
 
-// A zone that fails again at 40 of 100 is evacuated again, and the next recovery begins after twice the time.
+// A zone that fails again at a share of 40 is evacuated again, and the next recovery begins after twice the time.
 func TestFailureDuringRecoveryDoublesTheNextEvacuation(t *testing.T) {
 	sim := newSimulation(t, 30, nil)
 	sim.failZoneFor(everybody)
@@ -61,7 +61,7 @@
 	for n := 0; sim.shares()[0] < 40; n++ {
 		sim.run(second)
 		if n > 40 {
-			t.Fatal("does not recover")
+			t.Fatal("did not recover")
 		}
 	}
 	sim.run(second)
--- a/internal/zonefailover/simulation_test.go
+++ b/internal/zonefailover/simulation_test.go
@@ -35,7 +35,7 @@
 	rounds       uint64
 }
 
-// broadcast is an entry to be sent to others, and how many times more.
+// broadcast is an entry to be sent to others, and the remaining number of times.
 type broadcast struct {
 	data      []byte
 	remaining int
@@ -46,8 +46,8 @@
 	data     []byte
 }
 
-// simulation is a fleet on one clock, with messages that take time and get lost. They spread as by memberlist: each
-// entry is sent a few times to members drawn at random, and from time to time there is a round with one of them.
+// simulation is a fleet on one simulated clock, with delayed and lost messages. Entries are broadcast as by memberlist:
+// each is sent a few times to random members, and there are periodic anti-entropy rounds with a random member.
 type simulation struct {
 	t         *testing.T
 	rand      *rand.Rand
@@ -242,11 +242,11 @@
 func (sim *simulation) requireShare(what string, share byte) {
 	sim.t.Helper()
 	if all := sim.shares(); all[0] != share || all[len(all)-1] != share {
-		sim.t.Fatalf("%s: shares from %d to %d, want %d at all", what, all[0], all[len(all)-1], share)
+		sim.t.Fatalf("%s: shares from %d to %d, want %d at all gateways", what, all[0], all[len(all)-1], share)
 	}
 }
 
-// failZoneFor has the selected gateways find the first zone unhealthy.
+// failZoneFor makes the selected gateways find the first zone unhealthy.
 func (sim *simulation) failZoneFor(who func(i int) bool) {
 	sim.view = func(gw *gateway, z int) ZoneView {
 		v := healthyView()
