--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// A client whose read was shed must not come back while the hosts are still busy.
+// A client whose read was shed must not retry while the hosts are still busy.
 func TestShedReadIsRejectedWithALongRetryAfter(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(1), hostList(3)...)
 	fleet.run(300*ms, boundedRead, 5*ms)
--- a/balance/health.go
+++ b/balance/health.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// markUnhealthy notes that a host does not serve. Writes try the next member of the group.
+// markUnhealthy marks a host as unhealthy, with exponential backoff. If it is the primary, writes try the
+// next member of the group.
 func (r *Router) markUnhealthy(host *hostState, crashed bool) {
 	host.crashed = host.crashed || crashed
 	host.rechecked = false
--- a/balance/primary.go
+++ b/balance/primary.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// recordPosition notes that a host has just reported a log position. Positions never decrease.
+// recordPosition records a log position that a host has just reported. Positions never decrease.
 func (r *Router) recordPosition(host *hostState, position int64) {
 	host.position = max(host.position, position)
 	host.positionReceivedAt = r.now
--- a/internal/agreement/agreement.go
+++ b/internal/agreement/agreement.go
@@ -68,22 +68,27 @@
 	return append(b, d.Proposer...)
 }
 
+// timestampSize is the size of an encoded time, in bytes.
+const timestampSize = 8
+
 var errTruncatedDecision = errors.New("agreement: truncated decision")
 
 // decodeDecision is the inverse of encode. The slices of the result share the entry's memory.
 func decodeDecision(e *crdt.Entry) (Decision, error) {
 	b := e.Value
-	if len(b) == 0 || len(b) < 1+2*int(b[0])+8 {
+	if len(b) == 0 || len(b) < 1+2*int(b[0])+timestampSize {
 		return Decision{}, fmt.Errorf("%w: %d bytes", errTruncatedDecision, len(b))
 	}
 	size := int(b[0])
-	value, rest := b[1:1+size], b[1+size:]
+	value := b[1 : 1+size]
+	effectiveAt := b[1+size:]
+	previous := effectiveAt[timestampSize:]
 	return Decision{
 		Epoch:       e.Sequence,
 		Value:       value,
-		EffectiveAt: int64(binary.BigEndian.Uint64(rest)),
-		Previous:    rest[8 : 8+size],
-		Proposer:    string(rest[8+size:]),
+		EffectiveAt: int64(binary.BigEndian.Uint64(effectiveAt)),
+		Previous:    previous[:size],
+		Proposer:    string(previous[size:]),
 	}, nil
 }
 
--- a/internal/agreement/agreement_test.go
+++ b/internal/agreement/agreement_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// The last vote of a member that is taken for dead counts until it expires.
+// The last vote of a member that is marked as dead counts until it expires.
 func TestVotesOfDeadMembersCountUntilTheyExpire(t *testing.T) {
 	a, s := newParticipant("n0")
 	other, _ := newParticipant("n1")
--- a/internal/agreement/decisions_test.go
+++ b/internal/agreement/decisions_test.go
@@ -43,13 +43,23 @@
 
 func newFleet(requireQuorum bool, seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(2026, seed)), now: 1_700_000_000 * second, answers: golden.NewHash()}
-	kinds := map[crdt.Kind]crdt.KindConfig{kindVotes: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 16},
-		kindDecided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: 20 * second, MaxValueSize: 64}}
+	kinds := map[crdt.Kind]crdt.KindConfig{
+		kindVotes:   {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 16},
+		kindDecided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: 20 * second, MaxValueSize: 64},
+	}
 	for i := range 5 {
 		name := "n" + strconv.Itoa(i)
 		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: kinds})
-		participant := agreement.New(agreement.Config{Self: name, VoteKind: kindVotes, DecisionKind: kindDecided, EffectDelay: second, ProposerDelay: second / 5,
-			VoteTTL: 5 * second, DecisionTTL: 20 * second, RequireQuorum: requireQuorum}, state)
+		participant := agreement.New(agreement.Config{
+			Self:          name,
+			VoteKind:      kindVotes,
+			DecisionKind:  kindDecided,
+			EffectDelay:   second,
+			ProposerDelay: second / 5,
+			VoteTTL:       5 * second,
+			DecisionTTL:   20 * second,
+			RequireQuorum: requireQuorum,
+		}, state)
 		f.members = append(f.members, &member{name, state, participant})
 	}
 	return f
--- a/internal/crdt/entry.go
+++ b/internal/crdt/entry.go
@@ -71,9 +71,12 @@
 // Key returns the entry's key.
 func (e *Entry) Key() Key { return Key{e.Kind, e.Name, e.Origin} }
 
+// numericSize is the size of the value of a MaxValue entry, in bytes.
+const numericSize = 8
+
 // numericValue is the value of a MaxValue entry.
 func (e *Entry) numericValue() uint64 {
-	if len(e.Value) != 8 {
+	if len(e.Value) != numericSize {
 		return 0
 	}
 	return binary.BigEndian.Uint64(e.Value)
--- a/internal/crdt/message.go
+++ b/internal/crdt/message.go
@@ -15,7 +15,7 @@
 	GroupDigests    []uint64 // first message of a round: a hash for each group
 	DifferingGroups []int    // numbers of the groups that differ
 	BucketDigests   []uint64 // their bucket hashes, group after group
-	WantedBuckets   []int    // requests the entries of buckets, each numbered group x 16 + bucket
+	WantedBuckets   []int    // requests the entries of buckets, each numbered group x bucketsPerGroup + bucket
 	Entries         []Entry
 	Identical       bool // answers a first message without a difference
 	Final           bool // the last of the wanted entries: the member that started the round has caught up
--- a/internal/crdt/state.go
+++ b/internal/crdt/state.go
@@ -215,7 +215,7 @@
 	if len(e.Value) > k.MaxValueSize || len(e.Name) > maxNameSize || len(e.Origin) > maxNameSize {
 		return false
 	}
-	if k.Rule == MaxValue && !e.Deleted && len(e.Value) != 8 {
+	if k.Rule == MaxValue && !e.Deleted && len(e.Value) != numericSize {
 		return false
 	}
 	hasOrigin := e.Origin != ""
--- a/internal/zonefailover/decisions_test.go
+++ b/internal/zonefailover/decisions_test.go
@@ -44,17 +44,39 @@
 }
 
 func newFleet(conf zonefailover.Config, seed uint64) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(2027, seed)), now: 1_700_000_000 * second, conf: conf, answers: golden.NewHash(),
-		failing: make([]float64, len(conf.Zones)), latencyShare: make([]float64, len(conf.Zones))}
-	kinds := map[crdt.Kind]crdt.KindConfig{kindVotes: {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 64},
-		kindDecided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: 60 * second, MaxValueSize: 80}}
+	f := &fleet{
+		random:       rand.New(rand.NewPCG(2027, seed)),
+		now:          1_700_000_000 * second,
+		conf:         conf,
+		answers:      golden.NewHash(),
+		failing:      make([]float64, len(conf.Zones)),
+		latencyShare: make([]float64, len(conf.Zones)),
+	}
+	kinds := map[crdt.Kind]crdt.KindConfig{
+		kindVotes:   {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 64},
+		kindDecided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: 60 * second, MaxValueSize: 80},
+	}
 	for i := range 9 {
 		conf.OwnZone = i%(len(conf.Zones)+1) - 1
 		name := "n" + strconv.Itoa(i)
 		state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: kinds})
-		participant := agreement.New(agreement.Config{Self: name, VoteKind: kindVotes, DecisionKind: kindDecided, EffectDelay: second, ProposerDelay: second / 5,
-			VoteTTL: 30 * second, DecisionTTL: 60 * second, RequireQuorum: true}, state)
-		collector := zonefailover.NewEvidenceCollector(zonefailover.EvidenceConfig{Zones: len(conf.Zones), Window: 3 * second, MinHosts: 3, MinFailingGroups: 2, FailingShare: 0.6})
+		participant := agreement.New(agreement.Config{
+			Self:          name,
+			VoteKind:      kindVotes,
+			DecisionKind:  kindDecided,
+			EffectDelay:   second,
+			ProposerDelay: second / 5,
+			VoteTTL:       30 * second,
+			DecisionTTL:   60 * second,
+			RequireQuorum: true,
+		}, state)
+		collector := zonefailover.NewEvidenceCollector(zonefailover.EvidenceConfig{
+			Zones:            len(conf.Zones),
+			Window:           3 * second,
+			MinHosts:         3,
+			MinFailingGroups: 2,
+			FailingShare:     0.6,
+		})
 		f.gateways = append(f.gateways, &gateway{name, state, collector, zonefailover.New(conf, participant)})
 	}
 	return f
@@ -65,9 +87,16 @@
 // observe adds observations of attempts and health checks at a gateway.
 func (f *fleet) observe(g *gateway) {
 	for range 30 {
-		zone, host := f.random.IntN(len(f.conf.Zones)), f.random.IntN(8)
-		observation := zonefailover.Observation{Host: "host" + strconv.Itoa(zone*8+host), Zone: zone, Group: int64(host % 4), Failed: f.chance(f.failing[zone]),
-			HealthCheck: f.chance(0.2), At: f.now - int64(f.random.IntN(int(second/5)))}
+		zone := f.random.IntN(len(f.conf.Zones))
+		host := f.random.IntN(8)
+		observation := zonefailover.Observation{
+			Host:        "host" + strconv.Itoa(zone*8+host),
+			Zone:        zone,
+			Group:       int64(host % 4),
+			Failed:      f.chance(f.failing[zone]),
+			HealthCheck: f.chance(0.2),
+			At:          f.now - int64(f.random.IntN(int(second/5))),
+		}
 		if f.chance(0.9) {
 			observation.LatencyShare = f.latencyShare[zone] * (0.5 + f.random.Float64())
 		}
@@ -129,7 +158,8 @@
 // changeZones lets zones fail or recover, and changes their response times.
 func (f *fleet) changeZones() {
 	for zone := range f.failing {
-		f.failing[zone], f.latencyShare[zone] = 0.02, 0.05+f.random.Float64()*0.9
+		f.failing[zone] = 0.02
+		f.latencyShare[zone] = 0.05 + f.random.Float64()*0.9
 	}
 	if f.chance(0.7) {
 		f.failing[f.random.IntN(len(f.failing))] = 0.5 + f.random.Float64()
@@ -171,19 +201,38 @@
 
 // The views, votes and shares of gateways are as recorded in the golden file.
 func TestDecisionsStayTheSame(t *testing.T) {
-	base := zonefailover.Config{Zones: []string{"a", "b", "c"}, MaxEvacuated: 1, RequiredShare: 0.6, MinViews: 3, MaxLatencyShare: 0.6,
-		RecoverySteps: []byte{2, 5, 10, 20, 40, 70, zonefailover.FullShare}, StepDuration: 2 * second, EvacuationTime: 4 * second, MaxEvacuationTime: 20 * second,
-		BackoffReset: 10 * second, PacedRecovery: true, CheckCapacity: true}
-	unpaced, boundless, single, short := base, base, base, base
+	base := zonefailover.Config{
+		Zones:             []string{"a", "b", "c"},
+		MaxEvacuated:      1,
+		RequiredShare:     0.6,
+		MinViews:          3,
+		MaxLatencyShare:   0.6,
+		RecoverySteps:     []byte{2, 5, 10, 20, 40, 70, zonefailover.FullShare},
+		StepDuration:      2 * second,
+		EvacuationTime:    4 * second,
+		MaxEvacuationTime: 20 * second,
+		BackoffReset:      10 * second,
+		PacedRecovery:     true,
+		CheckCapacity:     true,
+	}
+	unpaced := base
 	unpaced.PacedRecovery = false
-	boundless.CheckCapacity, boundless.MaxEvacuated, boundless.Zones = false, 2, []string{"a", "b", "c", "d"}
+	unlimited := base
+	unlimited.CheckCapacity = false
+	unlimited.MaxEvacuated = 2
+	unlimited.Zones = []string{"a", "b", "c", "d"}
+	single := base
 	single.Zones = []string{"a"}
-	short.RecoverySteps, short.RequiredShare, short.MinViews, short.StepDuration = []byte{5, 50}, 0.5, 1, 8*second
+	short := base
+	short.RecoverySteps = []byte{5, 50}
+	short.RequiredShare = 0.5
+	short.MinViews = 1
+	short.StepDuration = 8 * second
 	var lines []string
 	for i, s := range []struct {
 		name string
 		conf zonefailover.Config
-	}{{"base", base}, {"unpaced", unpaced}, {"boundless", boundless}, {"single", single}, {"short", short}} {
+	}{{"base", base}, {"unpaced", unpaced}, {"boundless", unlimited}, {"single", single}, {"short", short}} {
 		lines = append(lines, s.name+" "+storm(s.conf, uint64(i)))
 	}
 	golden.CheckLines(t, goldenFile, lines)
--- a/internal/zonefailover/evidence.go
+++ b/internal/zonefailover/evidence.go
@@ -127,7 +127,7 @@
 		view := ZoneView{Health: c.health(zones, i, ownZone)}
 		view.RequestRate = uint16(min(c.requestRate[i]*rateUnitsPerRequest, maxPackedRate))
 		if zone.measured > 0 {
-			view.LatencyShare = byte(min(100*zone.latencyShare/float64(zone.measured), maxPackedLatency))
+			view.LatencyShare = byte(min(latencyUnits*zone.latencyShare/float64(zone.measured), maxPackedLatency))
 		}
 		views[i] = view
 	}
--- a/internal/zonefailover/vote.go
+++ b/internal/zonefailover/vote.go
@@ -19,7 +19,13 @@
 	RequestRate  uint16 // recent requests to the zone, in tenths per second
 }
 
-const viewSize = 4 // bytes
+const (
+	viewSize     = 4   // bytes of a view in a vote
+	latencyUnits = 100 // a vote's latency share is in hundredths
+
+	changedRatio  = 1.33 // of two figures, above which they justify a new vote
+	changedMargin = 10   // units of a figure, added so that small figures do not
+)
 
 // encodeVote returns a vote's body: the gateway's zone (255 if none) and its view of each zone.
 func encodeVote(ownZone int, views []ZoneView) []byte {
@@ -62,7 +68,7 @@
 }
 
 // changedMuch reports whether two figures differ by more than a third and an absolute margin for small figures.
-func changedMuch(a, b float64) bool { return max(a, b) > 1.33*min(a, b)+10 }
+func changedMuch(a, b float64) bool { return max(a, b) > changedRatio*min(a, b)+changedMargin }
 
 // VoteCount counts the votes on a zone of the gateways outside it, by the health in them.
 type VoteCount struct {
@@ -84,7 +90,7 @@
 		switch view.Health {
 		case Healthy:
 			count.Healthy++
-			count.latencyShare += float64(view.LatencyShare) / 100
+			count.latencyShare += float64(view.LatencyShare) / latencyUnits
 		case Unhealthy:
 			count.Unhealthy++
 		case Unknown:
@@ -108,7 +114,7 @@
 		}
 		requestRate += float64(view.RequestRate)
 		if view.Health == Healthy && view.LatencyShare > 0 {
-			latencyShare += float64(view.LatencyShare) / 100
+			latencyShare += float64(view.LatencyShare) / latencyUnits
 			n++
 		}
 	}
