--- a/balance/replicas_test.go
+++ b/balance/replicas_test.go
@@ -173,14 +173,7 @@
 	settings := longReadSettings()
 	settings.Classes[eventualRead].LatencyObjective = 300 * ms
 	rig := readyRig(t, settings)
-	sent := map[string]int{}
-	for range 100 {
-		rig.now += 10 * ms
-		id, actions := rig.request(eventualRead)
-		host := sentTo(actions, id)
-		sent[host]++
-		rig.answer(id, host, Succeeded, Replica, rig.now)
-	}
+	sent := rig.sendReads(eventualRead, 100, 10*ms)
 	if sent["b"] < 20 || sent["c"] < 20 {
 		t.Errorf("short reads went to %v", sent)
 	}
--- a/balance/rig_test.go
+++ b/balance/rig_test.go
@@ -221,6 +221,20 @@
 
 const anyRequest = -1 // for findAction
 
+// sendReads passes reads of a class, one after another at an interval, answers each at once, and returns how
+// many each host got.
+func (rig *routerRig) sendReads(class, n int, interval int64) map[string]int {
+	sent := map[string]int{}
+	for range n {
+		rig.now += interval
+		id, actions := rig.request(class)
+		host := sentTo(actions, id)
+		sent[host]++
+		rig.answer(id, host, Succeeded, Replica, rig.now)
+	}
+	return sent
+}
+
 // findAction returns the first action of a kind for a request, or nil.
 func findAction(actions []Action, kind ActionKind, id int64) *Action {
 	for i := range actions {
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -20,14 +20,7 @@
 		rig := newRig(t, testSettings(), threeZones()...)
 		rig.reportAll(rig.now)
 		rig.router.SetZoneShares(zoneShareMap{0: 1, 1: share, 2: 1})
-		sent := map[string]int{}
-		for range 400 {
-			rig.now += 20 * ms
-			id, actions := rig.request(eventualRead)
-			host := sentTo(actions, id)
-			sent[host]++
-			rig.answer(id, host, Succeeded, Replica, rig.now)
-		}
+		sent := rig.sendReads(eventualRead, 400, 20*ms)
 		if got := float64(sent["b"]) / 400; got > share/2+0.06 || got < share/2-0.06 {
 			t.Errorf("share %.1f: %v", share, sent)
 		}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -40,7 +40,7 @@
 	Listen        string                            // address and port, for TCP and UDP
 	Join          []string                          // addresses of other members; retried while none answers
 	Relay         string                            // address that all traffic is sent through, for experiments; empty: none
-	DeadRetention time.Duration                     // how long a dead member counts as a member; 0: an hour
+	DeadRetention time.Duration                     // how long a failed member counts as a member; 0: an hour
 	OnMessage     func(from string, message []byte) // is called on the library's goroutines and must not block
 	Log           zerolog.Logger
 }
@@ -86,8 +86,8 @@
 	list  *memberlist.Memberlist
 	queue *memberlist.TransmitLimitedQueue
 
-	mu       sync.Mutex           // guards diedAt
-	failedAt map[string]time.Time // by member
+	mu       sync.Mutex           // guards failedAt
+	failedAt map[string]time.Time // when members failed, by name
 
 	stop context.CancelFunc
 	wg   sync.WaitGroup
