--- a/internal/crdt/antientropy_test.go
+++ b/internal/crdt/antientropy_test.go
@@ -16,7 +16,7 @@
 		a.Merge(start, drawEntries().Draw(t, "a")...)
 		b.Merge(start, drawEntries().Draw(t, "b")...)
 		for i := range rapid.IntRange(0, 300).Draw(t, "more") {
-			a.Merge(start, Entry{Kind: lastWriterWins, Name: strconv.Itoa(i), Origin: "x", Incarnation: 1, Sequence: 1, Timestamp: start, Value: make([]byte, 16)})
+			a.Merge(start, newEntry(strconv.Itoa(i), "x", 1))
 		}
 		type packet struct {
 			to, from *State
--- a/internal/crdt/state_test.go
+++ b/internal/crdt/state_test.go
@@ -32,10 +32,15 @@
 // drawEntries draws entries with few different keys, so that they conflict.
 func drawEntries() *rapid.Generator[[]Entry] {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry {
-		e := Entry{Kind: Kind(rapid.IntRange(1, 3).Draw(t, "kind")), Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
-			Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"), Sequence: rapid.Uint64Range(1, 4).Draw(t, "sequence"),
-			Timestamp: start + rapid.Int64Range(-3, 3).Draw(t, "stamp")*second, Deleted: rapid.IntRange(0, 4).Draw(t, "dead") == 0,
-			Value: []byte{byte(rapid.IntRange(0, 3).Draw(t, "value"))}}
+		e := Entry{
+			Kind:        Kind(rapid.IntRange(1, 3).Draw(t, "kind")),
+			Name:        rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
+			Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"),
+			Sequence:    rapid.Uint64Range(1, 4).Draw(t, "sequence"),
+			Timestamp:   start + rapid.Int64Range(-3, 3).Draw(t, "timestamp")*second,
+			Deleted:     rapid.IntRange(0, 4).Draw(t, "deleted") == 0,
+			Value:       []byte{byte(rapid.IntRange(0, 3).Draw(t, "value"))},
+		}
 		if e.Kind == lastWriterWins {
 			e.Origin = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "origin")
 		}
@@ -46,6 +51,19 @@
 	}), 0, 30)
 }
 
+// newEntry returns an entry of a single writer, with a value of 16 bytes.
+func newEntry(name, origin string, sequence uint64) Entry {
+	return Entry{
+		Kind:        lastWriterWins,
+		Name:        name,
+		Origin:      origin,
+		Incarnation: 1,
+		Sequence:    sequence,
+		Timestamp:   start,
+		Value:       make([]byte, 16),
+	}
+}
+
 func allEntries(s *State) (all []Entry) {
 	s.entries.Scan(func(_ string, e *Entry) bool {
 		all = append(all, *e)
@@ -70,9 +88,12 @@
 		d.Merge(start, all[:cut]...)
 		c.Merge(start, allEntries(d)...) // what was merged elsewhere is merged here
 		for _, other := range []*State{b, c} {
-			if diff := cmp.Diff(allEntries(a), allEntries(other), equal); diff != "" || a.digest != other.digest || a.bucketSizes != other.bucketSizes || a.memoryBytes != other.memoryBytes {
+			if diff := cmp.Diff(allEntries(a), allEntries(other), equal); diff != "" {
 				t.Fatalf("states differ: %s", diff)
 			}
+			if a.digest != other.digest || a.bucketSizes != other.bucketSizes || a.memoryBytes != other.memoryBytes {
+				t.Fatal("states with the same entries differ in their digests or sizes")
+			}
 		}
 	})
 }
@@ -151,8 +172,16 @@
 	s := newState("g")
 	good := Entry{Kind: lastWriterWins, Name: "a", Origin: "x", Timestamp: start, Value: []byte("v")}
 	for _, change := range []func(*Entry){
-		func(e *Entry) { e.Timestamp = start + 3600*second }, func(e *Entry) { e.Timestamp = start - 3600*second }, func(e *Entry) { e.Kind = 99 },
-		func(e *Entry) { e.Value = make([]byte, 17) }, func(e *Entry) { e.Origin = "" }, func(e *Entry) { e.Kind = highestEpoch }, func(e *Entry) { e.Kind, e.Origin = maxValue, "" },
+		func(e *Entry) { e.Timestamp = start + 3600*second },
+		func(e *Entry) { e.Timestamp = start - 3600*second },
+		func(e *Entry) { e.Kind = 99 },
+		func(e *Entry) { e.Value = make([]byte, 17) },
+		func(e *Entry) { e.Origin = "" },
+		func(e *Entry) { e.Kind = highestEpoch },
+		func(e *Entry) {
+			e.Kind = maxValue
+			e.Origin = ""
+		},
 	} {
 		e := good
 		change(&e)
@@ -182,10 +211,10 @@
 func BenchmarkThousandGateways(b *testing.B) {
 	s := newState("g")
 	for i := range 10000 {
-		s.Merge(start, Entry{Kind: lastWriterWins, Name: fmt.Sprint("zone-", i%10), Origin: fmt.Sprint("n", i/10), Incarnation: 1, Sequence: 1, Timestamp: start, Value: make([]byte, 16)})
+		s.Merge(start, newEntry(fmt.Sprint("zone-", i%10), fmt.Sprint("n", i/10), 1))
 	}
 	for i := 0; b.Loop(); i++ {
-		s.Merge(start, Entry{Kind: lastWriterWins, Name: "zone-1", Origin: "n1", Incarnation: 1, Sequence: uint64(i + 2), Timestamp: start, Value: make([]byte, 16)})
+		s.Merge(start, newEntry("zone-1", "n1", uint64(i+2)))
 	}
 	b.ReportMetric(float64(s.MemoryBytes())/1e6, "MB")
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -16,7 +16,11 @@
 		voteKind:     {Name: "votes", Rule: crdt.LastWriterWins, TTL: second, MaxValueSize: 8},
 		decisionKind: {Name: "decided", Rule: crdt.HighestEpoch, TTL: second, MaxValueSize: 8},
 	}
-	c := &Component{conf: &config.Config{Name: "a"}, outbox: newRing[message](8), state: crdt.New(crdt.Config{Self: "a", Incarnation: 5, Kinds: kinds})}
+	c := &Component{
+		conf:   &config.Config{Name: "a"},
+		outbox: newRing[message](8),
+		state:  crdt.New(crdt.Config{Self: "a", Incarnation: 5, Kinds: kinds}),
+	}
 	c.broadcast(c.state.Put(second, voteKind, "zones", []byte{1, 2}), c.state.PutEpoch(second, decisionKind, "zones", 3, []byte{4}))
 	c.startRound(agreement.Members{"a": true, "b": true, "c": false})
 	var cases []golden.Case
--- a/internal/gossip/coordinator_test.go
+++ b/internal/gossip/coordinator_test.go
@@ -147,7 +147,10 @@
 		coordinated[rankCandidates(uint32(g*7919), gateways)[0]]++
 	}
 	mean := float64(groups) / gateways
-	if least, most := slices.Min(coordinated), slices.Max(coordinated); least < mean-4*math.Sqrt(mean) || most > mean+4*math.Sqrt(mean) {
+	tolerance := 4 * math.Sqrt(mean) // four standard deviations
+	least := slices.Min(coordinated)
+	most := slices.Max(coordinated)
+	if least < mean-tolerance || most > mean+tolerance {
 		t.Errorf("gateways coordinate %.0f to %.0f groups", least, most)
 	}
 }
--- a/internal/gossip/decisions_test.go
+++ b/internal/gossip/decisions_test.go
@@ -136,7 +136,11 @@
 	f.answers.Float(starting)
 	f.answers.Float(g.state.OverloadRatio())
 	f.answers.Bool(g.state.AtCapacity(f.now, f.hosts[i]))
-	f.answers.Numbers(g.state.MaxReportDelay(f.hosts[i]), int64(g.state.MalformedMessages()), int64(g.state.TakeMalformedReport(f.now)))
+	f.answers.Numbers(
+		g.state.MaxReportDelay(f.hosts[i]),
+		int64(g.state.MalformedMessages()),
+		int64(g.state.TakeMalformedReport(f.now)),
+	)
 	for _, host := range g.state.HostsToCheck(f.now) {
 		f.answers.Text(host)
 	}
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -71,8 +71,13 @@
 	for _, fact := range f.states[1-k].Receive(base+30*ms, k, m[0].Data) {
 		got[fact.Host] = fact
 	}
-	if a, c := got[hostName(0)], got[hostName(2)]; a.Role != Replica || a.Position > base-10*ms || a.Position < base-15*ms || c.Role != Primary {
-		t.Errorf("%+v, %+v", a, c)
+	replica := got[hostName(0)]
+	ageIsRoundedUp := replica.Position <= base-10*ms && replica.Position >= base-15*ms
+	if replica.Role != Replica || !ageIsRoundedUp {
+		t.Errorf("the replica is published as %+v", replica)
+	}
+	if primary := got[hostName(2)]; primary.Role != Primary {
+		t.Errorf("the latest primary is published as %+v", primary)
 	}
 	if former, found := got[hostName(1)]; found {
 		t.Errorf("a former primary is published as %+v", former)
@@ -102,7 +107,8 @@
 		want   float64
 	}{{0.25, false, 0.26}, {0.5, false, 0.55}, {3, false, 1}, {0, true, 0}} {
 		got := published(c.share, c.failed)
-		if got = slices.DeleteFunc(got, func(f HostFact) bool { return f.Host != hostName(0) }); len(got) != 1 || got[0].LatencyShare != c.want || got[0].Failing != c.failed {
+		got = slices.DeleteFunc(got, func(f HostFact) bool { return f.Host != hostName(0) })
+		if len(got) != 1 || got[0].LatencyShare != c.want || got[0].Failing != c.failed {
 			t.Errorf("%v: published %+v", c, got)
 		}
 	}
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -14,16 +14,20 @@
 
 // The encoding of a report does not change, and decodes to what was reported.
 func TestGoldenReports(t *testing.T) {
+	currentPrimary := report{HostFact{Position: goldenNow, Role: Primary, LatencyShare: 1}, 0x010203, 1, 2}
+	busyReplica := report{HostFact{Position: goldenNow - 300_000, Role: Replica, LatencyShare: 2}, 0xffffff, 255, 255}
+	failing := report{HostFact{Position: goldenNow - 1000, Failing: true}, 7, 0, 0}
+	oldest := report{HostFact: HostFact{Position: goldenNow - 65_534_000, Role: Replica}}
 	tests := []struct {
 		name       string
 		made, read report
 	}{
 		{"nothing known", report{}, report{}},
-		{"now, primary", report{HostFact{Position: goldenNow, Role: Primary, LatencyShare: 1}, 0x010203, 1, 2}, report{HostFact{Position: goldenNow, Role: Primary, LatencyShare: 1}, 0x010203, 1, 2}},
-		{"replica, most counts", report{HostFact{Position: goldenNow - 300_000, Role: Replica, LatencyShare: 2}, 0xffffff, 255, 255}, report{HostFact{Position: goldenNow - 300_000, Role: Replica, LatencyShare: 2}, 0xffffff, 255, 255}},
+		{"now, primary", currentPrimary, currentPrimary},
+		{"replica, most counts", busyReplica, busyReplica},
 		{"counts over the most", report{hash: 1, inFlight: 256, started: 1000}, report{hash: 1, inFlight: 255, started: 255}},
-		{"failing", report{HostFact{Position: goldenNow - 1000, Failing: true}, 7, 0, 0}, report{HostFact{Position: goldenNow - 1000, Failing: true}, 7, 0, 0}},
-		{"oldest age", report{HostFact: HostFact{Position: goldenNow - 65_534_000, Role: Replica}}, report{HostFact: HostFact{Position: goldenNow - 65_534_000, Role: Replica}}},
+		{"failing", failing, failing},
+		{"oldest age", oldest, oldest},
 		{"too old", report{HostFact: HostFact{Position: goldenNow - 65_535_000}}, report{}},
 		{"ahead of the clock", report{HostFact: HostFact{Position: goldenNow + 1000}}, report{}},
 		{"least share", report{HostFact: HostFact{LatencyShare: 0.0001}}, report{HostFact: HostFact{LatencyShare: math.Exp2(-31.0 / 8)}}},
@@ -46,12 +50,12 @@
 
 // The encoding of a digest does not change, and decodes to what was published.
 func TestGoldenDigests(t *testing.T) {
-	told := func(position int64, role Role, share float64, failing bool, code uint16, load float64) entry {
+	newEntry := func(position int64, role Role, share float64, failing bool, code uint16, load float64) entry {
 		return entry{HostFact{Position: position, Role: role, LatencyShare: share, Failing: failing}, code, load}
 	}
 	var bands []entry
 	for i, share := range []float64{0, 0.08, 0.18, 0.26, 0.36, 0.55, 1} {
-		bands = append(bands, told(goldenNow-int64(i)*4_000, Replica, share, false, uint16(i), float64(i*2)))
+		bands = append(bands, newEntry(goldenNow-int64(i)*4_000, Replica, share, false, uint16(i), float64(i*2)))
 	}
 	tests := []struct {
 		name  string
@@ -59,15 +63,20 @@
 		made  digest
 	}{
 		{"nothing", false, digest{}},
-		{"a primary leads", true, digest{0x010203, 20_000, 8, []entry{told(goldenNow, Primary, 1, false, 0xffff, 15), told(goldenNow-4_000, Replica, 0, false, 1, 16)}}},
-		{"oldest, most", false, digest{0xffffff, 254 * 20_000, 4096, []entry{told(goldenNow-254*4_000, Replica, 0, true, 2, 76)}}},
-		{"not known", false, digest{1, 40_000, 0.5, []entry{told(0, Unknown, 0, false, 3, 0)}}},
+		{"a primary leads", true, digest{0x010203, 20_000, 8, []entry{
+			newEntry(goldenNow, Primary, 1, false, 0xffff, 15),
+			newEntry(goldenNow-4_000, Replica, 0, false, 1, 16),
+		}}},
+		{"oldest, most", false, digest{0xffffff, 254 * 20_000, 4096, []entry{newEntry(goldenNow-254*4_000, Replica, 0, true, 2, 76)}}},
+		{"not known", false, digest{1, 40_000, 0.5, []entry{newEntry(0, Unknown, 0, false, 3, 0)}}},
 		{"each band", false, digest{2, 60_000, 0.25, bands}},
 	}
 	var cases []golden.Case
 	for _, test := range tests {
-		b := appendDigestHeader(newMessage(goldenNow, digestVersion), test.made.group, test.made.interval, test.made.attemptRate, test.leads)
-		for _, e := range test.made.entries {
+		made := &test.made
+		header := newMessage(goldenNow, digestVersion)
+		b := appendDigestHeader(header, made.group, made.interval, made.attemptRate, test.leads)
+		for _, e := range made.entries {
 			b = appendEntry(b, goldenNow, uint32(e.shortHash), e.HostFact, e.load)
 		}
 		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(b)})
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -9,17 +9,35 @@
 
 // malformedMessages are messages that must be rejected, by the reason.
 func malformedMessages() map[string][]byte {
-	report := appendReport(newMessage(base, reportVersion), base, &report{HostFact{Position: base, Role: Replica}, hostHash(hostName(0)), 3, 1})
-	digest := appendEntry(appendDigestHeader(newMessage(base, digestVersion), 77, 40*ms, 20, true), base, hostHash(hostName(0)), HostFact{Position: base - ms}, 3)
-	with := func(m []byte, i int, b byte) []byte { m = slices.Clone(m); m[i] = b; return m }
+	valid := report{HostFact{Position: base, Role: Replica}, hostHash(hostName(0)), 3, 1}
+	report := appendReport(newMessage(base, reportVersion), base, &valid)
+	digest := newDigest(77)
+	with := func(message []byte, i int, b byte) []byte {
+		message = slices.Clone(message)
+		message[i] = b
+		return message
+	}
 	return map[string][]byte{
-		"empty": {}, "no version": with(report, 0, 0), "a version before": with(report, 0, 1), "a later version": with(report, 0, 9),
-		"report cut short": report[:len(report)-1], "head alone, cut": report[:3], "digest cut short": digest[:len(digest)-1],
-		"digest without its head": digest[:7], "too long": append(slices.Clone(report), make([]byte, 32*reportSize)...),
-		"an unknown role": with(report, headerSize+5, 3<<6), "sent in the future": newMessage(base+60_000*ms, reportVersion),
+		"empty":                        {},
+		"no version":                   with(report, 0, 0),
+		"an earlier version":           with(report, 0, 1),
+		"a later version":              with(report, 0, 9),
+		"truncated report":             report[:len(report)-1],
+		"truncated header":             report[:3],
+		"truncated digest":             digest[:len(digest)-1],
+		"truncated header of a digest": digest[:7],
+		"too long":                     append(slices.Clone(report), make([]byte, 32*reportSize)...),
+		"an unknown role":              with(report, headerSize+5, 3<<roleShift),
+		"sent in the future":           newMessage(base+60_000*ms, reportVersion),
 	}
 }
 
+// newDigest returns a digest of a group with one host, its primary.
+func newDigest(group uint32) []byte {
+	header := appendDigestHeader(newMessage(base, digestVersion), group, 40*ms, 20, true)
+	return appendEntry(header, base, hostHash(hostName(0)), HostFact{Position: base - ms}, 3)
+}
+
 // A malformed message has no effect and is counted, and the count is reported at most once in ten seconds.
 func TestMalformedMessagesHaveNoEffect(t *testing.T) {
 	s := New(testConfig(2, 0), 1)
@@ -27,8 +45,10 @@
 	before := *s.hosts[hostName(0)]
 	for what, m := range malformedMessages() {
 		malformed := s.MalformedMessages()
-		if f := s.Receive(base, 1, m); f != nil || s.MalformedMessages() != malformed+1 || !reflect.DeepEqual(*s.hosts[hostName(0)], before) {
-			t.Errorf("%s: %+v, %d malformed", what, f, s.MalformedMessages()-malformed)
+		facts := s.Receive(base, 1, m)
+		counted := s.MalformedMessages() - malformed
+		if facts != nil || counted != 1 || !reflect.DeepEqual(*s.hosts[hostName(0)], before) {
+			t.Errorf("%s: %+v, %d malformed", what, facts, counted)
 		}
 	}
 	s.Receive(base, -1, newMessage(base, reportVersion)) // from outside the fleet
@@ -49,7 +69,7 @@
 	}
 	s := New(testConfig(80, 0), 1)
 	group := s.ensureGroup(1).hash
-	f.Add(appendEntry(appendDigestHeader(newMessage(base, digestVersion), group, 40*ms, 20, true), base, hostHash(hostName(0)), HostFact{Position: base - ms}, 3))
+	f.Add(newDigest(group))
 	f.Fuzz(func(t *testing.T, m []byte) {
 		s := New(testConfig(80, 0), 1)
 		s.AddHost(hostName(0), 1)
--- a/internal/zonefailover/evacuation_test.go
+++ b/internal/zonefailover/evacuation_test.go
@@ -84,8 +84,10 @@
 	sim.failZoneFor(everybody)
 	sim.run(5 * second)
 	gw := sim.gateways[0]
-	if a, b, c := gw.zones.Share(sim.now, 0), gw.zones.Share(sim.now, 1), gw.zones.Share(sim.now, 2); a != 0 || b != FullShare || c != FullShare {
-		t.Errorf("shares %d, %d, %d", a, b, c)
+	for zone, want := range []byte{0, FullShare, FullShare} {
+		if share := gw.zones.Share(sim.now, zone); share != want {
+			t.Errorf("zone %d: share %d, want %d", zone, share, want)
+		}
 	}
 	gw.zones.SetOverride(0, ForceInUse)
 	gw.zones.SetOverride(2, ForceEvacuated)
--- a/internal/zonefailover/evidence_test.go
+++ b/internal/zonefailover/evidence_test.go
@@ -23,8 +23,16 @@
 		evidence := NewEvidenceCollector(EvidenceConfig{Zones: 3, Window: 5 * second, MinHosts: 3, MinFailingGroups: 2, FailingShare: 0.6})
 		for at := range 40 {
 			for h := range 12 {
-				zone, group := h%3, int64(h/3)
-				evidence.Observe(Observation{Host: strconv.Itoa(h), Zone: zone, Group: group, Failed: c.failed(h, zone, group), LatencyShare: 0.3, At: beginning + int64(at)*100*ms})
+				zone := h % 3
+				group := int64(h / 3)
+				evidence.Observe(Observation{
+					Host:         strconv.Itoa(h),
+					Zone:         zone,
+					Group:        group,
+					Failed:       c.failed(h, zone, group),
+					LatencyShare: 0.3,
+					At:           beginning + int64(at)*100*ms,
+				})
 			}
 		}
 		for z, v := range evidence.Assess(beginning+4*second, 0) {
--- a/internal/zonefailover/golden_test.go
+++ b/internal/zonefailover/golden_test.go
@@ -43,9 +43,29 @@
 func TestGoldenProposal(t *testing.T) {
 	const start = 1_000_000_000
 	state := crdt.New(crdt.Config{Self: "a", Incarnation: 1, Kinds: map[crdt.Kind]crdt.KindConfig{
-		1: {Name: "votes", Rule: crdt.LastWriterWins, TTL: start, MaxValueSize: 64}, 2: {Name: "decided", Rule: crdt.HighestEpoch, TTL: start, MaxValueSize: 64}}})
-	participant := agreement.New(agreement.Config{Self: "a", VoteKind: 1, DecisionKind: 2, EffectDelay: 1, VoteTTL: start, DecisionTTL: start, RequireQuorum: true}, state)
-	s := New(Config{Zones: []string{"x", "y", "z"}, OwnZone: 0, MaxEvacuated: 1, RequiredShare: 0.6, MinViews: 1, MaxLatencyShare: 0.6, RecoverySteps: []byte{50, FullShare}, StepDuration: 1, EvacuationTime: 1}, participant)
+		1: {Name: "votes", Rule: crdt.LastWriterWins, TTL: start, MaxValueSize: 64},
+		2: {Name: "decided", Rule: crdt.HighestEpoch, TTL: start, MaxValueSize: 64},
+	}})
+	participant := agreement.New(agreement.Config{
+		Self:          "a",
+		VoteKind:      1,
+		DecisionKind:  2,
+		EffectDelay:   1,
+		VoteTTL:       start,
+		DecisionTTL:   start,
+		RequireQuorum: true,
+	}, state)
+	s := New(Config{
+		Zones:           []string{"x", "y", "z"},
+		OwnZone:         0,
+		MaxEvacuated:    1,
+		RequiredShare:   0.6,
+		MinViews:        1,
+		MaxLatencyShare: 0.6,
+		RecoverySteps:   []byte{50, FullShare},
+		StepDuration:    1,
+		EvacuationTime:  1,
+	}, participant)
 	vote, voted := s.Vote(start, []ZoneView{{Healthy, 20, 5}, {Unhealthy, 200, 5}, {Healthy, 20, 5}})
 	sent := s.Decide(start, agreement.Members{"a": true})
 	if !voted || len(sent) != 1 {
