--- a/balance/sessions_test.go
+++ b/balance/sessions_test.go
@@ -18,7 +18,7 @@
 	rig.advance(3 * int64(commitRetention))
 	sessions := &rig.router.sessions
 	if len(sessions.recent)+len(sessions.older) != 0 {
-		t.Fatal("old commits are remembered one by one")
+		t.Fatal("old commits are still stored by session")
 	}
 	if sessions.position(5) == 0 {
 		t.Fatal("old commits are not covered by the floor")
@@ -26,7 +26,7 @@
 }
 
 // A commit that was rounded up to whole milliseconds may lie ahead of the clock.
-func TestCommitAheadOfTheClockBindsReads(t *testing.T) {
+func TestReadWaitsForACommitAheadOfTheClock(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, actions := rig.requestAs(sessionRead, 5, -ms/2)
 	if host := sentTo(actions, id); host == "b" || host == "c" {
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -7,7 +7,7 @@
 
 func (z zoneShareMap) ReadShare(zone int) float64 { return z[zone] }
 
-// threeZones are threeHosts in a zone each.
+// threeZones are threeHosts, each in its own zone.
 func threeZones() []Endpoint {
 	endpoints := threeHosts()
 	endpoints[1].Zone = 1
@@ -20,22 +20,15 @@
 		rig := newRig(t, testSettings(), threeZones()...)
 		rig.reportAll(rig.now)
 		rig.router.SetZoneShares(zoneShareMap{0: 1, 1: share, 2: 1})
-		sent := map[string]int{}
-		for range 400 {
-			rig.now += 20 * ms
-			id, actions := rig.request(eventualRead)
-			host := sentTo(actions, id)
-			sent[host]++
-			rig.answer(id, host, Succeeded, Replica, rig.now)
-		}
+		sent := rig.sendReads(eventualRead, 400, 20*ms)
 		if got := float64(sent["b"]) / 400; got > share/2+0.06 || got < share/2-0.06 {
 			t.Errorf("share %.1f: %v", share, sent)
 		}
 	}
 }
 
-// Reads of a group that has no other zone go on, writes go where the primary is, and no read goes to a
-// replica that is too old for it.
+// A group without a host in another zone still gets reads, writes go to the primary in any zone, and no read
+// goes to a replica whose position is too old.
 func TestReadsAvoidEvacuatedZonesOnlyWhereOthersServe(t *testing.T) {
 	rig := newRig(t, testSettings(), threeZones()...)
 	rig.reportAll(rig.now)
--- a/internal/fleet/errors_test.go
+++ b/internal/fleet/errors_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Each error says what an operator can do.
-func TestErrorsSayWhatAnOperatorCanDo(t *testing.T) {
+// Each error has a remedy for operators.
+func TestErrorsHaveARemedy(t *testing.T) {
 	for _, err := range []error{&ZonesError{1}, &PinError{"x", []string{"a", "b"}}} {
 		var remedied interface{ Remedy() string }
 		if !errors.As(err, &remedied) || remedied.Remedy() == "" || err.Error() == "" {
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What one gateway hears, all gateways soon know, and the traffic follows the hosts and not the gateways.
-func TestFactsReachTheWholeFleetSoon(t *testing.T) {
+// What one gateway records, all gateways receive soon, and the number of digests depends on groups, not on gateways.
+func TestFactsReachAllGatewaysSoon(t *testing.T) {
 	const gateways, hosts = 80, 20
 	f := newFleet(gateways, hosts)
 	f.run(hosts, 3000*ms)
@@ -16,13 +16,13 @@
 	if got := f.coordinators(3); !slices.Equal(got, f.coordinators(70)) {
 		t.Errorf("gateways disagree on coordinators: %v", got)
 	}
-	// Each of 4 groups has at most 25 digests a second.
+	// Each of 4 groups has at most 25 digests per second.
 	if most := 4 * 3 * 25; f.digests > most || f.digests < 30 {
-		t.Errorf("%d digests in 3 s, want %d at most", f.digests, most)
+		t.Errorf("%d digests in 3 s, want at most %d", f.digests, most)
 	}
 }
 
-// Digests are sent only as often as the requests pay for, however many gateways there are.
+// Digests are sent only as often as the byte budget of requests allows, whatever the number of gateways.
 func TestDigestTrafficIsBoundedByRequests(t *testing.T) {
 	const hosts, gateways = 5, 400
 	f := newFleet(gateways, hosts)
@@ -35,7 +35,7 @@
 		}
 		f.step()
 	}
-	warmup := 6 * 50 * gateways // bytes of the first second, when the rate is not known
+	warmup := 6 * 50 * gateways // bytes of the first second, while the rate is unknown
 	if most := int(testConfig(2, 0).BytesPerRequest)*requests + warmup; f.bytes > most {
 		t.Errorf("%d bytes delivered for %d requests", f.bytes, requests)
 	}
@@ -45,13 +45,13 @@
 	unnumbered := New(testConfig(3, -1), 1)
 	unnumbered.AddHost("x", 1)
 	if len(unnumbered.hosts) != 0 {
-		t.Error("a gateway without a number takes part")
+		t.Error("a gateway without an ordinal takes part")
 	}
 }
 
-// Messages are lost, late, duplicated and reordered: positions only rise, and a role is as old as its position. Of two
-// hosts that were primary the later one is.
-func TestPositionsNeverGoBack(t *testing.T) {
+// Messages are lost, late, duplicated and reordered: positions never decrease, and a role is as old as its
+// position. Of two hosts that were primary, the one with the later position is published as such.
+func TestPositionsNeverDecrease(t *testing.T) {
 	f := newFleet(2, 5)
 	k := f.coordinators(0)[0]
 	coordinator := f.states[k]
@@ -71,15 +71,20 @@
 	for _, fact := range f.states[1-k].Receive(base+30*ms, k, m[0].Data) {
 		got[fact.Host] = fact
 	}
-	if a, c := got[hostName(0)], got[hostName(2)]; a.Role != Replica || a.Position > base-10*ms || a.Position < base-15*ms || c.Role != Primary {
-		t.Errorf("%+v, %+v", a, c)
+	replica := got[hostName(0)]
+	ageIsRoundedUp := replica.Position <= base-10*ms && replica.Position >= base-15*ms
+	if replica.Role != Replica || !ageIsRoundedUp {
+		t.Errorf("the replica is published as %+v", replica)
+	}
+	if primary := got[hostName(2)]; primary.Role != Primary {
+		t.Errorf("the latest primary is published as %+v", primary)
 	}
 	if former, found := got[hostName(1)]; found {
 		t.Errorf("a former primary is published as %+v", former)
 	}
 }
 
-// A host that becomes slow or fails is published though its position stands still.
+// A host that becomes slow or fails is published even if its position does not advance.
 func TestLatencyIsPublishedWithoutANewPosition(t *testing.T) {
 	f := newFleet(2, 5)
 	k := f.coordinators(0)[0]
@@ -102,7 +107,8 @@
 		want   float64
 	}{{0.25, false, 0.26}, {0.5, false, 0.55}, {3, false, 1}, {0, true, 0}} {
 		got := published(c.share, c.failed)
-		if got = slices.DeleteFunc(got, func(f HostFact) bool { return f.Host != hostName(0) }); len(got) != 1 || got[0].LatencyShare != c.want || got[0].Failing != c.failed {
+		got = slices.DeleteFunc(got, func(f HostFact) bool { return f.Host != hostName(0) })
+		if len(got) != 1 || got[0].LatencyShare != c.want || got[0].Failing != c.failed {
 			t.Errorf("%v: published %+v", c, got)
 		}
 	}
--- a/internal/random/random_test.go
+++ b/internal/random/random_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Decisions and their golden files depend on the numbers for a seed. These are the published first ones of splitmix64 for
-// the seed 1234567.
+// Decisions and their golden files depend on the numbers for a seed. These are the published first ones of splitmix64
+// for the seed 1234567.
 func TestSequenceForASeedIsFixed(t *testing.T) {
 	source := Source(1234567)
 	for i, want := range []uint64{6457827717110365317, 3203168211198807973, 9817491932198370423, 4593380528125082431} {
@@ -25,3 +25,17 @@
 		t.Error("a draw without a range did not advance the source")
 	}
 }
+
+// A fraction is one draw below 2^30, divided by 2^30.
+func TestFractionIsOneDrawBelowOne(t *testing.T) {
+	fractions, draws := Source(7), Source(7)
+	for range 1000 {
+		fraction := fractions.Fraction()
+		if want := float64(draws.Below(1<<30)) / (1 << 30); fraction != want || fraction < 0 || fraction >= 1 {
+			t.Fatalf("fraction %v, want %v", fraction, want)
+		}
+	}
+	if fractions != draws {
+		t.Error("a fraction takes more than one draw")
+	}
+}
