--- a/internal/fleet/loop.go
+++ b/internal/fleet/loop.go
@@ -261,5 +261,5 @@
 		Ints("shares", sharesToInts(shares)).
 		Uint64("epoch", epoch).
 		Int64("late_ms", c.zones.InEffectFor(now)/1000).
-		Msg("in force") // the lab reads this line
+		Msg("fleet: zone shares in force") // the laboratory reads this line
 }
--- a/internal/lab/processrig/zoneresult.go
+++ b/internal/lab/processrig/zoneresult.go
@@ -45,7 +45,7 @@
 }
 
 const (
-	inForceMessage = "in force"
+	inForceMessage = "fleet: zone shares in force"
 	wholeShare     = 100
 	firstGateway   = "n0"
 	settledMS      = 1000 // after the last gateway has left a zone, until which reads may still be on their way
