--- a/internal/store/core/apply.go
+++ b/internal/store/core/apply.go
@@ -10,8 +10,8 @@
 	"cloverrock/internal/store/machine"
 )
 
-// apply applies one committed entry. A command that this build does not know halts the instance for good: raft goes
-// on, so that the others keep their quorum, but nothing is applied, proposed or read here any more.
+// apply applies one committed entry. A command that this build cannot decode halts the instance permanently: raft
+// continues, so that the other instances keep their quorum, but this one no longer applies, proposes or reads.
 func (c *Core) apply(entry *raftpb.Entry) {
 	if entry.GetType() == raftpb.EntryConfChangeV2 || entry.GetType() == raftpb.EntryConfChange {
 		c.applyConfChange(entry)
@@ -33,6 +33,7 @@
 	c.noteApplied(entry)
 }
 
+// noteApplied records an entry as applied, unless applying it has halted the instance.
 func (c *Core) noteApplied(entry *raftpb.Entry) {
 	if c.halted != nil {
 		return
@@ -43,6 +44,7 @@
 	}
 }
 
+// applyCommand applies an encoded command and answers its proposal if it was made at this instance.
 func (c *Core) applyCommand(index uint64, data []byte) {
 	result, command, err := c.machine.Apply(index, data)
 	if err != nil {
@@ -63,7 +65,8 @@
 	return op.Kind.Writes() && (op.NS == MembersNS || op.NS == RemovedNS)
 }
 
-// halt stops the applying and answers all that waits for it.
+// halt stops applying entries permanently. It answers the pending proposals with ErrOutcomeUnknown and the confirmed
+// reads with err.
 func (c *Core) halt(err error) {
 	c.halted = err
 	c.abandonProposals(func(pendingProposal) bool { return true })
@@ -73,7 +76,7 @@
 	c.confirmedReads = nil
 }
 
-// applyConfChange applies a change of the members, and the command that comes with it.
+// applyConfChange applies a change of the members, and the command that is carried in its context.
 func (c *Core) applyConfChange(entry *raftpb.Entry) {
 	change, err := decodeConfChange(entry)
 	if err != nil {
--- a/internal/store/core/core.go
+++ b/internal/store/core/core.go
@@ -29,9 +29,9 @@
 	Ack      *ChunkAck
 }
 
-// Answer ends a proposal or read.
+// Answer is the outcome of a proposal or read. Each token gets at most one.
 type Answer struct {
-	Token  uint64 // as given with the proposal or read
+	Token  uint64 // as passed to Propose, ProposeMembershipChange or Read
 	Err    error
 	Result machine.Result
 }
@@ -48,16 +48,16 @@
 	halted    error             // why nothing more is applied; nil while entries are applied
 	outbox    []Envelope
 	answers   []Answer
-	serial    uint64 // counts proposals and reads
+	serial    uint64 // number of proposals and reads so far
 
 	queuedProposals []*raftpb.Entry            // not yet handed to raft
 	queuedReads     []uint64                   // tokens that wait for the next read index
 	pending         map[uint64]pendingProposal // by request id
-	readRequests    []readRequest              // read indexes that were asked for
+	readRequests    []readRequest              // read indexes requested from the leader
 	confirmedReads  []confirmedRead            // reads that wait until their index is applied
-	freshAt         int64                      // the state was the latest at this tick or later; -1: never known
+	freshAt         int64                      // latest tick at which the state was known to be up to date; -1: none yet
 
-	leader         uint64 // raft.None: no leader is known
+	leader         uint64 // raft.None: unknown
 	transferringTo uint64 // member to which leadership is being handed over; 0: none
 	memberVersion  uint64 // grows when the records of the members may have changed
 	clockTick      int64  // tick up to which the logical clock was advanced
@@ -73,13 +73,13 @@
 	incoming          map[uint64]*incomingTransfer
 }
 
-// Machine is the state, for reads on the owner's goroutine.
+// Machine returns the replicated state. Only the goroutine that owns the core may read it, and must not change it.
 func (c *Core) Machine() *machine.Machine { return c.machine }
 
-// Leader is the id of the instance that is taken for the leader; 0: none.
+// Leader returns the id of the current leader as far as this instance knows; 0: unknown.
 func (c *Core) Leader() uint64 { return c.leader }
 
-// MembersVersion grows when the records of the members may have changed.
+// MembersVersion returns a counter that increases whenever the records of the members may have changed.
 func (c *Core) MembersVersion() uint64 { return c.memberVersion }
 
 // IsLeader reports whether this instance is the leader.
@@ -87,7 +87,8 @@
 	return c.leader == c.conf.ID && c.raftNode.BasicStatus().RaftState == raft.StateLeader
 }
 
-// Tick advances the time by one tick.
+// Tick advances time by one tick: it drives raft's timers, expires waiting proposals and reads, sends snapshot chunks
+// and runs the leader's periodic tasks.
 func (c *Core) Tick() {
 	c.now++
 	c.raftNode.Tick()
@@ -96,7 +97,7 @@
 	c.leaderDuties()
 }
 
-// Step takes a message from another instance.
+// Step processes a message from another instance. An invalid or outdated message is ignored.
 func (c *Core) Step(e Envelope) {
 	c.lastHeard[e.From] = c.now
 	switch {
@@ -106,7 +107,7 @@
 		c.receiveAck(e.From, e.Ack)
 	case e.Raft != nil:
 		if mayReceive(e.Raft, e.From) {
-			_ = c.raftNode.Step(e.Raft) // an error only says that the message came too late
+			_ = c.raftNode.Step(e.Raft) // fails only for a message that is out of date
 		}
 	}
 }
@@ -118,14 +119,15 @@
 	return !raft.IsLocalMsg(kind) && kind != raftpb.MsgSnap && message.GetFrom() == from
 }
 
-// Answers returns the answers that are ready and forgets them.
+// Answers returns the answers produced since the last call.
 func (c *Core) Answers() []Answer {
 	ready := c.answers
 	c.answers = nil
 	return ready
 }
 
-// answer ends a proposal or read. The token 0 stands for the instance itself, which awaits no answer.
+// answer queues the outcome of a proposal or read. The token 0 is that of the instance's own requests, whose outcome is
+// discarded.
 func (c *Core) answer(token uint64, err error, result machine.Result) {
 	if token != 0 {
 		c.answers = append(c.answers, Answer{token, err, result})
--- a/internal/store/core/leader.go
+++ b/internal/store/core/leader.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	dutyInterval         = 5   // ticks between looks at the members
-	caughtUpEntries      = 256 // a learner has caught up when it is at most so far behind the commit index
-	caughtUpChecksNeeded = 2   // a learner that has caught up at so many looks in a row becomes a voter
+	dutyInterval         = 5   // ticks between checks of the members
+	caughtUpEntries      = 256 // entries behind the commit index at which a learner still counts as caught up
+	caughtUpChecksNeeded = 2   // consecutive checks at which a learner must be caught up to become a voter
 	clockInterval        = 2   // ticks between steps of the logical clock while leases run
-	clockMaxStep         = 50  // ticks that one step of the logical clock may make up for
+	clockMaxStep         = 50  // ticks that one step of the logical clock covers at most
 )
 
 type progress = tracker.Progress
 
-// leaderDuties is what a leader does without being asked: it advances the logical clock, raises the format of commands
-// once all members understand it, and makes voters of learners that have caught up.
+// leaderDuties performs the periodic tasks of a leader: it advances the logical clock, raises the format of commands
+// once all members support it, and promotes learners that have caught up to voters.
 func (c *Core) leaderDuties() {
 	if !c.IsLeader() || c.halted != nil || c.transferringTo != 0 {
 		return
@@ -32,8 +32,8 @@
 	c.promoteLearner()
 }
 
-// advanceClock proposes the time that has passed. It counts from the change of leader at the earliest, so that leases
-// last longer through one, and never shorter.
+// advanceClock proposes to advance the logical clock by the elapsed time. Time is counted from the last change of
+// leader at the earliest, so that such a change can extend leases but never shorten them.
 func (c *Core) advanceClock() {
 	if c.machine.LeaseCount() == 0 {
 		c.clockTick = c.now
@@ -47,6 +47,7 @@
 	c.clockTick = c.now
 }
 
+// raiseFormat proposes the newest format of commands that all members support, if it is newer than the agreed one.
 func (c *Core) raiseFormat() {
 	common := c.conf.Format
 	for _, member := range Members(c.machine) {
@@ -57,7 +58,7 @@
 	}
 }
 
-// promoteLearner proposes one learner that has caught up as a voter.
+// promoteLearner proposes to make a voter of one learner that has caught up, unless a joint change is in progress.
 func (c *Core) promoteLearner() {
 	ready := c.learnerCaughtUp()
 	inJointChange := len(c.confState.GetVotersOutgoing()) > 0
@@ -71,7 +72,7 @@
 	c.ProposeMembershipChange(0, change, &machine.Command{Kind: machine.TransactionKind})
 }
 
-// learnerCaughtUp looks at all learners and returns one that may become a voter; 0: none.
+// learnerCaughtUp checks all learners and returns one that may become a voter; 0: none.
 func (c *Core) learnerCaughtUp() uint64 {
 	commit := c.raftNode.BasicStatus().GetCommit()
 	ready := uint64(0)
@@ -89,15 +90,16 @@
 	return ready
 }
 
-// recentlyHeard reports whether an instance was heard of within an election timeout. Raft's own record of that is
-// reset at each check of the quorum, and says nothing just after it.
+// recentlyHeard reports whether a message was received from an instance within an election timeout. Raft's own
+// RecentActive flag is reset at each quorum check and is therefore not usable just after one.
 func (c *Core) recentlyHeard(id uint64) bool {
 	at, heard := c.lastHeard[id]
 	return heard && c.now-at <= int64(c.conf.ElectionTicks)
 }
 
-// TransferLeadership hands leadership over to the follower that has most of the log, before a planned stop or with a
-// full disk. It reports false if this instance does not lead or no follower can take over.
+// TransferLeadership starts to transfer leadership to the recently heard follower with the longest matching log, and
+// returns its id. It reports false if this instance is not the leader or no follower is eligible. Until the leader
+// changes, the periodic tasks of this one are suspended.
 func (c *Core) TransferLeadership() (to uint64, ok bool) {
 	if !c.IsLeader() {
 		return 0, false
--- a/internal/store/core/members.go
+++ b/internal/store/core/members.go
@@ -11,10 +11,10 @@
 	"cloverrock/internal/store/machine"
 )
 
-// Namespaces that the store keeps about itself. Clients may read them.
+// Namespaces of the store's own records. Clients may read them, and may write only TokensNS.
 const (
 	MembersNS = "_members" // records of the members, by MemberKey
-	RemovedNS = "_removed" // ids that never come back, by MemberKey
+	RemovedNS = "_removed" // ids of removed members, which may not rejoin, by MemberKey
 	TokensNS  = "_tokens"  // hashes of tokens by which an instance may join
 )
 
@@ -22,7 +22,7 @@
 type Member struct {
 	Name    string `msgpack:"n" json:"name"`
 	Address string `msgpack:"a" json:"address"`
-	Format  uint8  `msgpack:"f" json:"format"` // newest format of commands that it understands
+	Format  uint8  `msgpack:"f" json:"format"` // newest format of commands that it supports
 }
 
 // MemberKey is the key of an id's records.
@@ -43,7 +43,7 @@
 	return machine.Op{Kind: machine.Put, NS: MembersNS, Key: MemberKey(id), Value: value}, nil
 }
 
-// Members returns the members that the state records, by id.
+// Members returns the members that are recorded in the state, by id. Records that cannot be decoded are skipped.
 func Members(state *machine.Machine) map[uint64]Member {
 	found := map[uint64]Member{}
 	for _, record := range state.List(MembersNS, "", 0) {
@@ -56,7 +56,7 @@
 	return found
 }
 
-// RemovedIDs returns the ids that were removed.
+// RemovedIDs returns the ids of the removed members.
 func RemovedIDs(state *machine.Machine) (ids []uint64) {
 	for _, record := range state.List(RemovedNS, "", 0) {
 		if id, ok := parseMemberKey(record.Key); ok {
@@ -66,9 +66,9 @@
 	return ids
 }
 
-// PlanJoin returns the change by which an instance joins as a learner, and the command that records it. A member of
-// the same name has lost its directory: its old id is removed by the same change, and never votes again. The token is
-// the key of the one that the join spends; empty: none.
+// PlanJoin returns the change by which an instance joins as a learner, and the command that records it. A member with
+// the same name must have lost its directory: the same change removes its old id, which may not rejoin. The token is
+// the key of the join token that the command deletes; empty: none.
 func PlanJoin(state *machine.Machine, id uint64, member Member, token string) (*raftpb.ConfChangeV2, *machine.Command, error) {
 	record, err := MemberOp(id, member)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return &raftpb.ConfChangeV2{Changes: changes}, command, nil
 }
 
-// PlanRemoval returns the change by which an instance is removed for good, and the command that records it.
+// PlanRemoval returns the change by which an instance is removed permanently, and the command that records it.
 func PlanRemoval(state *machine.Machine, id uint64) (*raftpb.ConfChangeV2, *machine.Command) {
 	change := &raftpb.ConfChangeV2{
 		Changes: []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeRemoveNode, id)},
--- a/internal/store/core/proposals.go
+++ b/internal/store/core/proposals.go
@@ -10,23 +10,25 @@
 	"cloverrock/internal/store/machine"
 )
 
-// maxQueuedBatches bounds the proposals that wait to be handed to raft, in batches of Config.MaxBatch.
+// maxQueuedBatches bounds the queue of proposals that were not yet passed to raft, in batches of Config.MaxBatch.
 const maxQueuedBatches = 8
 
-// pendingProposal is a proposal whose result is awaited.
+// pendingProposal is a proposal that was not answered yet.
 type pendingProposal struct {
-	token, serial uint64
-	deadline      int64 // in ticks
+	token    uint64
+	serial   uint64 // orders proposals by the time they were made
+	deadline int64  // in ticks
 }
 
-// nextRequestID returns a number that no other proposal or read has, in this incarnation or another. The multiplier
+// nextRequestID returns an id that is unique among the proposals and reads of all incarnations of this instance. The multiplier
 // is the odd integer nearest to 2^64 divided by the golden ratio (Fibonacci hashing).
 func (c *Core) nextRequestID() uint64 {
 	c.serial++
 	return c.conf.Nonce ^ c.serial*0x9e3779b97f4a7c15
 }
 
-// Propose has a command applied and answers the token with its result.
+// Propose queues a command for replication. The token is answered with the command's result once it is applied, or with
+// ErrNoLeader, ErrBusy, ErrHalted, ErrOutcomeUnknown or an encoding error.
 func (c *Core) Propose(token uint64, command *machine.Command) {
 	if err := c.refusesProposals(); err != nil {
 		c.answer(token, err, machine.Result{})
@@ -37,6 +39,7 @@
 	}
 }
 
+// refusesProposals returns the error with which a new proposal is answered at once; nil: it is accepted.
 func (c *Core) refusesProposals() error {
 	switch {
 	case c.halted != nil:
@@ -49,8 +52,8 @@
 	return nil
 }
 
-// register encodes a command and has its result awaited. It returns nil for a command that cannot be encoded, and
-// answers it.
+// register encodes a command and adds it to the pending proposals. If the command cannot be encoded, register answers
+// the token with the error and returns nil.
 func (c *Core) register(token uint64, command *machine.Command) []byte {
 	command.RequestID = c.nextRequestID()
 	data, err := machine.Encode(command)
@@ -58,11 +61,12 @@
 		c.answer(token, err, machine.Result{})
 		return nil
 	}
-	c.pending[command.RequestID] = pendingProposal{token, c.serial, c.now + int64(c.conf.TimeoutTicks)}
+	c.pending[command.RequestID] = pendingProposal{token: token, serial: c.serial, deadline: c.now + int64(c.conf.TimeoutTicks)}
 	return data
 }
 
-// ProposeMembershipChange proposes a change of the members together with the command that records it.
+// ProposeMembershipChange proposes a change of the members together with the command that records it. The token is
+// answered as by Propose.
 func (c *Core) ProposeMembershipChange(token uint64, change *raftpb.ConfChangeV2, command *machine.Command) {
 	if c.leader == raft.None {
 		c.answer(token, ErrNoLeader, machine.Result{})
@@ -78,7 +82,7 @@
 	}
 }
 
-// flushQueues hands what has come in to raft: proposals in batches, all reads under one read index.
+// flushQueues passes the queued requests to raft: proposals in batches, and all reads under one read index.
 func (c *Core) flushQueues() {
 	for len(c.queuedProposals) > 0 {
 		size := min(len(c.queuedProposals), c.conf.MaxBatch)
@@ -101,18 +105,17 @@
 	if err == nil {
 		return
 	}
-	for _, entry := range batch { // raft drops a batch whole: nothing of it was done
+	for _, entry := range batch { // raft drops the complete batch, so no entry of it will be applied
 		command, err := machine.Decode(entry.GetData(), c.conf.Format)
 		if err != nil {
-			continue // not of this build's format: it is answered at its deadline
+			continue // not decodable by this build: it is answered at its deadline
 		}
 		c.answer(c.pending[command.RequestID].token, ErrNoLeader, machine.Result{})
 		delete(c.pending, command.RequestID)
 	}
 }
 
-// abandonProposals answers the selected proposals, whose outcome will not be known here, in the order in which they
-// were made.
+// abandonProposals answers the selected proposals with ErrOutcomeUnknown, in the order in which they were made.
 func (c *Core) abandonProposals(selected func(pendingProposal) bool) {
 	var abandoned []uint64
 	for request, proposal := range c.pending {
--- a/internal/store/core/reads.go
+++ b/internal/store/core/reads.go
@@ -9,25 +9,27 @@
 )
 
 const (
-	refreshInterval  = 2  // ticks between the requests by which an instance learns how old its state is
-	readIndexTimeout = 10 // ticks after which a read index that was not answered is given up
+	requestIDSize    = 8  // bytes of the context of a read index request
+	refreshInterval  = 2  // ticks between the instance's own read index requests, which measure its staleness
+	readIndexTimeout = 10 // ticks after which an unanswered read index request fails
 )
 
-// readRequest is a read index that was asked for.
+// readRequest is a read index request that was not answered yet.
 type readRequest struct {
 	requestID uint64
 	askedAt   int64 // in ticks
 	tokens    []uint64
 }
 
-// confirmedRead is a read that waits until the entry with its index is applied.
+// confirmedRead is a read whose index is known and that waits until the entry with that index is applied.
 type confirmedRead struct {
 	index   uint64
 	askedAt int64 // in ticks
 	tokens  []uint64
 }
 
-// Read answers the token when the state here holds all that was answered anywhere before the call.
+// Read requests a linearizable read. The token is answered once the local state contains every command that was
+// answered at any instance before the call, or with ErrNoLeader or ErrHalted; the owner reads Machine then.
 func (c *Core) Read(token uint64) {
 	if c.halted != nil {
 		c.answer(token, c.halted, machine.Result{})
@@ -36,20 +38,21 @@
 	c.queuedReads = append(c.queuedReads, token)
 }
 
-// Staleness tells for how many ticks the state here may have been behind, and whether that is known at all.
+// Staleness returns an upper bound in ticks on how far the local state is behind. known is false until a first read
+// index was confirmed since the start.
 func (c *Core) Staleness() (ticks int64, known bool) { return c.now - c.freshAt, c.freshAt >= 0 }
 
-// requestReadIndex asks the leader for the index that a read must have seen. The leader confirms by a quorum that it
-// still is the leader.
+// requestReadIndex requests from the leader the index that must be applied before the reads are answered. The leader
+// first confirms with a quorum that it is still the leader.
 func (c *Core) requestReadIndex(tokens []uint64) {
 	request := c.nextRequestID()
 	c.readRequests = append(c.readRequests, readRequest{request, c.now, tokens})
 	c.raftNode.ReadIndex(binary.LittleEndian.AppendUint64(nil, request))
 }
 
-// readIndexReceived takes the leader's answer.
+// readIndexReceived processes the leader's response to a read index request.
 func (c *Core) readIndexReceived(state raft.ReadState) {
-	if len(state.RequestCtx) != 8 {
+	if len(state.RequestCtx) != requestIDSize {
 		return
 	}
 	id := binary.LittleEndian.Uint64(state.RequestCtx)
@@ -84,11 +87,11 @@
 	}
 }
 
-// expireWaits ends what has waited too long, and renews the request that tells how old the state is: messages get
-// lost.
+// expireWaits fails the proposals and reads that have waited too long, and periodically requests a read index for the
+// staleness of the state, since messages may get lost.
 func (c *Core) expireWaits() {
 	c.abandonProposals(func(proposal pendingProposal) bool { return c.now >= proposal.deadline })
-	if c.leader == raft.None { // no answer can come; the client may ask another instance
+	if c.leader == raft.None { // without a leader no answer can arrive; the client may try another instance
 		c.failReads(c.queuedReads, ErrNoLeader)
 		c.queuedReads = nil
 	}
@@ -98,8 +101,8 @@
 	}
 }
 
-// expireReadRequests fails reads whose index was not answered in time. They are not asked for again here: a retry
-// by the client is a new read.
+// expireReadRequests fails reads whose index was not received in time. They are not retried here: the client's retry
+// is a new read.
 func (c *Core) expireReadRequests() {
 	waiting := c.readRequests[:0]
 	for _, request := range c.readRequests {
--- a/internal/store/core/snapshot.go
+++ b/internal/store/core/snapshot.go
@@ -10,16 +10,17 @@
 	"cloverrock/internal/store/machine"
 )
 
-// sentSnapshotName names a snapshot that came from another instance, in error messages.
+// sentSnapshotName names a snapshot received from another instance in error messages.
 const sentSnapshotName = "a snapshot that was sent"
 
-// Snapshot is the state at one index. One that is due is written in the background and reported to SnapshotSaved.
+// Snapshot is the state at one index. Its image is immutable and may be written by another goroutine, whose result the
+// owner reports with SnapshotSaved.
 type Snapshot struct {
 	Meta  *raftpb.SnapshotMetadata
 	Image *machine.Image
 }
 
-// EncodeSnapshot gives a snapshot the form that it has on the disk and between instances.
+// EncodeSnapshot encodes a snapshot as it is stored on disk and sent between instances.
 func EncodeSnapshot(snapshot *Snapshot) ([]byte, error) {
 	var encoded bytes.Buffer
 	err := disk.EncodeSnapshot(&encoded, snapshot.Meta, snapshot.Image.Write)
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// DueSnapshot returns a snapshot that is to be written now, or nil. With force set one is due unless the newest one
-// holds all that was applied.
+// DueSnapshot returns a snapshot that the owner must write and report to SnapshotSaved, or nil. At most one is being
+// written at a time. With force set, one is due unless the newest one already contains all applied entries.
 func (c *Core) DueSnapshot(force bool) *Snapshot {
 	if c.savingIndex != 0 || c.halted != nil || c.applied == c.snapshotIndex {
 		return nil
@@ -69,7 +70,8 @@
 	return snapshot
 }
 
-// CurrentSnapshot returns the present state, for a backup; nil if nothing was applied yet or the instance has halted.
+// CurrentSnapshot returns a snapshot of the current state, for a backup; nil if no entry was applied yet or the
+// instance has halted.
 func (c *Core) CurrentSnapshot() *Snapshot {
 	term, err := c.storage.Term(c.applied)
 	if err != nil || c.applied == 0 || c.halted != nil {
@@ -79,8 +81,8 @@
 	return &Snapshot{meta, c.machine.Image()}
 }
 
-// SnapshotSaved tells that a snapshot was written, or with an error that it could not be. It returns the index up to
-// which the log on the disk may be dropped; 0: nothing.
+// SnapshotSaved reports that a snapshot was written, or the error that prevented it. It returns the index up to which
+// the log on disk may be removed; 0: none of it.
 func (c *Core) SnapshotSaved(snapshot *Snapshot, err error) (release uint64) {
 	index := snapshot.Meta.GetIndex()
 	if c.savingIndex == index {
--- a/internal/store/core/start.go
+++ b/internal/store/core/start.go
@@ -25,7 +25,7 @@
 	defaultMaxBatch         = 512
 )
 
-// Limits that hold a slow follower back, given to raft.
+// Flow control limits passed to raft: what may be in flight to a slow follower, and uncommitted at the leader.
 const (
 	maxMessageSize     = 512 << 10 // bytes
 	maxInflightMsgs    = 64
@@ -44,10 +44,10 @@
 	RetainedEntries      uint64 // entries kept behind a snapshot, for slow followers
 	TimeoutTicks         int    // ticks that a proposal may wait for its outcome
 	ChunkSize            int    // bytes of a snapshot in one message
-	SnapshotBytesPerTick int    // bytes of snapshots sent in a tick, by all transfers together
-	MaxBatch             int    // proposals given to raft at once
+	SnapshotBytesPerTick int    // bytes of snapshots sent in a tick, by all transfers combined
+	MaxBatch             int    // proposals passed to raft at once
 	Logger               raft.Logger
-	Format               uint8                           // newest format of commands that this build knows
+	Format               uint8                           // newest format of commands that this build supports
 	Observe              func(index, term, chain uint64) // called with each applied entry; for checks, may be nil
 }
 
@@ -70,14 +70,15 @@
 	}
 }
 
-// InitialState is what an instance starts from.
+// InitialState is the durable state that an instance starts from.
 type InitialState struct {
 	Snapshot     []byte // encoded; nil for an instance that has joined and was not sent a snapshot yet
 	SnapshotName string // for error messages
 	Log          *disk.Loaded
 }
 
-// New returns an instance in the given state.
+// New returns an instance with the given state. The error is a *disk.CorruptError for a damaged snapshot, wraps
+// machine.ErrUnknownRecord for one of a newer build, and otherwise says where snapshot and log contradict each other.
 func New(conf Config, initial InitialState) (*Core, error) {
 	conf.setDefaults()
 	meta, state, err := initial.restore()
@@ -131,7 +132,7 @@
 	return c, nil
 }
 
-// restore returns the snapshot's metadata and state; empty ones if there is no snapshot.
+// restore returns the snapshot's metadata and state, both empty if there is no snapshot.
 func (s *InitialState) restore() (*raftpb.SnapshotMetadata, *machine.Machine, error) {
 	if s.Snapshot == nil {
 		return &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{}}, machine.New(), nil
@@ -147,7 +148,7 @@
 	return meta, state, nil
 }
 
-// loadLog gives raft the entries and the hard state that were read from the disk.
+// loadLog passes the entries and the hard state that were read from disk to raft's storage.
 func (c *Core) loadLog(log *disk.Loaded, meta *raftpb.SnapshotMetadata) error {
 	if len(log.Entries) > 0 && log.Entries[0].GetIndex() != meta.GetIndex()+1 {
 		return fmt.Errorf("store: the log begins at entry %d and the snapshot ends at %d",
--- a/internal/store/core/status.go
+++ b/internal/store/core/status.go
@@ -7,19 +7,19 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Peer is what a leader knows of a member.
+// Peer is a leader's view of one member's replication progress.
 type Peer struct {
 	ID      uint64 `json:"id"`
-	Match   uint64 `json:"match"` // index up to which its log agrees
+	Match   uint64 `json:"match"` // index up to which its log is known to match the leader's
 	State   string `json:"state"`
-	Active  bool   `json:"active"` // heard of within an election timeout
+	Active  bool   `json:"active"` // a message was received within an election timeout
 	Learner bool   `json:"learner"`
 }
 
-// Status is an instance's account of itself.
+// Status is a summary of an instance, for operators.
 type Status struct {
 	ID             uint64   `json:"id"`
-	Leader         uint64   `json:"leader"` // 0: not known
+	Leader         uint64   `json:"leader"` // 0: unknown
 	Term           uint64   `json:"term"`
 	Role           string   `json:"role"`
 	Commit         uint64   `json:"commit"`
@@ -30,14 +30,14 @@
 	Chain          uint64   `json:"chain"` // hash of all applied commands and results
 	Voters         []uint64 `json:"voters"`
 	Learners       []uint64 `json:"learners,omitempty"`
-	StalenessTicks int64    `json:"age_ticks"` // how far behind the state may be; -1: not known
-	Pending        int      `json:"pending"`   // proposals whose result is awaited
-	Transfers      int      `json:"transfers"` // snapshots that are being sent
+	StalenessTicks int64    `json:"age_ticks"` // how far behind the state may be; -1: unknown
+	Pending        int      `json:"pending"`   // proposals that were not answered yet
+	Transfers      int      `json:"transfers"` // snapshots being sent
 	Halted         string   `json:"halted,omitempty"`
-	Peers          []Peer   `json:"peers,omitempty"` // of a leader
+	Peers          []Peer   `json:"peers,omitempty"` // only of a leader
 }
 
-// Status returns the instance's account of itself.
+// Status returns a summary of the instance.
 func (c *Core) Status() Status {
 	basic := c.raftNode.BasicStatus()
 	status := Status{
--- a/internal/store/core/transfer.go
+++ b/internal/store/core/transfer.go
@@ -14,8 +14,8 @@
 	windowChunks      = 16  // chunks of one transfer that may be unacknowledged
 	resendAfterAcks   = 3   // acknowledgements without progress after which chunks are sent again at once
 	resendAfterTicks  = 10  // ticks without an acknowledgement after which chunks are sent again
-	abandonAfterTicks = 100 // ticks without a message after which a transfer is given up
-	// MaxSnapshotSize bounds the bytes that a sender may claim a snapshot to have.
+	abandonAfterTicks = 100 // ticks without a message after which a transfer is abandoned
+	// MaxSnapshotSize bounds the size in bytes that a sender may announce for a snapshot.
 	MaxSnapshotSize = 2 << 30
 )
 
@@ -23,7 +23,7 @@
 type SnapshotChunk struct {
 	Index  uint64 `msgpack:"i"` // of the snapshot
 	Term   uint64 `msgpack:"t"` // of the sender
-	Total  int    `msgpack:"n"` // bytes of the whole snapshot
+	Total  int    `msgpack:"n"` // bytes of the complete snapshot
 	Offset int    `msgpack:"o"`
 	Data   []byte `msgpack:"d"`
 }
@@ -33,7 +33,7 @@
 	return s.Index != 0 && sizeValid && s.Offset >= 0 && s.Offset+len(s.Data) <= s.Total
 }
 
-// ChunkAck tells the sender how many bytes of a snapshot have come.
+// ChunkAck acknowledges the bytes of a snapshot received so far, without a gap.
 type ChunkAck struct {
 	Index  uint64 `msgpack:"i"`
 	Offset int    `msgpack:"o"`
@@ -43,7 +43,7 @@
 type outgoingTransfer struct {
 	to, term     uint64
 	index        uint64
-	data         []byte // encoded; nil until it was read
+	data         []byte // encoded; nil until it was read from disk
 	sent, acked  int    // bytes
 	repeatedAcks int    // acknowledgements in a row without progress
 	lastHeard    int64  // in ticks
@@ -61,26 +61,26 @@
 	return t.index == chunk.Index && t.term == chunk.Term && t.total == chunk.Total
 }
 
-// beginTransfer takes raft's request to send a snapshot. What is sent is the newest one, which may be newer than the
-// one that raft had in mind.
+// beginTransfer starts a transfer in place of raft's MsgSnap. It sends the newest snapshot, which may be newer than the
+// one that raft named.
 func (c *Core) beginTransfer(request *raftpb.Message) {
 	to := request.GetTo()
 	if c.outgoing[to] != nil {
 		return
 	}
 	c.outgoing[to] = &outgoingTransfer{to: to, term: request.GetTerm(), lastHeard: c.now}
-	// Raft takes no snapshot that does not name its receiver: for one that has just joined, a new one is due.
+	// Raft rejects a snapshot whose members do not include the receiver: one that has just joined needs a new snapshot.
 	if !isMember(c.snapshotMembers, to) {
 		c.snapshotForced = true
 	}
 	c.needsSnapshotData = true
 }
 
-// NeedsSnapshotData tells that the newest snapshot is to be read and given to ProvideSnapshotData.
+// NeedsSnapshotData reports whether the owner must read the newest snapshot and pass it to ProvideSnapshotData.
 func (c *Core) NeedsSnapshotData() bool { return c.needsSnapshotData && !c.snapshotForced }
 
-// ProvideSnapshotData takes the newest snapshot's bytes, or the error that kept them from being read, which ends the
-// transfers that wait for them. Transfers under way keep the snapshot that they began with.
+// ProvideSnapshotData supplies the newest snapshot's bytes to the transfers that wait for them. If err is not nil or the
+// bytes are damaged, those transfers fail. Transfers in progress keep the snapshot that they began with.
 func (c *Core) ProvideSnapshotData(data []byte, err error) {
 	c.needsSnapshotData = false
 	var meta *raftpb.SnapshotMetadata
@@ -102,7 +102,7 @@
 	}
 }
 
-// failTransfer gives a transfer up; raft asks for another when it hears of the receiver again.
+// failTransfer abandons a transfer. Raft requests another one when the receiver responds again.
 func (c *Core) failTransfer(id uint64) {
 	delete(c.outgoing, id)
 	c.raftNode.ReportSnapshot(id, raft.SnapshotFailure)
@@ -111,7 +111,8 @@
 // receivers returns the members to which snapshots are being sent, in a fixed order.
 func (c *Core) receivers() []uint64 { return slices.Sorted(maps.Keys(c.outgoing)) }
 
-// sendChunks sends what the windows of the transfers and the rate that they share allow.
+// sendChunks sends as many chunks as the windows of the transfers and their common rate limit allow, and abandons
+// transfers without progress.
 func (c *Core) sendChunks() {
 	for from, transfer := range c.incoming {
 		if c.now-transfer.lastHeard > abandonAfterTicks {
@@ -133,7 +134,7 @@
 	}
 }
 
-// sendWindow sends a transfer's next chunks and returns what is left of the budget in bytes.
+// sendWindow sends a transfer's next chunks and returns the remaining budget in bytes.
 func (c *Core) sendWindow(transfer *outgoingTransfer, budget int) int {
 	window := windowChunks * c.conf.ChunkSize
 	for transfer.sent < len(transfer.data) && transfer.sent-transfer.acked < window && budget > 0 {
@@ -151,8 +152,8 @@
 	return budget
 }
 
-// receiveChunk takes a part of a snapshot. Parts count in order; each acknowledgement says how far they came, and so
-// asks for the next.
+// receiveChunk processes a part of a snapshot. Only the next part in order is kept; each acknowledgement states how
+// many bytes were received, and thereby requests the next part.
 func (c *Core) receiveChunk(from uint64, chunk *SnapshotChunk) {
 	if !chunk.valid() {
 		return
@@ -168,7 +169,7 @@
 	}
 	transfer.lastHeard = c.now
 	if chunk.Offset == len(transfer.data) {
-		transfer.data = append(transfer.data, chunk.Data...) // grows with what came, not with what was claimed
+		transfer.data = append(transfer.data, chunk.Data...) // grows with the bytes received, not with the announced total
 	}
 	c.send(Envelope{To: from, Ack: &ChunkAck{chunk.Index, len(transfer.data)}})
 	if len(transfer.data) < transfer.total {
@@ -178,13 +179,13 @@
 	c.handSnapshotToRaft(from, transfer)
 }
 
-// handSnapshotToRaft ends a transfer. One that was damaged on its way is dropped, and raft asks for another.
+// handSnapshotToRaft passes a completely received snapshot to raft. A damaged one is dropped, and raft requests another.
 func (c *Core) handSnapshotToRaft(from uint64, transfer *incomingTransfer) {
 	meta, _, err := disk.DecodeSnapshot(sentSnapshotName, transfer.data)
 	if err != nil || meta.GetIndex() != transfer.index {
 		return
 	}
-	_ = c.raftNode.Step(&raftpb.Message{ // an error only says that the message came too late
+	_ = c.raftNode.Step(&raftpb.Message{ // fails only for a message that is out of date
 		Type:     raftpb.MsgSnap.Enum(),
 		To:       new(c.conf.ID),
 		From:     new(from),
@@ -193,7 +194,7 @@
 	})
 }
 
-// receiveAck takes an acknowledgement of how many bytes have come.
+// receiveAck processes an acknowledgement: it advances the window, or goes back after a loss or restart.
 func (c *Core) receiveAck(from uint64, ack *ChunkAck) {
 	transfer := c.outgoing[from]
 	if transfer == nil || transfer.data == nil || ack.Index != transfer.index {
--- a/internal/store/core/work.go
+++ b/internal/store/core/work.go
@@ -7,8 +7,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Work is what the owner has to do, in this order: send SendBeforeSave; save SnapshotData, HardState and Entries; send
-// SendAfterSave; call Done.
+// Work is a batch of I/O for the owner, in this order: send SendBeforeSave; save SnapshotData, HardState and Entries;
+// send SendAfterSave; call Done.
 type Work struct {
 	SendBeforeSave []Envelope
 	SendAfterSave  []Envelope
@@ -17,10 +17,10 @@
 	HardState      *raftpb.HardState // nil: unchanged
 	Entries        []*raftpb.Entry
 	ready          raft.Ready
-	needsAdvance   bool // ready is raft's, which waits until it was processed
+	needsAdvance   bool // raft expects Advance(ready) from Done
 }
 
-// Next returns the work that is to be done, or nil.
+// Next returns the next work, or nil if there is none. Each one must be passed to Done before the next call.
 func (c *Core) Next() *Work {
 	c.flushQueues()
 	if !c.raftNode.HasReady() {
@@ -48,8 +48,8 @@
 	return work
 }
 
-// sortMessages tells the messages that may go out before the save from the others. A leader may send entries while it
-// writes them itself; all other messages acknowledge what is on the disk.
+// sortMessages separates the messages that may be sent before the save from the others. A leader may replicate entries
+// while it writes them itself; all other messages may acknowledge what must be durable first.
 func (c *Core) sortMessages(work *Work, messages []*raftpb.Message) {
 	leads := c.IsLeader()
 	for _, message := range messages {
@@ -76,7 +76,8 @@
 	clear(c.caughtUpChecks)
 }
 
-// Done tells that the work was saved and sent. An error is final: the instance must not go on.
+// Done reports that the work was saved and sent, and applies its committed entries. An error is final: the instance must
+// be stopped.
 func (c *Core) Done(work *Work) error {
 	if !work.needsAdvance {
 		return nil
