--- a/internal/store/core/proposals.go
+++ b/internal/store/core/proposals.go
@@ -20,8 +20,8 @@
 	deadline int64  // in ticks
 }
 
-// nextRequestID returns an id that is unique among the proposals and reads of all incarnations of this instance. The multiplier
-// is the odd integer nearest to 2^64 divided by the golden ratio (Fibonacci hashing).
+// nextRequestID returns an id that is unique among the proposals and reads of all incarnations of this instance. The
+// multiplier is the odd integer nearest to 2^64 divided by the golden ratio (Fibonacci hashing).
 func (c *Core) nextRequestID() uint64 {
 	c.serial++
 	return c.conf.Nonce ^ c.serial*0x9e3779b97f4a7c15
--- a/internal/store/node/backup.go
+++ b/internal/store/node/backup.go
@@ -10,10 +10,10 @@
 	"cloverrock/internal/store/machine"
 )
 
-// backupChunk is what one response carries of a backup, in bytes.
+// backupChunk is the size in bytes of the part of a backup in one response.
 const backupChunk = 256 << 10
 
-// backup sends the latest state as an encoded snapshot.
+// backup sends the latest state as an encoded snapshot, in several responses.
 func (cc *clientConn) backup(ctx context.Context, request *frame.Request) error {
 	var snapshot *core.Snapshot
 	_, err := cc.node.Read(ctx, false, func(*machine.Machine) { snapshot = cc.node.core.CurrentSnapshot() })
@@ -30,7 +30,7 @@
 	return writer.Flush()
 }
 
-// chunkWriter sends what is written to it as responses to one request.
+// chunkWriter sends the bytes written to it as responses to one request.
 type chunkWriter struct {
 	conn      *clientConn
 	requestID uint64
--- a/internal/store/node/calls.go
+++ b/internal/store/node/calls.go
@@ -9,7 +9,8 @@
 	"cloverrock/internal/store/machine"
 )
 
-// await returns the next result. The context only ends the waiting.
+// await returns the next result, or an error once the context or the instance ends. Either only ends the wait, not the
+// operation that is waited for.
 func await[T any](ctx context.Context, n *Node, results <-chan T) (T, error) {
 	var none T
 	select {
@@ -22,13 +23,15 @@
 	}
 }
 
-// expect has the answer to a new token passed to done, and returns the token. Only the owner calls it.
+// expect registers done for the answer to a new token, and returns the token. Only the owner calls it; done runs on the
+// owner's goroutine.
 func (n *Node) expect(done func(core.Answer)) (token uint64) {
 	n.lastToken++
 	n.waiting[n.lastToken] = done
 	return n.lastToken
 }
 
+// propose is Propose on the owner's goroutine.
 func (n *Node) propose(command *machine.Command, done func(core.Answer)) {
 	if n.stalledWork != nil {
 		done(core.Answer{Err: fmt.Errorf("%w: the disk here is full", core.ErrNoLeader)})
@@ -37,8 +40,9 @@
 	n.core.Propose(n.expect(done), command)
 }
 
-// Propose has a command applied. The context only ends the waiting: the command may still be applied, and the error
-// is core.ErrOutcomeUnknown.
+// Propose replicates a command and returns the result of applying it. When the context ends first, the command may
+// still be applied, and the error wraps core.ErrOutcomeUnknown. The other errors are those of core.Core.Propose and
+// ErrStopped. It is safe for concurrent use.
 func (n *Node) Propose(ctx context.Context, command *machine.Command) (machine.Result, error) {
 	answers := make(chan core.Answer, 1)
 	posted := n.post(func() {
@@ -57,8 +61,9 @@
 	}
 }
 
-// Read passes the state to look: the latest, or with stale set what is here. It returns how far that may be behind; a
-// negative age is not known. look runs on the owner's goroutine and must not keep the machine.
+// Read passes the state to look: the result of a linearizable read, or with stale set the local state as it is. It
+// returns an upper bound on how far that state is behind; negative: unknown. look runs on the owner's goroutine and must
+// not retain the machine. Read is safe for concurrent use.
 func (n *Node) Read(ctx context.Context, stale bool, look func(*machine.Machine)) (time.Duration, error) {
 	type outcome struct {
 		age time.Duration
@@ -78,6 +83,7 @@
 	return result.age, result.err
 }
 
+// read is Read on the owner's goroutine; it calls done exactly once unless the instance ends.
 func (n *Node) read(stale bool, look func(*machine.Machine), done func(time.Duration, error)) {
 	if stale {
 		age := n.staleness()
@@ -98,7 +104,7 @@
 	n.core.Read(token)
 }
 
-// staleness is how far the state may be behind; negative: not known.
+// staleness returns an upper bound on how far the local state is behind; negative: unknown.
 func (n *Node) staleness() time.Duration {
 	ticks, known := n.core.Staleness()
 	if !known {
@@ -107,19 +113,19 @@
 	return time.Duration(ticks) * n.conf.Tick
 }
 
-// Status is an instance's account of itself.
+// Status is a summary of an instance, for operators.
 type Status struct {
 	core.Status
 	Name     string                 `json:"name"`
 	Cluster  string                 `json:"cluster"`
 	Members  map[string]core.Member `json:"members"` // by core.MemberKey
-	AgeMS    int64                  `json:"age_ms"`  // how far behind the others its state may be; -1: not known
+	AgeMS    int64                  `json:"age_ms"`  // upper bound on how far its state is behind; -1: unknown
 	DiskFull bool                   `json:"disk_full,omitempty"`
 	Segments int                    `json:"log_segments"`
 	Clients  int64                  `json:"clients"` // connections of clients and other instances
 }
 
-// Status returns the instance's account of itself.
+// Status returns a summary of the instance. It is safe for concurrent use.
 func (n *Node) Status(ctx context.Context) (Status, error) {
 	statuses := make(chan Status, 1)
 	if !n.post(func() { statuses <- n.status() }) {
--- a/internal/store/node/join.go
+++ b/internal/store/node/join.go
@@ -21,16 +21,17 @@
 	joinTimeout = 10 * time.Second // of one attempt
 )
 
-// JoinOptions say how an instance with an empty directory joins.
+// JoinOptions configures how an instance with an empty directory joins.
 type JoinOptions struct {
-	Addresses []string // of members; none: it does not join
-	Token     string
-	// Config returns the configuration for one attempt, with the certificates as they are on disk by then.
+	Addresses []string // HOST:PORT of members; none: it does not join
+	Token     string   // needed for a name that is not a member's yet
+	// Config returns the configuration for one attempt. It is called for each attempt, so that replaced certificates are used.
 	Config func() (Config, error)
 }
 
-// OpenOrJoin opens an instance's directory and starts it. An empty directory has no vote, whatever its name was: it
-// joins through one of the given addresses first, and tries again until it is taken in or refused.
+// OpenOrJoin opens an instance's directory and starts it. An instance with an empty directory has no vote, even if a
+// member has its name: it first joins through one of the given addresses, and retries until it is accepted, refused or
+// the context ends.
 func OpenOrJoin(ctx context.Context, conf Config, join JoinOptions) (*Node, error) {
 	for {
 		n, err := Open(conf) //nolint:contextcheck // the instance outlives the call
@@ -44,7 +45,7 @@
 	}
 }
 
-// joinUntilDecided asks again and again until the instance is taken in or refused.
+// joinUntilDecided retries until the instance is accepted or refused, or the context ends.
 func joinUntilDecided(ctx context.Context, log zerolog.Logger, join JoinOptions) error {
 	for {
 		_, err := Join(ctx, join)
@@ -62,8 +63,8 @@
 	}
 }
 
-// Join asks the members at the given addresses to take this instance in under a new id, and then makes its directory.
-// It returns the id.
+// Join requests that the members at the given addresses accept this instance under a new id, and then creates its data
+// directory. It returns the id. A refusal is a *client.Error with frame.CodeRefused.
 func Join(ctx context.Context, join JoinOptions) (uint64, error) {
 	conf, err := join.Config()
 	if err != nil {
@@ -112,18 +113,19 @@
 	return nil
 }
 
+// exists reports whether there is anything at a path.
 func exists(path string) bool {
 	_, err := os.Stat(path)
 	return err == nil
 }
 
-// clusterOf returns the cluster of the first member that answers.
+// clusterOf returns the cluster id of the first member that answers.
 func clusterOf(ctx context.Context, conf Config, addresses []string) (cluster uint64, err error) {
 	for _, address := range addresses {
 		conn, welcome, dialErr := transport.Dial(ctx, address, conf.TLS, frame.Hello{}, "")
 		err = dialErr
 		if dialErr == nil {
-			_ = conn.Close() // nothing was sent on it
+			_ = conn.Close() // only the cluster id was needed
 			return welcome.Cluster, nil
 		}
 	}
--- a/internal/store/node/membership.go
+++ b/internal/store/node/membership.go
@@ -14,13 +14,13 @@
 	"cloverrock/internal/store/pki"
 )
 
-// TokenKey is the key under which a token is kept: the store holds only its hash.
+// TokenKey returns the key of a join token in core.TokensNS. The store holds only the token's hash.
 func TokenKey(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// membershipPlan makes a change of the members from the state; it runs on the owner's goroutine.
+// membershipPlan derives a change of the members from the state. It runs on the owner's goroutine.
 type membershipPlan func() (*raftpb.ConfChangeV2, *machine.Command, error)
 
 // changeMembers proposes a change of the members and waits until it is applied.
@@ -51,8 +51,8 @@
 	return answer.Err
 }
 
-// join takes an instance in as a learner. One whose name is a member's is let in by its certificate; a new one also
-// needs a token, which is spent by it.
+// join adds an instance as a learner. For the name of a member the certificate is sufficient; a new name also needs a
+// token, which can be used once.
 func (cc *clientConn) join(ctx context.Context, request *frame.Request) error {
 	if cc.role != pki.Instance || request.NodeID == 0 || request.Address == "" {
 		return reject("an instance joins with its own certificate, an id and an address")
@@ -74,7 +74,8 @@
 	})
 }
 
-// checkJoin tells whether an instance may join, and returns the key of the token that it spends; empty: none.
+// checkJoin returns an error if an instance may not join, or else the key of the token that the join uses up; empty:
+// none.
 func checkJoin(m *machine.Machine, request *frame.Request, name string) (token string, err error) {
 	knownName := false
 	members := core.Members(m)
@@ -99,7 +100,8 @@
 	return token, nil
 }
 
-// removeMember removes an instance for good.
+// removeMember removes an instance permanently. A leader that is to be removed transfers leadership and returns
+// core.ErrNoLeader, so that the client retries at the next leader.
 func (n *Node) removeMember(ctx context.Context, id uint64) error {
 	return n.changeMembers(ctx, func() (*raftpb.ConfChangeV2, *machine.Command, error) {
 		state := n.core.Machine()
@@ -111,7 +113,7 @@
 			return nil, nil, reject("the last voter cannot be removed")
 		}
 		if id == n.store.Identity.Node && n.core.IsLeader() {
-			n.core.TransferLeadership() // the client retries, and asks the next leader then
+			n.core.TransferLeadership() // the client retries at the next leader
 			return nil, nil, core.ErrNoLeader
 		}
 		change, command := core.PlanRemoval(state, id)
@@ -119,6 +121,7 @@
 	})
 }
 
+// transferLeadership starts a transfer of leadership and does not wait for its end.
 func (n *Node) transferLeadership(ctx context.Context) error {
 	results := make(chan error, 1)
 	posted := n.post(func() {
--- a/internal/store/node/node.go
+++ b/internal/store/node/node.go
@@ -1,6 +1,7 @@
-// Package node runs one instance of the store. One goroutine owns its core and its directory; others carry the
-// connections to the other instances and the calls of clients. Nothing on the path of a gateway's request waits for
-// it.
+// Package node runs one instance of the store: it connects a core.Core to a data directory, to the other instances and
+// to clients. One goroutine, the owner, has exclusive use of the core and the log. Goroutines for connections pass it
+// messages and functions through channels, and read the members and the leader from an immutable view. No request of a
+// gateway waits for any of them.
 package node
 
 import (
@@ -26,33 +27,34 @@
 const (
 	defaultTick         = 50 * time.Millisecond
 	defaultSnapshotRate = 16 << 20 // bytes a second
-	minSnapshotBatch    = 64 << 10 // bytes that a tick allows at least
+	minSnapshotBatch    = 64 << 10 // bytes of snapshots that a tick allows at least
 	proposalTimeout     = 3 * time.Second
-	leaveTimeout        = 2 * time.Second // for the hand-over of leadership before the end
+	leaveTimeout        = 2 * time.Second // for the transfer of leadership before the instance stops
 	inboxSize           = 4096            // messages of other instances that wait for the owner
 	taskQueueSize       = 4096            // functions that wait for the owner
 	logBurst            = 5               // log lines about connections in each logPeriod
 	logPeriod           = 10 * time.Second
 )
 
-// ErrStopped says that the instance has ended, or never began.
+// ErrStopped is the error of calls to an instance that has stopped.
 var ErrStopped = errors.New("store: this instance is stopped")
 
-// Validator checks a document before it is committed, against the schema that the store has for it, if it has one.
+// Validator checks a document before it is committed. schema is the latest schema document for it in the store; nil:
+// there is none.
 type Validator func(name string, body, schema []byte) error
 
 // Config of a node. Zero values of Tick and SnapshotRate get defaults.
 type Config struct {
-	Name            string // in the certificate and in the members' records
+	Name            string // as in the certificate and in the members' records
 	Data            string // directory
 	Listen          string // HOST:PORT
 	Advertise       string // where the others reach it; empty: the address that it listens on
 	TLS             *tls.Config
 	Routes          map[string]string // by name: where to dial a peer instead of its own address
 	Tick            time.Duration
-	ElectionTicks   int
-	SnapshotEntries uint64 // entries between snapshots
-	SnapshotRate    int    // bytes a second that snapshots may take on their way to others
+	ElectionTicks   int    // ticks without a leader before an election; 0: the default of package core
+	SnapshotEntries uint64 // entries between snapshots; 0: the default of package core
+	SnapshotRate    int    // bytes a second for sending snapshots to other instances
 	Log             zerolog.Logger
 	NoSync          bool // for rehearsals only: the log is not synced
 	Validate        Validator
@@ -94,16 +96,16 @@
 
 	inbox    chan core.Envelope
 	tasks    chan func()   // run by the owner
-	stop     chan struct{} // closed when the instance shall end
+	stop     chan struct{} // closed to make the instance stop
 	stopOnce sync.Once
-	ended    chan struct{} // closed when it has ended
+	ended    chan struct{} // closed when it has stopped
 	ctx      context.Context
 	cancel   context.CancelFunc
-	wg       sync.WaitGroup // of connections
+	wg       sync.WaitGroup // of the listener and the connections
 
 	waiting          map[uint64]func(core.Answer) // by token
 	lastToken        uint64
-	stalledWork      *core.Work // the disk had no room for it
+	stalledWork      *core.Work // work that found the disk full; nil: none
 	stalledAt        time.Time
 	publishedVersion uint64 // version of the members in the view
 	snapshotWriters  sync.WaitGroup
@@ -114,8 +116,8 @@
 	connections atomic.Int64
 }
 
-// Open opens the directory and starts the instance. A directory without an identity gives disk.ErrEmpty, a damaged
-// one a *disk.CorruptError.
+// Open opens the directory and starts the instance. The error wraps disk.ErrEmpty for a directory without an identity
+// and is a *disk.CorruptError for a damaged one.
 func Open(conf Config) (*Node, error) {
 	conf.setDefaults()
 	dir, err := disk.OpenDir(conf.Data)
@@ -146,7 +148,7 @@
 	return n, nil
 }
 
-// start starts the core, the listener and the goroutines. After an error none of them runs.
+// start starts the core, the listener and the goroutines. After an error no goroutine runs.
 func (n *Node) start(opened *disk.Opened) error {
 	if opened.Loaded.TornBytes > 0 {
 		n.log.Warn().Int64("bytes", opened.Loaded.TornBytes).Msg("store: torn log end truncated")
@@ -182,21 +184,21 @@
 	return nil
 }
 
-// connectionLog is for what others can cause at will: it is limited, so that they cannot fill the log.
+// connectionLog returns a rate-limited logger for events that any remote host can cause.
 func (n *Node) connectionLog() zerolog.Logger {
 	return n.log.Sample(&zerolog.BurstSampler{Burst: logBurst, Period: logPeriod})
 }
 
-// Identity tells who this instance is.
+// Identity returns the cluster, id and name of the instance.
 func (n *Node) Identity() disk.Identity { return n.store.Identity }
 
-// Address is where the instance listens.
+// Address returns the HOST:PORT on which the instance listens.
 func (n *Node) Address() string { return n.listener.Addr().String() }
 
-// Ended is closed when the instance has ended, by Close or by a failure.
+// Ended returns a channel that is closed when the instance has stopped, by Close or by a failure.
 func (n *Node) Ended() <-chan struct{} { return n.ended }
 
-// Err is the failure that ended the instance, if one did.
+// Err returns the failure that stopped the instance; nil if there was none.
 func (n *Node) Err() error {
 	if err := n.failure.Load(); err != nil {
 		return *err
@@ -204,7 +206,7 @@
 	return nil
 }
 
-// fail ends the instance because of an error.
+// fail stops the instance because of an error. Only the first one is kept.
 func (n *Node) fail(err error) {
 	if n.failure.CompareAndSwap(nil, &err) {
 		n.log.Error().Err(err).Msg("store: instance failed, stopping")
@@ -214,7 +216,8 @@
 
 func (n *Node) signalStop() { n.stopOnce.Do(func() { close(n.stop) }) }
 
-// Close hands leadership over and ends the instance. It returns the failure that had ended it before, if one did.
+// Close transfers leadership, waiting at most leaveTimeout, and stops the instance. It returns the failure that had
+// stopped the instance before, if there was one.
 func (n *Node) Close() error {
 	done := make(chan struct{})
 	if n.post(func() { n.leave(done) }) {
@@ -229,7 +232,7 @@
 	return n.Err()
 }
 
-// leave hands leadership over if this instance leads, and closes done when another one does.
+// leave transfers leadership if this instance is the leader, and closes done when it no longer is.
 func (n *Node) leave(done chan struct{}) {
 	if _, transferring := n.core.TransferLeadership(); !transferring {
 		close(done)
@@ -238,6 +241,7 @@
 	n.awaitHandOver(done)
 }
 
+// awaitHandOver closes done when this instance is no longer the leader. It checks once a tick.
 func (n *Node) awaitHandOver(done chan struct{}) {
 	if !n.core.IsLeader() {
 		close(done)
--- a/internal/store/node/requests.go
+++ b/internal/store/node/requests.go
@@ -18,20 +18,21 @@
 )
 
 const (
-	maxCalls    = 64               // calls of one client at a time
-	callTimeout = 10 * time.Second // for a call, watches and backups aside
-	maxCommand  = 1 << 20          // bytes that a client may propose at once
-	maxRequest  = maxCommand + 64<<10
+	maxCalls    = 64                  // concurrent calls of one connection
+	callTimeout = 10 * time.Second    // for a call that is neither a watch nor a backup
+	maxCommand  = 1 << 20             // bytes of a command that a client may propose
+	maxRequest  = maxCommand + 64<<10 // bytes of a request's frame
 )
 
-// errDenied says that a role may not do what it asked for.
+// errDenied is the error of a request that the certificate's role does not permit.
 var errDenied = errors.New("store: not allowed with this certificate")
 
-// rejectedError is a request's error that neither another instance nor a retry would avoid.
+// rejectedError marks an error that a retry cannot avoid, at this instance or another.
 type rejectedError struct{ error }
 
 func (r rejectedError) Unwrap() error { return r.error }
 
+// reject returns a rejectedError with a text.
 func reject(text string) error { return rejectedError{errors.New("store: " + text)} }
 
 // clientConn is a client's connection.
@@ -43,7 +44,7 @@
 	mu    sync.Mutex // held while a response is written
 }
 
-// serveClient serves a client's calls, several at a time, until the connection ends.
+// serveClient serves a client's calls, up to maxCalls concurrently, until the connection ends.
 func (n *Node) serveClient(conn net.Conn, reader *bufio.Reader, owner string, role pki.Role) error {
 	client := &clientConn{node: n, conn: conn, owner: owner, role: role}
 	ctx, cancel := context.WithCancel(n.ctx)
@@ -71,7 +72,7 @@
 	}
 }
 
-// send writes one response; a client that does not read it loses its connection.
+// send writes one response. If that fails, it closes the connection.
 func (cc *clientConn) send(response *frame.Response) error {
 	encoded, err := frame.AppendValue(nil, frame.ResponseKind, response)
 	if err != nil {
@@ -88,12 +89,12 @@
 	}
 	_, err = cc.conn.Write(encoded)
 	if err != nil {
-		_ = cc.conn.Close() // the write's error says more
+		_ = cc.conn.Close() // the write error is returned
 	}
 	return err
 }
 
-// errorCode is what a client does about an error.
+// errorCode returns the code of a response, which tells the client whether to retry.
 func errorCode(err error) string {
 	var rejected rejectedError
 	switch {
@@ -107,6 +108,7 @@
 	return frame.CodeFailed
 }
 
+// call handles one request and sends the final response.
 func (cc *clientConn) call(ctx context.Context, request *frame.Request) {
 	if request.Op != frame.OpWatch && request.Op != frame.OpBackup {
 		var cancel context.CancelFunc
@@ -118,10 +120,11 @@
 		response.Code = errorCode(err)
 		response.Error = err.Error()
 	}
-	_ = cc.send(response) // the connection is closed by then, and the client asks elsewhere
+	_ = cc.send(response) // on failure the connection is closed, and the client retries
 }
 
-// allowed checks the role of the certificate: operators change the store, observers read it, and instances join it.
+// allowed returns errDenied if the certificate's role does not permit an operation. All roles may
+// read, only operators may change the store, and observers may not join it.
 func (cc *clientConn) allowed(op string) error {
 	denied := false
 	switch op {
@@ -179,7 +182,8 @@
 	return err
 }
 
-// protected reports whether only the store itself writes a namespace. Tokens are the exception among its own.
+// protected reports whether clients may not write a namespace directly. Of the store's own namespaces they may write
+// only that of the tokens.
 func protected(ns string) bool {
 	internal := len(ns) > 0 && ns[0] == '_' && ns != core.TokensNS
 	return internal || ns == documents.NS
@@ -221,8 +225,8 @@
 	return err
 }
 
-// changeDocument commits a document's next revision: checked, numbered, and only if the document stands at the
-// revision that the operator has changed.
+// changeDocument validates and commits a document's next revision, provided that the document is still at the revision
+// on which the operator's change is based.
 func (cc *clientConn) changeDocument(ctx context.Context, request *frame.Request, response *frame.Response) error {
 	change := documents.Change{
 		Name:       request.Name,
--- a/internal/store/node/run.go
+++ b/internal/store/node/run.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	maxBatch   = 512         // messages and tasks that are taken before one sync
+	maxBatch   = 512         // messages and tasks that are processed before one sync
 	stallRetry = time.Second // pause between attempts to write to a full disk
 )
 
-// post has a function run by the owner. It reports false if the instance has ended.
+// post queues a function to run on the owner's goroutine, and waits for room in the queue. It reports false if the
+// instance is stopping. A function that was queued just before that may never run. The owner itself must not call post.
 func (n *Node) post(task func()) bool {
 	select {
 	case <-n.stop:
@@ -25,8 +26,8 @@
 	}
 }
 
-// run is the owner of the core. Raft panics on what it takes for impossible; that ends this instance and not the
-// program.
+// run is the owner's goroutine. Raft panics when an invariant is violated; that stops this instance and not the
+// process.
 func (n *Node) run() {
 	defer close(n.ended)
 	defer n.shutdown()
@@ -37,7 +38,7 @@
 	}()
 	tick := time.NewTicker(n.conf.Tick) // monotonic: setting the machine's clock has no effect on it
 	defer tick.Stop()
-	if err := n.process(); err != nil { // applies what the log holds as committed before anybody reads
+	if err := n.process(); err != nil { // applies the committed entries of the log before the first read
 		n.fail(err)
 	}
 	for {
@@ -60,7 +61,7 @@
 	}
 }
 
-// takeWaiting takes what has come meanwhile, so that it goes with the same sync.
+// takeWaiting processes the messages and tasks that are already queued, so that one sync covers all of them.
 func (n *Node) takeWaiting() {
 	for range maxBatch {
 		select {
@@ -74,16 +75,17 @@
 	}
 }
 
+// step passes a message to the core. While the disk is full, messages are dropped.
 func (n *Node) step(message core.Envelope) {
 	if n.stalledWork == nil {
 		n.core.Step(message)
 	}
 }
 
-// shutdown ends all goroutines and closes the files.
+// shutdown stops all goroutines, answers the waiting calls and closes the files.
 func (n *Node) shutdown() {
 	n.cancel()
-	_ = n.listener.Close() // nothing is lost with a listener
+	_ = n.listener.Close() // a listener has no data to lose
 	n.transport.Close()
 	for token, done := range n.waiting {
 		delete(n.waiting, token)
@@ -92,11 +94,12 @@
 	n.watchers.close()
 	n.snapshotWriters.Wait()
 	n.wg.Wait()
-	_ = n.store.Close() // what counts was synced before
+	_ = n.store.Close() // everything acknowledged was synced before
 	_ = n.dir.Close()
 }
 
-// process does all the work that the core has, and passes on what came of it.
+// process does all pending work of the core, then delivers answers, publishes the view, wakes watches and starts a due
+// snapshot.
 func (n *Node) process() error {
 	before := n.core.Machine().Index()
 	if err := n.doWork(); err != nil {
@@ -118,7 +121,7 @@
 	return nil
 }
 
-// doWork saves and sends until the core has nothing more to do or the disk is full.
+// doWork saves and sends until the core has no more work or the disk is full.
 func (n *Node) doWork() error {
 	for {
 		if n.core.NeedsSnapshotData() {
@@ -148,8 +151,8 @@
 	}
 }
 
-// nextWork returns the work that found no room on the disk, when it is time to try again, or else the next; nil:
-// none.
+// nextWork returns the work to save next; nil: none. After a full disk that is the stalled work again, at most once per
+// stallRetry.
 func (n *Node) nextWork() *core.Work {
 	if n.stalledWork != nil {
 		if time.Since(n.stalledAt) < stallRetry {
@@ -164,6 +167,7 @@
 	return work
 }
 
+// save makes the snapshot, hard state and entries of work durable.
 func (n *Node) save(work *core.Work) error {
 	if work.SnapshotData != nil {
 		if err := n.store.SaveSnapshot(work.SnapshotMeta, work.SnapshotData); err != nil {
@@ -173,8 +177,8 @@
 	return n.store.Log.Save(work.HardState, work.SnapshotMeta, work.Entries)
 }
 
-// stall keeps work that the disk has no room for. While it is kept nothing is acknowledged, no time passes for the
-// core and no heartbeat goes out: the others elect another leader.
+// stall keeps work that found the disk full. Until it is saved, the instance acknowledges nothing, does not tick the core
+// and sends no heartbeat, so that the others elect another leader.
 func (n *Node) stall(work *core.Work, err error) {
 	if n.stalledWork == nil {
 		n.log.Error().Err(err).Msg("store: disk full, instance paused")
@@ -183,6 +187,7 @@
 	n.stalledAt = time.Now()
 }
 
+// writeSnapshot writes a snapshot file on a goroutine of its own and reports the result to the owner.
 func (n *Node) writeSnapshot(snapshot *core.Snapshot) {
 	err := disk.SaveSnapshot(n.dir, snapshot.Meta.GetIndex(), func(w io.Writer) error {
 		return disk.EncodeSnapshot(w, snapshot.Meta, snapshot.Image.Write)
@@ -190,7 +195,7 @@
 	n.post(func() { n.snapshotWritten(snapshot, err) })
 }
 
-// snapshotWritten drops the part of the log that the snapshot replaces, and older snapshots.
+// snapshotWritten removes the part of the log that the snapshot replaces, and older snapshots. Failures are only logged.
 func (n *Node) snapshotWritten(snapshot *core.Snapshot, err error) {
 	release := n.core.SnapshotSaved(snapshot, err)
 	if err != nil {
--- a/internal/store/node/server.go
+++ b/internal/store/node/server.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	maxConnections = 128             // at a time, of instances and clients
+	maxConnections = 128             // concurrent, of instances and clients
 	helloTimeout   = 3 * time.Second // for the handshake and the hello
-	peerSilence    = 2 * time.Minute // after which a peer's connection is taken for lost
+	peerSilence    = 2 * time.Minute // without a message, after which a peer's connection is considered lost
 	acceptRetry    = 100 * time.Millisecond
-	maxHello       = 4 << 10 // bytes
-	readBuffer     = 32 << 10
-	helloForm      = 1 // of the welcome
+	maxHello       = 4 << 10  // bytes
+	readBuffer     = 32 << 10 // bytes
+	welcomeForm    = 1        // format version of the Welcome
 )
 
-// accept takes connections until the instance ends.
+// accept accepts and serves connections until the instance stops. Beyond maxConnections it closes them at once.
 func (n *Node) accept() {
 	log := n.connectionLog()
 	for {
@@ -43,7 +43,7 @@
 		}
 		if n.connections.Add(1) > maxConnections {
 			n.connections.Add(-1)
-			_ = conn.Close() // nothing was sent on it
+			_ = conn.Close() // nothing was sent on it, so nothing can be lost
 			continue
 		}
 		n.wg.Go(func() {
@@ -56,8 +56,8 @@
 	}
 }
 
-// closeWith closes a connection when the context ends or the returned function is called. Both ends notice what was
-// lost with it; an error says nothing more.
+// closeWith closes a connection when the context ends or the returned function is called. Errors of Close are ignored:
+// both ends detect a lost message by other means.
 func closeWith(ctx context.Context, conn net.Conn) func() {
 	closeConn := func() { _ = conn.Close() }
 	stop := context.AfterFunc(ctx, closeConn)
@@ -67,7 +67,8 @@
 	}
 }
 
-// serveConnection greets whoever connects, and then serves it as a peer or as a client.
+// serveConnection performs the TLS handshake and the exchange of Hello and Welcome, and then serves the connection as
+// that of a peer or a client.
 func (n *Node) serveConnection(raw net.Conn) error {
 	conn := tls.Server(raw, n.conf.TLS)
 	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
@@ -107,10 +108,10 @@
 	return hello, frame.DecodeValue(body, hello)
 }
 
-// welcome answers the hello. It returns an error if this instance does not take the peer.
+// welcome answers the Hello. It returns an error if the peer is refused.
 func (n *Node) welcome(conn net.Conn, hello *frame.Hello, owner string, role pki.Role) error {
 	view := n.view.Load()
-	welcome := frame.Welcome{Form: helloForm, Cluster: view.cluster, Name: n.conf.Name}
+	welcome := frame.Welcome{Form: welcomeForm, Cluster: view.cluster, Name: n.conf.Name}
 	if hello.Peer {
 		if err := view.checkPeer(hello, owner, role); err != nil {
 			welcome.Error = err.Error()
@@ -126,8 +127,9 @@
 	return nil
 }
 
-// checkPeer tells whether an instance may send messages here. One that was removed never may again. One that is not
-// recorded may while there are no records here, which is before this instance was sent a snapshot.
+// checkPeer returns an error if an instance may not send messages here; the error wraps transport.ErrRemoved if no retry
+// can succeed. An instance without a record is accepted only while there are no records at all, which is the case until
+// a new instance has received its first snapshot.
 func (v *clusterView) checkPeer(hello *frame.Hello, owner string, role pki.Role) error {
 	switch {
 	case role != pki.Instance:
@@ -177,7 +179,8 @@
 	}
 }
 
-// unlessLost returns the error of a read if the other end is to blame for it. That a connection ends is ordinary.
+// unlessLost returns the error of a read only if the remote end violated the protocol. The end of a connection is not an
+// error.
 func unlessLost(err error) error {
 	if errors.Is(err, frame.ErrTooLong) {
 		return err
--- a/internal/store/node/view.go
+++ b/internal/store/node/view.go
@@ -11,16 +11,15 @@
 // retryRecordTicks is the pause in ticks before an instance tries again to correct its own record.
 const retryRecordTicks = 20
 
-// clusterView is what goroutines other than the owner may know without asking it. It is never changed after it was
-// published.
+// clusterView is the part of the state that goroutines other than the owner read. It is immutable once published.
 type clusterView struct {
 	cluster uint64
 	members map[uint64]core.Member
 	removed map[uint64]bool
-	leader  uint64 // 0: not known
+	leader  uint64 // 0: unknown
 }
 
-// publish renews the view when the members or the leader have changed, and tells the transport of the members.
+// publish replaces the view when the members or the leader have changed, and passes new members to the transport.
 func (n *Node) publish() {
 	version := n.core.MembersVersion()
 	if old := n.view.Load(); old != nil && n.publishedVersion == version {
@@ -40,7 +39,7 @@
 	}
 	n.view.Store(view)
 	if len(view.members) == 0 {
-		return // this instance was not sent a snapshot yet; it answers whoever introduces itself
+		return // no snapshot was received yet; the transport keeps the peers that have connected
 	}
 	var peers []transport.Member
 	for id, member := range view.members {
@@ -50,6 +49,7 @@
 	n.checkOwnRecord(view)
 }
 
+// publishLeader replaces the view and logs the change if the leader has changed.
 func (n *Node) publishLeader(old *clusterView) {
 	leader := n.core.Leader()
 	if leader == old.leader {
@@ -65,12 +65,12 @@
 	n.log.Info().Str("leader", view.members[leader].Name).Msg("store: leader changed")
 }
 
-// checkOwnRecord ends an instance that was removed, and has an outdated record corrected.
+// checkOwnRecord stops an instance that was removed, and schedules the correction of an outdated record.
 func (n *Node) checkOwnRecord(view *clusterView) {
 	id := n.store.Identity.Node
 	record, known := view.members[id]
 	if known && n.outdated(record) {
-		time.AfterFunc(0, func() { n.post(n.correctOwnRecord) }) // not at once: the owner must not wait for itself
+		time.AfterFunc(0, func() { n.post(n.correctOwnRecord) }) // on another goroutine: the owner must not call post
 		return
 	}
 	if view.removed[id] {
@@ -83,7 +83,7 @@
 	return record.Address != n.conf.Advertise || record.Format != machine.Format
 }
 
-// correctOwnRecord writes this instance's address and format into its record, and tries again until that is done.
+// correctOwnRecord proposes this instance's address and format for its record, and retries until that is applied.
 func (n *Node) correctOwnRecord() {
 	id := n.store.Identity.Node
 	record, known := core.Members(n.core.Machine())[id]
@@ -92,7 +92,7 @@
 	}
 	write, err := core.MemberOp(id, core.Member{Name: n.conf.Name, Address: n.conf.Advertise, Format: machine.Format})
 	if err != nil {
-		return // only a record that cannot be encoded, and this one can
+		return // cannot happen: a Member can always be encoded
 	}
 	command := &machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{write}}
 	n.propose(command, func(answer core.Answer) {
--- a/internal/store/node/watch.go
+++ b/internal/store/node/watch.go
@@ -7,10 +7,10 @@
 	"cloverrock/internal/store/machine"
 )
 
-// watchBatch bounds the events that are passed on at once; a revision is never split.
+// watchBatch is the number of events after which a batch ends; the events of one revision are never split.
 const watchBatch = 256
 
-// broadcast wakes all that wait for a change. It is safe for concurrent use.
+// broadcast wakes all goroutines that wait for a change. It is safe for concurrent use.
 type broadcast struct {
 	mu     sync.Mutex
 	ch     chan struct{} // closed by the next change
@@ -19,13 +19,14 @@
 
 func newBroadcast() *broadcast { return &broadcast{ch: make(chan struct{})} }
 
-// next returns a channel that the next change closes.
+// next returns a channel that the next change or close closes.
 func (b *broadcast) next() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.ch
 }
 
+// wake announces a change.
 func (b *broadcast) wake() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -35,6 +36,7 @@
 	}
 }
 
+// close wakes all waiting goroutines for the last time.
 func (b *broadcast) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,11 +46,12 @@
 	}
 }
 
-// Watch passes the events of a namespace and prefix after a revision to handle, in order, until the context ends or
-// handle returns an error.
+// Watch passes the events of a namespace and prefix after a revision to handle, in order, until the context or the
+// instance ends or handle returns an error; Watch returns the reason. It reads the local state, which may be stale.
+// handle runs on the caller's goroutine.
 func (n *Node) Watch(ctx context.Context, ns, prefix string, after int64, handle machine.EventHandler) error {
 	for {
-		changed := n.watchers.next() // before the read, so that no change falls between
+		changed := n.watchers.next() // before the read, so that no change is missed
 		var events []machine.Event
 		var upTo int64
 		var complete bool
