--- a/internal/store/disk/fs.go
+++ b/internal/store/disk/fs.go
@@ -1,5 +1,6 @@
-// Package disk keeps a store's log, snapshots and identity in one directory. What it reported as saved is found again
-// complete, or reported as damaged (CorruptError). It works on a small file interface, so that tests crash it anywhere.
+// Package disk stores an instance's log, snapshots and identity in one directory. Data that was reported as saved is
+// later read back completely or reported as damaged (CorruptError). The package accesses files through the interface FS,
+// so that tests can simulate a crash or a failure at any operation.
 package disk
 
 import (
@@ -16,13 +17,13 @@
 type FS interface {
 	List() ([]string, error) // sorted
 	Read(name string) ([]byte, error)
-	Create(name string) (File, error) // empties a file that is there
+	Create(name string) (File, error) // truncates an existing file
 	Append(name string) (File, error)
 	Truncate(name string, size int64) error
 	Rename(from, to string) error
 	Remove(name string) error
 	SyncDir() error
-	Name(name string) string // for messages
+	Name(name string) string // the path, for messages
 }
 
 // File is a file of the directory.
@@ -34,7 +35,7 @@
 	Close() error
 }
 
-// ErrFull says that the disk has no room: nothing of the write is kept, and it may be repeated.
+// ErrFull is the error of a write that found the disk full. It was undone and may be repeated.
 var ErrFull = errors.New("store: the disk is full")
 
 // Dir is a directory of the operating system.
@@ -43,7 +44,7 @@
 	lock *os.File
 }
 
-// OpenDir opens a directory, makes it where it is missing, and keeps other processes out of it.
+// OpenDir opens a directory, creates it if it is missing, and locks it against other processes until Close.
 func OpenDir(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("store: data directory: %w", err)
@@ -53,7 +54,7 @@
 		return nil, fmt.Errorf("store: data directory: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = lock.Close() // it holds nothing
+		_ = lock.Close() // nothing was written to it
 		return nil, fmt.Errorf("store: data directory %s is in use by another process: %w", path, err)
 	}
 	return &Dir{path, lock}, nil
@@ -127,7 +128,7 @@
 	end int64 // where the next Write goes
 }
 
-// Write appends. A write that the disk has no room for is undone and gives ErrFull.
+// Write appends to the file. A write that finds the disk full is undone and returns ErrFull.
 func (f *osFile) Write(data []byte) (int, error) {
 	n, err := f.WriteAt(data, f.end)
 	if err == nil {
@@ -149,5 +150,5 @@
 	return f.File.Truncate(size)
 }
 
-// Sync returns when the bytes and the size are on the disk.
+// Sync returns when the data and the size of the file are on disk.
 func (f *osFile) Sync() error { return syscall.Fdatasync(int(f.Fd())) }
--- a/internal/store/disk/identity.go
+++ b/internal/store/disk/identity.go
@@ -14,16 +14,16 @@
 	identityForm = 1
 )
 
-// Identity is who an instance is. It is given once; a directory without one may not vote.
+// Identity identifies an instance. It is written once; an instance whose directory has none may only join.
 type Identity struct {
 	Cluster uint64   `json:"cluster"`
 	Node    uint64   `json:"node"`
 	Name    string   `json:"name"`
-	Voters  []uint64 `json:"voters,omitempty"` // the members at the bootstrap; none for one that joined
+	Voters  []uint64 `json:"voters,omitempty"` // the first members; empty for an instance that joined
 	Form    int      `json:"form"`
 }
 
-// SaveIdentity writes the identity down.
+// SaveIdentity writes the identity file, replacing an earlier one atomically.
 func SaveIdentity(fs FS, id Identity) error {
 	id.Form = identityForm
 	b, err := json.MarshalIndent(id, "", "  ")
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// LoadIdentity reads the identity; nil if the directory has none.
+// LoadIdentity reads the identity; nil if the directory has none. The error is a *CorruptError for a damaged file.
 func LoadIdentity(fs FS) (*Identity, error) {
 	b, err := fs.Read(identityName)
 	if errors.Is(err, os.ErrNotExist) {
@@ -55,7 +55,7 @@
 	return &id, nil
 }
 
-// NewID returns a random id: ids are never given twice.
+// NewID returns a random id of 63 bits that is not 0.
 func NewID() (uint64, error) {
 	var random [8]byte
 	for {
@@ -68,7 +68,7 @@
 	}
 }
 
-// CreateDir makes a directory of the operating system an instance's, as Create does.
+// CreateDir creates an instance's data directory at a path of the operating system; see Create.
 func CreateDir(path string, id Identity, index uint64, snapshot []byte) error {
 	dir, err := OpenDir(path)
 	if err != nil {
--- a/internal/store/disk/log.go
+++ b/internal/store/disk/log.go
@@ -12,52 +12,53 @@
 )
 
 const (
-	// DefaultSegmentSize is the size in bytes at which a segment of the log is ended.
+	// DefaultSegmentSize is the size in bytes after which the log begins a new segment.
 	DefaultSegmentSize = 16 << 20
 
 	syncNoteName  = "synced"
-	segmentForm   = 1       // of the files
+	segmentForm   = 1       // format version of the segment files
 	maxKeptBuffer = 4 << 20 // bytes; a larger buffer is not kept for the next batch
 )
 
-// Log is the durable log of raft: batches of records in segment files. A batch counts when it is synced.
+// Log is raft's durable log: batches of records in segment files. A batch is durable once it is synced. A Log is not
+// safe for concurrent use.
 type Log struct {
 	fs          FS
-	segmentSize int64 // bytes after which a segment is ended
+	segmentSize int64 // bytes after which a new segment is begun
 	noSync      bool
-	file        File // of the segment that is written
-	seq         uint64
-	size        int64 // bytes in it
+	file        File   // of the current segment
+	seq         uint64 // of the current segment
+	size        int64  // of the current segment in bytes
 	segments    []segment
-	hard        *raftpb.HardState // as saved last
-	syncNote    File
-	buf         []byte
-	payload     []byte
-	failure     error // the first failure after which nothing more is written
+	hard        *raftpb.HardState // as last saved
+	syncNote    File              // see noteSynced; nil until first written
+	buf         []byte            // of the encoded batch, reused
+	payload     []byte            // of one encoded record, reused
+	failure     error             // the first failure after which nothing more is written
 }
 
-// segment is one file; last is the highest index in it.
+// segment is one file of the log. last is the highest index up to its end.
 type segment struct {
 	seq, last uint64
 }
 
-// Loaded is what a log held when it was opened.
+// Loaded is the content of a log when it was opened.
 type Loaded struct {
 	HardState    *raftpb.HardState
 	SnapshotMeta *raftpb.SnapshotMetadata // the latest snapshot that the log names; nil if none
-	Entries      []*raftpb.Entry          // without a gap, behind SnapshotMeta
-	TornBytes    int64                    // of a torn end, which were cut
+	Entries      []*raftpb.Entry          // consecutive, following SnapshotMeta
+	TornBytes    int64                    // of an incomplete last batch, which was truncated
 }
 
 // Options of a log.
 type Options struct {
-	SegmentSize int64 // bytes after which a segment is ended; 0: DefaultSegmentSize
-	NoSync      bool  // for rehearsals only, which have to find out what a crash loses then
+	SegmentSize int64 // bytes after which a new segment is begun; 0: DefaultSegmentSize
+	NoSync      bool  // skip all syncs; only for fault-injection tests
 }
 
 func segmentName(seq uint64) string { return fmt.Sprintf("log-%016x", seq) }
 
-// listSegments lists the log's files.
+// listSegments returns the sequence numbers of the log's files in ascending order.
 func listSegments(fs FS) ([]uint64, error) {
 	names, err := fs.List()
 	if err != nil {
@@ -78,7 +79,7 @@
 	return seqs, nil
 }
 
-// CreateLog begins a log in a directory that has none.
+// CreateLog creates a log in a directory that has none.
 func CreateLog(fs FS, o Options) (*Log, error) {
 	seqs, err := listSegments(fs)
 	if err != nil {
@@ -101,7 +102,8 @@
 	return &Log{fs: fs, segmentSize: o.SegmentSize, noSync: o.NoSync, hard: &raftpb.HardState{}}
 }
 
-// beginSegment opens a new segment. Its head repeats the hard state, so that older segments can be removed.
+// beginSegment creates a segment and makes it the current one. Its head repeats the hard state, so that older segments
+// can be removed.
 func (l *Log) beginSegment(seq uint64) error {
 	name := segmentName(seq)
 	file, err := l.fs.Create(name)
@@ -110,11 +112,11 @@
 	}
 	size, err := l.writeHead(file, seq)
 	if err != nil {
-		_ = file.Close() // the first error says more
+		_ = file.Close() // the first error is returned
 		return err
 	}
 	if l.file != nil {
-		_ = l.file.Close() // all in it is synced
+		_ = l.file.Close() // all its data is synced
 	}
 	last := uint64(0)
 	if len(l.segments) > 0 {
@@ -158,8 +160,9 @@
 	return f.Sync()
 }
 
-// noteSynced notes how far the log is synced. The note itself is not synced: when the process dies, it tells a damaged
-// end from a torn one; when the machine dies, an older note tells it of less.
+// noteSynced writes the position up to which the log is synced to a file, which is not synced itself. After a crash of
+// the process the note distinguishes a damaged end of the log from an incomplete write; after a crash of the machine an
+// older note may remain, which covers less of the log.
 func (l *Log) noteSynced() error {
 	if l.noSync {
 		return nil
@@ -180,7 +183,7 @@
 	return nil
 }
 
-// readSyncNote returns the segment and the size in it up to which the log was synced; zeros if that is not known.
+// readSyncNote returns the segment and the size of it in bytes up to which the log was synced; zeros if unknown.
 func readSyncNote(fs FS) (seq uint64, size int64) {
 	data, err := fs.Read(syncNoteName)
 	if err != nil {
@@ -193,8 +196,9 @@
 	return binary.LittleEndian.Uint64(position), int64(binary.LittleEndian.Uint64(position[8:]))
 }
 
-// Save writes entries and a hard state, either of which may be missing, and returns when they are on the disk. After
-// ErrFull nothing was written and the call may be repeated; any other error is final.
+// Save appends a batch of a hard state, the metadata of an installed snapshot and entries, each of which may be missing,
+// and returns when the batch is durable. After ErrFull nothing was written and the call may be repeated. Any other error
+// is final: all later calls return it.
 func (l *Log) Save(hard *raftpb.HardState, snap *raftpb.SnapshotMetadata, entries []*raftpb.Entry) error {
 	if l.failure != nil {
 		return l.failure
@@ -239,7 +243,7 @@
 	return nil
 }
 
-// fail keeps an error as final, unless the disk is only full.
+// fail returns an error, and records it as final unless it is ErrFull.
 func (l *Log) fail(err error) error {
 	if !errors.Is(err, ErrFull) {
 		l.failure = err
@@ -247,7 +251,7 @@
 	return err
 }
 
-// encodeBatch encodes a batch into the buffer.
+// encodeBatch encodes a batch into l.buf.
 func (l *Log) encodeBatch(hard *raftpb.HardState, snap *raftpb.SnapshotMetadata, entries []*raftpb.Entry) error {
 	l.buf = appendRecord(l.buf[:0], beginRecord, binary.LittleEndian.AppendUint64(nil, uint64(l.size)))
 	if snap != nil {
@@ -269,6 +273,7 @@
 	return nil
 }
 
+// encode appends one record to l.buf.
 func (l *Log) encode(kind recordKind, message proto.Message) (err error) {
 	l.payload, err = proto.MarshalOptions{}.MarshalAppend(l.payload[:0], message)
 	if err != nil {
@@ -278,7 +283,8 @@
 	return nil
 }
 
-// Release drops segments all of whose entries have an index of at most upTo. The caller has a snapshot of them.
+// Release removes the segments before the current one that contain only entries up to an index. The caller must have a
+// snapshot of these entries.
 func (l *Log) Release(upTo uint64) error {
 	n := 0
 	for n < len(l.segments)-1 && l.segments[n].last <= upTo {
@@ -291,13 +297,13 @@
 	return nil
 }
 
-// Segments is the number of files.
+// Segments returns the number of segment files.
 func (l *Log) Segments() int { return len(l.segments) }
 
 // Close closes the files.
 func (l *Log) Close() error {
 	if l.syncNote != nil {
-		_ = l.syncNote.Close() // the note may be lost at any time
+		_ = l.syncNote.Close() // losing the note is harmless
 	}
 	if l.file != nil {
 		return l.file.Close()
--- a/internal/store/disk/read.go
+++ b/internal/store/disk/read.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// OpenLog reads a log from the disk and goes on at its end. A torn end is cut; any other damage is an error that
-// names its place.
+// OpenLog reads a log and opens it for appending. An incomplete last batch is truncated; any other damage is a
+// *CorruptError with its position.
 func OpenLog(fs FS, o Options) (*Log, *Loaded, error) {
 	l, loaded, err := readLog(fs, o)
 	if err != nil {
@@ -31,7 +31,7 @@
 	if l.file, err = fs.Append(name); err != nil {
 		return nil, nil, fmt.Errorf("store: open %s: %w", fs.Name(name), err)
 	}
-	// What was read may never have been synced: a process that was killed leaves it with the kernel.
+	// The data may not have been synced: after a kill of the process it may only be in the page cache.
 	if err := l.syncFile(l.file); err != nil {
 		return nil, nil, fmt.Errorf("store: sync %s: %w", fs.Name(name), err)
 	}
@@ -41,7 +41,7 @@
 	return l, loaded, nil
 }
 
-// readLog reads all segments and changes nothing.
+// readLog reads all segments without changing them.
 func readLog(fs FS, o Options) (*Log, *Loaded, error) {
 	seqs, err := listSegments(fs)
 	if err != nil {
@@ -57,7 +57,7 @@
 		if i > 0 && seq != seqs[i-1]+1 {
 			return nil, nil, &CorruptError{File: fs.Name(segmentName(seqs[i-1] + 1)), Reason: "the segment is missing"}
 		}
-		synced := int64(-1) // not known
+		synced := int64(-1) // unknown
 		if seq == syncedSeq {
 			synced = syncedSize
 		}
@@ -73,8 +73,8 @@
 	return l, loaded, nil
 }
 
-// readSegment reads one segment. A torn end is cut from the last one, unless it was synced: synced is the size up to
-// which that is known; -1: not known.
+// readSegment reads one segment. An incomplete end is tolerated only in the last segment, and only beyond the size
+// synced, up to which the segment is known to have been synced; -1: unknown.
 func (l *Log) readSegment(seq uint64, last bool, synced int64, loaded *Loaded) error {
 	name := segmentName(seq)
 	data, err := l.fs.Read(name)
@@ -97,19 +97,19 @@
 	return nil
 }
 
-// segmentReader reads the records of a segment. They count batch by batch: what has no end record was never
-// acknowledged.
+// segmentReader reads the records of a segment. A batch takes effect only if its end record is there: without it the
+// batch was never acknowledged.
 type segmentReader struct {
 	file     string
 	seq      uint64
 	data     []byte
-	at       int // offset of the record that is read
+	at       int // offset of the current record
 	complete int // bytes of complete batches
 	batch    []batchRecord
 	loaded   *Loaded
 }
 
-// batchRecord is a record of a batch whose end was not read yet. One of entry, hard and snap is set.
+// batchRecord is a record of a batch whose end was not read yet. Exactly one of entry, hard and snap is set.
 type batchRecord struct {
 	at    int
 	entry *raftpb.Entry
@@ -136,6 +136,7 @@
 	return nil
 }
 
+// take processes one record; next is the offset after it.
 func (r *segmentReader) take(kind recordKind, payload []byte, next int) error {
 	switch kind {
 	case headRecord:
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// commitBatch adds a complete batch to what was read.
+// commitBatch adds the records of a complete batch to what was loaded.
 func (r *segmentReader) commitBatch() error {
 	for _, record := range r.batch {
 		switch {
@@ -196,8 +197,8 @@
 	return nil
 }
 
-// checkTornEnd returns an error if what follows the complete batches is damage, and not the end of a write that a
-// crash has cut off.
+// checkTornEnd returns a *CorruptError if the bytes after the complete batches are damage and not a write that was
+// interrupted by a crash.
 func (r *segmentReader) checkTornEnd(last bool, synced int64) error {
 	switch {
 	case !last:
@@ -210,7 +211,7 @@
 	return nil
 }
 
-// lastIndex is the index of the last entry that was read, or of the snapshot where there is none.
+// lastIndex returns the index of the last entry, or of the snapshot if there are no entries.
 func (l *Loaded) lastIndex() uint64 {
 	if len(l.Entries) > 0 {
 		return l.Entries[len(l.Entries)-1].GetIndex()
@@ -218,8 +219,8 @@
 	return l.SnapshotMeta.GetIndex()
 }
 
-// addEntry adds one entry. One whose index is there already replaces it and all behind it, as raft decided. It reports
-// false for one that leaves a gap.
+// addEntry appends an entry. An entry with an existing index replaces that one and all later ones, as raft requires.
+// addEntry reports false for an entry that would leave a gap.
 func (l *Loaded) addEntry(entry *raftpb.Entry) bool {
 	index := entry.GetIndex()
 	first := index
@@ -233,8 +234,8 @@
 		first = l.SnapshotMeta.GetIndex() + 1
 	}
 	if l.SnapshotMeta == nil && (len(l.Entries) == 0 || index < first) {
-		// Older segments were removed: a snapshot has what was in them. What is left may begin with entries that were
-		// replaced from an index in a removed segment on.
+		// Older segments were removed because a snapshot covers them. The remaining ones may begin with entries that
+		// were later replaced, starting from an index in a removed segment.
 		first = index
 		l.Entries = nil
 	}
--- a/internal/store/disk/record.go
+++ b/internal/store/disk/record.go
@@ -6,13 +6,15 @@
 	"hash/crc32"
 )
 
-// A record is a head of 16 bytes, its payload, and zeros up to a multiple of 8: magic, length of the payload,
-// kind, and a checksum over all three and the payload. The magic lets a reader look for later batches behind a
-// record that is damaged: behind a torn end there are none, behind a damaged middle there are.
+// A record is a head of headSize bytes, its payload, and zeros up to a multiple of recordAlignment: magic, length of the payload,
+// kind, and a checksum over all three and the payload. The magic lets a reader search for later batches after a
+// damaged record: there are some if the middle of the log is damaged, and none after an interrupted write.
 const (
 	magic    = 0x6b43526c
 	headSize = 16 // bytes
-	// MaxRecord bounds the length in bytes that a record may claim.
+	// recordAlignment is the number of bytes of which each record's offset is a multiple; a power of 2.
+	recordAlignment = 8
+	// MaxRecord bounds the length in bytes of a record's payload.
 	MaxRecord = 64 << 20
 )
 
@@ -22,7 +24,7 @@
 	headRecord  recordKind = iota + 1 // first of a segment
 	entryRecord                       // one raft entry
 	hardRecord                        // term, vote, commit
-	snapRecord                        // a snapshot was installed: the log goes on behind it
+	snapRecord                        // metadata of an installed snapshot, after which the log continues
 	imageRecord                       // a piece of a snapshot file
 	endRecord                         // the end of a snapshot file or of a batch
 	beginRecord                       // the beginning of a batch, with its offset
@@ -43,13 +45,14 @@
 	b = binary.LittleEndian.AppendUint32(b, uint32(kind))
 	b = binary.LittleEndian.AppendUint32(b, checksum(kind, payload))
 	b = append(b, payload...)
-	for len(b)%8 != 0 {
+	for len(b)%recordAlignment != 0 {
 		b = append(b, 0)
 	}
 	return b
 }
 
-// nextRecord reads the record at an offset and returns where the next one begins.
+// nextRecord decodes the record at an offset and returns the offset of the next one. It reports false for a record that
+// is incomplete or does not match its checksum.
 func nextRecord(b []byte, at int) (kind recordKind, payload []byte, next int, ok bool) {
 	if at+headSize > len(b) || binary.LittleEndian.Uint32(b[at:]) != magic {
 		return 0, nil, at, false
@@ -64,13 +67,14 @@
 	if binary.LittleEndian.Uint32(b[at+12:]) != checksum(kind, payload) {
 		return 0, nil, at, false
 	}
-	return kind, payload, min((end+7)&^7, len(b)), true
+	aligned := (end + recordAlignment - 1) &^ (recordAlignment - 1)
+	return kind, payload, min(aligned, len(b)), true
 }
 
-// laterBatchFollows tells whether a batch was begun behind a broken record. Each batch is synced before the next is
-// written, so the broken one was synced then, and is not a torn end.
+// laterBatchFollows reports whether a batch begins after a damaged record. Each batch is synced before the next is
+// written, so the damaged one was synced and cannot be the result of an interrupted write.
 func laterBatchFollows(b []byte, at int) bool {
-	for at = (at &^ 7) + 8; at+headSize <= len(b); at += 8 {
+	for at = at&^(recordAlignment-1) + recordAlignment; at+headSize <= len(b); at += recordAlignment {
 		if binary.LittleEndian.Uint32(b[at:]) != magic {
 			continue
 		}
@@ -81,10 +85,10 @@
 	return false
 }
 
-// CorruptError names the place of damage. An instance that meets one does not start.
+// CorruptError reports damaged data in a file. An instance does not start with damaged data.
 type CorruptError struct {
 	File   string
-	Offset int64
+	Offset int64 // in bytes
 	Reason string
 }
 
--- a/internal/store/disk/snapshot.go
+++ b/internal/store/disk/snapshot.go
@@ -13,12 +13,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// imageRecordSize is how many bytes of an image are in one record.
+// imageRecordSize is the number of bytes of an image in one record.
 const imageRecordSize = 1 << 20
 
 func snapshotName(index uint64) string { return fmt.Sprintf("snap-%016x", index) }
 
-// listSnapshots lists the snapshot files, oldest first.
+// listSnapshots returns the names of the snapshot files, oldest first.
 func listSnapshots(fs FS) ([]string, error) {
 	names, err := fs.List()
 	if err != nil {
@@ -46,7 +46,7 @@
 	return len(b), nil
 }
 
-// EncodeSnapshot writes a snapshot in the form in which it is kept and sent: its metadata, then the image.
+// EncodeSnapshot writes a snapshot as it is stored and sent: its metadata, then the image in records.
 func EncodeSnapshot(w io.Writer, meta *raftpb.SnapshotMetadata, image func(io.Writer) error) error {
 	head, err := proto.Marshal(meta)
 	if err != nil {
@@ -66,7 +66,8 @@
 	return err
 }
 
-// DecodeSnapshot checks a snapshot and returns its metadata and image. The name is for messages.
+// DecodeSnapshot verifies a snapshot's checksums and returns its metadata and image. The name is for error messages.
+// Errors are a *CorruptError.
 func DecodeSnapshot(name string, b []byte) (*raftpb.SnapshotMetadata, io.Reader, error) {
 	corrupt := func(at int, why string) error { return &CorruptError{name, int64(at), why} }
 	kind, payload, at, ok := nextRecord(b, 0)
@@ -124,8 +125,8 @@
 	return fs.SyncDir()
 }
 
-// LoadSnapshot returns the newest snapshot as it is encoded; nil if there is none. A newest one that is damaged is an
-// error: the log that an older one needs may be gone.
+// LoadSnapshot returns the newest snapshot, still encoded and not verified, and the path of its file; nil if there is
+// none. It never falls back to an older snapshot, because the log that this one needs may have been removed.
 func LoadSnapshot(fs FS) ([]byte, string, error) {
 	names, err := listSnapshots(fs)
 	if err != nil || len(names) == 0 {
@@ -139,7 +140,7 @@
 	return b, fs.Name(name), nil
 }
 
-// RemoveObsolete removes snapshots older than an index and what a crash has left unfinished.
+// RemoveObsolete removes snapshots older than an index, and temporary files left behind by a crash.
 func RemoveObsolete(fs FS, index uint64) error {
 	names, err := fs.List()
 	if err != nil {
--- a/internal/store/disk/store.go
+++ b/internal/store/disk/store.go
@@ -8,25 +8,26 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Store is an instance's directory: identity, newest snapshot, and the log behind it.
+// Store is an instance's data directory: its identity, its newest snapshot and the log after it.
 type Store struct {
 	FS       FS
 	Log      *Log
 	Identity Identity
 }
 
-// Opened is what a directory held.
+// Opened is the content of a directory when it was opened.
 type Opened struct {
-	Snapshot     []byte // encoded; nil for an instance that has joined and was sent nothing yet
+	Snapshot     []byte // encoded; nil for an instance that has joined and received none yet
 	SnapshotName string // of the snapshot's file
 	Loaded       *Loaded
 }
 
-// ErrEmpty says that the directory has no identity: an instance can only join with it.
+// ErrEmpty is the error for a directory without an identity. Its instance can only join.
 var ErrEmpty = errors.New("store: the data directory is empty")
 
-// Create makes a directory an instance's. The identity is written last: without it, the directory counts as empty. The
-// snapshot is nil for an instance that joins.
+// Create creates an instance's files in a directory. The identity is written last, since a directory without one counts
+// as empty; files of an earlier incomplete attempt are removed. The snapshot is nil for an instance that joins, and else
+// has the given index.
 func Create(fs FS, id Identity, index uint64, snapshot []byte, o Options) error {
 	owner, err := LoadIdentity(fs)
 	if err != nil {
@@ -39,7 +40,7 @@
 	if err != nil {
 		return fmt.Errorf("store: list the data directory: %w", err)
 	}
-	for _, name := range names { // of an attempt that did not come to its end
+	for _, name := range names { // of an earlier attempt that was interrupted
 		if err := fs.Remove(name); err != nil {
 			return fmt.Errorf("store: remove %s: %w", fs.Name(name), err)
 		}
@@ -55,7 +56,7 @@
 	return SaveIdentity(fs, id)
 }
 
-// createFirstLog begins the log of a new directory, behind its snapshot if there is one.
+// createFirstLog creates the log of a new directory, starting after its snapshot if there is one.
 func createFirstLog(fs FS, snapshot []byte, o Options) error {
 	log, err := CreateLog(fs, o)
 	if err != nil {
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// writeAll returns a function that writes the bytes.
+// writeAll returns a function that writes data, for SaveSnapshot and replaceFile.
 func writeAll(data []byte) func(io.Writer) error {
 	return func(w io.Writer) error {
 		_, err := w.Write(data)
@@ -84,8 +85,9 @@
 	}
 }
 
-// Open reads a directory. A snapshot that is newer than the log's end, or that the log disagrees with, came from the
-// leader just before a crash: the log goes on behind it.
+// Open reads a directory and opens its log for appending. A snapshot that is newer than the log's end or contradicts the
+// log was received from the leader just before a crash: the log is continued after it. The error is ErrEmpty for a
+// directory without an identity, and a *CorruptError for damage.
 func Open(fs FS, o Options) (*Store, *Opened, error) {
 	id, err := LoadIdentity(fs)
 	if err != nil {
@@ -129,7 +131,7 @@
 	return RemoveObsolete(s.FS, meta.GetIndex())
 }
 
-// reconcile drops the entries that the snapshot has, or all of them where the log disagrees with it.
+// reconcile drops the loaded entries that the snapshot covers, or all of them if the log contradicts it.
 func (s *Store) reconcile(meta *raftpb.SnapshotMetadata, loaded *Loaded) error {
 	at := meta.GetIndex()
 	if loaded.SnapshotMeta.GetIndex() > at {
@@ -140,9 +142,9 @@
 		agrees = agrees || e.GetIndex() == at && e.GetTerm() == meta.GetTerm()
 	}
 	if !agrees {
-		// Where older segments were removed, the log may begin right behind the snapshot.
-		beginsBehind := len(loaded.Entries) > 0 && loaded.Entries[0].GetIndex() == at+1
-		if beginsBehind && loaded.SnapshotMeta == nil {
+		// If older segments were removed, the log may begin directly after the snapshot.
+		beginsAfterSnapshot := len(loaded.Entries) > 0 && loaded.Entries[0].GetIndex() == at+1
+		if beginsAfterSnapshot && loaded.SnapshotMeta == nil {
 			return nil
 		}
 		loaded.Entries = nil
@@ -154,7 +156,8 @@
 	return nil
 }
 
-// SaveSnapshot saves a snapshot that the leader sent: the file. The log's record of it follows with the next Log.Save.
+// SaveSnapshot writes the file of a snapshot that was received from the leader. The caller records it in the log with the
+// next Log.Save.
 func (s *Store) SaveSnapshot(meta *raftpb.SnapshotMetadata, data []byte) error {
 	return SaveSnapshot(s.FS, meta.GetIndex(), writeAll(data))
 }
@@ -162,14 +165,14 @@
 // Close closes the log.
 func (s *Store) Close() error { return s.Log.Close() }
 
-// Inspection is what Inspect found.
+// Inspection is the result of Inspect.
 type Inspection struct {
 	Opened
 	Identity Identity
 	Segments int
 }
 
-// Inspect reads all of a directory and changes nothing in it.
+// Inspect reads and verifies a complete directory without changing it. Errors are those of Open.
 func Inspect(fs FS) (*Inspection, error) {
 	id, err := LoadIdentity(fs)
 	if err != nil {
@@ -196,8 +199,8 @@
 	return found, nil
 }
 
-// DiscardUnsynced drops from a directory that no process uses what its log was not sure to hold on the disk, as a loss of power
-// may do. Rehearsals use it: a process that is killed leaves its writes with the kernel, which loses none of them.
+// DiscardUnsynced simulates a loss of power: it removes the part of the log that is not known to be synced. No process
+// may be using the directory. Fault-injection tests use it, because a kill of the process alone loses no written data.
 func DiscardUnsynced(fs FS) error {
 	seq, size := readSyncNote(fs)
 	seqs, err := listSegments(fs)
--- a/internal/store/machine/command.go
+++ b/internal/store/machine/command.go
@@ -7,11 +7,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Format is the newest format of commands that this build understands. A command says which format a reader must
-// know; fields that an older reader may ignore do not raise it.
+// Format is the newest format of commands that this build supports. A command states the oldest format that a reader
+// must support; fields that an older reader may ignore do not raise it.
 const Format = 1
 
-// Kind names what a command does.
+// Kind is the kind of a command.
 type Kind uint8
 
 // The kinds of commands. Their numbers are part of the format.
@@ -19,10 +19,10 @@
 	TransactionKind  Kind = iota + 1 // compare, then one of two lists of operations
 	OpenSessionKind                  // open a session; its id is the result's
 	GrantLeaseKind                   // grant a lease of Amount milliseconds; its id is the result's
-	KeepAliveKind                    // restart the time of a lease
+	KeepAliveKind                    // extend a lease by its full duration from now
 	RevokeLeaseKind                  // end a lease now
 	AdvanceClockKind                 // advance the logical clock by Amount milliseconds
-	CompactKind                      // forget events up to a revision
+	CompactKind                      // drop the events up to a revision
 	RaiseFormatKind                  // raise the agreed format of commands
 	lastKind         = RaiseFormatKind
 )
@@ -31,27 +31,27 @@
 type Command struct {
 	Format    uint8     `msgpack:"v"`
 	Kind      Kind      `msgpack:"k"`
-	RequestID uint64    `msgpack:"r,omitempty"` // the proposer's own number, by which it finds its answer
-	Session   uint64    `msgpack:"s,omitempty"` // with Seq: the same pair is applied once
-	Seq       uint64    `msgpack:"q,omitempty"`
-	If        []Compare `msgpack:"i,omitempty"`
-	Then      []Op      `msgpack:"t,omitempty"`
-	Else      []Op      `msgpack:"e,omitempty"`
-	Lease     uint64    `msgpack:"l,omitempty"`
+	RequestID uint64    `msgpack:"r,omitempty"` // chosen by the proposer, which finds its answer by it
+	Session   uint64    `msgpack:"s,omitempty"` // 0: none; a pair of Session and Seq is applied once
+	Seq       uint64    `msgpack:"q,omitempty"` // increases with each command of a session
+	If        []Compare `msgpack:"i,omitempty"` // all must hold
+	Then      []Op      `msgpack:"t,omitempty"` // executed if If holds
+	Else      []Op      `msgpack:"e,omitempty"` // executed otherwise
+	Lease     uint64    `msgpack:"l,omitempty"` // to extend or revoke
 	Amount    int64     `msgpack:"a,omitempty"` // milliseconds, a revision, or a format, by the kind
 }
 
-// Target is what a comparison looks at.
+// Target is the property of a key that a comparison reads.
 type Target uint8
 
 // The targets of comparisons. Their numbers are part of the format.
 const (
-	Version  Target = iota // times the key was written since it came to be; 0: it does not exist
+	Version  Target = iota // writes since the key was created; 0: it does not exist
 	Modified               // revision of the last write
 	Value
 )
 
-// Compare holds if what it looks at equals what it names.
+// Compare is a condition on a key: it holds if the target equals Number, or Value for the target Value.
 type Compare struct {
 	NS     string `msgpack:"n"`
 	Key    string `msgpack:"k"`
@@ -60,7 +60,7 @@
 	Value  []byte `msgpack:"v,omitempty"`
 }
 
-// OpKind names an operation of a transaction.
+// OpKind is the kind of an operation of a transaction.
 type OpKind uint8
 
 // The kinds of operations. Their numbers are part of the format.
@@ -72,18 +72,18 @@
 	lastOp = List
 )
 
-// Writes reports whether the operation changes a key. The zero kind counts as one that does, so that what guards
-// writes guards it too; it is never applied.
+// Writes reports whether the operation changes a key. The invalid zero kind counts as a write, so that permission checks
+// for writes cover it too; it is never applied.
 func (k OpKind) Writes() bool { return k <= Delete }
 
-// Op is one operation. A Put with a lease ends with the lease.
+// Op is one operation. A key that is put with a lease is deleted when the lease ends.
 type Op struct {
 	Kind  OpKind `msgpack:"o"`
 	NS    string `msgpack:"n"`
 	Key   string `msgpack:"k"` // List: the prefix
 	Value []byte `msgpack:"v,omitempty"`
 	Lease uint64 `msgpack:"l,omitempty"`
-	Limit int    `msgpack:"m,omitempty"` // List: at most so many; 0: all
+	Limit int    `msgpack:"m,omitempty"` // List: at most this many keys; 0: all
 }
 
 // KV is a key with its value and its versions.
@@ -91,9 +91,9 @@
 	NS       string `msgpack:"n" json:"namespace"`
 	Key      string `msgpack:"k" json:"key"`
 	Value    []byte `msgpack:"v" json:"value"`
-	Created  int64  `msgpack:"c" json:"created"`  // revision that made it
-	Modified int64  `msgpack:"m" json:"modified"` // revision that wrote it last
-	Version  int64  `msgpack:"w" json:"version"`  // writes since it was made
+	Created  int64  `msgpack:"c" json:"created"`  // revision that created it
+	Modified int64  `msgpack:"m" json:"modified"` // revision of the last write
+	Version  int64  `msgpack:"w" json:"version"`  // writes since it was created
 	Lease    uint64 `msgpack:"l,omitempty" json:"lease,omitempty"`
 }
 
@@ -101,22 +101,22 @@
 type Event struct {
 	Revision int64 `msgpack:"r" json:"revision"`
 	Deleted  bool  `msgpack:"d,omitempty" json:"deleted,omitempty"`
-	KV       *KV   `msgpack:"k" json:"kv"` // as it is after a Put, or was before a Delete
+	KV       *KV   `msgpack:"k" json:"kv"` // after a Put, or before a Delete
 }
 
-// Code says why a command did nothing. It is the same at every instance.
+// Code is the reason why a command had no effect. It is the same at every instance.
 type Code uint8
 
 // The codes of results. Their numbers are part of the format.
 const (
 	OK           Code = iota
-	NoSession         // the session is not known: never opened, or dropped for room
-	OldSeq            // a later command of the session was applied already
+	NoSession         // unknown session: never opened, or dropped because there were too many
+	OldSeq            // a later command of the session was already applied
 	NoLease           // the lease has ended
-	Malformed         // an operation that is not known
+	Malformed         // an unknown operation, or an invalid name
 	IsCompacted       // the revision was compacted
 	BadAmount         // a time, revision or format out of bounds
-	BadLeaseName      // a lease that a command may not name
+	BadLeaseName      // a lease in an operation other than Put
 )
 
 var codes = [...]string{"ok", "unknown session", "an old sequence number", "unknown lease", "malformed command",
@@ -132,17 +132,17 @@
 // Result is the outcome of a command.
 type Result struct {
 	Code     Code   `msgpack:"c,omitempty"`
-	Holds    bool   `msgpack:"h,omitempty"` // the comparisons held
+	Holds    bool   `msgpack:"h,omitempty"` // the comparisons of If held
 	Revision int64  `msgpack:"r"`           // after the command
 	ID       uint64 `msgpack:"i,omitempty"` // of a session or lease
 	KVs      []KV   `msgpack:"k,omitempty"` // found by Get and List, in their order
 }
 
-// ErrUnknownRecord says that a record cannot be applied by this build. Passing over it would make this instance's
-// state another than the others', so it stops applying instead.
+// ErrUnknownRecord is the error for a record that this build cannot decode. Skipping it would make this instance's state
+// differ from that of the others, so it must stop applying commands instead.
 var ErrUnknownRecord = errors.New("store: a record that this build does not know")
 
-// Encode gives a command its form in the log.
+// Encode encodes a command for the log. It sets the format of a command that has none.
 func Encode(command *Command) ([]byte, error) {
 	if command.Format == 0 {
 		command.Format = 1
@@ -154,7 +154,8 @@
 	return data, nil
 }
 
-// Decode reads a command. One of a newer build than the format's is reported as ErrUnknownRecord.
+// Decode decodes a command. The error is ErrUnknownRecord for one that cannot be decoded, of a newer format than the
+// given one, or of an unknown kind.
 func Decode(data []byte, format uint8) (*Command, error) {
 	var command Command
 	if err := msgpack.Unmarshal(data, &command); err != nil {
--- a/internal/store/machine/events.go
+++ b/internal/store/machine/events.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// KeepEvents bounds the events kept for watches: at twice as many, the older half is dropped.
+// KeepEvents is the number of events that are at least kept for watches. At twice as many the older half is dropped.
 const KeepEvents = 16384
 
-// EventHandler takes events of a watch, which go up to a revision. With complete false, events before that revision
-// were compacted: the caller has to read the keys again, and the watch goes on from there. An error ends the watch.
+// EventHandler handles the events of a watch up to a revision. With complete false, events before that revision were
+// compacted: the handler must read the keys again, and the watch continues after upTo. An error ends the watch.
 type EventHandler func(events []Event, upTo int64, complete bool) error
 
-// recordEvent notes an event; the first of a revision begins it.
+// recordEvent appends an event and sets the machine's revision to that of the event.
 func (m *Machine) recordEvent(event Event) {
 	m.revision = event.Revision
 	m.events = append(m.events, event)
@@ -22,6 +22,7 @@
 	}
 }
 
+// compactTo drops the events up to a revision, which must exist and not be compacted yet.
 func (m *Machine) compactTo(revision int64) Code {
 	switch {
 	case revision > m.revision:
@@ -33,13 +34,13 @@
 	return OK
 }
 
-// dropEvents drops events up to a revision. Images share the old slice, so the rest is copied.
+// dropEvents drops the events up to a revision. Images share the old slice, so the remaining events are copied.
 func (m *Machine) dropEvents(revision int64) {
 	m.events = slices.Clone(m.events[m.firstEventAfter(revision):])
 	m.compactedTo = revision
 }
 
-// firstEventAfter is the position of the first event after a revision.
+// firstEventAfter returns the position of the first event after a revision.
 func (m *Machine) firstEventAfter(revision int64) int {
 	i, _ := slices.BinarySearchFunc(m.events, revision+1, func(event Event, r int64) int {
 		return cmp.Compare(event.Revision, r)
@@ -47,9 +48,9 @@
 	return i
 }
 
-// EventsSince returns the events of a namespace and prefix after a revision, and the revision up to which they go: at
-// most limit of them, and then those that belong to the last one's revision. It reports false if the revision was
-// compacted: the watcher has to read the keys again.
+// EventsSince returns the events of a namespace and prefix after a revision, and the revision up to which they are
+// complete. It returns about limit events: the events of one revision are never split. It reports false if events after
+// the revision were compacted: the watcher must read the keys again.
 func (m *Machine) EventsSince(ns, prefix string, after int64, limit int) (found []Event, upTo int64, ok bool) {
 	if after < m.compactedTo {
 		return nil, m.compactedTo, false
@@ -69,5 +70,5 @@
 	return found, m.revision, true
 }
 
-// CompactedTo is the revision up to which events are gone.
+// CompactedTo returns the revision up to which events were dropped.
 func (m *Machine) CompactedTo() int64 { return m.compactedTo }
--- a/internal/store/machine/image.go
+++ b/internal/store/machine/image.go
@@ -11,8 +11,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Image is the state at one index, frozen: the machine goes on while it is written out. Taking one copies no
-// keys; they are shared until either side changes.
+// Image is an immutable view of the state at one index. Another goroutine may write it while the machine applies further
+// commands. Keys are shared copy-on-write.
 type Image struct {
 	head     imageHead
 	keys     *btree.Map[string, *KV]
@@ -22,13 +22,13 @@
 }
 
 type imageHead struct {
-	Form     uint8  `msgpack:"form"`  // of the image
+	Form     uint8  `msgpack:"form"`  // format version of the image
 	Level    uint8  `msgpack:"level"` // the agreed format of commands
 	Index    uint64 `msgpack:"index"`
 	Revision int64  `msgpack:"revision"`
 	Clock    int64  `msgpack:"clock"`
 	Chain    uint64 `msgpack:"chain"`
-	Floor    int64  `msgpack:"floor"` // events up to this revision are gone
+	Floor    int64  `msgpack:"floor"` // events up to this revision were dropped
 	Keys     int    `msgpack:"keys"`
 	Leases   int    `msgpack:"leases"`
 	Sessions int    `msgpack:"sessions"`
@@ -48,7 +48,7 @@
 	Result Result `msgpack:"r"`
 }
 
-// Image freezes the state.
+// Image returns an immutable view of the state.
 func (m *Machine) Image() *Image {
 	i := &Image{keys: m.keys.Copy(), events: slices.Clip(m.events)}
 	for _, l := range m.leases {
@@ -75,10 +75,10 @@
 	return i
 }
 
-// Index is that of the last command in the image.
+// Index returns the index of the last command in the image.
 func (i *Image) Index() uint64 { return i.head.Index }
 
-// Write writes the image out. The same state gives the same bytes.
+// Write encodes the image. The same state gives the same bytes at every instance.
 func (i *Image) Write(w io.Writer) error {
 	if err := i.write(msgpack.NewEncoder(w)); err != nil {
 		return fmt.Errorf("store: write image: %w", err)
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// Restore reads an image into a new machine. An image of a newer build gives ErrUnknownRecord.
+// Restore decodes an image into a new machine. The error wraps ErrUnknownRecord for an image of a newer build.
 func Restore(r io.Reader) (*Machine, error) {
 	decoder := msgpack.NewDecoder(r)
 	var head imageHead
@@ -164,6 +164,7 @@
 	return m, nil
 }
 
+// check returns an error for a newer format or impossible counts.
 func (h *imageHead) check() error {
 	if h.Form > Format || h.Level > Format {
 		return fmt.Errorf("%w: an image of form %d, level %d (this build: %d)", ErrUnknownRecord, h.Form, h.Level, Format)
@@ -187,7 +188,7 @@
 	return leased, err
 }
 
-// decodeAll reads a number of values and passes each on; what names them in an error.
+// decodeAll decodes count values and passes each to take; what names them in an error.
 func decodeAll[T any](decoder *msgpack.Decoder, what string, count int, take func(*T)) error {
 	for range count {
 		value := new(T)
--- a/internal/store/machine/lease.go
+++ b/internal/store/machine/lease.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// MaxTTL bounds a lease, in milliseconds.
+// MaxTTL bounds the duration of a lease in milliseconds.
 const MaxTTL = 24 * 3600 * 1000
 
-// lease ends at a time of the logical clock, and its keys with it.
+// lease expires at a time of the logical clock. Its keys are deleted then.
 type lease struct {
 	id       uint64
 	ttl, end int64               // in milliseconds of the logical clock
@@ -46,7 +46,7 @@
 	return OK
 }
 
-// advanceClock moves the logical clock by at most the longest lease: a faulty clock ends leases, and nothing else.
+// advanceClock advances the logical clock by at most MaxTTL, and ends the leases that have expired.
 func (m *Machine) advanceClock(milliseconds int64) Code {
 	if milliseconds < 0 || milliseconds > MaxTTL {
 		return BadAmount
@@ -56,13 +56,14 @@
 	return OK
 }
 
+// detachLease removes a key from the lease that it had, if any.
 func (m *Machine) detachLease(kv *KV, at string) {
 	if lease := m.leases[kv.Lease]; lease != nil {
 		delete(lease.keys, at)
 	}
 }
 
-// endLease ends a lease and removes its keys, all at one revision.
+// endLease ends a lease and deletes its keys, all at one revision.
 func (m *Machine) endLease(ended *lease) {
 	delete(m.leases, ended.id)
 	next := m.revision + 1
@@ -71,7 +72,7 @@
 	}
 }
 
-// endExpiredLeases ends leases in the order of their ids, so that the revisions are the same everywhere.
+// endExpiredLeases ends leases in the order of their ids, so that the revisions are the same at every instance.
 func (m *Machine) endExpiredLeases() {
 	var expired []*lease
 	for _, lease := range m.leases {
--- a/internal/store/machine/machine.go
+++ b/internal/store/machine/machine.go
@@ -1,6 +1,6 @@
 // Package machine is the store's replicated state: namespaces of keys with revisions, transactions, leases on a
 // logical clock, sessions that apply a retried command once, and the latest events for watches. It does no I/O,
-// reads no clock and starts nothing; the same commands give the same state and the same results everywhere.
+// reads no clock and starts no goroutine; the same commands give the same state and the same results at every instance.
 package machine
 
 import (
@@ -16,20 +16,20 @@
 // maxName bounds the bytes of a namespace or key.
 const maxName = 1024
 
-// Machine is the state. It is not safe for concurrent use; Image gives others a frozen view.
+// Machine is the replicated state. It is not safe for concurrent use; Image returns a view for other goroutines.
 type Machine struct {
-	format        uint8 // newest format of commands that this build knows; tests change it
-	agreedFormat  uint8 // newest format that all instances have agreed to
-	index         uint64
-	revision      int64
-	clock         int64 // logical time in milliseconds
-	chain         uint64
+	format        uint8                   // newest format of commands that this build supports; tests change it
+	agreedFormat  uint8                   // newest format that all instances have agreed to
+	index         uint64                  // of the last command applied
+	revision      int64                   // of the last change of a key
+	clock         int64                   // logical time in milliseconds
+	chain         uint64                  // see Chain
 	keys          *btree.Map[string, *KV] // by storageKey
 	leases        map[uint64]*lease
-	sessions      map[uint64]*list.Element
-	sessionsByUse *list.List // of *session, the one used last at the back
-	events        []Event    // in order of revision
-	compactedTo   int64      // events up to this revision are gone
+	sessions      map[uint64]*list.Element // by id: elements of sessionsByUse
+	sessionsByUse *list.List               // of *session, the most recently used at the back
+	events        []Event                  // in order of revision
+	compactedTo   int64                    // events up to this revision were dropped
 }
 
 // New returns an empty machine.
@@ -44,35 +44,35 @@
 	}
 }
 
-// WithFormat returns the machine as a build would have it that knows formats up to the given one.
+// WithFormat sets the newest supported format of commands, as if the build were another one, and returns the machine.
 func (m *Machine) WithFormat(format uint8) *Machine {
 	m.format = format
 	return m
 }
 
-// Index is that of the last command applied.
+// Index returns the index of the last command applied.
 func (m *Machine) Index() uint64 { return m.index }
 
-// Revision numbers the last change.
+// Revision returns the revision of the last change of a key.
 func (m *Machine) Revision() int64 { return m.revision }
 
-// AgreedFormat is the newest format of commands that all instances have agreed to.
+// AgreedFormat returns the newest format of commands that all instances have agreed to.
 func (m *Machine) AgreedFormat() uint8 { return m.agreedFormat }
 
-// Clock is the logical time in milliseconds.
+// Clock returns the logical time in milliseconds.
 func (m *Machine) Clock() int64 { return m.clock }
 
-// LeaseCount is the number of leases that run.
+// LeaseCount returns the number of leases.
 func (m *Machine) LeaseCount() int { return len(m.leases) }
 
-// KeyCount is the number of keys.
+// KeyCount returns the number of keys.
 func (m *Machine) KeyCount() int { return m.keys.Len() }
 
-// Chain is a hash of every command applied and its result: two machines with the same index and different chains
-// have contradicted each other.
+// Chain returns a hash over all applied commands and their results. Two machines with the same index and different
+// chains have diverged.
 func (m *Machine) Chain() uint64 { return m.chain }
 
-// Get returns a key.
+// Get returns a key's record, and whether it exists.
 func (m *Machine) Get(ns, key string) (KV, bool) {
 	kv, found := m.keys.Get(storageKey(ns, key))
 	if !found {
@@ -81,7 +81,7 @@
 	return *kv, true
 }
 
-// List returns the keys with a prefix in their order, at most limit of them; 0: all.
+// List returns the keys with a prefix in ascending order, at most limit of them; 0: all.
 func (m *Machine) List(ns, prefix string, limit int) (found []KV) {
 	from := storageKey(ns, prefix)
 	m.keys.Ascend(from, func(at string, kv *KV) bool {
@@ -94,19 +94,20 @@
 	return found
 }
 
-// storageKey is where a key stands among all namespaces.
+// storageKey returns the key under which a namespace's key is stored.
 func storageKey(ns, key string) string { return ns + "\x00" + key }
 
-// ValidName reports whether a namespace or key may be used. The zero byte separates them in storage keys.
+// ValidName reports whether a namespace or key is valid: 1 to 1024 bytes without a zero byte, which separates the two in
+// storage keys.
 func ValidName(name string) bool {
 	return name != "" && len(name) <= maxName && !strings.Contains(name, "\x00")
 }
 
-// Skip notes an index without a command: raft's own empty entries.
+// Skip advances to an index without a command, for raft's own empty entries.
 func (m *Machine) Skip(index uint64) { m.extendChain(index, nil, 0, 0) }
 
-// Apply applies the command at an index. Only ErrUnknownRecord and an index out of order are errors, and then nothing
-// has changed; whatever else goes wrong is part of the result.
+// Apply applies the command at an index, and returns its result and the decoded command. It returns an error only for
+// ErrUnknownRecord and for an index out of order, and then changes nothing; any other failure is the result's code.
 func (m *Machine) Apply(index uint64, data []byte) (Result, *Command, error) {
 	if index <= m.index {
 		return Result{}, nil, fmt.Errorf("store: index %d comes after %d", index, m.index)
@@ -120,6 +121,7 @@
 	return result, command, nil
 }
 
+// extendChain adds the command at an index to the chain.
 func (m *Machine) extendChain(index uint64, data []byte, code Code, id uint64) {
 	var link [40]byte
 	binary.LittleEndian.PutUint64(link[0:], m.chain)
@@ -131,7 +133,7 @@
 	m.index = index
 }
 
-// execute applies a command whose session has not had it.
+// execute executes a command that its session has not executed yet.
 func (m *Machine) execute(index uint64, command *Command) Result {
 	result := Result{}
 	switch command.Kind {
--- a/internal/store/machine/session.go
+++ b/internal/store/machine/session.go
@@ -1,16 +1,17 @@
 package machine
 
-// MaxSessions bounds the sessions. The least recently used one is dropped; its owner is told and opens another.
+// MaxSessions bounds the sessions. Beyond it the least recently used one is dropped, and its next command gives
+// NoSession.
 const MaxSessions = 16384
 
-// session remembers the last command of a client, so that a retry is answered and not applied again.
+// session holds the result of a client's last command, so that a retry is answered without being applied again.
 type session struct {
 	id, seq uint64
-	result  Result
-	used    uint64 // index of the last command
+	result  Result // of the command with number seq
+	used    uint64 // index of the last command, for the order of use
 }
 
-// openSession opens a session and drops the least recently used ones that have no room any more.
+// openSession opens a session, and drops the least recently used ones if there are too many.
 func (m *Machine) openSession(id uint64) {
 	for len(m.sessions) >= MaxSessions {
 		dropped := m.sessionsByUse.Remove(m.sessionsByUse.Front()).(*session)
@@ -19,12 +20,12 @@
 	m.addSession(&session{id: id, used: id})
 }
 
-// addSession adds a session as the one used last.
+// addSession adds a session as the most recently used.
 func (m *Machine) addSession(added *session) {
 	m.sessions[added.id] = m.sessionsByUse.PushBack(added)
 }
 
-// applyOnce applies a command unless its session has had it; then it returns the result that it had.
+// applyOnce executes a command. If its session has executed it already, applyOnce returns the earlier result.
 func (m *Machine) applyOnce(index uint64, command *Command) Result {
 	if command.Session == 0 {
 		return m.execute(index, command)
--- a/internal/store/machine/transaction.go
+++ b/internal/store/machine/transaction.go
@@ -4,7 +4,7 @@
 	"bytes"
 )
 
-// transact compares, and then does one of the two lists of operations whole, or nothing.
+// transact evaluates the conditions and then executes one of the two lists of operations, completely or not at all.
 func (m *Machine) transact(command *Command) Result {
 	result := Result{Holds: true}
 	for i := range command.If {
@@ -39,7 +39,7 @@
 	return result
 }
 
-// check looks at all operations before any of them is done.
+// check validates all operations before any of them is executed.
 func (m *Machine) check(ops []Op) Code {
 	for i := range ops {
 		op := &ops[i]
@@ -101,6 +101,7 @@
 	m.recordEvent(Event{Revision: revision, KV: kv})
 }
 
+// remove deletes a key, given by its storage key, at a revision. Nothing happens if it does not exist.
 func (m *Machine) remove(at string, revision int64) {
 	old, found := m.keys.Delete(at)
 	if !found {
