--- a/internal/store/client/client.go
+++ b/internal/store/client/client.go
@@ -1,5 +1,5 @@
-// Package client calls the instances of a store: one after another until one answers, each write under a session, so
-// that a retry is applied once.
+// Package client calls the instances of a store over mutual TLS. Calls are retried at the configured endpoints until an
+// instance answers. Writes with Transact run in a session, so that a retried command is applied once.
 package client
 
 import (
@@ -19,41 +19,42 @@
 const (
 	defaultAttemptTimeout = 3 * time.Second
 	minBackoff            = 20 * time.Millisecond
-	maxBackoff            = time.Second
-	watchRetry            = 200 * time.Millisecond // pause before a watch goes on at the next instance
+	maxBackoff            = time.Second            // between attempts of a call
+	watchRetry            = 200 * time.Millisecond // pause before a watch is resumed
 )
 
 // Config of a client.
 type Config struct {
 	Endpoints      []string // HOST:PORT of instances
 	TLS            *tls.Config
-	AttemptTimeout time.Duration // for one instance to answer; 0: 3 s
-	SingleEndpoint bool          // ask the first endpoint only
+	AttemptTimeout time.Duration // for a dial, a write and an answer each; 0: defaultAttemptTimeout
+	SingleEndpoint bool          // never leave the first endpoint
 }
 
-// Error is a refusal or failure that the store has answered. Its code is one of package frame.
+// Error is an error that an instance returned. Code is one of the codes of package frame.
 type Error struct{ Code, Message string }
 
 func (e *Error) Error() string { return e.Message }
 
-// ErrUnavailable says that no instance could answer.
+// ErrUnavailable is the error for an instance that could not be reached or did not answer.
 var ErrUnavailable = errors.New("store: no instance answers")
 
-// Client is safe for concurrent use.
+// Client has one connection at a time, to one of the endpoints. It is safe for concurrent use; calls of Transact are
+// serialized.
 type Client struct {
 	conf Config
 
 	mu       sync.Mutex
-	endpoint int // counts up; modulo the endpoints, the one in use
+	endpoint int // increases; modulo len(Endpoints) it is the index of the current endpoint
 	conn     *connection
 	lastID   uint64
 
-	sessionMu sync.Mutex // held for a write: the session has one at a time
+	sessionMu sync.Mutex // held by Transact: a session runs one command at a time
 	session   uint64     // 0: none is open
-	seq       uint64
+	seq       uint64     // of the session's last command
 }
 
-// New returns a client; it connects when it is first asked.
+// New returns a client. It connects with the first call.
 func New(conf Config) *Client {
 	if conf.AttemptTimeout == 0 {
 		conf.AttemptTimeout = defaultAttemptTimeout
@@ -61,7 +62,7 @@
 	return &Client{conf: conf}
 }
 
-// Close ends the connection.
+// Close closes the current connection. The caller must end all calls first: one in progress may connect again.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,14 +72,14 @@
 	}
 }
 
-// connect returns the connection in use, or a new one.
+// connect returns the current connection, or dials the current endpoint.
 func (c *Client) connect(ctx context.Context) (*connection, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != nil {
 		select {
 		case <-c.conn.closed:
-			c.conn = nil // else nextEndpoint would not go on after a dial that fails
+			c.conn = nil // so that nextEndpoint(nil) takes effect if the dial fails
 		default:
 			return c.conn, nil
 		}
@@ -95,7 +96,8 @@
 	return c.conn, nil
 }
 
-// nextEndpoint goes over to the next instance, if the given connection is still the one in use; nil: there was none.
+// nextEndpoint closes the failed connection and advances to the next endpoint, provided that failed is still the current
+// connection; nil: there was none. With SingleEndpoint set it does not advance.
 func (c *Client) nextEndpoint(failed *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,8 +120,9 @@
 	return c.lastID
 }
 
-// attempt sends a request to one instance, passes each response but the last to part, and returns the last. An error
-// says that none came. The connection is nil if there is none, and nothing was sent.
+// attempt sends a request to the current endpoint, passes each response but the last to part, and returns the last. limit
+// bounds the wait for the last response; 0: only the context does. The connection is nil after a failed dial: nothing was
+// sent then, and attempt has advanced the endpoint.
 func (c *Client) attempt(ctx context.Context, request *frame.Request, limit time.Duration, part partHandler) (*connection, *frame.Response, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, c.conf.AttemptTimeout)
 	conn, err := c.connect(dialCtx)
@@ -142,7 +145,7 @@
 	return conn, response, err
 }
 
-// pause waits, and reports false if the context ends first.
+// pause waits and reports whether the wait was completed before the context ended.
 func pause(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -152,8 +155,9 @@
 	}
 }
 
-// Call asks until an instance answers or the context ends. Without idempotent, a request whose answer was lost is not
-// sent a second time.
+// Call retries a request until an instance answers it or the context ends, and returns the last response. A response with
+// a code other than frame.CodeOK is returned as an *Error. If idempotent is false, a request that may have been executed
+// is not sent again, and the error of that attempt is returned.
 func (c *Client) Call(ctx context.Context, request *frame.Request, idempotent bool) (*frame.Response, error) {
 	ignore := func(*frame.Response) error { return nil }
 	backoff := minBackoff
@@ -169,7 +173,7 @@
 			if !retryable {
 				return response, err
 			}
-		} else if conn != nil && !idempotent { // it was sent, and may have been done
+		} else if conn != nil && !idempotent { // it was sent and may have been executed
 			c.nextEndpoint(conn)
 			return nil, err
 		}
@@ -181,8 +185,9 @@
 	}
 }
 
-// Transact has a command applied once, whatever is lost on the way. If it is not known whether the command was applied,
-// the error is an *Error with frame.CodeOutcomeUnknown or that of the context.
+// Transact executes a command once, even if requests or responses are lost and retried. If the outcome is unknown, the error
+// is an *Error with frame.CodeOutcomeUnknown or wraps that of the context. A command that was rejected gives an *Error
+// with frame.CodeRefused; conditions that did not hold are no error, see Result.Holds.
 func (c *Client) Transact(ctx context.Context, command machine.Command) (machine.Result, error) {
 	c.sessionMu.Lock()
 	defer c.sessionMu.Unlock()
@@ -197,7 +202,7 @@
 		command.Seq = c.seq
 		response, err := c.Call(ctx, &frame.Request{Op: frame.OpPropose, Command: &command}, true)
 		if err != nil {
-			c.session = 0 // its last command may still be applied: nothing new may come under its name
+			c.session = 0 // its last command may still be applied, so its sequence numbers cannot be continued
 			return machine.Result{}, err
 		}
 		result := response.Result
@@ -211,10 +216,11 @@
 		if c.seq > 1 {
 			return result, &Error{frame.CodeOutcomeUnknown, "store: the session was dropped; whether the command was applied is not known"}
 		}
-		// The session was dropped before it was used: nothing was done.
+		// The session was dropped before its first command, which was not applied: retry in a new session.
 	}
 }
 
+// openSession opens a session for Transact. The caller holds sessionMu.
 func (c *Client) openSession(ctx context.Context) error {
 	open := &machine.Command{Kind: machine.OpenSessionKind}
 	response, err := c.Call(ctx, &frame.Request{Op: frame.OpPropose, Command: open}, true)
@@ -226,8 +232,8 @@
 	return nil
 }
 
-// Get reads a key. The age in milliseconds is how far the state may be behind, -1: not known; it is 0 unless stale is
-// set.
+// Get reads a key: linearizably, or with stale set from the local state of one instance. ageMS is an upper bound in
+// milliseconds on how far that state is behind; -1: unknown. It is 0 unless stale is set.
 func (c *Client) Get(ctx context.Context, ns, key string, stale bool) (kv machine.KV, found bool, ageMS int64, err error) {
 	response, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: key, Stale: stale}, true)
 	if err != nil {
@@ -239,7 +245,7 @@
 	return response.Result.KVs[0], true, response.AgeMS, nil
 }
 
-// List reads the keys with a prefix; limit -1 is all. The age is that of Get.
+// List reads at most limit keys with a prefix in ascending order; -1: all. stale and ageMS are those of Get.
 func (c *Client) List(ctx context.Context, ns, prefix string, limit int, stale bool) (kvs []machine.KV, ageMS int64, err error) {
 	response, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: prefix, Limit: limit, Stale: stale}, true)
 	if err != nil {
@@ -248,8 +254,9 @@
 	return response.Result.KVs, response.AgeMS, nil
 }
 
-// Watch passes the events after a revision to handle, at one instance after another, until the context ends or handle
-// returns an error.
+// Watch passes the events after a revision to handle, until the context ends or handle returns an error, which Watch
+// returns. After a lost connection it resumes with the revision after the last one handled. A refusal by the store is an
+// *Error.
 func (c *Client) Watch(ctx context.Context, ns, prefix string, after int64, handle machine.EventHandler) error {
 	for {
 		request := &frame.Request{Op: frame.OpWatch, NS: ns, Key: prefix, After: after}
@@ -275,7 +282,8 @@
 	}
 }
 
-// Backup writes the whole state as an encoded snapshot.
+// Backup writes the latest state to w as an encoded snapshot. It is not retried: after an error, w holds an incomplete
+// snapshot.
 func (c *Client) Backup(ctx context.Context, w io.Writer) error {
 	conn, response, err := c.attempt(ctx, &frame.Request{Op: frame.OpBackup}, 0, func(part *frame.Response) error {
 		_, err := w.Write(part.Body)
--- a/internal/store/client/connection.go
+++ b/internal/store/client/connection.go
@@ -11,17 +11,17 @@
 	"cloverrock/internal/store/frame"
 )
 
-// responseBacklog is how many responses to one request may wait for whoever reads them.
+// responseBacklog is the number of responses to one request that are buffered for its reader.
 const responseBacklog = 16
 
-// partHandler takes a response that others follow. An error ends the request.
+// partHandler handles a response that is not the last one of its request. An error ends the request.
 type partHandler func(*frame.Response) error
 
-// connection is one connection with the requests that wait on it.
+// connection is a connection to an instance with the requests in progress on it.
 type connection struct {
 	conn    net.Conn
 	writeMu sync.Mutex    // held while a request is written
-	closed  chan struct{} // closed when nothing more comes
+	closed  chan struct{} // closed when no further response can arrive
 
 	mu      sync.Mutex
 	pending map[uint64]chan *frame.Response // by request id
@@ -33,10 +33,10 @@
 	return c
 }
 
-// close closes the connection; whatever waits on it ends. An error would tell nothing more.
+// close closes the connection, which ends all its requests. The error of Close is of no use to them.
 func (c *connection) close() { _ = c.conn.Close() }
 
-// read passes responses to the requests that wait for them until the connection ends.
+// read passes responses to their requests until the connection ends.
 func (c *connection) read() {
 	defer close(c.closed)
 	defer c.close()
@@ -56,7 +56,7 @@
 	}
 }
 
-// waiting returns the channel of a response's request; nil if nobody waits. After the last response nobody does.
+// waiting returns the channel of a response's request; nil if the request has ended. The last response ends it.
 func (c *connection) waiting(response *frame.Response) chan *frame.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +67,7 @@
 	return responses
 }
 
-// register has the responses to a request passed to a channel, until cancel is called.
+// register returns a channel for the responses to a request. The caller must call cancel when it stops reading.
 func (c *connection) register(id uint64) (responses chan *frame.Response, cancel func()) {
 	responses = make(chan *frame.Response, responseBacklog)
 	c.mu.Lock()
@@ -77,7 +77,7 @@
 		c.mu.Lock()
 		delete(c.pending, id)
 		c.mu.Unlock()
-		for len(responses) > 0 { // read may wait to pass on another one
+		for len(responses) > 0 { // read may be blocked on the full channel
 			<-responses
 		}
 	}
@@ -93,8 +93,8 @@
 	return err
 }
 
-// receive passes each response but the last to part, and returns the last. It gives up after a time, if that is not 0.
-// An error of part closes the connection, which ends the request at the instance.
+// receive passes each response but the last to part, and returns the last. The error wraps ErrUnavailable after limit (0:
+// no limit) or when the connection ends. An error of part closes the connection, which ends the request at the instance.
 func (c *connection) receive(ctx context.Context, responses <-chan *frame.Response, limit time.Duration, part partHandler) (*frame.Response, error) {
 	var late <-chan time.Time
 	if limit > 0 {
@@ -122,7 +122,7 @@
 	}
 }
 
-// lastResponse returns the last response if it came just before the connection was closed.
+// lastResponse returns the last response if it arrived just before the connection ended.
 func lastResponse(responses <-chan *frame.Response) (*frame.Response, error) {
 	select {
 	case response := <-responses:
--- a/internal/store/documents/documents.go
+++ b/internal/store/documents/documents.go
@@ -1,5 +1,5 @@
-// Package documents defines operators' documents in the store: numbered revisions with author, time and note, which are
-// never changed. It decides what a change writes and on what condition; it does no I/O.
+// Package documents defines operators' documents in the store: numbered, immutable revisions with author, time and note.
+// It computes the command that commits a change and the condition under which it applies; it does no I/O.
 package documents
 
 import (
@@ -19,11 +19,11 @@
 const NS = "config"
 
 const (
-	// Gateway is the document that is laid over the configuration of gateways.
+	// Gateway is the name of the document that overrides the configuration of gateways.
 	Gateway = "gateway"
 	// SchemaSuffix ends the name of the document that holds another's schema.
 	SchemaSuffix = ".schema"
-	// MaxBody bounds a document in bytes.
+	// MaxBody bounds the body of a document in bytes.
 	MaxBody = 256 << 10
 	// KeepRevisions bounds the revisions of a document that are kept; the oldest are dropped.
 	KeepRevisions = 200
@@ -39,36 +39,39 @@
 
 var validName = regexp.MustCompile(`^[a-zA-Z][a-zA-Z0-9.-]{0,63}$`)
 
-// Head is the stored record of which revisions there are.
+// Head is the stored record of a document's range of revisions.
 type Head struct {
-	Number int64 `msgpack:"n"`
+	Number int64 `msgpack:"n"` // latest revision; 0: there is no document
 	First  int64 `msgpack:"f"` // oldest revision that is kept
 }
 
-// Revision is a document as it stood from a change on.
+// Revision is one immutable revision of a document.
 type Revision struct {
 	Name         string          `msgpack:"-" json:"document"`
 	Number       int64           `msgpack:"n" json:"revision"`
 	Author       string          `msgpack:"a" json:"author"`
-	AtMS         int64           `msgpack:"t" json:"at_ms"` // by the clock of the instance that took the change
+	AtMS         int64           `msgpack:"t" json:"at_ms"` // Unix time in milliseconds by the clock of the instance that committed it
 	Note         string          `msgpack:"m,omitempty" json:"note,omitempty"`
 	RolledBackTo int64           `msgpack:"b,omitempty" json:"rolled_back_to,omitempty"`
 	Body         json.RawMessage `msgpack:"d" json:"body,omitempty"`
 }
 
+// headKey returns the key of a document's Head.
 func headKey(name string) string { return "head/" + name }
+
+// bodyKey returns the key of a Revision.
 func bodyKey(name string, number int64) string {
 	return fmt.Sprintf("body/%s/%012d", name, number)
 }
 
-// Reader reads the state.
+// Reader reads the state of the store; *machine.Machine implements it.
 type Reader interface {
 	Get(ns, key string) (machine.KV, bool)
 	List(ns, prefix string, limit int) []machine.KV
 }
 
-// Latest returns the head of a document; the number is 0 if there is none.
-func Latest(r Reader, name string) (Head, int64, error) {
+// Latest returns the head of a document and the store's revision of that record; both are zero if there is no document.
+func Latest(r Reader, name string) (head Head, modified int64, err error) {
 	kv, found := r.Get(NS, headKey(name))
 	if !found {
 		return Head{}, 0, nil
@@ -80,7 +83,7 @@
 	return h, kv.Modified, nil
 }
 
-// At returns a revision; number 0 is the latest.
+// At returns a revision of a document; number 0 is the latest. The error wraps ErrName or ErrMissing.
 func At(r Reader, name string, number int64) (*Revision, error) {
 	if !validName.MatchString(name) {
 		return nil, ErrName
@@ -99,7 +102,7 @@
 	return Decode(name, kv.Value)
 }
 
-// Decode reads a revision.
+// Decode decodes a stored revision of a document.
 func Decode(name string, b []byte) (*Revision, error) {
 	rev := &Revision{}
 	if err := msgpack.Unmarshal(b, rev); err != nil {
@@ -109,7 +112,8 @@
 	return rev, nil
 }
 
-// History returns the revisions that are kept, oldest first, without their bodies.
+// History returns the revisions that are still kept, oldest first, without their bodies. The error wraps ErrMissing if
+// there is no such document.
 func History(r Reader, name string) ([]*Revision, error) {
 	var all []*Revision
 	for _, kv := range r.List(NS, "body/"+name+"/", 0) {
@@ -126,7 +130,7 @@
 	return all, nil
 }
 
-// Names lists the documents.
+// Names returns the names of all documents in ascending order.
 func Names(r Reader) (names []string) {
 	for _, kv := range r.List(NS, "head/", 0) {
 		names = append(names, strings.TrimPrefix(kv.Key, "head/"))
@@ -134,18 +138,18 @@
 	return names
 }
 
-// Change is what an operator asks for.
+// Change is a change of a document that an operator requests.
 type Change struct {
 	Name, Author, Note string
-	AtMS               int64
+	AtMS               int64 // Unix time in milliseconds
 	Body               []byte
-	Base               int64 // the revision that the operator has changed; -1: any, 0: there is none yet
-	RollBackTo         int64 // instead of Body: the revision to go back to
+	Base               int64 // revision on which the change is based; -1: any, 0: the document must not exist yet
+	RollBackTo         int64 // revision whose body is used instead of Body; 0: none
 }
 
-// Plan returns the command that makes a change, and the revision that it makes. The command does nothing if another
-// change comes first: then its result does not hold. The errors are ErrName, ErrConflict, ErrMissing and ErrSame, and
-// those of a body that is too long or no JSON.
+// Plan returns the command that commits a change, and the resulting revision. If another change is committed first, the
+// command has no effect and its result's Holds is false. The error wraps ErrName, ErrConflict, ErrMissing or ErrSame, or
+// says that the body is too long or not JSON.
 func Plan(r Reader, change Change) (*machine.Command, *Revision, error) {
 	if !validName.MatchString(change.Name) {
 		return nil, nil, ErrName
@@ -204,7 +208,7 @@
 	return compacted.Bytes(), nil
 }
 
-// writes returns the operations that make this revision the latest, and drop those that are too old.
+// writes returns the operations that store this revision as the latest and delete the oldest beyond KeepRevisions.
 func (rev *Revision) writes(head Head) ([]machine.Op, error) {
 	next := Head{Number: rev.Number, First: max(head.First, 1)}
 	var ops []machine.Op
@@ -225,20 +229,21 @@
 		machine.Op{Kind: machine.Put, NS: NS, Key: headKey(rev.Name), Value: headValue}), nil
 }
 
-// StatusNS is the namespace in which instances report what they run; each key is removed with its instance's lease.
+// StatusNS is the namespace in which instances report which revisions they run. Each key is deleted when its instance's
+// lease ends.
 const StatusNS = "status"
 
-// Running is what an instance reports of a document.
+// Running is an instance's report on which revision of a document it runs.
 type Running struct {
 	Instance     string `json:"instance"`
 	Document     string `json:"document"`
-	Revision     int64  `json:"revision"` // the latest that it has looked at
-	Applied      int64  `json:"applied"`  // the latest that it runs
+	Revision     int64  `json:"revision"` // the latest that it has evaluated
+	Applied      int64  `json:"applied"`  // the one that it runs
 	State        string `json:"state"`    // applied, restart, failed
 	Detail       string `json:"detail,omitempty"`
 	ReportedAtMS int64  `json:"at_ms"`
 	Version      string `json:"version,omitempty"`
 }
 
-// RunningKey is the key of what an instance reports of a document.
+// RunningKey returns the key of an instance's report on a document.
 func RunningKey(instance, document string) string { return "running/" + document + "/" + instance }
--- a/internal/store/frame/frame.go
+++ b/internal/store/frame/frame.go
@@ -1,5 +1,5 @@
 // Package frame is the wire format of the store's connections: a length of 4 bytes (big endian), a kind of one byte, and
-// a body. Memory is taken as bytes arrive, so that a peer that claims a long frame costs no more than it sends.
+// a body. Memory is allocated as bytes arrive, not by the announced length, so that a peer cannot exhaust it cheaply.
 package frame
 
 import (
@@ -25,7 +25,7 @@
 	readStep = 64 << 10 // bytes by which the buffer grows at least while a body arrives
 )
 
-// Kind of a frame. An unknown kind is ignored: a newer build may send what an older one does not know.
+// Kind is the kind of a frame. Readers ignore unknown kinds, which a newer build may send.
 type Kind byte
 
 // The kinds of frames, and what their bodies are.
@@ -39,34 +39,34 @@
 	ResponseKind Kind = 'a' // Response
 )
 
-// ErrTooLong says that a frame claims more than Max.
+// ErrTooLong is the error for a frame whose body is longer than allowed.
 var ErrTooLong = errors.New("store: a frame is longer than allowed")
 
-// Hello is the first frame of whoever connects.
+// Hello is the first frame on a connection, from the end that dialed.
 type Hello struct {
-	Form    uint8  `msgpack:"f"`
-	Peer    bool   `msgpack:"p"` // an instance, which sends messages for this one; else a client
+	Form    uint8  `msgpack:"f"` // format version
+	Peer    bool   `msgpack:"p"` // an instance that will send messages; false: a client
 	Cluster uint64 `msgpack:"c"`
-	ID      uint64 `msgpack:"i"`
-	Address string `msgpack:"a"`
+	ID      uint64 `msgpack:"i"` // of a peer
+	Address string `msgpack:"a"` // HOST:PORT at which a peer is reachable
 }
 
 // Welcome answers a Hello.
 type Welcome struct {
-	Form    uint8  `msgpack:"f"`
-	Error   string `msgpack:"e,omitempty"`
-	Final   bool   `msgpack:"x,omitempty"` // no retry helps: the peer was removed, or is of another cluster
+	Form    uint8  `msgpack:"f"`           // format version
+	Error   string `msgpack:"e,omitempty"` // why a peer is refused; empty: it is not
+	Final   bool   `msgpack:"x,omitempty"` // a retry cannot succeed: the peer was removed, or is of another cluster
 	Cluster uint64 `msgpack:"c"`
 	Name    string `msgpack:"n"`
 }
 
-// Append adds a frame.
+// Append appends a frame to b.
 func Append(b []byte, kind Kind, body []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	return append(append(b, byte(kind)), body...)
 }
 
-// AppendValue adds a frame with a msgpack body.
+// AppendValue appends a frame with a msgpack body to b. The error is ErrTooLong for a body of more than MaxSize bytes.
 func AppendValue(b []byte, kind Kind, v any) ([]byte, error) {
 	body, err := msgpack.Marshal(v)
 	if err != nil {
@@ -87,7 +87,8 @@
 	return err
 }
 
-// Read reads one frame with a body of at most maxSize bytes. The body is valid until the next call with the same buffer.
+// Read reads one frame with a body of at most maxSize bytes; a longer one gives ErrTooLong. The body reuses buf if it is
+// large enough, and is then valid until the next call with the same buffer.
 func Read(r io.Reader, buf []byte, maxSize int) (Kind, []byte, error) {
 	var head [headSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -104,7 +105,7 @@
 	return Kind(head[4]), body, nil
 }
 
-// readBody appends a number of bytes to the buffer, which grows as they arrive.
+// readBody appends size bytes to the buffer, which grows as they arrive.
 func readBody(r io.Reader, buf []byte, size int) ([]byte, error) {
 	for left := size; left > 0; {
 		step := min(left, max(readStep, cap(buf)-len(buf)))
@@ -118,7 +119,7 @@
 	return buf, nil
 }
 
-// DecodeValue reads a msgpack body.
+// DecodeValue decodes a msgpack body into v.
 func DecodeValue(body []byte, v any) error {
 	if err := msgpack.Unmarshal(body, v); err != nil {
 		return fmt.Errorf("store: read frame: %w", err)
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// AppendEnvelope adds a message between instances.
+// AppendEnvelope appends the frame of a message between instances to b.
 func AppendEnvelope(b []byte, e core.Envelope) ([]byte, error) {
 	switch {
 	case e.Chunk != nil:
@@ -141,7 +142,7 @@
 	return Append(b, RaftKind, body), nil
 }
 
-// DecodeEnvelope reads a message between instances. It reports false for a kind that is none.
+// DecodeEnvelope decodes a message between instances. It reports false for frames of any other kind.
 func DecodeEnvelope(kind Kind, body []byte, from, to uint64) (core.Envelope, bool, error) {
 	e := core.Envelope{From: from, To: to}
 	var err error
@@ -161,27 +162,27 @@
 	return e, err == nil, err
 }
 
-// Request is a client's call.
+// Request is a client's call. Which fields are used depends on Op.
 type Request struct {
-	ID      uint64           `msgpack:"i"`
+	ID      uint64           `msgpack:"i"` // unique on the connection
 	Op      string           `msgpack:"o"`
 	Command *machine.Command `msgpack:"c,omitempty"`
 	NS      string           `msgpack:"n,omitempty"`
 	Key     string           `msgpack:"k,omitempty"`
-	Limit   int              `msgpack:"l,omitempty"` // of keys, -1: all; or the revision to roll a document back to
-	Stale   bool             `msgpack:"s,omitempty"`
-	After   int64            `msgpack:"r,omitempty"` // a revision: of the state, or the base of a document's change
+	Limit   int              `msgpack:"l,omitempty"` // maximum number of keys, -1: all; or the revision to roll a document back to
+	Stale   bool             `msgpack:"s,omitempty"` // read the local state of the instance
+	After   int64            `msgpack:"r,omitempty"` // a revision: of the state, or on which a document's change is based
 	NodeID  uint64           `msgpack:"d,omitempty"`
 	Name    string           `msgpack:"m,omitempty"`
 	Address string           `msgpack:"a,omitempty"`
-	Token   string           `msgpack:"t,omitempty"` // by which an instance joins, or the note of a document's change
+	Token   string           `msgpack:"t,omitempty"` // join token of an instance, or the note of a document's change
 	Body    []byte           `msgpack:"b,omitempty"`
 }
 
 // The operations of a Request.
 const (
 	OpPropose  = "propose"
-	OpRead     = "read" // a key, or with Limit not 0 a prefix
+	OpRead     = "read" // a key; if Limit is not 0, the keys with a prefix
 	OpWatch    = "watch"
 	OpStatus   = "status"
 	OpJoin     = "join"
@@ -191,23 +192,23 @@
 	OpDocument = "document"
 )
 
-// Codes of a Response that a client acts on.
+// The codes of a Response, which tell a client whether to retry.
 const (
 	CodeOK             = ""
-	CodeRetry          = "retry"   // nothing was done; another instance may know better
-	CodeOutcomeUnknown = "unknown" // it may have been done: again under the same sequence number
-	CodeRefused        = "refused" // not allowed, or not sensible
+	CodeRetry          = "retry"   // nothing was done; retry at another instance
+	CodeOutcomeUnknown = "unknown" // it may have been done: retry only under the same sequence number
+	CodeRefused        = "refused" // not allowed or invalid; a retry cannot succeed
 	CodeFailed         = "failed"
 )
 
-// Response answers a Request; with More set, others follow.
+// Response answers a Request. With More set, further responses to the same request follow.
 type Response struct {
-	ID     uint64          `msgpack:"i"`
+	ID     uint64          `msgpack:"i"` // of the request
 	Code   string          `msgpack:"c,omitempty"`
 	Error  string          `msgpack:"e,omitempty"`
 	Result machine.Result  `msgpack:"r"`
 	Events []machine.Event `msgpack:"v,omitempty"`
-	AgeMS  int64           `msgpack:"a,omitempty"` // how far behind the state may be; -1: not known
+	AgeMS  int64           `msgpack:"a,omitempty"` // upper bound on how far the state is behind; -1: unknown
 	More   bool            `msgpack:"m,omitempty"`
 	Body   []byte          `msgpack:"b,omitempty"`
 }
--- a/internal/store/pki/pki.go
+++ b/internal/store/pki/pki.go
@@ -1,5 +1,6 @@
-// Package pki makes and reads the certificates by which instances and operators of a store know each other: one
-// authority of its own, whose key stays with the operators, and a certificate for each name.
+// Package pki creates and loads the certificates by which instances and operators of a store authenticate each other.
+// Each store has its own certificate authority, whose private key stays with the operators, and a certificate for each
+// name. The certificate's role decides what its owner may do.
 package pki
 
 import (
@@ -18,17 +19,17 @@
 	"time"
 )
 
-// Role is what a certificate's owner may do. It is the certificate's only organizational unit.
+// Role determines what a certificate's owner may do. It is stored as the certificate's only organizational unit.
 type Role string
 
 // The roles.
 const (
-	Instance Role = "instance" // a member of the store, or one that wants to be
+	Instance Role = "instance" // a member of the store, or one that may join
 	Operator Role = "operator" // reads, writes, and changes members
 	Observer Role = "observer" // reads
 )
 
-// ErrRole says that a certificate has no role that this program knows.
+// ErrRole is the error for a certificate without a role, or with an unknown one.
 var ErrRole = errors.New("store: the certificate names no role")
 
 const (
@@ -36,11 +37,12 @@
 	fileSuffix    = ".pem"
 	keySuffix     = "-key.pem"
 
-	serialBits     = 120
-	clockTolerance = time.Hour // by which a certificate is valid before it was made
+	serialBits     = 120       // of a random serial number
+	clockTolerance = time.Hour // how long before its creation a certificate is already valid
 )
 
-// CreateAuthority makes an authority in a directory: authority.pem and authority-key.pem.
+// CreateAuthority creates a certificate authority in a directory: authority.pem and authority-key.pem. Existing files are
+// an error and are not replaced.
 func CreateAuthority(dir, cluster string, now time.Time, life time.Duration) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("store: authority: %w", err)
@@ -60,7 +62,8 @@
 	return writePair(dir, authorityName, cert, cert, key, key)
 }
 
-// Issue makes NAME.pem and NAME-key.pem in a directory, signed by the authority there.
+// Issue creates NAME.pem and NAME-key.pem in a directory, signed by the authority in the same directory. Existing files
+// are an error and are not replaced.
 func Issue(dir, name string, role Role, now time.Time, life time.Duration) error {
 	parent, signer, err := loadAuthority(dir)
 	if err != nil {
@@ -126,7 +129,7 @@
 	return writePEM(path+keySuffix, "PRIVATE KEY", keyDER, 0o600)
 }
 
-// writePEM writes a new file: a key that is there already is never replaced.
+// writePEM writes a new file. It fails if the file exists, so that a key is never replaced.
 func writePEM(path, kind string, der []byte, mode os.FileMode) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, mode)
 	if err != nil {
@@ -139,8 +142,9 @@
 // Files are the paths of a certificate, its key, and the authority.
 type Files struct{ Certificate, Key, Authority string }
 
-// LoadTLS reads the files into a configuration for both ends of a connection: each shows its certificate, and takes only
-// one that the authority has signed. Names are checked by the caller, since instances are known by name, not by host.
+// LoadTLS returns a mutual TLS configuration for both ends of a connection: each presents its certificate and accepts
+// only a peer whose certificate the authority has signed. Certificates contain no host names; the caller checks the name
+// and role with Owner.
 func LoadTLS(f Files) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
@@ -159,12 +163,12 @@
 		MinVersion:         tls.VersionTLS13,
 		ClientCAs:          pool,
 		ClientAuth:         tls.RequireAndVerifyClientCert,
-		InsecureSkipVerify: true, // VerifyConnection verifies the chain; there are no host names in certificates
+		InsecureSkipVerify: true, // VerifyConnection verifies the chain; certificates contain no host names
 		VerifyConnection:   func(s tls.ConnectionState) error { return verify(s, pool) },
 	}, nil
 }
 
-// verify checks that the authority has signed the certificate of the other end.
+// verify returns an error unless the authority has signed the peer's certificate.
 func verify(s tls.ConnectionState, authority *x509.CertPool) error {
 	if len(s.PeerCertificates) == 0 {
 		return errors.New("store: the peer shows no certificate")
@@ -181,7 +185,8 @@
 	return err
 }
 
-// Owner returns the name and role in the certificate of the other end of a connection.
+// Owner returns the name and role in the peer's certificate of an established connection. The error is ErrRole if there
+// is no valid role.
 func Owner(s tls.ConnectionState) (name string, role Role, err error) {
 	if len(s.PeerCertificates) == 0 {
 		return "", "", ErrRole
--- a/internal/store/transport/dial.go
+++ b/internal/store/transport/dial.go
@@ -16,11 +16,11 @@
 	dialTimeout  = 2 * time.Second
 	helloTimeout = 3 * time.Second
 	maxWelcome   = 64 << 10 // bytes
-	helloForm    = 1
+	helloForm    = 1        // format version of the Hello
 )
 
-// Dial connects, introduces this end, and checks who the other is. An empty name takes any instance. A final refusal is
-// an ErrRemoved.
+// Dial connects to an instance, exchanges Hello and Welcome, and verifies that the remote certificate is that of the
+// named instance; an empty name accepts any instance. The error wraps ErrRemoved if the refusal is final.
 func Dial(ctx context.Context, address string, conf *tls.Config, hello frame.Hello, name string) (net.Conn, *frame.Welcome, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
@@ -30,13 +30,13 @@
 	conn := tls.Client(raw, conf)
 	welcome, err := greet(ctx, conn, hello, name)
 	if err != nil {
-		_ = raw.Close() // the first error says more
+		_ = raw.Close() // the first error is returned
 		return nil, nil, err
 	}
 	return conn, welcome, nil
 }
 
-// greet introduces this end within a time, and leaves the connection without a deadline.
+// greet runs introduce within helloTimeout, and leaves the connection without a deadline.
 func greet(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
 	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return nil, err
@@ -48,6 +48,7 @@
 	return welcome, conn.SetDeadline(time.Time{})
 }
 
+// introduce performs the TLS handshake and exchanges Hello and Welcome.
 func introduce(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return nil, err
--- a/internal/store/transport/transport.go
+++ b/internal/store/transport/transport.go
@@ -1,5 +1,6 @@
 // Package transport carries messages between the instances of a store over TCP with mutual TLS. Each instance dials
-// the others for what it sends; what cannot be sent is dropped, as raft allows, and never waited for.
+// the others and sends on its own connections only. A message that cannot be sent is dropped, which raft tolerates;
+// sending never blocks.
 package transport
 
 import (
@@ -18,28 +19,28 @@
 )
 
 const (
-	queueLength   = 1024            // envelopes that wait for one peer
-	writeTimeout  = 3 * time.Second // a peer that takes nothing for so long is dialed again
-	redialMin     = 200 * time.Millisecond
+	queueLength   = 1024                   // envelopes queued for one peer
+	writeTimeout  = 3 * time.Second        // after which a connection that accepts no data is replaced
+	redialMin     = 200 * time.Millisecond // pause before the first attempt to reconnect, doubled for each further one
 	redialMax     = 3 * time.Second
-	stableAfter   = 5 * time.Second // a connection that lasted so long resets the backoff
+	stableAfter   = 5 * time.Second // duration of a connection that resets the pause
 	writeBuffer   = 64 << 10        // bytes
-	maxKeptBuffer = 1 << 20         // bytes; a larger encoding buffer is not kept
+	maxKeptBuffer = 1 << 20         // bytes; a larger encoding buffer is released
 )
 
-// ErrRemoved says that the others have removed this instance, or are another cluster: it has no place there.
+// ErrRemoved is the error of an instance that was removed from the cluster, or belongs to another one.
 var ErrRemoved = errors.New("store: the other instances do not take this one")
 
 // Config of a transport.
 type Config struct {
 	TLS       *tls.Config
-	Hello     frame.Hello       // as this instance presents itself
+	Hello     frame.Hello       // sent on each connection
 	Routes    map[string]string // by name: where to dial a peer instead of its own address
 	Log       zerolog.Logger
-	OnRemoved func(error) // called with an ErrRemoved
+	OnRemoved func(error) // called when a peer refuses this instance, with an error that wraps ErrRemoved
 }
 
-// Transport sends to peers. It is safe for concurrent use.
+// Transport sends messages to peers, with one goroutine for each. It is safe for concurrent use.
 type Transport struct {
 	conf   Config
 	ctx    context.Context
@@ -50,7 +51,6 @@
 }
 
 type peer struct {
-	id      uint64
 	name    string
 	address string
 	queue   chan core.Envelope
@@ -63,13 +63,13 @@
 	return &Transport{conf: conf, ctx: ctx, cancel: cancel, peers: map[uint64]*peer{}}
 }
 
-// Member is where a peer is.
+// Member is the name and address (HOST:PORT) of a peer.
 type Member struct {
 	ID            uint64
 	Name, Address string
 }
 
-// SetMembers sets the peers; those that it lacks are forgotten.
+// SetMembers replaces the set of peers. Connections to all other peers are closed.
 func (t *Transport) SetMembers(members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// AddMember adds a peer that has introduced itself before the state names it.
+// AddMember adds a peer that has connected before it is recorded in the state. A peer that exists is not changed.
 func (t *Transport) AddMember(m Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// setMember starts a connection to a peer unless there is one to its address. The caller holds mu.
+// setMember starts to maintain a connection to a peer, unless there is one to the same address. The caller holds mu.
 func (t *Transport) setMember(m Member) {
 	if route, ok := t.conf.Routes[m.Name]; ok {
 		m.Address = route
@@ -110,12 +110,12 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(t.ctx)
-	p := &peer{id: m.ID, name: m.Name, address: m.Address, queue: make(chan core.Envelope, queueLength), cancel: cancel}
+	p := &peer{name: m.Name, address: m.Address, queue: make(chan core.Envelope, queueLength), cancel: cancel}
 	t.peers[m.ID] = p
 	t.wg.Go(func() { t.maintain(ctx, p) })
 }
 
-// Send queues envelopes for their peers, and drops those for which there is no room. It does not wait.
+// Send queues envelopes for their peers. It does not block: envelopes for a full queue or an unknown peer are dropped.
 func (t *Transport) Send(envelopes []core.Envelope) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,13 +129,13 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes all connections and waits for their goroutines.
 func (t *Transport) Close() {
 	t.cancel()
 	t.wg.Wait()
 }
 
-// maintain keeps a connection to one peer until the context ends.
+// maintain connects to one peer, again after each failure, until the context ends.
 func (t *Transport) maintain(ctx context.Context, p *peer) {
 	backoff := redialMin
 	for ctx.Err() == nil {
@@ -161,25 +161,25 @@
 	}
 }
 
-// dropQueue drops what was queued while there was no connection: it is outdated.
+// dropQueue discards the messages that were queued while there was no connection, since they are outdated.
 func (p *peer) dropQueue() {
 	for len(p.queue) > 0 {
 		<-p.queue
 	}
 }
 
-// connect dials a peer and sends what is queued until the connection or the context ends.
+// connect dials a peer and sends queued envelopes until the connection or the context ends. The error is never nil.
 func (t *Transport) connect(ctx context.Context, p *peer) error {
 	conn, _, err := Dial(ctx, p.address, t.conf.TLS, t.conf.Hello, p.name)
 	if err != nil {
 		return err
 	}
-	closeConn := func() { _ = conn.Close() } // what is lost with it is sent again by raft
+	closeConn := func() { _ = conn.Close() } // raft sends lost messages again
 	defer closeConn()
 	stop := context.AfterFunc(ctx, closeConn)
 	defer stop()
 	closed := make(chan struct{})
-	go func() { // the peer sends nothing more; a read ends when the connection does
+	go func() { // the peer sends no data, so Read returns when the connection ends
 		defer close(closed)
 		var b [1]byte
 		_, _ = conn.Read(b[:])
@@ -207,7 +207,7 @@
 	buf    []byte
 }
 
-// send writes an envelope and all that are queued behind it.
+// send writes an envelope and all those queued after it, and flushes once.
 func (w *queueWriter) send(envelope core.Envelope) (err error) {
 	if err := w.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
