--- a/internal/store/core/start.go
+++ b/internal/store/core/start.go
@@ -162,7 +162,7 @@
 		return fmt.Errorf("store: start from log: %w", err)
 	}
 	if commit := log.HardState.GetCommit(); commit > last {
-		return fmt.Errorf("store: the log ends at entry %d, and %d was committed: it has lost its end", last, commit)
+		return fmt.Errorf("store: the log ends at entry %d, but entry %d was committed: the end of the log is lost", last, commit)
 	}
 	hard := proto.CloneOf(log.HardState)
 	if hard.GetCommit() < meta.GetIndex() {
--- a/internal/store/disk/read.go
+++ b/internal/store/disk/read.go
@@ -25,7 +25,7 @@
 	}
 	if loaded.TornBytes > 0 {
 		if err := fs.Truncate(name, l.size); err != nil {
-			return nil, nil, fmt.Errorf("store: cut the torn end of %s: %w", fs.Name(name), err)
+			return nil, nil, fmt.Errorf("store: truncate the incomplete end of %s: %w", fs.Name(name), err)
 		}
 	}
 	if l.file, err = fs.Append(name); err != nil {
@@ -48,7 +48,7 @@
 		return nil, nil, err
 	}
 	if len(seqs) == 0 {
-		return nil, nil, fmt.Errorf("store: %s has an identity and no log: it was lost; remove the data directory and join anew", fs.Name(""))
+		return nil, nil, fmt.Errorf("store: %s has an identity and no log: it was lost; remove the data directory and join again", fs.Name(""))
 	}
 	l := newLog(fs, o)
 	loaded := &Loaded{HardState: &raftpb.HardState{}}
@@ -145,7 +145,7 @@
 		}
 	case beginRecord:
 		if len(r.batch) > 0 || len(payload) != 8 || binary.LittleEndian.Uint64(payload) != uint64(r.at) {
-			return r.corrupt(r.at, "a batch that does not belong there")
+			return r.corrupt(r.at, "a batch begins at the wrong offset or inside another batch")
 		}
 	case entryRecord:
 		entry := &raftpb.Entry{}
--- a/internal/store/disk/record.go
+++ b/internal/store/disk/record.go
@@ -93,6 +93,6 @@
 }
 
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("store: %s is damaged at offset %d: %s; restore the file, or remove the data directory and join anew",
+	return fmt.Sprintf("store: %s is damaged at offset %d: %s; restore the file, or remove the data directory and join again",
 		e.File, e.Offset, e.Reason)
 }
--- a/internal/store/disk/snapshot.go
+++ b/internal/store/disk/snapshot.go
@@ -86,7 +86,7 @@
 		case kind == endRecord && next == len(b):
 			return meta, io.MultiReader(pieces...), nil
 		default:
-			return nil, nil, corrupt(at, "a record that does not belong there")
+			return nil, nil, corrupt(at, "a record of an unexpected kind")
 		}
 		at = next
 	}
--- a/internal/store/disk/store.go
+++ b/internal/store/disk/store.go
@@ -117,7 +117,7 @@
 	loaded := opened.Loaded
 	if opened.Snapshot == nil {
 		if loaded.SnapshotMeta != nil || len(loaded.Entries) > 0 {
-			return fmt.Errorf("store: %s has a log and no snapshot: it was lost; remove the data directory and join anew", s.FS.Name(""))
+			return fmt.Errorf("store: %s has a log and no snapshot: it was lost; remove the data directory and join again", s.FS.Name(""))
 		}
 		return nil
 	}
@@ -135,7 +135,7 @@
 func (s *Store) reconcile(meta *raftpb.SnapshotMetadata, loaded *Loaded) error {
 	at := meta.GetIndex()
 	if loaded.SnapshotMeta.GetIndex() > at {
-		return fmt.Errorf("store: the log goes on behind snapshot %d, and the newest one here is %d", loaded.SnapshotMeta.GetIndex(), at)
+		return fmt.Errorf("store: the log continues after snapshot %d, but the newest snapshot is %d", loaded.SnapshotMeta.GetIndex(), at)
 	}
 	agrees := loaded.SnapshotMeta.GetIndex() == at && loaded.SnapshotMeta.GetTerm() == meta.GetTerm()
 	for _, e := range loaded.Entries {
--- a/internal/store/machine/image.go
+++ b/internal/store/machine/image.go
@@ -159,7 +159,7 @@
 	}
 	var extra byte
 	if err := decoder.Decode(&extra); !errors.Is(err, io.EOF) {
-		return nil, errors.New("store: read image: bytes behind its end")
+		return nil, errors.New("store: read image: unexpected bytes after its end")
 	}
 	return m, nil
 }
--- a/internal/store/node/server.go
+++ b/internal/store/node/server.go
@@ -102,7 +102,7 @@
 func readHello(reader *bufio.Reader) (*frame.Hello, error) {
 	kind, body, err := frame.Read(reader, nil, maxHello)
 	if err != nil || kind != frame.HelloKind {
-		return nil, fmt.Errorf("no hello came: %w", errors.Join(err, frame.ErrTooLong))
+		return nil, fmt.Errorf("no hello received: %w", errors.Join(err, frame.ErrTooLong))
 	}
 	hello := &frame.Hello{}
 	return hello, frame.DecodeValue(body, hello)
--- a/internal/store/transport/dial.go
+++ b/internal/store/transport/dial.go
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	if kind != frame.WelcomeKind {
-		return nil, errors.New("store: no welcome came")
+		return nil, errors.New("store: the first frame is not a welcome")
 	}
 	var welcome frame.Welcome
 	if err := frame.DecodeValue(body, &welcome); err != nil {
--- a/internal/storecmd/backup.go
+++ b/internal/storecmd/backup.go
@@ -21,7 +21,7 @@
 	var file string
 	cmd := &cobra.Command{
 		Use:   "backup --file FILE",
-		Short: "Write the whole state to a file",
+		Short: "Write the complete state to a file",
 		Args:  app.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if file == "" {
@@ -31,11 +31,11 @@
 			return backup(cmd, nil)
 		},
 	}
-	cmd.Flags().StringVar(&file, "file", "", "where the backup goes")
+	cmd.Flags().StringVar(&file, "file", "", "the file to write")
 	return cmd
 }
 
-// backup writes a file that is complete and verified, or none.
+// backup writes a complete and verified file, or none at all.
 func (s *session) backup(ctx context.Context, file string) (err error) {
 	temp, err := os.CreateTemp(filepath.Dir(file), ".backup-*")
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 	defer func() {
 		if err != nil {
-			_ = os.Remove(temp.Name()) // the first error says more
+			_ = os.Remove(temp.Name()) // the first error is returned
 		}
 	}()
 	err = s.client.Backup(ctx, temp)
@@ -58,7 +58,7 @@
 	}
 	found, err := verifyFile(temp.Name())
 	if err != nil {
-		return fmt.Errorf("the backup that came is not whole: %w", err)
+		return fmt.Errorf("the received backup is not complete: %w", err)
 	}
 	if err := os.Rename(temp.Name(), file); err != nil {
 		return err
@@ -72,8 +72,8 @@
 		Use:   "restore --settings FILE --file BACKUP",
 		Short: "Found a new store, of this instance alone, from a backup or snapshot file",
 		Args:  app.NoArgs,
-		Long: `restore is for the loss of a majority. It makes a store with a new identity: instances of the old one are not let in
-and join it with empty directories. What was acknowledged after the backup is not in it.`,
+		Long: `restore is for the permanent loss of a majority. It creates a store with a new identity: instances of the old one are
+refused, and must join it with empty directories. Writes acknowledged after the backup are lost.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			set, err := loadStore(path)
 			if err != nil {
@@ -102,7 +102,8 @@
 	return cmd
 }
 
-// newClusterFrom turns a snapshot into the first one of a new cluster, whose only member is this instance.
+// newClusterFrom returns the identity of a new cluster with this instance as its only member, and the first snapshot of
+// that cluster with its index, which holds the state of a backup.
 func newClusterFrom(name string, backup []byte, set *settings.Store) (identity disk.Identity, index uint64, snapshot []byte, err error) {
 	meta, image, err := disk.DecodeSnapshot(name, backup)
 	if err != nil {
@@ -133,7 +134,7 @@
 	return identity, index, snapshot, err
 }
 
-// newIdentity is that of the only member of a new cluster.
+// newIdentity returns the identity of the only member of a new cluster.
 func newIdentity(name string) (disk.Identity, error) {
 	cluster, err := disk.NewID()
 	if err != nil {
@@ -146,7 +147,7 @@
 	return disk.Identity{Cluster: cluster, Node: id, Name: name, Voters: []uint64{id}}, nil
 }
 
-// replaceMembers returns the encoded command that removes all members and records a new one.
+// replaceMembers returns the encoded command that records a new member and all present ones as removed.
 func replaceMembers(state *machine.Machine, id uint64, member core.Member) ([]byte, error) {
 	record, err := core.MemberOp(id, member)
 	if err != nil {
@@ -161,7 +162,7 @@
 	return machine.Encode(&machine.Command{Kind: machine.TransactionKind, Then: append(ops, record)})
 }
 
-// summary is what a file or directory holds.
+// summary describes the content of a snapshot file or data directory.
 type summary struct {
 	Cluster  string `json:"cluster,omitempty"`
 	Node     string `json:"node,omitempty"`
@@ -177,7 +178,7 @@
 	var data, file string
 	cmd := &cobra.Command{
 		Use:   "verify --data DIR | --file BACKUP",
-		Short: "Read a data directory or a backup whole, and name the place of any damage",
+		Short: "Verify a data directory or a backup, and report the position of any damage",
 		Args:  app.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if (data == "") == (file == "") {
@@ -192,10 +193,10 @@
 				return err
 			}
 			return o.show(cmd.OutOrStdout(), found, func(p *printer) {
-				p.printf("good: snapshot at %d, revision %d, %d keys, %d entries in %d files behind it\n",
+				p.printf("good: snapshot at %d, revision %d, %d keys, %d log entries in %d files after it\n",
 					found.Index, found.Revision, found.Keys, found.Entries, found.Segments)
 				if found.Torn > 0 {
-					p.printf("the log has a torn end of %d bytes, which the next start cuts\n", found.Torn)
+					p.printf("the log has an incomplete end of %d bytes, which the next start truncates\n", found.Torn)
 				}
 			})
 		},
--- a/internal/storecmd/command.go
+++ b/internal/storecmd/command.go
@@ -1,4 +1,5 @@
-// Package storecmd is the command line of the store: the command "store" and what is below it.
+// Package storecmd implements the command "store" with its subcommands, by which operators create, inspect and change
+// the replicated store.
 package storecmd
 
 import (
@@ -27,7 +28,7 @@
 
 const defaultTimeout = 10 * time.Second
 
-// ExitCode is the exit code for an error of the store.
+// ExitCode returns the exit code of the process for an error of a store command.
 func ExitCode(err error) int {
 	var answer *client.Error
 	var damage *disk.CorruptError
@@ -47,7 +48,8 @@
 	return &client.Error{Code: frame.CodeRefused, Message: fmt.Sprintf(format, args...)}
 }
 
-// operator is how an operator reaches the store: a file that "store init" writes.
+// operator is the operator's file, which "store init" writes: how an operator reaches the store. Relative paths are
+// relative to the file.
 type operator struct {
 	Endpoints   []string `json:"endpoints"`
 	Certificate string   `json:"certificate"`
@@ -58,9 +60,9 @@
 // options are the flags that all commands of the store share.
 type options struct {
 	operatorFile string
-	output       string // text or json
-	endpoint     string // the only instance to ask; empty: all that the operator's file names
-	timeout      time.Duration
+	output       string        // text or json
+	endpoint     string        // HOST:PORT of the only instance to call; empty: all that the operator's file names
+	timeout      time.Duration // of the command; 0: none
 }
 
 // Command returns the command "store".
@@ -74,9 +76,9 @@
 	}
 	flags := root.PersistentFlags()
 	flags.StringVar(&o.operatorFile, "as", getenv("CLOVERROCK_OPERATOR"), "operator's file, as store init writes it (CLOVERROCK_OPERATOR)")
-	flags.StringVar(&o.endpoint, "at", "", "ask this instance only: HOST:PORT")
+	flags.StringVar(&o.endpoint, "at", "", "call this instance only: HOST:PORT")
 	flags.StringVarP(&o.output, "output", "o", "text", "text or json")
-	flags.DurationVar(&o.timeout, "timeout", defaultTimeout, "how long to try")
+	flags.DurationVar(&o.timeout, "timeout", defaultTimeout, "time limit of the command")
 	root.PersistentPreRunE = func(*cobra.Command, []string) error {
 		if o.output != "text" && o.output != "json" {
 			return app.Usage("--output: %q is neither text nor json", o.output)
@@ -92,6 +94,7 @@
 	return root
 }
 
+// exactly requires one argument for each name.
 func exactly(names ...string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != len(names) {
@@ -101,7 +104,7 @@
 	}
 }
 
-// session is a command at work, with a client that calls as the operator.
+// session is a running command with a client that has the operator's certificate.
 type session struct {
 	*options
 	cmd    *cobra.Command
@@ -109,8 +112,8 @@
 	client *client.Client
 }
 
-// connected returns a command's function that calls run with a client. The context ends at the timeout, and when the
-// program is asked to end.
+// connected returns a command's function that calls run with a client. The context ends at the timeout and on SIGINT or
+// SIGTERM.
 func (o *options) connected(run func(ctx context.Context, s *session) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		conf, err := o.clientConfig()
@@ -176,7 +179,7 @@
 	return p.writer.Flush()
 }
 
-// show prints a value as JSON, or as text by a function.
+// show prints a result: value as JSON, or else what text prints.
 func (o *options) show(out io.Writer, value any, text func(p *printer)) error {
 	if o.output == "json" {
 		encoder := json.NewEncoder(out)
@@ -188,6 +191,7 @@
 	return p.flush()
 }
 
+// print prints a result to the command's output; see show.
 func (s *session) print(value any, text func(p *printer)) error {
 	return s.show(s.cmd.OutOrStdout(), value, text)
 }
--- a/internal/storecmd/documents.go
+++ b/internal/storecmd/documents.go
@@ -42,7 +42,7 @@
 	return cmd
 }
 
-// fetchRevision reads a revision, by the same code that the instances use.
+// fetchRevision reads a revision of a document; number 0 is the latest.
 func fetchRevision(ctx context.Context, c *client.Client, name string, number int64) (*documents.Revision, error) {
 	state := &remoteState{ctx: ctx, client: c}
 	revision, err := documents.At(state, name, number)
@@ -55,8 +55,8 @@
 	return revision, err
 }
 
-// remoteState reads the state through a client, for one command: it lives no longer than the command's context. It
-// keeps the errors of its reads.
+// remoteState implements documents.Reader through a client, for the duration of one command. The interface returns no
+// errors, so they are collected in err, which the caller must check.
 type remoteState struct {
 	ctx    context.Context
 	client *client.Client
@@ -73,14 +73,14 @@
 // List implements documents.Reader.
 func (r *remoteState) List(ns, prefix string, limit int) []machine.KV {
 	if limit == 0 {
-		limit = -1 // all, as a request says it
+		limit = -1 // all, in the encoding of a request
 	}
 	kvs, _, err := r.client.List(r.ctx, ns, prefix, limit, false)
 	r.err = errors.Join(r.err, err)
 	return kvs
 }
 
-// indented formats JSON for reading; other text stays as it is.
+// indented returns JSON with indentation, and other text unchanged.
 func indented(body []byte) string {
 	var out bytes.Buffer
 	if json.Indent(&out, body, "", "  ") != nil {
@@ -94,7 +94,7 @@
 	var base int64
 	cmd := &cobra.Command{
 		Use:   "put DOCUMENT --file FILE",
-		Short: "Change a document: checked by its schema, numbered, and only if nobody was faster",
+		Short: "Commit a new revision of a document, validated by its schema",
 		Args:  exactly("DOCUMENT"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if file == "" {
@@ -107,19 +107,20 @@
 			return o.changeDocument(cmd, &frame.Request{Op: frame.OpDocument, Name: args[0], Body: body, After: base, Token: note})
 		},
 	}
-	cmd.Flags().StringVar(&file, "file", "", "the new text; - is standard input")
-	cmd.Flags().StringVar(&note, "note", "", "why")
-	cmd.Flags().Int64Var(&base, "base", -1, "the revision that you have changed; with another one there, nothing is done")
+	cmd.Flags().StringVar(&file, "file", "", "the new body; - is standard input")
+	cmd.Flags().StringVar(&note, "note", "", "the reason for the change")
+	cmd.Flags().Int64Var(&base, "base", -1, "the revision that the change is based on; fails if it is not the latest; -1: any")
 	return cmd
 }
 
 func readBody(file string, in io.Reader) ([]byte, error) {
 	if file == "-" {
-		return io.ReadAll(io.LimitReader(in, documents.MaxBody+1)) // a longer one is refused by the store
+		return io.ReadAll(io.LimitReader(in, documents.MaxBody+1)) // the store rejects a longer body
 	}
 	return os.ReadFile(file)
 }
 
+// changeDocument sends a change of a document and prints the resulting revision.
 func (o *options) changeDocument(cmd *cobra.Command, request *frame.Request) error {
 	change := o.connected(func(ctx context.Context, s *session) error {
 		response, err := s.client.Call(ctx, request, false)
@@ -139,7 +140,7 @@
 	var note string
 	cmd := &cobra.Command{
 		Use:   "rollback DOCUMENT REVISION",
-		Short: "Make an earlier text the latest revision",
+		Short: "Commit the body of an earlier revision as a new revision",
 		Args:  exactly("DOCUMENT", "REVISION"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			number, err := strconv.Atoi(args[1])
--- a/internal/storecmd/found.go
+++ b/internal/storecmd/found.go
@@ -24,11 +24,12 @@
 const (
 	authorityLife   = 10 * 365 * 24 * time.Hour
 	certificateLife = 365 * 24 * time.Hour
-	probeTimeout    = 2 * time.Second // for one member when it is asked whether the store runs
+	probeTimeout    = 2 * time.Second // for the status of one member, to find out whether the store is running
 	filePermissions = 0o600
+	foundingIndex   = 1 // of the log entry that the initial snapshot covers
 )
 
-// founding is what the first members of a store agree on before there is one.
+// founding is the file founding.json: the id of a new cluster and its first members.
 type founding struct {
 	Cluster uint64           `json:"cluster"`
 	Members []foundingMember `json:"members"`
@@ -40,7 +41,7 @@
 	Address string `json:"address"`
 }
 
-// writeJSON writes a new file; one that is there already is an error.
+// writeJSON writes a new file. It fails if the file exists.
 func writeJSON(path string, value any) error {
 	text, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
@@ -54,7 +55,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// newStore is what "init" prepares.
+// newStore is the work of the command "init".
 type newStore struct {
 	dir      string
 	cluster  string   // name of the authority
@@ -93,16 +94,16 @@
 			})
 		},
 	}
-	cmd.Flags().StringVar(&store.dir, "dir", "", "where the files go")
+	cmd.Flags().StringVar(&store.dir, "dir", "", "the directory to write to")
 	cmd.Flags().StringVar(&store.cluster, "cluster", "store", "a name for the authority")
 	cmd.Flags().StringArrayVar(&store.members, "member", nil, "NAME=HOST:PORT of a first member; once for each")
-	cmd.Flags().BoolVar(&local, "local", false, "make the members' directories here, too")
+	cmd.Flags().BoolVar(&local, "local", false, "also create the members' data directories here")
 	return cmd
 }
 
 func (n *newStore) path(name string) string { return filepath.Join(n.dir, name) }
 
-// write writes the authority, the certificates and the files.
+// write writes the authority, the certificates, and the files of the members and the operator.
 func (n *newStore) write() error {
 	cluster, err := disk.NewID()
 	if err != nil {
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// foundAll makes the directories of all members here.
+// foundAll creates the data directories of all members on this machine.
 func (n *newStore) foundAll() error {
 	for _, member := range n.founding.Members {
 		set, err := settings.Load(n.path(member.Name + ".json"))
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// found makes a member's directory, once.
+// found creates a first member's data directory. It fails if the directory belongs to an instance.
 func found(set *settings.Store, f *founding) error {
 	var voters []uint64
 	var records []machine.Op
@@ -201,14 +202,14 @@
 	if err != nil {
 		return err
 	}
-	return disk.CreateDir(set.Data, identity, 1, first)
+	return disk.CreateDir(set.Data, identity, foundingIndex, first)
 }
 
 func (o *options) foundCommand() *cobra.Command {
 	var file, path string
 	cmd := &cobra.Command{
 		Use:   "found --settings FILE --founding FILE",
-		Short: "Make the data directory of a first member, once",
+		Short: "Create the data directory of a first member, once",
 		Args:  app.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			set, err := loadStore(path)
@@ -234,8 +235,8 @@
 	return cmd
 }
 
-// checkNotRunning makes sure, as far as the others can be reached, that the store does not run yet. A directory that
-// was lost and founded a second time would vote as if it had forgotten nothing.
+// checkNotRunning returns an error if another first member answers and the store is already in use. A member that lost
+// its directory and was founded a second time could otherwise vote without the entries that it had acknowledged.
 func checkNotRunning(set *settings.Store, f *founding) error {
 	conf, err := set.NodeConfig()
 	if err != nil {
@@ -246,20 +247,20 @@
 			continue
 		}
 		if hasCommits(client.Config{Endpoints: []string{m.Address}, TLS: conf.TLS, SingleEndpoint: true}) {
-			return refused("the store is at work: %s answers. Start this instance with its empty directory, and it joins", m.Name)
+			return refused("the store is already running: %s answers. Start this instance with its empty directory, and it will join", m.Name)
 		}
 	}
 	return nil
 }
 
-// hasCommits reports whether an instance answers and has committed more than the founding.
+// hasCommits reports whether an instance answers and has committed entries after the initial snapshot.
 func hasCommits(conf client.Config) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	c := client.New(conf)
 	defer c.Close()
 	status, err := fetchStatus(ctx, c)
-	return err == nil && status.Commit > 1
+	return err == nil && status.Commit > foundingIndex
 }
 
 func (o *options) certificateCommand() *cobra.Command {
@@ -279,6 +280,6 @@
 	}
 	cmd.Flags().StringVar(&dir, "dir", ".", "the authority's directory")
 	cmd.Flags().StringVar(&role, "role", "instance", "instance, operator or observer")
-	cmd.Flags().DurationVar(&life, "life", certificateLife, "how long it is good")
+	cmd.Flags().DurationVar(&life, "life", certificateLife, "how long it is valid")
 	return cmd
 }
--- a/internal/storecmd/keys.go
+++ b/internal/storecmd/keys.go
@@ -16,7 +16,7 @@
 	var after int64
 	cmd := &cobra.Command{
 		Use:   "watch NAMESPACE [PREFIX]",
-		Short: "Print changes as they come, one JSON object a line",
+		Short: "Print changes as they are applied, one JSON object a line",
 		Args:  cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if !cmd.Flags().Changed("timeout") {
@@ -26,11 +26,11 @@
 			return watch(cmd, args)
 		},
 	}
-	cmd.Flags().Int64Var(&after, "after", -1, "begin behind this revision; -1: now")
+	cmd.Flags().Int64Var(&after, "after", -1, "begin after this revision; -1: the current one")
 	return cmd
 }
 
-// watch prints the events behind a revision until the context ends.
+// watch prints the events after a revision, negative: after the current one, until the context ends.
 func (s *session) watch(ctx context.Context, after int64) error {
 	if after < 0 {
 		status, err := fetchStatus(ctx, s.client)
@@ -53,7 +53,7 @@
 	}
 	err := s.client.Watch(ctx, s.args[0], strings.Join(s.args[1:], ""), after, printEvents)
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
-		return nil // as asked
+		return nil // the end of the context is the ordinary end of a watch
 	}
 	return err
 }
@@ -61,7 +61,7 @@
 func (o *options) keyCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "key",
-		Short: "Read and write single keys, for scripts and for finding faults",
+		Short: "Read and write single keys, for scripts and diagnosis",
 		Args:  app.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return app.Usage("needs get, put, delete or list") },
 	}
@@ -78,7 +78,7 @@
 }
 
 func addStaleFlag(cmd *cobra.Command, stale *bool) {
-	cmd.Flags().BoolVar(stale, "stale", false, "take what the instance has, and tell how old it may be")
+	cmd.Flags().BoolVar(stale, "stale", false, "read the local state of one instance, and report how far it may be behind")
 }
 
 func (o *options) keyGetCommand() *cobra.Command {
@@ -149,7 +149,8 @@
 	return cmd
 }
 
-// writeKey does a write; with a version of 0 or more only if the key is at that version.
+// writeKey executes a write, and prints the resulting revision. With a version of 0 or more it is conditional on the key
+// being at that version.
 func (s *session) writeKey(ctx context.Context, op machine.Op, version int64) error {
 	command := machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{op}}
 	if version >= 0 {
--- a/internal/storecmd/members.go
+++ b/internal/storecmd/members.go
@@ -24,7 +24,7 @@
 func (o *options) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Tell how the instances stand, and what revision of each document they run",
+		Short: "Show an instance's state, and the document revisions that all instances run",
 		Args:  app.NoArgs,
 		RunE: o.connected(func(ctx context.Context, s *session) error {
 			status, err := fetchStatus(ctx, s.client)
@@ -59,7 +59,7 @@
 	p.printf("role\t%s, term %d\n", strings.ToLower(strings.TrimPrefix(status.Role, "State")), status.Term)
 	p.printf("leader\t%s\n", status.Members[core.MemberKey(status.Leader)].Name)
 	p.printf("revision\t%d, %d keys\n", status.Revision, status.Keys)
-	behind := "not known: cut off, or just started"
+	behind := "unknown: no contact with a leader since the start"
 	if status.AgeMS >= 0 {
 		behind = fmt.Sprintf("at most %d ms", status.AgeMS)
 	}
@@ -85,7 +85,7 @@
 	return status, nil
 }
 
-// member is a line of the command "members".
+// member is one entry in the output of the command "members".
 type member struct {
 	ID string `json:"id"`
 	core.Member
@@ -137,7 +137,7 @@
 func (o *options) removeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "remove NAME|ID",
-		Short: "Remove an instance for good: it hands over first if it leads, and its data is of no more use",
+		Short: "Remove an instance permanently: its data directory cannot be used again",
 		Args:  exactly("NAME or ID"),
 		RunE: o.connected(func(ctx context.Context, s *session) error {
 			status, err := fetchStatus(ctx, s.client)
@@ -159,7 +159,7 @@
 	}
 }
 
-// findMember returns the id of a member that is given by its id or name; 0: there is none.
+// findMember returns the id of the member with a name or id; 0: there is none.
 func findMember(status *node.Status, nameOrID string) (id uint64) {
 	for key, record := range status.Members {
 		if key != nameOrID && record.Name != nameOrID {
@@ -175,7 +175,7 @@
 func (o *options) transferCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "transfer",
-		Short: "Have the leader hand over, before its machine is stopped",
+		Short: "Transfer leadership to another instance, before the leader's machine is stopped",
 		Args:  app.NoArgs,
 		RunE: o.connected(func(ctx context.Context, s *session) error {
 			_, err := s.client.Call(ctx, &frame.Request{Op: frame.OpTransfer}, true)
@@ -188,7 +188,7 @@
 	var life time.Duration
 	cmd := &cobra.Command{
 		Use:   "token",
-		Short: "Make a token by which one new instance may join",
+		Short: "Create a token with which one new instance may join",
 		Args:  app.NoArgs,
 		RunE: o.connected(func(ctx context.Context, s *session) error {
 			random, err := disk.NewID()
@@ -207,6 +207,6 @@
 			return s.print(map[string]string{"token": token}, func(p *printer) { p.printf("%s\n", token) })
 		}),
 	}
-	cmd.Flags().DurationVar(&life, "life", time.Hour, "how long it may be used")
+	cmd.Flags().DurationVar(&life, "life", time.Hour, "how long it is valid")
 	return cmd
 }
--- a/internal/storecmd/serve.go
+++ b/internal/storecmd/serve.go
@@ -20,7 +20,7 @@
 	noSync   bool
 }
 
-// serveCommand runs an instance without a gateway: a third one for two gateways.
+// serveCommand runs an instance without a gateway, for example as the third member beside two gateways.
 func (o *options) serveCommand() *cobra.Command {
 	flags := &serveFlags{}
 	cmd := &cobra.Command{
@@ -30,10 +30,10 @@
 		RunE:  func(cmd *cobra.Command, _ []string) error { return flags.serve(cmd) },
 	}
 	cmd.Flags().StringVar(&flags.settings, "settings", "", "the instance's settings")
-	cmd.Flags().StringVar(&flags.logLevel, "log", "info", "least level of log lines")
-	cmd.Flags().StringVar(&flags.token, "token", "", "a token, for an instance that is new and has an empty directory")
-	cmd.Flags().BoolVar(&flags.noSync, "rehearse-lost-syncs", false, "do not sync the log: rehearsals have to find out what that loses")
-	_ = cmd.Flags().MarkHidden("rehearse-lost-syncs") // fails only for a flag that is not there
+	cmd.Flags().StringVar(&flags.logLevel, "log", "info", "minimum level of log lines")
+	cmd.Flags().StringVar(&flags.token, "token", "", "join token, for a new instance with an empty directory")
+	cmd.Flags().BoolVar(&flags.noSync, "rehearse-lost-syncs", false, "do not sync the log; only for fault-injection tests")
+	_ = cmd.Flags().MarkHidden("rehearse-lost-syncs") // fails only for an undefined flag
 	return cmd
 }
 
@@ -75,7 +75,7 @@
 	var path, token string
 	cmd := &cobra.Command{
 		Use:   "join --settings FILE [--token TOKEN]",
-		Short: "Make an empty data directory that of a new member, which begins as a learner",
+		Short: "Join the store with an empty data directory, as a learner",
 		Args:  app.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			set, err := loadStore(path)
@@ -93,7 +93,7 @@
 			})
 		},
 	}
-	cmd.Flags().StringVar(&path, "settings", "", "the instance's settings; its join names whom to ask")
-	cmd.Flags().StringVar(&token, "token", "", "needed for a name that is not a member yet")
+	cmd.Flags().StringVar(&path, "settings", "", "the instance's settings; its key join lists the members to call")
+	cmd.Flags().StringVar(&token, "token", "", "join token; required for a name that is not a member's yet")
 	return cmd
 }
