--- a/cmd/cloverrockd/main.go
+++ b/cmd/cloverrockd/main.go
@@ -1,9 +1,11 @@
-// The runtime would hold files open to follow the limit of cores; the gateway says itself how many it uses.
+// The program sets GOMAXPROCS itself. Without these settings the runtime would keep cgroup files open to follow the CPU
+// limit.
 //
 //go:debug containermaxprocs=0
 //go:debug updatemaxprocs=0
 
-// Command cloverrockd is cloverrock with the store in it. cloverrock hands over to it where the store is needed.
+// Command cloverrockd is the gateway cloverrock with the optional components of package daemon. cloverrock executes it
+// when a settings file requires them.
 package main
 
 import (
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -24,7 +24,7 @@
 	maxThreads = 8
 )
 
-// daemon is the store beside a gateway.
+// daemon runs a store instance beside a gateway. It implements app.Component.
 type daemon struct {
 	set     *settings.Settings
 	getenv  func(string) string
@@ -32,18 +32,19 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
-	opened  chan struct{}             // closed when the local copy is there, or will not come
-	node    atomic.Pointer[node.Node] // nil until it is open
+	opened  chan struct{}             // closed when opening the instance has succeeded or failed
+	node    atomic.Pointer[node.Node] // nil until the instance is open
 	gateway app.Gateway
-	cache   *warmstart.Cache // nil: nothing is kept for a restart
+	cache   *warmstart.Cache // nil: warm start is off
 
 	mu       sync.Mutex
-	status   documents.Running // what this instance runs of the document
-	document []byte            // the document that runs or was last tried
+	status   documents.Running // which revision of the document this instance runs
+	document []byte            // body of the last revision that was evaluated; nil: none
 	changed  chan struct{}     // holds a value when status is to be reported
 }
 
-// start opens the store beside the gateway. It waits for the local copy no longer than the settings allow.
+// start opens the store instance in the background, and waits for it at most Store.StartWait. It also sets GOMAXPROCS
+// for the process.
 func start(set *settings.Settings, getenv func(string) string, log zerolog.Logger) *daemon {
 	d := &daemon{set: set, getenv: getenv, log: log, opened: make(chan struct{}), changed: make(chan struct{}, 1)}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
@@ -69,6 +70,7 @@
 	return d
 }
 
+// open opens the instance, or joins the store if the data directory is empty.
 func (d *daemon) open() error {
 	conf, err := d.set.Store.NodeConfig()
 	if err != nil {
@@ -95,7 +97,7 @@
 	d.wg.Wait()
 }
 
-// readLocal passes the local copy to look, however old it is. It reports false if there is none.
+// readLocal passes the local state to look, however far it is behind. It reports false if there is none.
 func (d *daemon) readLocal(look func(*machine.Machine)) bool {
 	n := d.node.Load()
 	if n == nil {
@@ -107,7 +109,8 @@
 	return err == nil
 }
 
-// Attach implements app.Component: it begins to follow the store for a gateway.
+// Attach implements app.Component. Once the instance is open, it restores the gateway's state, applies documents to the
+// gateway and reports its status.
 func (d *daemon) Attach(gateway app.Gateway) {
 	d.gateway = gateway
 	d.wg.Go(func() {
--- a/internal/daemon/document.go
+++ b/internal/daemon/document.go
@@ -14,12 +14,14 @@
 )
 
 const (
-	statusTTL     = 15 * time.Second // what a crashed instance has reported is removed after this
+	statusTTL     = 15 * time.Second // lease of a report, which is removed this long after a crash
 	reportTimeout = 3 * time.Second  // of one attempt
 	reportRetry   = time.Second
+
+	keepAlivesPerTTL = 4 // extensions of the lease during its duration
 )
 
-// readDocument returns the document's latest revision in a state; nil: there is none.
+// readDocument returns the latest revision of the gateway document; nil: there is none.
 func readDocument(m *machine.Machine) *documents.Revision {
 	revision, err := documents.At(m, documents.Gateway, 0)
 	if err != nil {
@@ -28,8 +30,8 @@
 	return revision
 }
 
-// OverlayConfig implements app.Component: it lays the local copy of the document over the configuration. A document
-// that cannot be applied changes nothing.
+// OverlayConfig implements app.Component: it returns the configuration with the values of the local gateway document.
+// If there is no document or it cannot be applied, conf is returned.
 func (d *daemon) OverlayConfig(conf *config.Config) *config.Config {
 	var revision *documents.Revision
 	if !d.readLocal(func(m *machine.Machine) { revision = readDocument(m) }) || revision == nil {
@@ -45,7 +47,8 @@
 	return overlaid
 }
 
-// ReloadConfig implements app.Component: the configuration for a reload by signal, with the document laid over it.
+// ReloadConfig implements app.Component: it returns the configuration for a reload by signal, including the values of
+// the gateway document.
 func (d *daemon) ReloadConfig() (*config.Config, error) {
 	if _, document := d.currentStatus(); document != nil {
 		return config.LoadUnder(d.getenv, document)
@@ -53,7 +56,8 @@
 	return config.Reload(d.getenv)
 }
 
-// setStatus notes what became of a revision, and has it reported. restart names the keys that need a restart.
+// setStatus records the outcome of applying a revision, and triggers a report. restart lists the keys whose change needs
+// a restart.
 func (d *daemon) setStatus(revision *documents.Revision, restart []string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,6 +91,7 @@
 	}
 }
 
+// currentStatus returns the status and the body of the last revision that was evaluated.
 func (d *daemon) currentStatus() (documents.Running, []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,10 +105,10 @@
 		d.applyDocument(n)
 		return nil
 	}
-	_ = n.Watch(d.ctx, documents.NS, "head/"+documents.Gateway, 0, apply) // it ends only with the daemon or the node
+	_ = n.Watch(d.ctx, documents.NS, "head/"+documents.Gateway, 0, apply) // ends only with the daemon or the node
 }
 
-// applyDocument has the gateway go over to the latest revision, unless it has tried it before.
+// applyDocument reloads the gateway with the latest revision, unless that was already tried.
 func (d *daemon) applyDocument(n *node.Node) {
 	var revision *documents.Revision
 	_, err := n.Read(d.ctx, true, func(m *machine.Machine) { revision = readDocument(m) })
@@ -119,19 +124,20 @@
 	}
 }
 
-// statusReport is how far the store has what this instance reports.
+// statusReport is the state of this instance's report in the store.
 type statusReport struct {
-	lease    uint64 // 0: none
-	reported documents.Running
+	lease    uint64            // 0: none
+	reported documents.Running // as last written
 }
 
-// reportStatus reports under a lease what this instance runs, and tries again while the store cannot take it.
+// reportStatus writes this instance's status to the store under a lease, after each change and after failures, and keeps
+// the lease alive, until the daemon or the node ends.
 func (d *daemon) reportStatus(n *node.Node) {
 	report := &statusReport{}
 	for {
 		status, _ := d.currentStatus()
 		report.send(d.ctx, n, status)
-		wait := statusTTL / 4
+		wait := statusTTL / keepAlivesPerTTL
 		if status != report.reported {
 			wait = reportRetry
 		}
@@ -146,8 +152,8 @@
 	}
 }
 
-// send keeps the lease alive or gets one, and writes the status if the store does not have it. What fails is tried
-// again with the next call.
+// send extends the lease or gets a new one, and writes the status if it has changed. After a failure the next call
+// retries.
 func (r *statusReport) send(ctx context.Context, n *node.Node, status documents.Running) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -168,7 +174,7 @@
 	}
 	value, err := json.Marshal(&status)
 	if err != nil {
-		return // a Running can be encoded
+		return // cannot happen: a Running can always be encoded
 	}
 	key := documents.RunningKey(status.Instance, status.Document)
 	put := machine.Op{Kind: machine.Put, NS: documents.StatusNS, Key: key, Value: value, Lease: r.lease}
--- a/internal/daemon/extension.go
+++ b/internal/daemon/extension.go
@@ -1,5 +1,6 @@
-// Package daemon is what runs beside a gateway in the same process: the store, what is kept in it for a restart, and
-// the gateway's part in a fleet. The gateway starts, serves and ends without waiting for any of it.
+// Package daemon runs the optional components beside a gateway in the same process: an instance of the replicated store,
+// the routing state kept in it for a warm start, and the gateway's membership in a fleet. The gateway's start waits for
+// the store only briefly (Store.StartWait), and its requests never do.
 package daemon
 
 import (
@@ -13,7 +14,7 @@
 	"cloverrock/internal/storecmd"
 )
 
-// Extension adds the store to the gateway's program.
+// Extension adds the store and the fleet to the gateway's program. It implements app.Extension.
 type Extension struct{}
 
 // Commands implements app.Extension.
@@ -21,7 +22,7 @@
 	return []*cobra.Command{storecmd.Command(getenv)}
 }
 
-// Check implements app.Extension.
+// Check implements app.Extension: it validates the settings file.
 func (Extension) Check(path string) error {
 	_, err := settings.Load(path)
 	return err
@@ -30,7 +31,7 @@
 // ExitCode implements app.Extension.
 func (Extension) ExitCode(err error) int { return storecmd.ExitCode(err) }
 
-// Open implements app.Extension: it starts what the settings file turns on.
+// Open implements app.Extension: it starts the components that the settings file configures.
 func (Extension) Open(path string, getenv func(string) string, log zerolog.Logger) (app.Component, error) {
 	set, err := settings.Load(path)
 	if err != nil {
@@ -47,7 +48,7 @@
 	return component, nil
 }
 
-// idle is the component of a file that turns nothing on.
+// idle is the component for a settings file without a store.
 type idle struct{ getenv func(string) string }
 
 // OverlayConfig implements app.Component.
--- a/internal/daemon/warmstart.go
+++ b/internal/daemon/warmstart.go
@@ -15,18 +15,17 @@
 	restoreTimeout = time.Second // for the read of the local copy
 	writeTimeout   = time.Second // of one transaction
 	minPlanPause   = 20 * time.Millisecond
-	eventBacklog   = 16 // batches of events that wait for the keeper
+	eventBacklog   = 16 // batches of events that are buffered for keepState
 )
 
-// restoreGateway gives the gateway the state that the local copy has, as far as its age allows, before the gateway has
-// seen much itself.
+// restoreGateway initializes the gateway with the routing state of the local copy, as far as that is recent enough.
 func (d *daemon) restoreGateway(n *node.Node) {
 	ctx, cancel := context.WithTimeout(d.ctx, restoreTimeout)
 	defer cancel()
 	var kvs []machine.KV
 	age, err := n.Read(ctx, true, func(m *machine.Machine) { kvs = m.List(warmstart.NS, "", 0) })
 	if err != nil {
-		d.log.Warn().Err(err).Msg("learned: reading the local copy failed")
+		d.log.Warn().Err(err).Msg("warmstart: reading the local copy failed")
 		return
 	}
 	for i := range kvs {
@@ -44,11 +43,11 @@
 		Strs("discarded", restored.Discarded).
 		Int("unreadable", d.cache.Unreadable()).
 		Dur("copy_behind_ms", age).
-		Msg("learned: stored state restored")
+		Msg("warmstart: stored state restored")
 	d.gateway.Restore(restored.Snapshot, endpointList(restored.List))
 }
 
-// endpointList is a stored list in the form that discovery has; nil for nil.
+// endpointList converts a stored list to the type of package discovery; nil for nil.
 func endpointList(stored *warmstart.EndpointList) *discovery.EndpointList {
 	if stored == nil {
 		return nil
@@ -61,7 +60,7 @@
 	return list
 }
 
-// storedList is discovery's list in the form in which it is stored, without removed hosts.
+// storedList converts a list of package discovery to its stored form, without removed hosts.
 func storedList(list *discovery.EndpointList) warmstart.EndpointList {
 	stored := warmstart.EndpointList{Generation: list.Generation}
 	for _, endpoint := range list.Endpoints {
@@ -76,8 +75,8 @@
 	return stored
 }
 
-// keepState writes what the gateway knows. While the store cannot take it, nothing waits and nothing is queued: the
-// next plan is made from what is true then.
+// keepState periodically writes changes of the gateway's routing state to the store, until the daemon or the node ends.
+// Failed writes are not queued: the next plan starts from the state at that time. Only this goroutine uses the cache.
 func (d *daemon) keepState(n *node.Node) {
 	events := make(chan []machine.Event, eventBacklog)
 	d.wg.Go(func() { d.watchState(n, events) })
@@ -95,16 +94,16 @@
 				d.cache.Update(event.KV, event.Deleted)
 			}
 		case <-tick.C:
-			facts, list, ok := d.gateway.Snapshot()
+			snapshot, list, ok := d.gateway.Snapshot()
 			if !ok {
 				return
 			}
-			d.write(n, d.cache.Plan(time.Now().UnixMicro(), facts, storedList(&list)))
+			d.write(n, d.cache.Plan(time.Now().UnixMicro(), snapshot, storedList(&list)))
 		}
 	}
 }
 
-// watchState passes on what the store has of the gateways' state.
+// watchState passes the changes of the stored routing state to keepState.
 func (d *daemon) watchState(n *node.Node, events chan<- []machine.Event) {
 	pass := func(batch []machine.Event, _ int64, _ bool) error {
 		select {
@@ -114,17 +113,17 @@
 			return d.ctx.Err()
 		}
 	}
-	_ = n.Watch(d.ctx, warmstart.NS, "", 0, pass) // it ends only with the daemon or the node
+	_ = n.Watch(d.ctx, warmstart.NS, "", 0, pass) // ends only with the daemon or the node
 }
 
-// write proposes transactions one after another, and drops the rest when one fails.
+// write proposes transactions one after another, and drops the remaining ones when one fails.
 func (d *daemon) write(n *node.Node, commands []machine.Command) {
 	for i := range commands {
 		ctx, cancel := context.WithTimeout(d.ctx, writeTimeout)
 		_, err := n.Propose(ctx, &commands[i])
 		cancel()
 		if err != nil {
-			d.log.Debug().Err(err).Msg("learned: write failed")
+			d.log.Debug().Err(err).Msg("warmstart: write failed")
 			return
 		}
 	}
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -12,16 +12,17 @@
 	"cloverrock/internal/store/documents"
 )
 
-// errInvalidSchema says that the schema itself is wrong.
+// errInvalidSchema is the error for a schema that is not valid itself.
 var errInvalidSchema = errors.New("the schema cannot be used")
 
-// Validate validates a document against a schema and names the faulty key.
+// Validate validates a JSON document against a JSON schema. With an error it returns the path of the invalid key,
+// separated by dots, as far as it is known.
 func Validate(schema, document []byte) (key string, err error) {
 	var parsed jsonschema.Schema
 	if err := json.Unmarshal(schema, &parsed); err != nil {
 		return "", fmt.Errorf("%w: %w", errInvalidSchema, err)
 	}
-	resolved, err := parsed.Resolve(nil) // without a loader: a schema that names others by address fetches nothing
+	resolved, err := parsed.Resolve(nil) // without a loader, so that references to remote schemas are not fetched
 	if err != nil {
 		return "", fmt.Errorf("%w: %w", errInvalidSchema, err)
 	}
@@ -36,7 +37,8 @@
 	return "", nil
 }
 
-// faultyKey reads the key out of the library's message, which names places of the schema from the outside in.
+// faultyKey extracts the path of the invalid key from the library's error message, which lists positions in the schema
+// from the outermost to the innermost.
 func faultyKey(message string) (key, fault string) {
 	var names []string
 	parts := strings.Split(message, ": ")
@@ -64,8 +66,8 @@
 	return names
 }
 
-// ValidateDocument validates a document of the store: "gateway" by the program's schema, another by the given one,
-// which is nil if there is none. Of a schema's document it checks that it is a schema.
+// ValidateDocument validates a document of the store: "gateway" by the program's own schema, any other by the given one;
+// nil: there is none. A document that is itself a schema must be a valid one. It is a node.Validator.
 func ValidateDocument(name string, body, schema []byte) error {
 	if strings.HasSuffix(name, documents.SchemaSuffix) {
 		if _, err := Validate(body, []byte("null")); errors.Is(err, errInvalidSchema) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the operators' settings file, which turns on the parts that the platform's configuration does
-// not know, and validates JSON against the schemas in deploy.
+// Package settings reads the operators' settings file, which configures the optional components beside the gateway, and
+// validates JSON against the schemas of package deploy.
 package settings
 
 import (
@@ -25,14 +25,14 @@
 	defaultMaxAgeMS        = 60000
 )
 
-// Settings are the parts that are on.
+// Settings is the content of a settings file. A component whose field is nil is off.
 type Settings struct {
 	Fleet     *Fleet     `json:"fleet,omitempty"`
 	Store     *Store     `json:"store,omitempty"`
 	WarmStart *WarmStart `json:"learned,omitempty"`
 }
 
-// Store is an instance's part in the store. Relative paths are relative to the settings file.
+// Store configures an instance of the store. Load makes its paths relative to the settings file.
 type Store struct {
 	Name            string            `json:"name"`
 	Data            string            `json:"data"`   // directory
@@ -41,22 +41,22 @@
 	Certificate     string            `json:"certificate"` // file, as the next two
 	Key             string            `json:"key"`
 	Authority       string            `json:"authority"`
-	Join            []string          `json:"join,omitempty"`   // members to ask by an instance without data
+	Join            []string          `json:"join,omitempty"`   // HOST:PORT of members through which an instance without data joins
 	Routes          map[string]string `json:"routes,omitempty"` // by name: where to dial a member instead of its address
 	TickMS          int               `json:"tick_ms,omitempty"`
 	ElectionTicks   int               `json:"election_ticks,omitempty"`
 	SnapshotEntries uint64            `json:"snapshot_entries,omitempty"`          // entries between snapshots
-	SnapshotRate    int               `json:"snapshot_bytes_per_second,omitempty"` // when sent to others
-	StartWaitMS     *int              `json:"start_wait_ms,omitempty"`
+	SnapshotRate    int               `json:"snapshot_bytes_per_second,omitempty"` // for sending snapshots to other instances
+	StartWaitMS     *int              `json:"start_wait_ms,omitempty"`             // see StartWait; nil: the default
 }
 
-// WarmStart is how routing state is kept in the store for a restart.
+// WarmStart configures how routing state is kept in the store for a restart.
 type WarmStart struct {
-	WriteIntervalMS int64 `json:"write_ms,omitempty"`   // at least, between two writes
-	MaxAgeMS        int64 `json:"believe_ms,omitempty"` // of what may change, to be relied on
+	WriteIntervalMS int64 `json:"write_ms,omitempty"`   // minimum time between two writes
+	MaxAgeMS        int64 `json:"believe_ms,omitempty"` // up to which a stored record that may have become wrong is used
 }
 
-// Fleet is how gateways decide together.
+// Fleet configures how gateways coordinate their decisions.
 type Fleet struct {
 	Listen string   `json:"listen"` // HOST:PORT
 	Join   []string `json:"join,omitempty"`
@@ -64,21 +64,22 @@
 	Zones  *Zones   `json:"zones,omitempty"`
 }
 
-// Zones is how zones that fail are evacuated and returned to.
+// Zones configures how failing zones are evacuated and returned to service.
 type Zones struct {
-	Regions map[string]string `json:"regions,omitempty"` // by zone; a region is evacuated as a whole
-	AtOnce  int               `json:"at_once,omitempty"` // zones that may be evacuated at a time
+	Regions map[string]string `json:"regions,omitempty"` // by zone; all zones of a region are evacuated together
+	AtOnce  int               `json:"at_once,omitempty"` // maximum number of zones or regions that are evacuated at a time
 	DelayMS int               `json:"delay_ms,omitempty"`
-	StepMS  int               `json:"step_ms,omitempty"` // least time of a step of the return; 0: as a host warms up
-	AwayMS  int               `json:"away_ms,omitempty"` // least time of an evacuation
-	Pin     map[string]string `json:"pin,omitempty"`     // by zone or region: "kept" or "left" whatever is observed
-	Without []string          `json:"without,omitempty"` // for rehearsals only: safeguards that are off
+	StepMS  int               `json:"step_ms,omitempty"` // minimum duration of one step of the return; 0: derived from the slow start of hosts
+	AwayMS  int               `json:"away_ms,omitempty"` // minimum duration of an evacuation
+	Pin     map[string]string `json:"pin,omitempty"`     // by zone or region: "kept" or "left", regardless of observations
+	Without []string          `json:"without,omitempty"` // safeguards that are off; only for fault-injection tests
 }
 
-// Error names the file and the key that is wrong.
+// Error is an error in a settings file.
 type Error struct {
-	File, Key string
-	Err       error
+	File string
+	Key  string // path of the invalid key, separated by dots; empty: unknown
+	Err  error
 }
 
 func (e *Error) Error() string {
@@ -91,7 +92,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Load reads and validates a file, and fills in defaults. What is wrong in it gives an *Error.
+// Load reads and validates a settings file, and fills in defaults. An invalid file gives an *Error.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -135,7 +136,7 @@
 	w.MaxAgeMS = cmp.Or(w.MaxAgeMS, defaultMaxAgeMS)
 }
 
-// NodeConfig returns the configuration of the instance's node. It reads the certificate's files.
+// NodeConfig returns the configuration of the instance's node. It reads the certificate files anew at each call.
 func (s *Store) NodeConfig() (node.Config, error) {
 	tls, err := pki.LoadTLS(pki.Files{Certificate: s.Certificate, Key: s.Key, Authority: s.Authority})
 	if err != nil {
@@ -156,10 +157,10 @@
 	}, nil
 }
 
-// Address is where others reach the instance.
+// Address returns the HOST:PORT at which other instances reach this one.
 func (s *Store) Address() string { return cmp.Or(s.Advertise, s.Listen) }
 
-// StartWait is how long a gateway's start may wait for the local copy.
+// StartWait returns how long the start of a gateway may wait for the store instance to open.
 func (s *Store) StartWait() time.Duration {
 	if s.StartWaitMS == nil {
 		return defaultStartWait
--- a/internal/warmstart/plan.go
+++ b/internal/warmstart/plan.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	positionStep    = 2_000_000  // microseconds: a stored position that is behind by less is good enough
-	refreshInterval = 10_000_000 // microseconds: what stays true is written again after this
-	limitChange     = 0.25       // a limit that moved by a smaller part is not written
-	maxOps          = 64         // of one transaction
-	maxHosts        = 4096       // of a list that is stored
+	positionStep    = 2_000_000  // microseconds by which a position must have advanced to be written
+	refreshInterval = 10_000_000 // microseconds after which an unchanged record is written again
+	limitChange     = 0.25       // relative change of a concurrency limit from which it is written
+	maxOps          = 64         // operations of one transaction
+	maxHosts        = 4096       // endpoints of a list that is stored
 )
 
-// Plan returns the transactions that are worth their write for what the router knows and the list that it has: at most
-// one for primaries, which takes effect only if no other gateway was faster, and one for the rest.
+// Plan returns the transactions that bring the store up to date with the router's snapshot and endpoint list: at most one
+// for primaries, which has no effect if another gateway wrote one of them in the meantime, and one for the rest. It
+// returns none within Config.MinInterval of the last plan. now is in microseconds.
 func (c *Cache) Plan(now int64, snapshot balance.Snapshot, list EndpointList) []machine.Command {
 	if now-c.plannedAt < c.conf.MinInterval {
 		return nil
@@ -39,12 +40,13 @@
 func put(command *machine.Command, key string, value any) {
 	encoded, err := msgpack.Marshal(value)
 	if err != nil {
-		return // the stored types can all be encoded
+		return // cannot happen: the stored types can always be encoded
 	}
 	command.Then = append(command.Then, machine.Op{Kind: machine.Put, NS: NS, Key: key, Value: encoded})
 }
 
-// planPrimaries writes who is primary where this router has younger evidence than the store.
+// planPrimaries returns the transaction for groups whose primary this router observed more recently than the store
+// records.
 func (c *Cache) planPrimaries(now int64, snapshot balance.Snapshot) *machine.Command {
 	command := &machine.Command{Kind: machine.TransactionKind}
 	for _, group := range snapshot.Groups {
@@ -60,7 +62,7 @@
 	return command
 }
 
-// nextPrimary returns the record of a group's primary that is to be written, if one is.
+// nextPrimary returns the record of a group's primary, and whether it must be written.
 func (c *Cache) nextPrimary(now int64, group balance.GroupSnapshot) (next Primary, changed bool) {
 	stored, known := c.groups[group.Group]
 	next = Primary{Host: group.Primary, Term: stored.Term, At: min(group.ObservedAt, now), By: c.conf.Name}
@@ -71,22 +73,23 @@
 	case !sameHost && group.ObservedAt > stored.At+MaxClockSkew:
 		next.Term++
 	case sameHost && now-stored.At > refreshInterval:
-		next.At = now // it has answered as primary up to now, or the router would not report it
+		next.At = now // the router reports only a host that still answers as primary
 	default:
 		return next, false
 	}
 	return next, true
 }
 
-// hostWrite is a record of a host that is to be written.
+// hostWrite is a host's record that must be written.
 type hostWrite struct {
 	id     string
 	host   Host
 	urgent bool
 }
 
-// planRest writes hosts, the list and the session floor. Two gateways that write the same host at once do no harm: a
-// position is a lower bound in either case, and the rest is written again when it changes.
+// planRest returns the transaction for hosts, the endpoint list and the session floor. It is unconditional: if two
+// gateways write the same host concurrently, either position is a valid lower bound, and the other fields are written
+// again when they change.
 func (c *Cache) planRest(now int64, snapshot balance.Snapshot, list EndpointList) *machine.Command {
 	command := &machine.Command{Kind: machine.TransactionKind}
 	storable := len(list.Endpoints) > 0 && len(list.Endpoints) <= maxHosts
@@ -109,7 +112,7 @@
 	return command
 }
 
-// hostWrites returns the records that are to be written, urgent ones first.
+// hostWrites returns the records that must be written, urgent ones first.
 func (c *Cache) hostWrites(now int64, hosts []balance.HostSnapshot) []hostWrite {
 	var urgent, others []hostWrite
 	for i := range hosts {
@@ -125,8 +128,8 @@
 	return append(urgent, others...)
 }
 
-// hostChange returns a host's new record, and whether it is worth a write. One that changes what the host may be sent
-// is urgent.
+// hostChange returns a host's new record, and whether it must be written. A change that affects which requests the host
+// may receive is urgent.
 func (c *Cache) hostChange(now int64, observed *balance.HostSnapshot) (write hostWrite, worthwhile bool) {
 	stored, known := c.hosts[observed.Host]
 	next := Host{
@@ -141,7 +144,7 @@
 		By:         c.conf.Name,
 	}
 	if observed.Position < stored.Position && observed.Primary == stored.Primary {
-		next.Position = stored.Position // a position never goes back
+		next.Position = stored.Position // a position never decreases
 		next.PositionAt = stored.PositionAt
 	}
 	roleChanged := observed.Down != stored.Down || observed.Primary != stored.Primary
@@ -159,10 +162,12 @@
 	return write, worthwhile
 }
 
+// nothingKnown reports whether the router has no information about a host yet.
 func nothingKnown(host *balance.HostSnapshot) bool {
 	return host.Position == 0 && !host.Down && host.SlowStartUntil == 0 && host.ConcurrencyLimit == 0
 }
 
+// limitMoved reports whether a concurrency limit differs from the stored one by more than limitChange.
 func limitMoved(stored, observed float64) bool {
 	if stored <= 0 || observed <= 0 {
 		return false
@@ -170,7 +175,8 @@
 	return observed > stored*(1+limitChange) || observed < stored*(1-limitChange)
 }
 
-// obsoleteHosts returns, in order, the hosts that this gateway wrote last and that its list has not named for long.
+// obsoleteHosts returns, in order, the ids of stored hosts that are not present, were last written by this gateway and
+// are older than Config.MaxAge.
 func (c *Cache) obsoleteHosts(now int64, present []balance.HostSnapshot) []string {
 	named := map[string]bool{}
 	for i := range present {
--- a/internal/warmstart/restore.go
+++ b/internal/warmstart/restore.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	maxFuture    = 5_000_000     // microseconds that a stored time may lie in the future before it is taken for a fault
-	maxSlowStart = 3_600_000_000 // microseconds; a slow start that ends later is taken for a fault
+	maxFuture    = 5_000_000     // microseconds by which a stored time may be in the future without being treated as invalid
+	maxSlowStart = 3_600_000_000 // microseconds; a slow start that ends later is treated as invalid
 )
 
-// Restored is what a restarted gateway may take from the store.
+// Restored is the stored routing state that a restarted gateway may use.
 type Restored struct {
 	Snapshot  balance.Snapshot
 	List      *EndpointList // nil: none, or not newer than the gateway's
-	Discarded []string      // what is not relied on, and why
+	Discarded []string      // the parts that are not used, and why, for the log
 }
 
-// Restore tells what may be relied on. The generation is that of the list that the gateway has already.
+// Restore returns the part of the cached state that may be used at the time now, in microseconds. generation is that of
+// the endpoint list that the gateway already has.
 //
-// A position is a lower bound and stays true, but one that was observed at a former primary may lie ahead of what the
-// other hosts ever had: it is relied on only while the host is the stored primary. Who is primary, down or in slow
-// start, and a host's limit, are relied on up to an age. A time from the future is no evidence.
+// A position is a lower bound and remains valid, except that one observed at a former primary may be ahead of every other
+// host: it is used only while the host is the stored primary. The primary of a group, and whether a host is down, and
+// its concurrency limit, are used up to Config.MaxAge; a slow start until its end. Times in the future are invalid.
 func (c *Cache) Restore(now, generation int64) Restored {
 	restored := Restored{Snapshot: balance.Snapshot{SessionFloor: c.sessionFloor}}
 	if c.list.Generation > generation {
@@ -50,11 +51,12 @@
 	r.Discarded = append(r.Discarded, fmt.Sprintf(format, args...))
 }
 
-// recent reports whether what was true at a time is still relied on.
+// recent reports whether a record of the given time may still be used.
 func (c *Cache) recent(now, at int64) bool {
 	return at <= now+maxFuture && now-at <= c.conf.MaxAge
 }
 
+// restoreHost returns the usable part of a host's record, and adds the other parts to restored.Discarded.
 func (c *Cache) restoreHost(now int64, id string, restored *Restored) balance.HostSnapshot {
 	stored := c.hosts[id]
 	host := balance.HostSnapshot{
@@ -67,7 +69,7 @@
 	if stored.Position > now+maxFuture || formerPrimary {
 		host.Position = 0
 		host.PositionAt = 0
-		restored.discard("host %s: its position is from a primary that is none any more, or from the future", id)
+		restored.discard("host %s: its position is from a former primary, or from the future", id)
 	}
 	if c.recent(now, stored.At) {
 		host.Down = stored.Down
--- a/internal/warmstart/stored.go
+++ b/internal/warmstart/stored.go
@@ -19,20 +19,20 @@
 func groupKey(id int64) string { return fmt.Sprintf("%s%020d", groupPrefix, id) }
 func hostKey(id string) string { return hostPrefix + id }
 
-// Primary is the stored record of a group's primary.
+// Primary is the stored record of a group's primary. Times are in microseconds.
 type Primary struct {
 	Host string `msgpack:"h" json:"host"`
-	Term int64  `msgpack:"t" json:"term"` // rises with each change
-	At   int64  `msgpack:"a" json:"at"`   // of the evidence
+	Term int64  `msgpack:"t" json:"term"` // increases with each change of the primary
+	At   int64  `msgpack:"a" json:"at"`   // time of the observation
 	By   string `msgpack:"b" json:"by"`   // the gateway that wrote it
 }
 
-// Host is the stored record of a host.
+// Host is the stored record of a host. Times are in microseconds.
 type Host struct {
 	Group      int64   `msgpack:"g" json:"group"`
 	Position   int64   `msgpack:"p" json:"position"` // a lower bound
 	PositionAt int64   `msgpack:"q" json:"position_at"`
-	Primary    bool    `msgpack:"r" json:"primary"` // when the position was observed
+	Primary    bool    `msgpack:"r" json:"primary"` // whether it was the primary when the position was observed
 	Down       bool    `msgpack:"d" json:"down"`
 	ColdUntil  int64   `msgpack:"c" json:"cold_until"` // end of the slow start
 	Limit      float64 `msgpack:"l" json:"limit"`      // concurrent requests
@@ -40,8 +40,8 @@
 	By         string  `msgpack:"b" json:"by"` // the gateway that wrote it
 }
 
-// StoredEndpoint is an endpoint under the field names of its stored form, which stay as they are whatever the fields of
-// balance are called. The two types convert into one another.
+// StoredEndpoint is a balance.Endpoint with tags for the field names of the stored format, which must not change. The two
+// types can be converted into each other.
 type StoredEndpoint struct {
 	Host      string                `msgpack:"Host"`
 	Zone      int                   `msgpack:"Zone"`
@@ -53,7 +53,7 @@
 	StartedAt int64                 `msgpack:"Born"`
 }
 
-// Endpoint is a host of the stored list.
+// Endpoint is an entry of the stored list, with its address.
 type Endpoint struct {
 	StoredEndpoint `msgpack:"e"`
 	Address        string `msgpack:"a"`
@@ -65,7 +65,7 @@
 	Endpoints  []Endpoint `msgpack:"e"`
 }
 
-// SessionFloor is the stored lower bound of the sessions' positions.
+// SessionFloor is the stored lower bound of the positions that sessions require.
 type SessionFloor struct {
 	Position int64 `msgpack:"p" json:"position"`
 }
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -1,7 +1,7 @@
-// Package warmstart keeps routing state of the gateways in the store, so that a restarted gateway need not begin with
-// none. It decides which changes of a router's state are worth a write, and how much of what is stored a restarted
-// gateway may rely on. It does no I/O and reads no clock. Times are microseconds on the gateways' clocks, which agree to
-// within MaxClockSkew.
+// Package warmstart keeps the routing state of the gateways in the store, so that a restarted gateway does not start
+// without any. It decides which changes of a router's state are written, and which part of the stored state a restarted
+// gateway may use. It does no I/O and reads no clock. Times are in microseconds of the gateways' clocks, which must agree
+// to within MaxClockSkew.
 package warmstart
 
 import (
@@ -13,18 +13,18 @@
 	"cloverrock/internal/store/machine"
 )
 
-// MaxClockSkew is how far the clocks of two gateways may be apart, in microseconds. Evidence that is younger by less
-// does not count as younger.
+// MaxClockSkew is the maximum difference between the clocks of two gateways, in microseconds. An observation must be newer
+// by more than that to replace another gateway's.
 const MaxClockSkew = 50_000
 
 // Config of a cache. Times are in microseconds.
 type Config struct {
 	Name        string // of the gateway
-	MinInterval int64  // between two plans
-	MaxAge      int64  // of what may change, to be relied on
+	MinInterval int64  // between two plans that write something
+	MaxAge      int64  // up to which a record that may have become wrong is used
 }
 
-// Cache is what the store has, as far as this gateway was told. It is not safe for concurrent use.
+// Cache is a gateway's copy of the stored routing state, kept up to date by Update. It is not safe for concurrent use.
 type Cache struct {
 	conf         Config
 	groups       map[int64]Primary
@@ -32,11 +32,11 @@
 	hosts        map[string]Host
 	list         EndpointList
 	sessionFloor int64
-	plannedAt    int64
-	unreadable   int
+	plannedAt    int64 // time of the last plan that wrote something
+	unreadable   int   // see Unreadable
 }
 
-// New returns a cache of an empty store.
+// New returns an empty cache.
 func New(conf Config) *Cache {
 	return &Cache{
 		conf:      conf,
@@ -46,10 +46,10 @@
 	}
 }
 
-// Unreadable is the number of keys that could not be read: of a newer form, or damaged. They are left as they are.
+// Unreadable returns the number of updates that could not be decoded: of a newer format, or damaged. They are ignored.
 func (c *Cache) Unreadable() int { return c.unreadable }
 
-// Update takes a key as the store has it, or had it before it was deleted.
+// Update applies a change of a key to the cache: its new value, or with deleted set its last one.
 func (c *Cache) Update(kv *machine.KV, deleted bool) {
 	if kv.NS != NS {
 		return
