--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -23,12 +23,13 @@
 	"cloverrock/internal/warmstart"
 )
 
-const limit = 30 * time.Second
+// testTimeout ends a test that hangs. No result depends on how fast anything happens.
+const testTimeout = 30 * time.Second
 
-// gateway is a gateway as the daemon sees it.
+// gateway is a fake app.Gateway that records what the daemon does to it.
 type gateway struct {
 	mu       sync.Mutex
-	facts    balance.Snapshot
+	snapshot balance.Snapshot
 	list     discovery.EndpointList
 	restored chan balance.Snapshot
 	reloads  chan *config.Config
@@ -48,7 +49,7 @@
 func (g *gateway) Snapshot() (balance.Snapshot, discovery.EndpointList, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.facts, g.list.Clone(), true
+	return g.snapshot, g.list.Clone(), true
 }
 
 func (g *gateway) ObserveOutcomes(func(string, int, gatewaypkg.Outcome)) {}
@@ -77,7 +78,7 @@
 
 func (f *fixture) start(g *gateway) *daemon {
 	f.T.Helper()
-	wait := int(limit.Milliseconds())
+	wait := int(testTimeout.Milliseconds())
 	set, err := settings.Load(f.Path("store", "a.json"))
 	if err != nil {
 		f.T.Fatal(err)
@@ -95,16 +96,16 @@
 	select {
 	case v := <-ch:
 		return v
-	case <-time.After(limit):
-		t.Fatal("nothing came")
+	case <-time.After(testTimeout):
+		t.Fatal("no event within the time limit")
 		panic("")
 	}
 }
 
-// awaitStatus waits until the store says that the gateway has looked at a revision.
+// awaitStatus waits until the store has the gateway's report on a revision.
 func (f *fixture) awaitStatus(revision int64) documents.Running {
 	f.T.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for {
 		var status struct{ Running []documents.Running }
@@ -157,7 +158,7 @@
 		t.Errorf("memory %d", c.MemoryMB)
 	}
 	f.expectStatus(2, "restart", 1, "limits")
-	// It fits the schema, and cannot be applied here: this instance says so, and goes on with what it has.
+	// The document fits the schema but cannot be applied: the instance reports that and keeps its configuration.
 	f.PutDocument(`{"settings":{"tickMs":5}}`, 0)
 	if c := next(t, g.reloads); c != nil {
 		t.Errorf("reload with %+v", c)
@@ -168,7 +169,7 @@
 	if c, err := d.ReloadConfig(); err != nil || c.Discovery != "127.0.0.1:8" {
 		t.Errorf("on a signal: %+v, %v", c, err)
 	}
-	// A restarted gateway begins with the local copy.
+	// A restarted gateway starts with the local copy of the document.
 	d.Close()
 	d = f.start(newGateway())
 	conf, err := config.Load(f.Getenv)
@@ -180,11 +181,11 @@
 	}
 }
 
-func TestRestartedGatewayGetsWhatTheFormerOneKnew(t *testing.T) {
+func TestRestartedGatewayRestoresStoredRoutingState(t *testing.T) {
 	f := newFixture(t)
 	now := time.Now().UnixMicro()
 	g := newGateway()
-	g.facts = balance.Snapshot{
+	g.snapshot = balance.Snapshot{
 		Groups: []balance.GroupSnapshot{{Group: 1, Primary: "h1", ObservedAt: now}},
 		Hosts: []balance.HostSnapshot{
 			{Host: "h1", Group: 1, Position: now, PositionAt: now, Primary: true},
@@ -205,17 +206,17 @@
 	fresh := newGateway()
 	d = f.start(fresh)
 	defer d.Close()
-	facts := next(t, fresh.restored)
-	if len(facts.Groups) != 1 || facts.Groups[0].Primary != "h1" || len(facts.Hosts) != 2 || !facts.Hosts[1].Down {
-		t.Errorf("restored: %+v", facts)
+	snapshot := next(t, fresh.restored)
+	if len(snapshot.Groups) != 1 || snapshot.Groups[0].Primary != "h1" || len(snapshot.Hosts) != 2 || !snapshot.Hosts[1].Down {
+		t.Errorf("restored: %+v", snapshot)
 	}
 	if fresh.list.Generation != 8 || fresh.list.Addresses["h1"] != "127.0.0.1:9" {
 		t.Errorf("restored list: %+v", fresh.list)
 	}
 }
 
-// A store that does not start does not keep the gateway from serving.
-func TestDamagedStoreDoesNotKeepTheGatewayFromServing(t *testing.T) {
+// A gateway starts without the store if the store's data is damaged.
+func TestGatewayStartsWithDamagedStore(t *testing.T) {
 	f := newFixture(t)
 	data := f.Path("store", "a-data")
 	for _, name := range []string{"identity.json", "snap-0000000000000001"} {
@@ -227,7 +228,7 @@
 			t.Fatal(err)
 		}
 		if c := d.OverlayConfig(conf); c != conf {
-			t.Error("a damaged store has told something")
+			t.Error("a damaged store has changed the configuration")
 		}
 		d.Close()
 		if out := f.Run(app.ExitDamaged, "store verify --data "+data); !strings.Contains(out, name) || !strings.Contains(out, "offset") {
@@ -240,9 +241,9 @@
 	}
 }
 
-// After the loss of a majority a backup becomes a new store of one: the documents are there, the cluster is another,
-// and the old members are no longer any.
-func TestRestoreFoundsANewCluster(t *testing.T) {
+// After the loss of a majority a backup is restored as a new cluster with one member. It has the documents, another
+// cluster id, and none of the old members.
+func TestRestoreCreatesNewClusterWithTheDocuments(t *testing.T) {
 	f := newFixture(t)
 	g := newGateway()
 	d := f.start(g)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 
 const good = `"name":"a","data":"d","listen":"127.0.0.1:1","certificate":"a.pem","key":"k.pem","authority":"ca.pem"`
 
-func TestErrorsNameFileAndKey(t *testing.T) {
+func TestLoadErrorsNameFileAndKey(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "settings.json")
 	for text, want := range map[string]string{
--- a/internal/store/core/apply_test.go
+++ b/internal/store/core/apply_test.go
@@ -7,9 +7,9 @@
 	"cloverrock/internal/store/machine"
 )
 
-// The first command of a newer format comes only when all members understand it. An instance that meets one all the
-// same stops applying, says so, and leaves the others their quorum.
-func TestUnknownFormatHaltsOneInstanceAndNotTheOthers(t *testing.T) {
+// The agreed format is raised only when all members support the newer one. An instance that receives a command of a newer
+// format nevertheless stops applying and reports it, and the others keep their quorum.
+func TestUnsupportedFormatHaltsOnlyTheOldInstance(t *testing.T) {
 	cl := newCluster(t, 1, machine.Format+1, machine.Format+1)
 	leader := cl.elect(2)
 	for range 3 * dutyInterval {
@@ -17,7 +17,7 @@
 		cl.runUntilIdle()
 	}
 	if leader.Machine().AgreedFormat() != 1 {
-		t.Fatal("the format was raised past what a member understands")
+		t.Fatal("the format was raised beyond what a member supports")
 	}
 	leader.Propose(1, &machine.Command{Format: machine.Format + 1, Kind: machine.TransactionKind})
 	cl.runUntilIdle()
@@ -39,6 +39,6 @@
 	leader.Propose(4, &machine.Command{Kind: machine.OpenSessionKind})
 	cl.runUntilIdle()
 	if answer := cl.answers[2][4]; answer.Err != nil {
-		t.Errorf("the others do not go on: %+v", answer)
+		t.Errorf("the others do not continue: %+v", answer)
 	}
 }
--- a/internal/store/core/cluster_test.go
+++ b/internal/store/core/cluster_test.go
@@ -12,32 +12,32 @@
 	"cloverrock/internal/store/machine"
 )
 
-// cluster is cores whose messages arrive at once, and that save nothing.
+// cluster connects cores in memory. Messages are delivered at once and nothing is saved.
 type cluster struct {
-	t       *testing.T
-	cores   map[uint64]*Core
-	order   []uint64                     // ids of those that run
-	answers map[uint64]map[uint64]Answer // by core and token
-	carry   func(Envelope)               // delivers a message
-	data    []byte                       // newest snapshot, for transfers
+	t            *testing.T
+	cores        map[uint64]*Core
+	running      []uint64                     // ids of the running cores
+	answers      map[uint64]map[uint64]Answer // by core and token
+	transmit     func(Envelope)               // delivers a message
+	snapshotData []byte                       // newest snapshot, for transfers
 }
 
 // newCluster returns one core for each format, with the ids 1, 2 ...
 func newCluster(t *testing.T, formats ...uint8) *cluster {
 	t.Helper()
 	cl := &cluster{t: t, cores: map[uint64]*Core{}, answers: map[uint64]map[uint64]Answer{}}
-	cl.carry = cl.deliver
+	cl.transmit = cl.deliver
 	var records []machine.Op
 	for i, format := range formats {
 		id := uint64(i + 1)
-		cl.order = append(cl.order, id)
+		cl.running = append(cl.running, id)
 		record, err := MemberOp(id, Member{Name: string(rune('a' + i)), Format: format})
 		if err != nil {
 			t.Fatal(err)
 		}
 		records = append(records, record)
 	}
-	snapshot, err := InitialSnapshot(cl.order, records)
+	snapshot, err := InitialSnapshot(cl.running, records)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,30 +55,30 @@
 	return cl
 }
 
-// deliver gives a message to its receiver, if that one runs.
+// deliver passes a message to its receiver, if that one is running.
 func (cl *cluster) deliver(e Envelope) {
 	if c := cl.cores[e.To]; c != nil {
 		c.Step(e)
 	}
 }
 
-// runUntilIdle does all work until there is none.
+// runUntilIdle processes the work of all cores until there is none.
 func (cl *cluster) runUntilIdle() {
 	cl.t.Helper()
 	for worked := true; worked; {
 		worked = false
-		for _, id := range cl.order {
+		for _, id := range cl.running {
 			worked = cl.work(id) || worked
 		}
 	}
 }
 
-// work does all work that a core has, and reports whether there was any.
+// work processes all work of a core, and reports whether there was any.
 func (cl *cluster) work(id uint64) (worked bool) {
 	cl.t.Helper()
 	c := cl.cores[id]
-	if cl.data != nil && c.NeedsSnapshotData() {
-		c.ProvideSnapshotData(cl.data, nil)
+	if cl.snapshotData != nil && c.NeedsSnapshotData() {
+		c.ProvideSnapshotData(cl.snapshotData, nil)
 	}
 	for work := c.Next(); work != nil; work = c.Next() {
 		worked = true
@@ -86,7 +86,7 @@
 			cl.t.Fatal(err)
 		}
 		for _, e := range append(work.SendBeforeSave, work.SendAfterSave...) {
-			cl.carry(e)
+			cl.transmit(e)
 		}
 	}
 	for _, answer := range c.Answers() {
@@ -95,21 +95,21 @@
 	return worked
 }
 
-// stop takes cores out of the cluster.
+// stop removes cores from the cluster.
 func (cl *cluster) stop(ids ...uint64) {
 	for _, stopped := range ids {
 		delete(cl.cores, stopped)
 	}
 	var running []uint64
-	for _, id := range cl.order {
+	for _, id := range cl.running {
 		if cl.cores[id] != nil {
 			running = append(running, id)
 		}
 	}
-	cl.order = running
+	cl.running = running
 }
 
-// elect has a core become the leader.
+// elect makes a core the leader.
 func (cl *cluster) elect(id uint64) *Core {
 	cl.t.Helper()
 	c := cl.cores[id]
@@ -118,7 +118,7 @@
 	}
 	cl.runUntilIdle()
 	if !c.IsLeader() {
-		cl.t.Fatalf("%d does not lead", id)
+		cl.t.Fatalf("%d is not the leader", id)
 	}
 	return c
 }
--- a/internal/store/core/golden_test.go
+++ b/internal/store/core/golden_test.go
@@ -12,7 +12,7 @@
 	"cloverrock/internal/store/machine"
 )
 
-// The initial snapshot with its member records, and what lets a member in and removes it, keep their bytes.
+// The initial snapshot with its member records, and the changes that add and remove a member, keep their bytes.
 func TestMembersKeepTheirBytes(t *testing.T) {
 	var lines []string
 	show := func(name string, b []byte, err error) {
--- a/internal/store/core/proposals_test.go
+++ b/internal/store/core/proposals_test.go
@@ -7,7 +7,7 @@
 	"cloverrock/internal/store/machine"
 )
 
-func TestFollowerForwardsProposalAndReadSeesIt(t *testing.T) {
+func TestReadAtFollowerSeesProposalOfAnotherFollower(t *testing.T) {
 	cl := newCluster(t, 1, 1, 1)
 	cl.elect(1)
 	put := machine.Op{Kind: machine.Put, NS: "n", Key: "k"}
@@ -21,13 +21,13 @@
 	if answer := cl.answers[2][2]; answer.Err != nil || answer.Result.Revision != 2 {
 		t.Errorf("the read: %+v", answer)
 	}
-	if age, known := cl.cores[2].Staleness(); !known || age != 0 {
-		t.Errorf("age %d, known %t", age, known)
+	if staleness, known := cl.cores[2].Staleness(); !known || staleness != 0 {
+		t.Errorf("staleness %d, known %t", staleness, known)
 	}
 }
 
-// Without a quorum a proposal is answered at its deadline, and the age of the state grows.
-func TestWithoutQuorumProposalsTimeOutAndStateAges(t *testing.T) {
+// Without a quorum a proposal is answered at its deadline, and the staleness of the state increases.
+func TestProposalsTimeOutAndStalenessGrowsWithoutQuorum(t *testing.T) {
 	cl := newCluster(t, 1, 1, 1)
 	c := cl.elect(1)
 	cl.stop(2, 3)
@@ -42,9 +42,9 @@
 	c.Propose(2, &machine.Command{Kind: machine.OpenSessionKind})
 	cl.runUntilIdle()
 	if answer := cl.answers[1][2]; !errors.Is(answer.Err, ErrNoLeader) {
-		t.Errorf("it still takes itself for the leader: %+v", answer)
+		t.Errorf("it still considers itself the leader: %+v", answer)
 	}
-	if age, _ := c.Staleness(); age < int64(c.conf.TimeoutTicks) {
-		t.Errorf("age %d", age)
+	if staleness, _ := c.Staleness(); staleness < int64(c.conf.TimeoutTicks) {
+		t.Errorf("staleness %d", staleness)
 	}
 }
--- a/internal/store/core/transfer_test.go
+++ b/internal/store/core/transfer_test.go
@@ -8,9 +8,9 @@
 )
 
 // A snapshot is sent in chunks within its rate, and arrives complete although chunks and acknowledgements are lost.
-func TestSnapshotKeepsItsRateAndToleratesLoss(t *testing.T) {
+func TestSnapshotTransferRespectsRateLimitAndToleratesLoss(t *testing.T) {
 	cl := newCluster(t, 1, 1, 1)
-	leader, behind := cl.elect(1), cl.cores[3]
+	leader, receiver := cl.elect(1), cl.cores[3]
 	cl.stop(3)
 	for i := range 300 {
 		put := machine.Op{Kind: machine.Put, NS: "n", Key: string(rune('a' + i%20)), Value: make([]byte, 2000)}
@@ -26,12 +26,12 @@
 		t.Fatalf("the log is not released: %v", err)
 	}
 
-	cl.data = encoded
-	cl.cores[3] = behind
-	cl.order = []uint64{1, 2, 3}
+	cl.snapshotData = encoded
+	cl.cores[3] = receiver
+	cl.running = []uint64{1, 2, 3}
 	rng := rand.New(rand.NewPCG(2, 2))
 	sent := 0 // bytes in this tick
-	cl.carry = func(e Envelope) {
+	cl.transmit = func(e Envelope) {
 		if e.Chunk != nil {
 			sent += len(e.Chunk.Data)
 		}
@@ -40,19 +40,19 @@
 			cl.cores[e.To].Step(e)
 		}
 	}
-	for tick := 0; behind.Machine().Index() < snapshot.Meta.GetIndex(); tick++ {
+	for tick := 0; receiver.Machine().Index() < snapshot.Meta.GetIndex(); tick++ {
 		if tick > 500 {
 			t.Fatalf("the snapshot does not arrive: %+v", leader.Status())
 		}
 		sent = 0
 		leader.Tick()
-		behind.Tick()
+		receiver.Tick()
 		cl.runUntilIdle()
 		if sent > leader.conf.SnapshotBytesPerTick+leader.conf.ChunkSize {
 			t.Fatalf("%d bytes in a tick; %d are allowed", sent, leader.conf.SnapshotBytesPerTick)
 		}
 	}
-	if behind.Machine().KeyCount() != leader.Machine().KeyCount() {
-		t.Errorf("%d keys, %d at the leader", behind.Machine().KeyCount(), leader.Machine().KeyCount())
+	if receiver.Machine().KeyCount() != leader.Machine().KeyCount() {
+		t.Errorf("%d keys, %d at the leader", receiver.Machine().KeyCount(), leader.Machine().KeyCount())
 	}
 }
--- a/internal/store/disk/golden_test.go
+++ b/internal/store/disk/golden_test.go
@@ -14,7 +14,7 @@
 	"cloverrock/internal/golden"
 )
 
-// goldenEntry is one entry of the log with bytes that tell it from others.
+// goldenEntry is an entry of the log with distinctive data.
 func goldenEntry(index, term uint64, data string) *raftpb.Entry {
 	return &raftpb.Entry{Index: new(index), Term: new(term), Type: raftpb.EntryNormal.Enum(), Data: []byte(data)}
 }
@@ -47,7 +47,7 @@
 	return lines
 }
 
-// openedLine opens a directory and tells what it held.
+// openedLine opens a directory and describes its content.
 func openedLine(t *testing.T, fs FS) string {
 	t.Helper()
 	store, opened, err := Open(fs, Options{SegmentSize: 300})
--- a/internal/store/disk/helpers_test.go
+++ b/internal/store/disk/helpers_test.go
@@ -38,7 +38,7 @@
 	return &raftpb.HardState{Term: new(term), Commit: new(commit)}
 }
 
-// writtenLog makes a log of some batches in a directory.
+// writtenLog creates a log with a number of batches of two entries in a new directory.
 func writtenLog(t *testing.T, o Options, batches int) (*Dir, *Log) {
 	t.Helper()
 	dir := openTemp(t)
@@ -64,7 +64,7 @@
 
 type faultyFile struct {
 	File
-	d *faultyDir
+	dir *faultyDir
 }
 
 func (f *faultyDir) Create(name string) (File, error) {
@@ -76,14 +76,14 @@
 }
 
 func (f *faultyFile) Write(b []byte) (int, error) {
-	if f.d.full {
+	if f.dir.full {
 		return 0, ErrFull
 	}
 	return f.File.Write(b)
 }
 
 func (f *faultyFile) Sync() error {
-	if f.d.failSync {
+	if f.dir.failSync {
 		return errors.New("input/output error")
 	}
 	return f.File.Sync()
--- a/internal/store/disk/log_test.go
+++ b/internal/store/disk/log_test.go
@@ -7,9 +7,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-func TestReopenedLogHasAllEntriesAndReplacements(t *testing.T) {
+func TestReopenedLogReturnsLatestEntries(t *testing.T) {
 	dir, l := writtenLog(t, Options{SegmentSize: 2048}, 100)
-	if err := l.Save(nil, nil, []*raftpb.Entry{entry(150, 2)}); err != nil { // replaces 150 and all behind it
+	if err := l.Save(nil, nil, []*raftpb.Entry{entry(150, 2)}); err != nil { // replaces entry 150 and all later ones
 		t.Fatal(err)
 	}
 	if l.Segments() < 4 {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestWriteIsRepeatableAfterFullDiskAndNotAfterFailedSync(t *testing.T) {
+func TestWriteCanBeRetriedAfterFullDiskButNotAfterFailedSync(t *testing.T) {
 	dir := openTemp(t)
 	if _, err := OpenDir(dir.path); err == nil {
 		t.Error("two processes in one directory")
@@ -58,7 +58,7 @@
 	}
 	f.failSync = false
 	if err := l.Save(nil, nil, []*raftpb.Entry{entry(20, 1)}); err == nil {
-		t.Fatal("after a failed sync the log goes on")
+		t.Fatal("the log accepts writes after a failed sync")
 	}
 	must(t, l.Close())
 	if _, got, err := OpenLog(dir, Options{}); err != nil || len(got.Entries) < 19 {
--- a/internal/store/disk/read_test.go
+++ b/internal/store/disk/read_test.go
@@ -10,8 +10,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// A log cut at any byte of its last batch comes back without that batch; nothing before it is lost.
-func TestTornEndIsCutAtAnyByte(t *testing.T) {
+// A log truncated at any byte of its last batch is read without that batch, and with everything before it.
+func TestIncompleteLastBatchIsTruncatedAtAnyByte(t *testing.T) {
 	dir, l := writtenLog(t, Options{}, 5)
 	complete := mustRead(t, dir, segmentName(1))
 	before := l.size
@@ -20,7 +20,7 @@
 	}
 	must(t, l.Close())
 	all := mustRead(t, dir, segmentName(1))
-	must(t, dir.Remove(syncNoteName)) // the machine lost power: the note of the last sync is an old one, or none
+	must(t, dir.Remove(syncNoteName)) // as after a loss of power, when the note is outdated or missing
 	for cut := len(complete); cut < len(all); cut++ {
 		if err := os.WriteFile(dir.Name(segmentName(1)), all[:cut], 0o600); err != nil {
 			t.Fatal(err)
@@ -35,13 +35,13 @@
 		must(t, log.Close())
 		must(t, dir.Remove(syncNoteName))
 		if _, got, err = OpenLog(dir, Options{}); err != nil || len(got.Entries) != 11 {
-			t.Fatalf("cut at %d, written on: %v", cut, err)
+			t.Fatalf("cut at %d, then appended: %v", cut, err)
 		}
 		must(t, dir.Remove(syncNoteName))
 	}
 }
 
-// A bit that flips anywhere in what was synced is found, and the message names the file; padding alone is harmless.
+// A flipped bit anywhere in synced data is detected, and the error names the file; only in padding it is harmless.
 func TestFlippedBitsAndMissingSegmentsAreReported(t *testing.T) {
 	dir, l := writtenLog(t, Options{SegmentSize: 1500}, 30)
 	must(t, l.Close())
@@ -56,11 +56,11 @@
 		b[at] ^= bit
 		must(t, os.WriteFile(dir.Name(name), b, 0o600))
 		_, got, err := readLog(dir, Options{})
-		var bad *CorruptError
+		var corrupt *CorruptError
 		switch {
-		case errors.As(err, &bad):
+		case errors.As(err, &corrupt):
 			found++
-			if bad.File != dir.Name(name) || bad.Offset > int64(at) || !strings.Contains(err.Error(), "offset") {
+			if corrupt.File != dir.Name(name) || corrupt.Offset > int64(at) || !strings.Contains(err.Error(), "offset") {
 				t.Errorf("a bit at %d of %s: %v", at, name, err)
 			}
 		case err != nil:
@@ -82,6 +82,6 @@
 		must(t, dir.Remove(segmentName(seq)))
 	}
 	if _, _, err := OpenLog(dir, Options{}); err == nil {
-		t.Error("a lost log was taken for an empty one")
+		t.Error("a missing log was read as an empty one")
 	}
 }
--- a/internal/store/disk/snapshot_test.go
+++ b/internal/store/disk/snapshot_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func TestSnapshotIsCompleteOrNotThere(t *testing.T) {
+func TestSnapshotIsSavedCompletelyOrNotAtAll(t *testing.T) {
 	dir := openTemp(t)
 	meta := &raftpb.SnapshotMetadata{Index: proto.Uint64(9), Term: proto.Uint64(2), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}
 	image := []byte(strings.Repeat("state", 500000))
@@ -28,21 +28,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, rd, err := DecodeSnapshot(name, b)
+	got, reader, err := DecodeSnapshot(name, b)
 	if err != nil || got.GetIndex() != 9 {
 		t.Fatalf("%v, %v", got, err)
 	}
-	if read, err := io.ReadAll(rd); err != nil || string(read) != string(image) {
-		t.Error("another image came back")
+	if read, err := io.ReadAll(reader); err != nil || string(read) != string(image) {
+		t.Error("a different image was read")
 	}
 	for _, at := range []int{5, len(b) / 2, len(b) - 3} {
 		damaged := append([]byte(nil), b...)
 		damaged[at] ^= 4
-		var bad *CorruptError
-		if _, _, err := DecodeSnapshot(name, damaged); !errors.As(err, &bad) {
+		var corrupt *CorruptError
+		if _, _, err := DecodeSnapshot(name, damaged); !errors.As(err, &corrupt) {
 			t.Errorf("a bit at %d: %v", at, err)
 		}
-		if _, _, err := DecodeSnapshot(name, b[:at]); !errors.As(err, &bad) {
+		if _, _, err := DecodeSnapshot(name, b[:at]); !errors.As(err, &corrupt) {
 			t.Errorf("cut at %d: %v", at, err)
 		}
 	}
--- a/internal/store/machine/machine_test.go
+++ b/internal/store/machine/machine_test.go
@@ -22,8 +22,8 @@
 
 // harness applies commands in order.
 type harness struct {
-	t *testing.T
-	m *Machine
+	t       *testing.T
+	machine *Machine
 }
 
 func newHarness(t *testing.T) *harness {
@@ -31,23 +31,23 @@
 	return &harness{t, New()}
 }
 
-func (h *harness) do(c Command) Result {
+func (h *harness) apply(command Command) Result {
 	h.t.Helper()
-	res, _, err := h.m.Apply(h.m.Index()+1, encode(h.t, c))
+	result, _, err := h.machine.Apply(h.machine.Index()+1, encode(h.t, command))
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	return res
+	return result
 }
 
 func (h *harness) put(key, value string, lease uint64) {
 	h.t.Helper()
-	h.do(Command{Kind: TransactionKind, Then: []Op{{Kind: Put, NS: "n", Key: key, Value: []byte(value), Lease: lease}}})
+	h.apply(Command{Kind: TransactionKind, Then: []Op{{Kind: Put, NS: "n", Key: key, Value: []byte(value), Lease: lease}}})
 }
 
-func (h *harness) want(key, value string) {
+func (h *harness) expect(key, value string) {
 	h.t.Helper()
-	if kv, _ := h.m.Get("n", key); string(kv.Value) != value {
+	if kv, _ := h.machine.Get("n", key); string(kv.Value) != value {
 		h.t.Errorf("%s is %q, want %q", key, kv.Value, value)
 	}
 }
@@ -55,89 +55,89 @@
 func TestTransactionIsAtomic(t *testing.T) {
 	h := newHarness(t)
 	h.put("a", "1", 0)
-	cas := func(key string, version int64) Command {
+	compareAndSet := func(key string, version int64) Command {
 		return Command{Kind: TransactionKind, If: []Compare{{NS: "n", Key: key, Number: version}},
 			Then: []Op{{Kind: Put, NS: "n", Key: "a", Value: []byte("2")}, {Kind: Put, NS: "n", Key: "b", Value: []byte("2")}},
 			Else: []Op{{Kind: Get, NS: "n", Key: "a"}}}
 	}
-	if res := h.do(cas("a", 7)); res.Holds || len(res.KVs) != 1 || res.Revision != 1 {
-		t.Errorf("a comparison that fails: %+v", res)
+	if result := h.apply(compareAndSet("a", 7)); result.Holds || len(result.KVs) != 1 || result.Revision != 1 {
+		t.Errorf("a comparison that fails: %+v", result)
 	}
-	h.want("b", "")
-	if res := h.do(cas("a", 1)); !res.Holds || res.Revision != 2 {
-		t.Errorf("one that holds: %+v", res)
+	h.expect("b", "")
+	if result := h.apply(compareAndSet("a", 1)); !result.Holds || result.Revision != 2 {
+		t.Errorf("a comparison that holds: %+v", result)
 	}
-	h.want("b", "2")
-	// The second operation names a lease that is not there: the first is not done either.
+	h.expect("b", "2")
+	// The second operation names an unknown lease: the first must not be executed either.
 	bad := Command{Kind: TransactionKind, Then: []Op{{Kind: Put, NS: "n", Key: "a", Value: []byte("3")}, {Kind: Put, NS: "n", Key: "c", Lease: 99}}}
-	if res := h.do(bad); res.Code != NoLease || res.Revision != 2 {
-		t.Errorf("a lease that is not there: %+v", res)
+	if result := h.apply(bad); result.Code != NoLease || result.Revision != 2 {
+		t.Errorf("an unknown lease: %+v", result)
 	}
-	h.want("a", "2")
+	h.expect("a", "2")
 }
 
 func TestRetryIsAppliedOnce(t *testing.T) {
 	h := newHarness(t)
-	s := h.do(Command{Kind: OpenSessionKind}).ID
-	write := Command{Kind: TransactionKind, Session: s, Seq: 1, Then: []Op{{Kind: Put, NS: "n", Key: "k", Value: []byte("1")}}}
-	first := h.do(write)
+	session := h.apply(Command{Kind: OpenSessionKind}).ID
+	write := Command{Kind: TransactionKind, Session: session, Seq: 1, Then: []Op{{Kind: Put, NS: "n", Key: "k", Value: []byte("1")}}}
+	first := h.apply(write)
 	h.put("k", "2", 0)
-	if again := h.do(write); !cmp.Equal(again, first) {
+	if again := h.apply(write); !cmp.Equal(again, first) {
 		t.Errorf("a retry got %+v, the first %+v", again, first)
 	}
-	h.want("k", "2")
+	h.expect("k", "2")
 	write.Seq = 2
-	h.do(write)
+	h.apply(write)
 	write.Seq = 1
-	if res := h.do(write); res.Code != OldSeq {
-		t.Errorf("an old number: %+v", res)
+	if result := h.apply(write); result.Code != OldSeq {
+		t.Errorf("an old number: %+v", result)
 	}
 	write.Session = 12345
-	if res := h.do(write); res.Code != NoSession {
-		t.Errorf("a session that is not known: %+v", res)
+	if result := h.apply(write); result.Code != NoSession {
+		t.Errorf("an unknown session: %+v", result)
 	}
 }
 
 func TestLeastRecentlyUsedSessionIsDropped(t *testing.T) {
 	h := newHarness(t)
-	first := h.do(Command{Kind: OpenSessionKind}).ID
-	second := h.do(Command{Kind: OpenSessionKind}).ID
+	first := h.apply(Command{Kind: OpenSessionKind}).ID
+	second := h.apply(Command{Kind: OpenSessionKind}).ID
 	use := func(s, seq uint64) Code {
-		return h.do(Command{Kind: TransactionKind, Session: s, Seq: seq}).Code
+		return h.apply(Command{Kind: TransactionKind, Session: s, Seq: seq}).Code
 	}
 	use(first, 1)
 	for range MaxSessions - 1 {
-		h.do(Command{Kind: OpenSessionKind})
+		h.apply(Command{Kind: OpenSessionKind})
 	}
 	if use(first, 2) != OK || use(second, 1) != NoSession {
-		t.Error("not the one unused for longest was dropped")
+		t.Error("the dropped session is not the least recently used one")
 	}
 }
 
 func TestLeaseEndsOnTheLogicalClock(t *testing.T) {
 	h := newHarness(t)
-	lease := h.do(Command{Kind: GrantLeaseKind, Amount: 100}).ID
+	lease := h.apply(Command{Kind: GrantLeaseKind, Amount: 100}).ID
 	h.put("a", "1", lease)
 	h.put("b", "1", lease)
-	h.put("b", "2", 0) // written again without: it stays
-	h.do(Command{Kind: AdvanceClockKind, Amount: 60})
-	h.do(Command{Kind: KeepAliveKind, Lease: lease})
-	h.do(Command{Kind: AdvanceClockKind, Amount: 60})
-	h.want("a", "1")
-	before := h.m.Revision()
-	h.do(Command{Kind: AdvanceClockKind, Amount: 40})
-	h.want("a", "")
-	h.want("b", "2")
-	events, _, ok := h.m.EventsSince("n", "", before, 10)
+	h.put("b", "2", 0) // written again without a lease: the key is kept
+	h.apply(Command{Kind: AdvanceClockKind, Amount: 60})
+	h.apply(Command{Kind: KeepAliveKind, Lease: lease})
+	h.apply(Command{Kind: AdvanceClockKind, Amount: 60})
+	h.expect("a", "1")
+	before := h.machine.Revision()
+	h.apply(Command{Kind: AdvanceClockKind, Amount: 40})
+	h.expect("a", "")
+	h.expect("b", "2")
+	events, _, ok := h.machine.EventsSince("n", "", before, 10)
 	if !ok || len(events) != 1 || !events[0].Deleted || events[0].KV.Key != "a" {
-		t.Errorf("the end of a lease is told as %+v", events)
+		t.Errorf("the end of a lease gives the events %+v", events)
 	}
 	for _, c := range []Command{{Kind: KeepAliveKind, Lease: lease}, {Kind: RevokeLeaseKind, Lease: lease}} {
-		if res := h.do(c); res.Code != NoLease {
+		if res := h.apply(c); res.Code != NoLease {
 			t.Errorf("%+v: %+v", c, res)
 		}
 	}
-	if res := h.do(Command{Kind: AdvanceClockKind, Amount: -1}); res.Code != BadAmount {
+	if res := h.apply(Command{Kind: AdvanceClockKind, Amount: -1}); res.Code != BadAmount {
 		t.Error("the clock went back")
 	}
 }
@@ -145,12 +145,12 @@
 func TestEventsOfARevisionAreReturnedTogetherAndOnce(t *testing.T) {
 	h := newHarness(t)
 	for i := range 30 {
-		h.do(Command{Kind: TransactionKind, Then: []Op{{Kind: Put, NS: "n", Key: fmt.Sprint("x", i)}, {Kind: Put, NS: "n", Key: "y"}, {Kind: Put, NS: "o", Key: "x"}}})
+		h.apply(Command{Kind: TransactionKind, Then: []Op{{Kind: Put, NS: "n", Key: fmt.Sprint("x", i)}, {Kind: Put, NS: "n", Key: "y"}, {Kind: Put, NS: "o", Key: "x"}}})
 	}
 	seen := 0
 	at := int64(0)
-	for at < h.m.Revision() {
-		events, upTo, ok := h.m.EventsSince("n", "", at, 5)
+	for at < h.machine.Revision() {
+		events, upTo, ok := h.machine.EventsSince("n", "", at, 5)
 		if !ok || upTo <= at || len(events)%2 != 0 {
 			t.Fatalf("from %d: %d events, up to %d, %t", at, len(events), upTo, ok)
 		}
@@ -165,12 +165,12 @@
 	if seen != 60 {
 		t.Errorf("%d events", seen)
 	}
-	h.do(Command{Kind: CompactKind, Amount: 20})
-	if _, _, ok := h.m.EventsSince("n", "", 19, 5); ok {
-		t.Error("a compacted revision was told")
+	h.apply(Command{Kind: CompactKind, Amount: 20})
+	if _, _, ok := h.machine.EventsSince("n", "", 19, 5); ok {
+		t.Error("events of a compacted revision were returned")
 	}
-	if _, _, ok := h.m.EventsSince("n", "", 20, 5); !ok {
-		t.Error("the first that is kept was not told")
+	if _, _, ok := h.machine.EventsSince("n", "", 20, 5); !ok {
+		t.Error("the events after the compacted revision were not returned")
 	}
 }
 
@@ -188,39 +188,39 @@
 	case 3:
 		c.Then = append(c.Then, Op{Kind: Delete, NS: "n", Key: strconv.Itoa(rng.IntN(50))})
 	case 4:
-		for id := range h.m.leases {
+		for id := range h.machine.leases {
 			c.Then[0].Lease = max(c.Then[0].Lease, id)
 		}
 	}
 	return c
 }
 
-// TestRestoredImageBehavesLikeTheOriginal: a machine restored from an image cannot be told from the one it was taken of, and the image
-// does not change with the machine.
+// A machine restored from an image gives the same results as the original, and the image does not change with the
+// machine.
 func TestRestoredImageBehavesLikeTheOriginal(t *testing.T) {
 	h := newHarness(t)
 	rng := rand.New(rand.NewPCG(4, 4))
 	for range 500 {
-		h.do(h.randomCommand(rng))
+		h.apply(h.randomCommand(rng))
 	}
-	image := h.m.Image()
+	image := h.machine.Image()
 	var before, after bytes.Buffer
 	if err := image.Write(&before); err != nil {
 		t.Fatal(err)
 	}
-	other, err := Restore(bytes.NewReader(before.Bytes()))
+	restored, err := Restore(bytes.NewReader(before.Bytes()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 500 {
-		b := encode(t, h.randomCommand(rng))
-		a1, _, err1 := h.m.Apply(h.m.Index()+1, b)
-		a2, _, err2 := other.Apply(other.Index()+1, b)
-		if err1 != nil || err2 != nil || !cmp.Equal(a1, a2) {
-			t.Fatalf("%v, %v: %s", err1, err2, cmp.Diff(a1, a2))
+		command := encode(t, h.randomCommand(rng))
+		original, _, err1 := h.machine.Apply(h.machine.Index()+1, command)
+		copied, _, err2 := restored.Apply(restored.Index()+1, command)
+		if err1 != nil || err2 != nil || !cmp.Equal(original, copied) {
+			t.Fatalf("%v, %v: %s", err1, err2, cmp.Diff(original, copied))
 		}
 	}
-	if h.m.Chain() != other.Chain() {
+	if h.machine.Chain() != restored.Chain() {
 		t.Error("the chains differ")
 	}
 	if err := image.Write(&after); err != nil || !bytes.Equal(before.Bytes(), after.Bytes()) {
@@ -228,17 +228,17 @@
 	}
 	for cut := 0; cut < before.Len(); cut += 1 + before.Len()/50 {
 		if _, err := Restore(bytes.NewReader(before.Bytes()[:cut])); err == nil {
-			t.Errorf("an image cut at %d was taken", cut)
+			t.Errorf("an image truncated at %d was accepted", cut)
 		}
 	}
 }
 
-// An old build that meets what a newer one has written stops, and does not pass over it.
+// A build that receives a record of a newer one returns an error, and does not skip the record.
 func TestUnknownRecordsAreNotApplied(t *testing.T) {
 	m := New()
 	newer := encode(t, Command{Format: Format + 1, Kind: TransactionKind})
-	strange := encode(t, Command{Kind: lastKind + 1})
-	for _, b := range [][]byte{newer, strange, []byte("noise"), {}} {
+	unknownKind := encode(t, Command{Kind: lastKind + 1})
+	for _, b := range [][]byte{newer, unknownKind, []byte("noise"), {}} {
 		if _, _, err := m.Apply(1, b); !errors.Is(err, ErrUnknownRecord) || m.Index() != 0 {
 			t.Errorf("%q: %v, index %d", b, err, m.Index())
 		}
@@ -248,7 +248,7 @@
 	}
 	raise := encode(t, Command{Kind: RaiseFormatKind, Amount: Format + 1})
 	if res, _, err := m.Apply(1, raise); err != nil || res.Code != BadAmount {
-		t.Error("an old build agreed to what it does not know")
+		t.Error("an old build agreed to a format that it does not support")
 	}
 }
 
--- a/internal/store/node/bench_test.go
+++ b/internal/store/node/bench_test.go
@@ -25,7 +25,7 @@
 
 const benchClients = 64
 
-// runConcurrently runs b.N calls from so many clients at once and reports their rate and latency.
+// runConcurrently runs b.N calls from a number of concurrent clients and reports their rate and latency.
 func runConcurrently(b *testing.B, clients int, call func(client int) error) {
 	b.Helper()
 	var left atomic.Int64
@@ -100,7 +100,7 @@
 	}
 }
 
-// BenchmarkDisk is what the disk alone allows: one batch of so many small entries and one sync at a time.
+// BenchmarkDisk measures the log alone: batches of small entries with one sync each.
 func BenchmarkDisk(b *testing.B) {
 	for _, batch := range []int{1, 64} {
 		b.Run(fmt.Sprint("entries=", batch), func(b *testing.B) {
@@ -128,7 +128,7 @@
 	}
 }
 
-// BenchmarkSnapshot saves, reads and starts from a state of so many keys.
+// BenchmarkSnapshot measures saving a snapshot and starting from it, by number of keys.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, keys := range []int{10_000, 1_000_000} {
 		var before, after runtime.MemStats
--- a/internal/store/node/cluster_test.go
+++ b/internal/store/node/cluster_test.go
@@ -20,7 +20,7 @@
 	"cloverrock/internal/store/pki"
 )
 
-// testTimeout ends a test that hangs; no verdict depends on how soon anything happens.
+// testTimeout ends a test that hangs. No result depends on how fast anything happens.
 const testTimeout = 60 * time.Second
 
 // cluster is a store whose instances run in this process.
@@ -67,7 +67,7 @@
 	}
 }
 
-// addInstance prepares another instance, which is not in the store yet.
+// addInstance prepares the certificate and configuration of another instance, which is not a member yet.
 func (cl *cluster) addInstance(change ...func(*Config)) int {
 	cl.t.Helper()
 	i := len(cl.confs)
@@ -127,7 +127,7 @@
 	return n
 }
 
-// kill ends an instance without a hand-over.
+// kill stops an instance without transferring leadership.
 func (n *Node) kill() {
 	n.signalStop()
 	<-n.ended
@@ -150,7 +150,7 @@
 	return c
 }
 
-// waitUntil looks again and again until something is so.
+// waitUntil polls a condition until it holds.
 func (cl *cluster) waitUntil(what string, is func() bool) {
 	cl.t.Helper()
 	tick := time.NewTicker(5 * time.Millisecond)
--- a/internal/store/node/membership_test.go
+++ b/internal/store/node/membership_test.go
@@ -12,14 +12,14 @@
 	"cloverrock/internal/store/transport"
 )
 
-// join asks for an instance to be taken in under an id.
+// join requests that an instance is added under an id.
 func (cl *cluster) join(i int, id uint64, token string) error {
 	request := &frame.Request{Op: frame.OpJoin, NodeID: id, Address: cl.confs[i].Listen, Token: token}
 	_, err := cl.client(cl.confs[i].Name, 0, 1, 2).Call(cl.ctx, request, false)
 	return err
 }
 
-// awaitEnd waits until an instance has ended by itself.
+// awaitEnd waits until an instance has stopped by itself.
 func (cl *cluster) awaitEnd(n *Node, otherwise string) {
 	cl.t.Helper()
 	select {
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestMembersJoinWithATokenAndRemovedOnesDoNotComeBack(t *testing.T) {
+func TestNewMembersNeedATokenAndRemovedIDsCannotRejoin(t *testing.T) {
 	cl := startCluster(t, 3)
 	operator := cl.client("operator")
 	cl.put(operator, "k", "v")
@@ -38,7 +38,7 @@
 		t.Fatalf("an empty directory: %v", err)
 	}
 	if err := cl.join(i, cl.ids[i], "nonsense"); err == nil || !strings.Contains(err.Error(), "token") {
-		t.Fatalf("a token that is not known: %v", err)
+		t.Fatalf("an unknown token: %v", err)
 	}
 	_, err := operator.Transact(cl.ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{{Kind: machine.Put, NS: core.TokensNS, Key: TokenKey("secret")}}})
 	cl.must(err)
@@ -49,26 +49,26 @@
 		s, err := n.Status(cl.ctx)
 		return err == nil && len(s.Voters) == 4
 	})
-	if err := cl.join(i, 99, "secret"); err != nil { // its name is known by now: no token is needed, and the old id goes
+	if err := cl.join(i, 99, "secret"); err != nil { // a member's name: no token is needed, and the old id is removed
 		t.Fatalf("the same name with a new id: %v", err)
 	}
-	cl.awaitEnd(n, "the replaced instance goes on")
+	cl.awaitEnd(n, "the replaced instance is still running")
 	if !errors.Is(n.Err(), transport.ErrRemoved) {
 		t.Errorf("it ended with: %v", n.Err())
 	}
 	again, err := Open(cl.confs[i]) // old data, old id
 	cl.must(err)
-	cl.awaitEnd(again, "a removed instance is let in with its old data")
-	cl.waitUntil("the new id is removed", func() bool { // on a busy machine the outcome may be unknown; who is gone is refused
+	cl.awaitEnd(again, "a removed instance is accepted with its old data")
+	cl.waitUntil("the new id is removed", func() bool { // the outcome may be unknown; then a retry is refused, because the member is gone
 		_, err := operator.Call(cl.ctx, &frame.Request{Op: frame.OpRemove, NodeID: 99}, false)
 		return err == nil || refused(err)
 	})
-	cl.waitUntil("three are left", func() bool {
+	cl.waitUntil("three members are left", func() bool {
 		s, err := cl.nodes[0].Status(cl.ctx)
 		return err == nil && len(s.Members) == 3 && len(s.Learners) == 0
 	})
 	_, err = operator.Call(cl.ctx, &frame.Request{Op: frame.OpRemove, NodeID: 12345}, false)
 	if !refused(err) {
-		t.Errorf("who is no member: %v", err)
+		t.Errorf("removal of an unknown member: %v", err)
 	}
 }
--- a/internal/store/node/requests_test.go
+++ b/internal/store/node/requests_test.go
@@ -18,7 +18,7 @@
 	"cloverrock/internal/store/pki"
 )
 
-func TestObserversAndProtectedNamespacesAreNotWritten(t *testing.T) {
+func TestObserversCannotWriteAndProtectedNamespacesAreReadOnly(t *testing.T) {
 	cl := startCluster(t, 1)
 	c := cl.client("operator")
 	cl.put(c, "k", "v")
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestDocumentsAreCheckedNumberedAndRolledBack(t *testing.T) {
+func TestDocumentChangesAreValidatedSerializedAndRolledBack(t *testing.T) {
 	cl := startCluster(t, 3, func(c *Config) {
 		c.Validate = func(name string, body, _ []byte) error {
 			if strings.Contains(string(body), "bad") {
@@ -56,7 +56,7 @@
 			t.Errorf("%s: %v", body, err)
 		}
 	}
-	// Two operators change the same revision at once, at two instances: one of them does.
+	// Two operators change the same revision concurrently, at two instances: exactly one change is committed.
 	var wg sync.WaitGroup
 	errs := make([]error, 2)
 	for i := range errs {
@@ -71,7 +71,7 @@
 	cl.expectRollback(c)
 }
 
-// expectRollback rolls the document back to its first revision, and holds what is recorded and watched of it.
+// expectRollback rolls the document back to its first revision, and checks the stored revision and the watched events.
 func (cl *cluster) expectRollback(c *client.Client) {
 	cl.t.Helper()
 	var events []machine.Event
--- a/internal/store/node/server_test.go
+++ b/internal/store/node/server_test.go
@@ -14,17 +14,17 @@
 	"cloverrock/internal/store/transport"
 )
 
-// expectRefused dials the first instance, which must not let the caller in.
+// expectRefused dials the first instance, which must refuse the connection.
 func (cl *cluster) expectRefused(who string, conf *tls.Config, hello frame.Hello) {
 	cl.t.Helper()
 	conn, _, err := transport.Dial(cl.ctx, cl.confs[0].Listen, conf, hello, "")
 	if err == nil {
 		cl.must(conn.Close())
-		cl.t.Errorf("%s was let in", who)
+		cl.t.Errorf("%s was accepted", who)
 	}
 }
 
-// sendGarbage sends what is not of the protocol, before and behind the handshake, and waits until it is cut off.
+// sendGarbage sends invalid bytes before and after the handshake, and waits until the connections are closed.
 func (cl *cluster) sendGarbage() {
 	cl.t.Helper()
 	at := cl.confs[0].Listen
@@ -40,8 +40,8 @@
 	}
 }
 
-// Whoever is not of the store is refused, and costs nothing that stays.
-func TestStrangersAreRefused(t *testing.T) {
+// A peer or client without valid credentials is refused, and its connection is released.
+func TestUnauthorizedConnectionsAreRefusedAndReleased(t *testing.T) {
 	cl := startCluster(t, 1)
 	c := cl.client("operator")
 	cl.put(c, "k", "v")
@@ -69,6 +69,6 @@
 	cl.expectRefused("an operator as an instance", cl.tls("operator"), frame.Hello{Peer: true, Cluster: 77, ID: 10})
 	cl.sendGarbage()
 	c.Close()
-	cl.waitUntil("no connection stays", func() bool { return cl.nodes[0].connections.Load() <= 1 })
+	cl.waitUntil("all connections are released", func() bool { return cl.nodes[0].connections.Load() <= 1 })
 	cl.put(cl.client("operator"), "k", "after")
 }
--- a/internal/store/pki/golden_test.go
+++ b/internal/store/pki/golden_test.go
@@ -14,7 +14,7 @@
 	"cloverrock/internal/golden"
 )
 
-// The names, modes and kinds of the files, and what stands in certificates but for keys, stay.
+// The names, modes and kinds of the files, and the content of certificates except keys, stay the same.
 func TestFilesKeepTheirLayout(t *testing.T) {
 	defer syscall.Umask(syscall.Umask(0o022)) // modes are held, so they may not depend on who runs the test
 	dir := filepath.Join(t.TempDir(), "made")
--- a/internal/store/transport/golden_test.go
+++ b/internal/store/transport/golden_test.go
@@ -22,7 +22,7 @@
 	goldenAck     = "000000116782a169cf0000000000000003a16fcd012c"
 )
 
-// acceptOne serves one connection as instance b, and tells what came: the first frame, then another behind the welcome.
+// acceptOne serves one connection as instance b, and reports the first frame, and then the one after the welcome.
 func acceptOne(t *testing.T, dir string) (address string, came chan string) {
 	t.Helper()
 	ln, err := tls.Listen("tcp", "127.0.0.1:0", loadTLS(t, dir, "b"))
@@ -65,8 +65,8 @@
 	return conf
 }
 
-// What an instance says first to another, how it reads the golden welcome, and what it sends behind that stay.
-// Certificates are made now.
+// An instance's first frame to another, how it reads the golden welcome, and what it sends after that stay the same.
+// Certificates are created by the test.
 func TestConnectionBeginsWithTheSameBytes(t *testing.T) {
 	dir := t.TempDir()
 	now := time.Now()
@@ -82,7 +82,7 @@
 				t.Errorf("came %s, held %s", got, want)
 			}
 		case <-time.After(time.Minute):
-			t.Fatal("nothing came")
+			t.Fatal("no frame received")
 		}
 	}
 	address, came := acceptOne(t, dir)
--- a/internal/storecmd/golden_test.go
+++ b/internal/storecmd/golden_test.go
@@ -31,7 +31,7 @@
 	return &fixture{storetest.New(t, daemon.Extension{})}
 }
 
-// foundAnew is apart from update: the directory is worth most as long as an older build wrote it.
+// foundAnew is separate from -update, because the directory is most useful when an older build has written it.
 var foundAnew = flag.Bool("update-founded", false, "write the founded data directory anew")
 
 // serve opens the instance's directory as "store serve" does; 0 entries between snapshots is the default.
@@ -115,7 +115,8 @@
 	copyFiles(t, f.Path("store", "a-data"), to)
 }
 
-// A data directory which an earlier build founded and wrote is read by this one, which goes on from there. The certificates are made now and are not in the directory: no verdict depends on the date.
+// A data directory which an earlier build founded and wrote is read by this one, which continues from it.
+// The certificates are created by the test and are not in the directory, so that the result does not depend on the date.
 func TestFoundedDirectoryOpens(t *testing.T) {
 	kept := filepath.Join("testdata", "founded")
 	if *foundAnew {
--- a/internal/warmstart/golden_test.go
+++ b/internal/warmstart/golden_test.go
@@ -13,19 +13,19 @@
 	"cloverrock/internal/store/machine"
 )
 
-// goldenFacts is one of everything that a router may know, and goldenList a list with all that it may say of a host.
-func goldenFacts() (balance.Snapshot, EndpointList) {
-	f := facts("p", start, balance.HostSnapshot{Host: "p", Group: 1, Position: start, PositionAt: start - 1, Primary: true, ConcurrencyLimit: 4.5},
+// goldenState returns a snapshot and an endpoint list in which every field is set at least once.
+func goldenState() (balance.Snapshot, EndpointList) {
+	snapshot := snapshotOf("p", start, balance.HostSnapshot{Host: "p", Group: 1, Position: start, PositionAt: start - 1, Primary: true, ConcurrencyLimit: 4.5},
 		balance.HostSnapshot{Host: "down/ü", Group: 1 << 31, Position: 1, PositionAt: 2, Down: true, SlowStartUntil: start + second, ConcurrencyLimit: math.MaxFloat64})
-	f.Groups = append(f.Groups, balance.GroupSnapshot{Group: math.MaxInt64, Primary: "q", ObservedAt: start})
-	f.SessionFloor = start - second
-	return f, EndpointList{Generation: 9, Endpoints: []Endpoint{
+	snapshot.Groups = append(snapshot.Groups, balance.GroupSnapshot{Group: math.MaxInt64, Primary: "q", ObservedAt: start})
+	snapshot.SessionFloor = start - second
+	return snapshot, EndpointList{Generation: 9, Endpoints: []Endpoint{
 		{StoredEndpoint: StoredEndpoint{Host: "p", Zone: 2, Group: 1, Kind: 3, State: balance.Draining, Primary: true, Weight: 1.5, StartedAt: start}, Address: "h:5432"}, {}}}
 }
 
-// What is stored has the same keys and bytes as ever, and a restarted gateway restores from it what was known.
-func TestGoldenKeys(t *testing.T) {
-	known, list := goldenFacts()
+// The stored keys and bytes stay the same, and a restarted gateway restores the same state from them.
+func TestStoredKeysKeepTheirBytes(t *testing.T) {
+	known, list := goldenState()
 	cache := New(Config{Name: "a", MinInterval: second, MaxAge: 60 * second})
 	var cases []golden.Case
 	for i, command := range cache.Plan(start, known, list) {
@@ -51,7 +51,7 @@
 	known.Hosts[0], known.Hosts[1] = known.Hosts[1], known.Hosts[0] // in the order of their ids
 	snapshot := restored.Snapshot
 	for i := range snapshot.Hosts {
-		snapshot.Hosts[i].Primary = known.Hosts[i].Primary // who is primary is told by group
+		snapshot.Hosts[i].Primary = known.Hosts[i].Primary // the primary is restored by group
 	}
 	if fresh.Unreadable() != 0 || len(restored.Discarded) != 0 || !reflect.DeepEqual(snapshot, known) || !reflect.DeepEqual(*restored.List, list) {
 		t.Errorf("%v is restored (%d unreadable)\nof %v", restored, fresh.Unreadable(), known)
@@ -61,8 +61,8 @@
 	}
 }
 
-// What is shown of the store as JSON has the same names as ever.
-func TestGoldenJSON(t *testing.T) {
+// The JSON names of the stored records stay the same.
+func TestStoredRecordsKeepTheirJSONNames(t *testing.T) {
 	var cases []golden.Case
 	for i, shown := range []any{&Primary{"p", 2, 3, "a"}, &Host{1, 2, 3, true, true, 4, 5.5, 6, "a"}, &SessionFloor{7}} {
 		b, err := json.Marshal(shown)
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	second = int64(1_000_000)
-	start  = 1_000_000 * second
+	second = int64(1_000_000)   // in microseconds
+	start  = 1_000_000 * second // time at which the tests begin, in microseconds
 )
 
 // harness is a store of one machine, shared by the caches of gateways.
@@ -30,84 +30,85 @@
 }
 
 // apply commits commands and updates all caches, and counts the operations that took effect.
-func (h *harness) apply(cmds []machine.Command) (ops int) {
+func (h *harness) apply(commands []machine.Command) (ops int) {
 	h.t.Helper()
-	for _, c := range cmds {
+	for _, command := range commands {
 		before := h.state.Revision()
-		b, err := machine.Encode(&c)
+		encoded, err := machine.Encode(&command)
 		if err != nil {
 			h.t.Fatal(err)
 		}
-		res, _, err := h.state.Apply(h.state.Index()+1, b)
-		if err != nil || res.Code != machine.OK {
-			h.t.Fatal(res, err)
+		result, _, err := h.state.Apply(h.state.Index()+1, encoded)
+		if err != nil || result.Code != machine.OK {
+			h.t.Fatal(result, err)
 		}
-		if res.Holds {
-			ops += len(c.Then)
+		if result.Holds {
+			ops += len(command.Then)
 		}
 		events, _, _ := h.state.EventsSince(NS, "", before, 1000)
-		for _, ev := range events {
+		for _, event := range events {
 			for _, cache := range h.caches {
-				cache.Update(ev.KV, ev.Deleted)
+				cache.Update(event.KV, event.Deleted)
 			}
 		}
 	}
 	return ops
 }
 
-func facts(primary string, at int64, hosts ...balance.HostSnapshot) balance.Snapshot {
+// snapshotOf returns a router's snapshot of group 1 with a primary that was observed at a time.
+func snapshotOf(primary string, at int64, hosts ...balance.HostSnapshot) balance.Snapshot {
 	return balance.Snapshot{Groups: []balance.GroupSnapshot{{Group: 1, Primary: primary, ObservedAt: at}}, Hosts: hosts}
 }
 
 func (h *harness) primary() Primary { return h.caches[0].groups[1] }
 
-func TestTermRisesWithEachChangeOfPrimaryAndOldEvidenceIsIgnored(t *testing.T) {
+func TestTermIncreasesWithPrimaryChangeAndOldObservationsAreIgnored(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	a := h.caches[0]
 	b := h.caches[1]
-	h.apply(a.Plan(start, facts("p", start), EndpointList{}))
+	h.apply(a.Plan(start, snapshotOf("p", start), EndpointList{}))
 	if p := h.primary(); p.Host != "p" || p.Term != 1 {
 		t.Fatalf("%+v", p)
 	}
-	h.apply(b.Plan(start+2*second, facts("q", start+2*second), EndpointList{}))
+	h.apply(b.Plan(start+2*second, snapshotOf("q", start+2*second), EndpointList{}))
 	if p := h.primary(); p.Host != "q" || p.Term != 2 || p.By != "b" {
 		t.Errorf("%+v", p)
 	}
-	// a was cut off and still holds p for the primary: its evidence is older, and within the clocks' bound no younger.
+	// a was partitioned and still reports p as primary: its observations are older, or not newer by more than the skew.
 	for i, at := range []int64{start + second, start + 2*second + MaxClockSkew} {
-		h.apply(a.Plan(start+int64(4+i)*second, facts("p", at), EndpointList{}))
+		h.apply(a.Plan(start+int64(4+i)*second, snapshotOf("p", at), EndpointList{}))
 		if p := h.primary(); p.Host != "q" {
-			t.Errorf("evidence of %d put %s back", at-start, p.Host)
+			t.Errorf("an observation at %d restored %s", at-start, p.Host)
 		}
 	}
-	// Both learn of another change at once: one of them writes it, and the term rises once.
-	first := a.Plan(start+10*second, facts("r", start+9*second), EndpointList{})
-	second := b.Plan(start+10*second, facts("r", start+9*second), EndpointList{})
+	// Both observe another change concurrently: one of them writes it, and the term increases once.
+	first := a.Plan(start+10*second, snapshotOf("r", start+9*second), EndpointList{})
+	second := b.Plan(start+10*second, snapshotOf("r", start+9*second), EndpointList{})
 	if n := h.apply(first) + h.apply(second); n != 1 || h.primary().Term != 3 {
 		t.Errorf("%d writes, %+v", n, h.primary())
 	}
 }
 
-func TestWritesAreRareAndBounded(t *testing.T) {
+func TestWritesAreRateLimitedAndBounded(t *testing.T) {
 	h := newHarness(t, "a")
 	cache := h.caches[0]
 	writes := 0
 	for ms := int64(0); ms < 60_000; ms += 20 {
 		now := start + ms*1000
-		f := facts("h0", now)
+		snapshot := snapshotOf("h0", now)
 		for i := range 100 {
-			f.Hosts = append(f.Hosts, balance.HostSnapshot{Host: fmt.Sprint("h", i), Group: 1, Position: now - 5000, PositionAt: now, ConcurrencyLimit: 4})
+			snapshot.Hosts = append(snapshot.Hosts, balance.HostSnapshot{Host: fmt.Sprint("h", i), Group: 1, Position: now - 5000, PositionAt: now, ConcurrencyLimit: 4})
 		}
-		cmds := cache.Plan(now, f, EndpointList{Generation: 1, Endpoints: []Endpoint{{Address: "x"}}})
-		for _, c := range cmds {
+		commands := cache.Plan(now, snapshot, EndpointList{Generation: 1, Endpoints: []Endpoint{{Address: "x"}}})
+		for _, c := range commands {
 			if len(c.Then) > maxOps {
 				t.Fatalf("%d operations", len(c.Then))
 			}
 		}
-		writes += len(cmds)
-		h.apply(cmds)
+		writes += len(commands)
+		h.apply(commands)
 	}
-	if writes > 2*2*60 { // two transactions each half second at the most
+	if writes > 2*2*60 { // at most two transactions each half second
 		t.Errorf("%d transactions in a minute", writes)
 	}
 	if n := len(h.state.List(NS, "host/", 0)); n != 100 {
@@ -125,14 +126,14 @@
 func TestUrgentChangesAreWrittenFirst(t *testing.T) {
 	h := newHarness(t, "a")
 	cache := h.caches[0]
-	f := balance.Snapshot{}
+	snapshot := balance.Snapshot{}
 	for i := range 200 {
-		f.Hosts = append(f.Hosts, balance.HostSnapshot{Host: fmt.Sprintf("h%03d", i), Group: 1, Position: start, PositionAt: start})
+		snapshot.Hosts = append(snapshot.Hosts, balance.HostSnapshot{Host: fmt.Sprintf("h%03d", i), Group: 1, Position: start, PositionAt: start})
 	}
-	f.Hosts[199].Down = true
-	h.apply(cache.Plan(start, f, EndpointList{}))
+	snapshot.Hosts[199].Down = true
+	h.apply(cache.Plan(start, snapshot, EndpointList{}))
 	if !cache.hosts["h199"].Down {
-		t.Error("a host that is down was left for later")
+		t.Error("a host that is down was not written first")
 	}
 }
 
@@ -153,9 +154,9 @@
 	return hosts
 }
 
-func TestRestoredStateDependsOnItsAge(t *testing.T) {
+func TestRestoreUsesOnlyRecentState(t *testing.T) {
 	h := newHarness(t, "a")
-	known := facts("p", start,
+	known := snapshotOf("p", start,
 		balance.HostSnapshot{Host: "p", Group: 1, Position: start, PositionAt: start, Primary: true},
 		balance.HostSnapshot{Host: "d", Group: 1, Position: start - second, PositionAt: start, Down: true, ConcurrencyLimit: 9},
 		balance.HostSnapshot{Host: "c", Group: 1, Position: start - 2*second, PositionAt: start, SlowStartUntil: start + 16*second})
@@ -180,21 +181,21 @@
 		t.Errorf("hosts after 100 s: %+v", hosts)
 	}
 
-	// A clock that was ahead by minutes has left times from the future: no evidence.
+	// Times in the future, written under a clock that was ahead by minutes, are not used.
 	future := fresh.Restore(start-100*second, 0)
 	if len(future.Snapshot.Groups) != 0 || hostsByID(future)["d"].Position != 0 {
 		t.Errorf("from the future: %+v", future)
 	}
 }
 
-// What a former primary had may lie ahead of what the other hosts ever had.
+// The position of a former primary may be ahead of every other host, so it is not used.
 func TestPositionOfAFormerPrimaryIsDiscarded(t *testing.T) {
 	h := newHarness(t, "a")
-	known := facts("p", start,
+	known := snapshotOf("p", start,
 		balance.HostSnapshot{Host: "p", Group: 1, Position: start, PositionAt: start, Primary: true},
 		balance.HostSnapshot{Host: "d", Group: 1, Position: start - second, PositionAt: start, Down: true, ConcurrencyLimit: 9})
 	h.apply(h.caches[0].Plan(start, known, EndpointList{}))
-	h.apply(h.caches[0].Plan(start+2*second, facts("q", start+2*second), EndpointList{}))
+	h.apply(h.caches[0].Plan(start+2*second, snapshotOf("q", start+2*second), EndpointList{}))
 	hosts := hostsByID(h.restarted().Restore(start+5*second, 9))
 	if hosts["p"].Position != 0 || hosts["d"].Position != start-second {
 		t.Errorf("after a change of primary: %+v", hosts)
@@ -205,7 +206,7 @@
 	}
 }
 
-func TestUnreadableKeysAreCountedAndLeft(t *testing.T) {
+func TestUnreadableKeysAreCountedAndIgnored(t *testing.T) {
 	cache := New(Config{Name: "a"})
 	for _, key := range []string{"host/x", "group/1", "list", "floor", "group/x"} {
 		cache.Update(&machine.KV{NS: NS, Key: key, Value: []byte("\xc1noise")}, false)
