--- a/internal/daemon/warmstart.go
+++ b/internal/daemon/warmstart.go
@@ -23,7 +23,7 @@
 	ctx, cancel := context.WithTimeout(d.ctx, restoreTimeout)
 	defer cancel()
 	var kvs []machine.KV
-	age, err := n.Read(ctx, true, func(m *machine.Machine) { kvs = m.List(warmstart.NS, "", 0) })
+	staleness, err := n.Read(ctx, true, func(m *machine.Machine) { kvs = m.List(warmstart.NS, "", 0) })
 	if err != nil {
 		d.log.Warn().Err(err).Msg("warmstart: reading the local copy failed")
 		return
@@ -42,7 +42,7 @@
 		Bool("list", restored.List != nil).
 		Strs("discarded", restored.Discarded).
 		Int("unreadable", d.cache.Unreadable()).
-		Dur("copy_behind_ms", age).
+		Dur("copy_behind_ms", staleness).
 		Msg("warmstart: stored state restored")
 	d.gateway.Restore(restored.Snapshot, endpointList(restored.List))
 }
--- a/internal/store/client/client.go
+++ b/internal/store/client/client.go
@@ -232,26 +232,26 @@
 	return nil
 }
 
-// Get reads a key: linearizably, or with stale set from the local state of one instance. ageMS is an upper bound in
+// Get reads a key: linearizably, or with stale set from the local state of one instance. stalenessMS is an upper bound in
 // milliseconds on how far that state is behind; -1: unknown. It is 0 unless stale is set.
-func (c *Client) Get(ctx context.Context, ns, key string, stale bool) (kv machine.KV, found bool, ageMS int64, err error) {
+func (c *Client) Get(ctx context.Context, ns, key string, stale bool) (kv machine.KV, found bool, stalenessMS int64, err error) {
 	response, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: key, Stale: stale}, true)
 	if err != nil {
 		return kv, false, 0, err
 	}
 	if len(response.Result.KVs) == 0 {
-		return kv, false, response.AgeMS, nil
+		return kv, false, response.StalenessMS, nil
 	}
-	return response.Result.KVs[0], true, response.AgeMS, nil
+	return response.Result.KVs[0], true, response.StalenessMS, nil
 }
 
-// List reads at most limit keys with a prefix in ascending order; -1: all. stale and ageMS are those of Get.
-func (c *Client) List(ctx context.Context, ns, prefix string, limit int, stale bool) (kvs []machine.KV, ageMS int64, err error) {
+// List reads at most limit keys with a prefix in ascending order; -1: all. stale and stalenessMS are those of Get.
+func (c *Client) List(ctx context.Context, ns, prefix string, limit int, stale bool) (kvs []machine.KV, stalenessMS int64, err error) {
 	response, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: prefix, Limit: limit, Stale: stale}, true)
 	if err != nil {
 		return nil, 0, err
 	}
-	return response.Result.KVs, response.AgeMS, nil
+	return response.Result.KVs, response.StalenessMS, nil
 }
 
 // Watch passes the events after a revision to handle, until the context ends or handle returns an error, which Watch
--- a/internal/store/core/status.go
+++ b/internal/store/core/status.go
@@ -57,8 +57,8 @@
 		Pending:        len(c.pending),
 		Transfers:      len(c.outgoing),
 	}
-	if age, known := c.Staleness(); known {
-		status.StalenessTicks = age
+	if staleness, known := c.Staleness(); known {
+		status.StalenessTicks = staleness
 	}
 	if c.halted != nil {
 		status.Halted = c.halted.Error()
--- a/internal/store/frame/frame.go
+++ b/internal/store/frame/frame.go
@@ -203,12 +203,12 @@
 
 // Response answers a Request. With More set, further responses to the same request follow.
 type Response struct {
-	ID     uint64          `msgpack:"i"` // of the request
-	Code   string          `msgpack:"c,omitempty"`
-	Error  string          `msgpack:"e,omitempty"`
-	Result machine.Result  `msgpack:"r"`
-	Events []machine.Event `msgpack:"v,omitempty"`
-	AgeMS  int64           `msgpack:"a,omitempty"` // upper bound on how far the state is behind; -1: unknown
-	More   bool            `msgpack:"m,omitempty"`
-	Body   []byte          `msgpack:"b,omitempty"`
+	ID          uint64          `msgpack:"i"` // of the request
+	Code        string          `msgpack:"c,omitempty"`
+	Error       string          `msgpack:"e,omitempty"`
+	Result      machine.Result  `msgpack:"r"`
+	Events      []machine.Event `msgpack:"v,omitempty"`
+	StalenessMS int64           `msgpack:"a,omitempty"` // upper bound on how far the state is behind; -1: unknown
+	More        bool            `msgpack:"m,omitempty"`
+	Body        []byte          `msgpack:"b,omitempty"`
 }
--- a/internal/store/frame/golden_test.go
+++ b/internal/store/frame/golden_test.go
@@ -37,7 +37,7 @@
 			Name: "gateway", Address: "127.0.0.1:7002", Token: "note", Body: []byte("{}")}, &Request{}},
 		{"request-least", RequestKind, &Request{ID: 2, Op: OpStatus}, &Request{}},
 		{"response", ResponseKind, &Response{ID: 1, Code: CodeFailed, Error: "why", Result: machine.Result{Code: machine.NoLease, Holds: true, Revision: 9, ID: 8, KVs: []machine.KV{kv}},
-			Events: []machine.Event{{Revision: 9, Deleted: true, KV: &kv}}, AgeMS: -1, More: true, Body: []byte("body")}, &Response{}},
+			Events: []machine.Event{{Revision: 9, Deleted: true, KV: &kv}}, StalenessMS: -1, More: true, Body: []byte("body")}, &Response{}},
 		{"response-least", ResponseKind, &Response{ID: 2}, &Response{}},
 		{"piece", ChunkKind, &core.SnapshotChunk{Index: 1, Term: 2, Total: 300, Offset: 4, Data: []byte("data")}, &core.SnapshotChunk{}},
 		{"got", ChunkAckKind, &core.ChunkAck{Index: 1, Offset: 300}, &core.ChunkAck{}},
--- a/internal/store/node/bench_test.go
+++ b/internal/store/node/bench_test.go
@@ -128,28 +128,37 @@
 	}
 }
 
+// filledMachine returns a machine with a number of keys, and the heap in bytes that it takes.
+func filledMachine(b *testing.B, keys int) (m *machine.Machine, heapBytes uint64) {
+	b.Helper()
+	const keysPerCommand = 500
+	var before, after runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&before)
+	m = machine.New()
+	for first := 0; first < keys; first += keysPerCommand {
+		command := machine.Command{Kind: machine.TransactionKind}
+		for i := first; i < first+keysPerCommand; i++ {
+			put := machine.Op{Kind: machine.Put, NS: "n", Key: fmt.Sprintf("key-%08d", i), Value: bytes.Repeat([]byte("v"), 64)}
+			command.Then = append(command.Then, put)
+		}
+		encoded, err := machine.Encode(&command)
+		if err != nil {
+			b.Fatal(err)
+		}
+		if _, _, err := m.Apply(m.Index()+1, encoded); err != nil {
+			b.Fatal(err)
+		}
+	}
+	runtime.GC()
+	runtime.ReadMemStats(&after)
+	return m, after.HeapAlloc - before.HeapAlloc
+}
+
 // BenchmarkSnapshot measures saving a snapshot and starting from it, by number of keys.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, keys := range []int{10_000, 1_000_000} {
-		var before, after runtime.MemStats
-		runtime.GC()
-		runtime.ReadMemStats(&before)
-		m := machine.New()
-		for at := 0; at < keys; at += 500 {
-			c := machine.Command{Kind: machine.TransactionKind}
-			for i := at; i < at+500; i++ {
-				c.Then = append(c.Then, machine.Op{Kind: machine.Put, NS: "n", Key: fmt.Sprintf("key-%08d", i), Value: bytes.Repeat([]byte("v"), 64)})
-			}
-			cmd, err := machine.Encode(&c)
-			if err != nil {
-				b.Fatal(err)
-			}
-			if _, _, err := m.Apply(m.Index()+1, cmd); err != nil {
-				b.Fatal(err)
-			}
-		}
-		runtime.GC()
-		runtime.ReadMemStats(&after)
+		m, heapBytes := filledMachine(b, keys)
 		dir, err := disk.OpenDir(b.TempDir())
 		if err != nil {
 			b.Fatal(err)
@@ -162,7 +171,7 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(keys), "heap-B/key")
+			b.ReportMetric(float64(heapBytes)/float64(keys), "heap-B/key")
 			if st, err := os.Stat(filepath.Join(dir.Name(""), fmt.Sprintf("snap-%016x", m.Index()))); err == nil {
 				b.ReportMetric(float64(st.Size())/float64(keys), "disk-B/key")
 			}
--- a/internal/store/node/calls.go
+++ b/internal/store/node/calls.go
@@ -66,12 +66,12 @@
 // not retain the machine. Read is safe for concurrent use.
 func (n *Node) Read(ctx context.Context, stale bool, look func(*machine.Machine)) (time.Duration, error) {
 	type outcome struct {
-		age time.Duration
-		err error
+		staleness time.Duration
+		err       error
 	}
 	outcomes := make(chan outcome, 1)
 	posted := n.post(func() {
-		n.read(stale, look, func(age time.Duration, err error) { outcomes <- outcome{age, err} })
+		n.read(stale, look, func(staleness time.Duration, err error) { outcomes <- outcome{staleness, err} })
 	})
 	if !posted {
 		return 0, ErrStopped
@@ -80,15 +80,15 @@
 	if err != nil {
 		return 0, err
 	}
-	return result.age, result.err
+	return result.staleness, result.err
 }
 
 // read is Read on the owner's goroutine; it calls done exactly once unless the instance ends.
 func (n *Node) read(stale bool, look func(*machine.Machine), done func(time.Duration, error)) {
 	if stale {
-		age := n.staleness()
+		staleness := n.staleness()
 		look(n.core.Machine())
-		done(age, nil)
+		done(staleness, nil)
 		return
 	}
 	if n.stalledWork != nil {
@@ -116,13 +116,13 @@
 // Status is a summary of an instance, for operators.
 type Status struct {
 	core.Status
-	Name     string                 `json:"name"`
-	Cluster  string                 `json:"cluster"`
-	Members  map[string]core.Member `json:"members"` // by core.MemberKey
-	AgeMS    int64                  `json:"age_ms"`  // upper bound on how far its state is behind; -1: unknown
-	DiskFull bool                   `json:"disk_full,omitempty"`
-	Segments int                    `json:"log_segments"`
-	Clients  int64                  `json:"clients"` // connections of clients and other instances
+	Name        string                 `json:"name"`
+	Cluster     string                 `json:"cluster"`
+	Members     map[string]core.Member `json:"members"` // by core.MemberKey
+	StalenessMS int64                  `json:"age_ms"`  // upper bound on how far its state is behind; -1: unknown
+	DiskFull    bool                   `json:"disk_full,omitempty"`
+	Segments    int                    `json:"log_segments"`
+	Clients     int64                  `json:"clients"` // connections of clients and other instances
 }
 
 // Status returns a summary of the instance. It is safe for concurrent use.
@@ -136,17 +136,17 @@
 
 func (n *Node) status() Status {
 	status := Status{
-		Status:   n.core.Status(),
-		Name:     n.conf.Name,
-		Cluster:  fmt.Sprintf("%016x", n.store.Identity.Cluster),
-		Members:  map[string]core.Member{},
-		AgeMS:    -1,
-		DiskFull: n.stalledWork != nil,
-		Segments: n.store.Log.Segments(),
-		Clients:  n.connections.Load(),
+		Status:      n.core.Status(),
+		Name:        n.conf.Name,
+		Cluster:     fmt.Sprintf("%016x", n.store.Identity.Cluster),
+		Members:     map[string]core.Member{},
+		StalenessMS: -1,
+		DiskFull:    n.stalledWork != nil,
+		Segments:    n.store.Log.Segments(),
+		Clients:     n.connections.Load(),
 	}
 	if status.StalenessTicks >= 0 {
-		status.AgeMS = status.StalenessTicks * n.conf.Tick.Milliseconds()
+		status.StalenessMS = status.StalenessTicks * n.conf.Tick.Milliseconds()
 	}
 	for id, member := range core.Members(n.core.Machine()) {
 		status.Members[core.MemberKey(id)] = member
--- a/internal/store/node/requests.go
+++ b/internal/store/node/requests.go
@@ -190,7 +190,7 @@
 }
 
 func (cc *clientConn) read(ctx context.Context, request *frame.Request, response *frame.Response) error {
-	age, err := cc.node.Read(ctx, request.Stale, func(m *machine.Machine) {
+	staleness, err := cc.node.Read(ctx, request.Stale, func(m *machine.Machine) {
 		if request.Limit != 0 {
 			response.Result.KVs = m.List(request.NS, request.Key, max(request.Limit, 0))
 		} else if kv, found := m.Get(request.NS, request.Key); found {
@@ -198,9 +198,9 @@
 		}
 		response.Result.Revision = m.Revision()
 	})
-	response.AgeMS = age.Milliseconds()
-	if age < 0 {
-		response.AgeMS = -1
+	response.StalenessMS = staleness.Milliseconds()
+	if staleness < 0 {
+		response.StalenessMS = -1
 	}
 	return err
 }
--- a/internal/storecmd/keys.go
+++ b/internal/storecmd/keys.go
@@ -69,8 +69,8 @@
 	return root
 }
 
-func (s *session) printKeys(kvs []machine.KV, ageMS int64) error {
-	return s.print(map[string]any{"keys": kvs, "age_ms": ageMS}, func(p *printer) {
+func (s *session) printKeys(kvs []machine.KV, stalenessMS int64) error {
+	return s.print(map[string]any{"keys": kvs, "age_ms": stalenessMS}, func(p *printer) {
 		for _, kv := range kvs {
 			p.printf("%s\t%s\tversion %d, revision %d\n", kv.Key, kv.Value, kv.Version, kv.Modified)
 		}
@@ -87,14 +87,14 @@
 		Use:  "get NAMESPACE KEY",
 		Args: exactly("NAMESPACE", "KEY"),
 		RunE: o.connected(func(ctx context.Context, s *session) error {
-			kv, found, ageMS, err := s.client.Get(ctx, s.args[0], s.args[1], stale)
+			kv, found, stalenessMS, err := s.client.Get(ctx, s.args[0], s.args[1], stale)
 			if err != nil {
 				return err
 			}
 			if !found {
 				return refused("there is no such key")
 			}
-			return s.printKeys([]machine.KV{kv}, ageMS)
+			return s.printKeys([]machine.KV{kv}, stalenessMS)
 		}),
 	}
 	addStaleFlag(cmd, &stale)
@@ -107,11 +107,11 @@
 		Use:  "list NAMESPACE [PREFIX]",
 		Args: cobra.RangeArgs(1, 2),
 		RunE: o.connected(func(ctx context.Context, s *session) error {
-			kvs, ageMS, err := s.client.List(ctx, s.args[0], strings.Join(s.args[1:], ""), -1, stale)
+			kvs, stalenessMS, err := s.client.List(ctx, s.args[0], strings.Join(s.args[1:], ""), -1, stale)
 			if err != nil {
 				return err
 			}
-			return s.printKeys(kvs, ageMS)
+			return s.printKeys(kvs, stalenessMS)
 		}),
 	}
 	addStaleFlag(cmd, &stale)
--- a/internal/storecmd/members.go
+++ b/internal/storecmd/members.go
@@ -31,28 +31,38 @@
 			if err != nil {
 				return err
 			}
-			kvs, _, err := s.client.List(ctx, documents.StatusNS, "running/", -1, true)
+			running, err := fetchRunning(ctx, s.client)
 			if err != nil {
 				return err
 			}
-			running := []documents.Running{}
-			for _, kv := range kvs {
-				var r documents.Running
-				if json.Unmarshal(kv.Value, &r) == nil {
-					running = append(running, r)
-				}
-			}
 			value := map[string]any{"instance": status, "running": running}
 			return s.print(value, func(p *printer) {
 				printInstance(p, status)
-				for _, r := range running {
-					p.printf("%s\t%s: revision %d, %s %s\n", r.Document, r.Instance, r.Applied, r.State, r.Detail)
+				for _, report := range running {
+					p.printf("%s\t%s: revision %d, %s %s\n",
+						report.Document, report.Instance, report.Applied, report.State, report.Detail)
 				}
 			})
 		}),
 	}
 }
 
+// fetchRunning returns the reports of all instances; those that cannot be decoded are skipped.
+func fetchRunning(ctx context.Context, c *client.Client) ([]documents.Running, error) {
+	kvs, _, err := c.List(ctx, documents.StatusNS, "running/", -1, true)
+	if err != nil {
+		return nil, err
+	}
+	running := []documents.Running{}
+	for _, kv := range kvs {
+		var report documents.Running
+		if json.Unmarshal(kv.Value, &report) == nil {
+			running = append(running, report)
+		}
+	}
+	return running, nil
+}
+
 func printInstance(p *printer, status *node.Status) {
 	p.printf("instance\t%s (%s)\n", status.Name, core.MemberKey(status.ID))
 	p.printf("cluster\t%s\n", status.Cluster)
@@ -60,8 +70,8 @@
 	p.printf("leader\t%s\n", status.Members[core.MemberKey(status.Leader)].Name)
 	p.printf("revision\t%d, %d keys\n", status.Revision, status.Keys)
 	behind := "unknown: no contact with a leader since the start"
-	if status.AgeMS >= 0 {
-		behind = fmt.Sprintf("at most %d ms", status.AgeMS)
+	if status.StalenessMS >= 0 {
+		behind = fmt.Sprintf("at most %d ms", status.StalenessMS)
 	}
 	p.printf("behind\t%s\n", behind)
 	p.printf("log\tapplied %d of %d, snapshot at %d, %d files\n", status.Applied, status.Commit, status.SnapshotIndex, status.Segments)
@@ -73,6 +83,7 @@
 	}
 }
 
+// fetchStatus returns the status of the instance that answers first.
 func fetchStatus(ctx context.Context, c *client.Client) (*node.Status, error) {
 	response, err := c.Call(ctx, &frame.Request{Op: frame.OpStatus}, true)
 	if err != nil {
@@ -117,6 +128,7 @@
 	}
 }
 
+// listMembers returns the members in a status, ordered by name.
 func listMembers(status *node.Status) []member {
 	members := []member{}
 	for key, record := range status.Members {
