--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -16,7 +16,7 @@
 var errInvalidSchema = errors.New("the schema cannot be used")
 
 // Validate validates a JSON document against a JSON schema. With an error it returns the path of the invalid key,
-// separated by dots, as far as it is known.
+// separated by dots, if the library reports it.
 func Validate(schema, document []byte) (key string, err error) {
 	var parsed jsonschema.Schema
 	if err := json.Unmarshal(schema, &parsed); err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -67,7 +67,7 @@
 // Zones configures how failing zones are evacuated and returned to service.
 type Zones struct {
 	Regions map[string]string `json:"regions,omitempty"` // by zone; all zones of a region are evacuated together
-	AtOnce  int               `json:"at_once,omitempty"` // maximum number of zones or regions that are evacuated at a time
+	AtOnce  int               `json:"at_once,omitempty"` // maximum number of zones evacuated at a time
 	DelayMS int               `json:"delay_ms,omitempty"`
 	StepMS  int               `json:"step_ms,omitempty"` // minimum duration of one step of the return; 0: derived from the slow start of hosts
 	AwayMS  int               `json:"away_ms,omitempty"` // minimum duration of an evacuation
@@ -136,7 +136,7 @@
 	w.MaxAgeMS = cmp.Or(w.MaxAgeMS, defaultMaxAgeMS)
 }
 
-// NodeConfig returns the configuration of the instance's node. It reads the certificate files anew at each call.
+// NodeConfig returns the configuration of the instance's node. Each call reads the certificate files.
 func (s *Store) NodeConfig() (node.Config, error) {
 	tls, err := pki.LoadTLS(pki.Files{Certificate: s.Certificate, Key: s.Key, Authority: s.Authority})
 	if err != nil {
--- a/internal/store/core/reads.go
+++ b/internal/store/core/reads.go
@@ -16,16 +16,16 @@
 
 // readRequest is a read index request that was not answered yet.
 type readRequest struct {
-	requestID uint64
-	askedAt   int64 // in ticks
-	tokens    []uint64
+	requestID   uint64
+	requestedAt int64 // in ticks
+	tokens      []uint64
 }
 
 // confirmedRead is a read whose index is known and that waits until the entry with that index is applied.
 type confirmedRead struct {
-	index   uint64
-	askedAt int64 // in ticks
-	tokens  []uint64
+	index       uint64
+	requestedAt int64 // in ticks
+	tokens      []uint64
 }
 
 // Read requests a linearizable read. The token is answered once the local state contains every command that was
@@ -59,7 +59,7 @@
 	for i, request := range c.readRequests {
 		if request.requestID == id {
 			c.readRequests = append(c.readRequests[:i], c.readRequests[i+1:]...)
-			c.confirmedReads = append(c.confirmedReads, confirmedRead{state.Index, request.askedAt, request.tokens})
+			c.confirmedReads = append(c.confirmedReads, confirmedRead{state.Index, request.requestedAt, request.tokens})
 			return
 		}
 	}
@@ -73,7 +73,7 @@
 			waiting = append(waiting, read)
 			continue
 		}
-		c.freshAt = max(c.freshAt, read.askedAt)
+		c.freshAt = max(c.freshAt, read.requestedAt)
 		for _, token := range read.tokens {
 			c.answer(token, nil, machine.Result{Revision: c.machine.Revision()})
 		}
@@ -106,7 +106,7 @@
 func (c *Core) expireReadRequests() {
 	waiting := c.readRequests[:0]
 	for _, request := range c.readRequests {
-		if c.now-request.askedAt < readIndexTimeout {
+		if c.now-request.requestedAt < readIndexTimeout {
 			waiting = append(waiting, request)
 			continue
 		}
--- a/internal/store/core/start.go
+++ b/internal/store/core/start.go
@@ -41,7 +41,7 @@
 	HeartbeatTicks       int    // ticks between heartbeats
 	TickMS               int64  // milliseconds of logical time in a tick
 	SnapshotInterval     uint64 // entries between snapshots
-	RetainedEntries      uint64 // entries kept behind a snapshot, for slow followers
+	RetainedEntries      uint64 // entries before a snapshot that are retained for slow followers
 	TimeoutTicks         int    // ticks that a proposal may wait for its outcome
 	ChunkSize            int    // bytes of a snapshot in one message
 	SnapshotBytesPerTick int    // bytes of snapshots sent in a tick, by all transfers combined
@@ -78,7 +78,7 @@
 }
 
 // New returns an instance with the given state. The error is a *disk.CorruptError for a damaged snapshot, wraps
-// machine.ErrUnknownRecord for one of a newer build, and otherwise says where snapshot and log contradict each other.
+// machine.ErrUnknownRecord for one of a newer build, and otherwise describes how snapshot and log contradict each other.
 func New(conf Config, initial InitialState) (*Core, error) {
 	conf.setDefaults()
 	meta, state, err := initial.restore()
--- a/internal/store/disk/fs.go
+++ b/internal/store/disk/fs.go
@@ -140,7 +140,7 @@
 		return n, err
 	}
 	if cut := f.File.Truncate(f.end); cut != nil {
-		return 0, fmt.Errorf("store: take back a write that found no room: %w", cut)
+		return 0, fmt.Errorf("store: undo a write to a full disk: %w", cut)
 	}
 	return 0, fmt.Errorf("%w: %w", ErrFull, err)
 }
--- a/internal/store/disk/read.go
+++ b/internal/store/disk/read.go
@@ -128,7 +128,7 @@
 		if !ok {
 			return nil
 		}
-		if err := r.take(kind, payload, next); err != nil {
+		if err := r.process(kind, payload, next); err != nil {
 			return err
 		}
 		r.at = next
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// take processes one record; next is the offset after it.
-func (r *segmentReader) take(kind recordKind, payload []byte, next int) error {
+// process processes one record; next is the offset after it.
+func (r *segmentReader) process(kind recordKind, payload []byte, next int) error {
 	switch kind {
 	case headRecord:
 		if !r.isOwnHead(payload) {
--- a/internal/store/machine/image.go
+++ b/internal/store/machine/image.go
@@ -188,14 +188,14 @@
 	return leased, err
 }
 
-// decodeAll decodes count values and passes each to take; what names them in an error.
-func decodeAll[T any](decoder *msgpack.Decoder, what string, count int, take func(*T)) error {
+// decodeAll decodes count values and passes each to take; kind names them in an error.
+func decodeAll[T any](decoder *msgpack.Decoder, kind string, count int, add func(*T)) error {
 	for range count {
 		value := new(T)
 		if err := decoder.Decode(value); err != nil {
-			return fmt.Errorf("store: read image: %s: %w", what, err)
+			return fmt.Errorf("store: read image: %s: %w", kind, err)
 		}
-		take(value)
+		add(value)
 	}
 	return nil
 }
--- a/internal/store/machine/machine.go
+++ b/internal/store/machine/machine.go
@@ -110,7 +110,7 @@
 // ErrUnknownRecord and for an index out of order, and then changes nothing; any other failure is the result's code.
 func (m *Machine) Apply(index uint64, data []byte) (Result, *Command, error) {
 	if index <= m.index {
-		return Result{}, nil, fmt.Errorf("store: index %d comes after %d", index, m.index)
+		return Result{}, nil, fmt.Errorf("store: index %d does not follow %d", index, m.index)
 	}
 	command, err := Decode(data, m.format)
 	if err != nil {
--- a/internal/store/node/join.go
+++ b/internal/store/node/join.go
@@ -38,7 +38,7 @@
 		if !errors.Is(err, disk.ErrEmpty) || len(join.Addresses) == 0 {
 			return n, err
 		}
-		conf.Log.Info().Strs("ask", join.Addresses).Msg("store: data directory empty, joining as a learner")
+		conf.Log.Info().Strs("members", join.Addresses).Msg("store: data directory empty, joining as a learner")
 		if err := joinUntilDecided(ctx, conf.Log, join); err != nil {
 			return nil, err
 		}
--- a/internal/store/node/node.go
+++ b/internal/store/node/node.go
@@ -56,7 +56,7 @@
 	SnapshotEntries uint64 // entries between snapshots; 0: the default of package core
 	SnapshotRate    int    // bytes a second for sending snapshots to other instances
 	Log             zerolog.Logger
-	NoSync          bool // for rehearsals only: the log is not synced
+	NoSync          bool // do not sync the log; only for fault-injection tests
 	Validate        Validator
 }
 
--- a/internal/store/node/run.go
+++ b/internal/store/node/run.go
@@ -54,15 +54,15 @@
 		case task := <-n.tasks:
 			task()
 		}
-		n.takeWaiting()
+		n.drainQueues()
 		if err := n.process(); err != nil {
 			n.fail(err)
 		}
 	}
 }
 
-// takeWaiting processes the messages and tasks that are already queued, so that one sync covers all of them.
-func (n *Node) takeWaiting() {
+// drainQueues processes the messages and tasks that are already queued, so that one sync covers all of them.
+func (n *Node) drainQueues() {
 	for range maxBatch {
 		select {
 		case message := <-n.inbox:
--- a/internal/store/node/server.go
+++ b/internal/store/node/server.go
@@ -139,11 +139,11 @@
 	case v.removed[hello.ID]:
 		return fmt.Errorf("%w: %016x was removed", transport.ErrRemoved, hello.ID)
 	}
-	member, known := v.members[hello.ID]
-	if known && member.Name != owner {
+	member, recorded := v.members[hello.ID]
+	if recorded && member.Name != owner {
 		return fmt.Errorf("%016x is %s, and the certificate is of %s", hello.ID, member.Name, owner)
 	}
-	if !known && len(v.members) > 0 {
+	if !recorded && len(v.members) > 0 {
 		return fmt.Errorf("%016x is not known here yet", hello.ID)
 	}
 	return nil
--- a/internal/store/transport/golden_test.go
+++ b/internal/store/transport/golden_test.go
@@ -15,7 +15,7 @@
 	"cloverrock/internal/store/pki"
 )
 
-// The bytes that a connection begins with, and what is sent behind the welcome.
+// The bytes that a connection begins with, and what is sent after the welcome.
 const (
 	goldenHello   = "0000002f6885a166cc01a170c3a163cf000000000000004da169cf000000000000000ba161ae3132372e302e302e313a37303031"
 	goldenWelcome = "000000147783a166cc01a163cf000000000000004da16ea162"
@@ -23,20 +23,20 @@
 )
 
 // acceptOne serves one connection as instance b, and reports the first frame, and then the one after the welcome.
-func acceptOne(t *testing.T, dir string) (address string, came chan string) {
+func acceptOne(t *testing.T, dir string) (address string, received chan string) {
 	t.Helper()
 	ln, err := tls.Listen("tcp", "127.0.0.1:0", loadTLS(t, dir, "b"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	came = make(chan string, 2)
+	received = make(chan string, 2)
 	welcome, err := hex.DecodeString(goldenWelcome)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		defer close(came)
+		defer close(received)
 		c, err := ln.Accept()
 		if err != nil {
 			return
@@ -47,13 +47,13 @@
 			if err != nil {
 				return
 			}
-			came <- hex.EncodeToString(frame.Append(nil, kind, body))
+			received <- hex.EncodeToString(frame.Append(nil, kind, body))
 			if _, err := c.Write(welcome); err != nil {
 				return
 			}
 		}
 	}()
-	return ln.Addr().String(), came
+	return ln.Addr().String(), received
 }
 
 func loadTLS(t *testing.T, dir, name string) *tls.Config {
@@ -74,18 +74,18 @@
 		t.Fatal(err)
 	}
 	hello := frame.Hello{Peer: true, Cluster: 77, ID: 11, Address: "127.0.0.1:7001"}
-	expect := func(came chan string, want string) {
+	expect := func(received chan string, want string) {
 		t.Helper()
 		select {
-		case got := <-came:
+		case got := <-received:
 			if got != want {
-				t.Errorf("came %s, held %s", got, want)
+				t.Errorf("received %s, want %s", got, want)
 			}
 		case <-time.After(time.Minute):
 			t.Fatal("no frame received")
 		}
 	}
-	address, came := acceptOne(t, dir)
+	address, received := acceptOne(t, dir)
 	var c net.Conn
 	c, welcome, err := Dial(context.Background(), address, loadTLS(t, dir, "a"), hello, "b")
 	if err != nil {
@@ -94,16 +94,16 @@
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
-	expect(came, goldenHello)
+	expect(received, goldenHello)
 	if *welcome != (frame.Welcome{Form: 1, Cluster: 77, Name: "b"}) {
 		t.Errorf("the welcome is read as %+v", *welcome)
 	}
 
-	address, came = acceptOne(t, dir)
+	address, received = acceptOne(t, dir)
 	peers := New(Config{TLS: loadTLS(t, dir, "a"), Hello: hello})
 	defer peers.Close()
 	peers.AddMember(Member{ID: 12, Name: "b", Address: address})
 	peers.Send([]core.Envelope{{From: 11, To: 12, Ack: &core.ChunkAck{Index: 3, Offset: 300}}})
-	expect(came, goldenHello)
-	expect(came, goldenAck)
+	expect(received, goldenHello)
+	expect(received, goldenAck)
 }
--- a/internal/storecmd/golden_test.go
+++ b/internal/storecmd/golden_test.go
@@ -32,7 +32,7 @@
 }
 
 // foundAnew is separate from -update, because the directory is most useful when an older build has written it.
-var foundAnew = flag.Bool("update-founded", false, "write the founded data directory anew")
+var foundAnew = flag.Bool("update-founded", false, "write the founded data directory again")
 
 // serve opens the instance's directory as "store serve" does; 0 entries between snapshots is the default.
 func (f *fixture) serve(snapshotEntries uint64) *node.Node {
@@ -94,8 +94,8 @@
 	return lines
 }
 
-// writeFounded founds a store of one, writes until snapshots are taken, stops, writes more behind them, and keeps the
-// directory: what it holds comes back partly from a snapshot and partly from the log.
+// writeFounded founds a store of one, writes until snapshots are taken, stops, writes more after them, and keeps the
+// directory: its content is restored partly from a snapshot and partly from the log.
 func writeFounded(t *testing.T, to string) {
 	t.Helper()
 	f := newFixture(t)
--- a/internal/warmstart/plan.go
+++ b/internal/warmstart/plan.go
@@ -116,9 +116,9 @@
 func (c *Cache) hostWrites(now int64, hosts []balance.HostSnapshot) []hostWrite {
 	var urgent, others []hostWrite
 	for i := range hosts {
-		write, worthwhile := c.hostChange(now, &hosts[i])
+		write, needed := c.hostChange(now, &hosts[i])
 		switch {
-		case !worthwhile:
+		case !needed:
 		case write.urgent:
 			urgent = append(urgent, write)
 		default:
@@ -130,7 +130,7 @@
 
 // hostChange returns a host's new record, and whether it must be written. A change that affects which requests the host
 // may receive is urgent.
-func (c *Cache) hostChange(now int64, observed *balance.HostSnapshot) (write hostWrite, worthwhile bool) {
+func (c *Cache) hostChange(now int64, observed *balance.HostSnapshot) (write hostWrite, needed bool) {
 	stored, known := c.hosts[observed.Host]
 	next := Host{
 		Group:      observed.Group,
@@ -155,11 +155,11 @@
 		return write, false
 	}
 	age := now - stored.At
-	worthwhile = !known || write.urgent ||
+	needed = !known || write.urgent ||
 		next.Position-stored.Position > positionStep ||
 		age > refreshInterval ||
 		limitMoved(stored.Limit, observed.ConcurrencyLimit) && age > positionStep
-	return write, worthwhile
+	return write, needed
 }
 
 // nothingKnown reports whether the router has no information about a host yet.
