--- a/internal/store/node/cluster_test.go
+++ b/internal/store/node/cluster_test.go
@@ -23,22 +23,26 @@
 // testTimeout ends a test that hangs. No result depends on how fast anything happens.
 const testTimeout = 60 * time.Second
 
+const (
+	testClusterID = 77
+	firstNodeID   = 10 // of instance n0; the others follow
+)
+
 // cluster is a store whose instances run in this process.
 type cluster struct {
 	t     testing.TB
-	dir   string
+	dir   string // certificates and data directories
 	ctx   context.Context
 	confs []Config
 	nodes []*Node
 	ids   []uint64
-	id    uint64
 }
 
 func startCluster(tb testing.TB, instances int, change ...func(*Config)) *cluster {
 	tb.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	tb.Cleanup(cancel)
-	cl := &cluster{t: tb, dir: tb.TempDir(), ctx: ctx, id: 77}
+	cl := &cluster{t: tb, dir: tb.TempDir(), ctx: ctx}
 	cl.must(pki.CreateAuthority(cl.dir, "test", time.Now(), time.Hour))
 	cl.must(pki.Issue(cl.dir, "operator", pki.Operator, time.Now(), time.Hour))
 	var voters []uint64
@@ -88,7 +92,7 @@
 	}
 	cl.confs = append(cl.confs, conf)
 	cl.nodes = append(cl.nodes, nil)
-	cl.ids = append(cl.ids, uint64(10+i))
+	cl.ids = append(cl.ids, firstNodeID+uint64(i))
 	return i
 }
 
@@ -97,7 +101,7 @@
 	return cl.tlsFrom(cl.dir, name)
 }
 
-// tlsFrom loads a certificate that may be of another authority, and takes this store's authority for its peers.
+// tlsFrom loads a certificate, possibly of another authority, and trusts this store's authority for peers.
 func (cl *cluster) tlsFrom(dir, name string) *tls.Config {
 	cl.t.Helper()
 	conf, err := pki.LoadTLS(pki.Files{
@@ -113,7 +117,7 @@
 	cl.t.Helper()
 	dir, err := disk.OpenDir(cl.confs[i].Data)
 	cl.must(err)
-	identity := disk.Identity{Cluster: cl.id, Node: cl.ids[i], Name: cl.confs[i].Name}
+	identity := disk.Identity{Cluster: testClusterID, Node: cl.ids[i], Name: cl.confs[i].Name}
 	cl.must(disk.Create(dir, identity, index, first, disk.Options{}))
 	cl.must(dir.Close())
 }
@@ -133,7 +137,7 @@
 	<-n.ended
 }
 
-// client calls as a name; to some instances, or to all.
+// client returns a client with the certificate of a name, for the given instances or for all.
 func (cl *cluster) client(name string, to ...int) *client.Client {
 	cl.t.Helper()
 	conf := client.Config{TLS: cl.tls(name)}
@@ -151,21 +155,21 @@
 }
 
 // waitUntil polls a condition until it holds.
-func (cl *cluster) waitUntil(what string, is func() bool) {
+func (cl *cluster) waitUntil(what string, holds func() bool) {
 	cl.t.Helper()
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
-	for !is() {
+	for !holds() {
 		select {
 		case <-tick.C:
 		case <-cl.ctx.Done():
 			for _, n := range cl.nodes { // the context has ended; they have not
 				if n != nil {
-					st, err := n.Status(context.Background())
-					cl.t.Logf("%+v, %v", st, err)
+					status, err := n.Status(context.Background())
+					cl.t.Logf("%+v, %v", status, err)
 				}
 			}
-			cl.t.Fatalf("never: %s", what)
+			cl.t.Fatalf("condition not reached: %s", what)
 		}
 	}
 }
@@ -181,6 +185,7 @@
 	return machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{put}}
 }
 
+// leader waits until an instance knows that it is the leader, and returns its number.
 func (cl *cluster) leader() (i int) {
 	cl.t.Helper()
 	cl.waitUntil("a leader", func() bool {
@@ -194,6 +199,7 @@
 	return i
 }
 
+// refused reports whether an error is a refusal by the store.
 func refused(err error) bool {
 	var storeError *client.Error
 	return errors.As(err, &storeError) && storeError.Code == frame.CodeRefused
--- a/internal/store/node/server_test.go
+++ b/internal/store/node/server_test.go
@@ -61,12 +61,12 @@
 		cl.expectRefused(who, conf, frame.Hello{})
 	}
 	for who, hello := range map[string]frame.Hello{
-		"another cluster": {Peer: true, Cluster: 5, ID: 10},
-		"an unknown id":   {Peer: true, Cluster: 77, ID: 999},
+		"another cluster": {Peer: true, Cluster: 5, ID: firstNodeID},
+		"an unknown id":   {Peer: true, Cluster: testClusterID, ID: 999},
 	} {
 		cl.expectRefused(who, cl.tls("n0"), hello)
 	}
-	cl.expectRefused("an operator as an instance", cl.tls("operator"), frame.Hello{Peer: true, Cluster: 77, ID: 10})
+	cl.expectRefused("an operator as an instance", cl.tls("operator"), frame.Hello{Peer: true, Cluster: testClusterID, ID: firstNodeID})
 	cl.sendGarbage()
 	c.Close()
 	cl.waitUntil("all connections are released", func() bool { return cl.nodes[0].connections.Load() <= 1 })
--- a/internal/storecmd/storetest/storetest.go
+++ b/internal/storecmd/storetest/storetest.go
@@ -1,4 +1,5 @@
-// Package storetest gives tests a store of one instance on this machine, and its command line. Only tests import it.
+// Package storetest provides tests with a store of one instance on this machine, and runs its commands. Only tests import
+// it.
 package storetest
 
 import (
@@ -15,7 +16,7 @@
 const configuration = `{"name":"a","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"tickMs":5,
 		"classes":[{"name":"x","aimMs":1,"deadlineMs":1,"repeat":"read_like"}],"extra":{"classRead":["loose"]},"limits":{"maxAttempts":1}}}`
 
-// Fixture is a prepared store of the instance "a", with a gateway's configuration.
+// Fixture is a store whose only instance is "a", with a gateway's configuration.
 type Fixture struct {
 	T         *testing.T
 	Dir       string // the store's files are in the directory "store" below it
@@ -23,7 +24,7 @@
 	extension app.Extension
 }
 
-// New prepares a store and its data directory.
+// New creates a store with its certificates, settings and data directory. It starts nothing.
 func New(t *testing.T, extension app.Extension) *Fixture {
 	t.Helper()
 	f := Empty(t, extension)
@@ -40,13 +41,13 @@
 	return f
 }
 
-// Empty prepares nothing but an empty directory.
+// Empty returns a fixture with an empty directory.
 func Empty(t *testing.T, extension app.Extension) *Fixture {
 	t.Helper()
 	return &Fixture{T: t, Dir: t.TempDir(), Getenv: func(string) string { return "" }, extension: extension}
 }
 
-// Path is a path below the directory.
+// Path returns a path below Dir.
 func (f *Fixture) Path(names ...string) string {
 	return filepath.Join(append([]string{f.Dir}, names...)...)
 }
@@ -69,7 +70,7 @@
 	return data
 }
 
-// Run carries out a command as the operator, which must end with the exit code, and returns what it printed.
+// Run runs a command as the operator and returns its output. Another exit code than the given one fails the test.
 func (f *Fixture) Run(code int, line string) string {
 	f.T.Helper()
 	var out bytes.Buffer
@@ -83,7 +84,7 @@
 	return out.String()
 }
 
-// PutDocument changes the document "gateway".
+// PutDocument commits a revision of the document "gateway", and returns the output of the command; see Run.
 func (f *Fixture) PutDocument(body string, code int) string {
 	f.T.Helper()
 	path := f.Path("doc.json")
