--- a/internal/store/client/client.go
+++ b/internal/store/client/client.go
@@ -31,6 +31,15 @@
 	SingleEndpoint bool          // never leave the first endpoint
 }
 
+// Idempotence states whether a request may be executed more than once.
+type Idempotence bool
+
+// The values of Idempotence.
+const (
+	Idempotent    Idempotence = true  // sent again if the outcome is unknown
+	NotIdempotent Idempotence = false // not sent again once it may have been executed
+)
+
 // Error is an error that an instance returned. Code is one of the codes of package frame.
 type Error struct{ Code, Message string }
 
@@ -156,9 +165,9 @@
 }
 
 // Call retries a request until an instance answers it or the context ends, and returns the last response. A response with
-// a code other than frame.CodeOK is returned as an *Error. If idempotent is false, a request that may have been executed
-// is not sent again, and the error of that attempt is returned.
-func (c *Client) Call(ctx context.Context, request *frame.Request, idempotent bool) (*frame.Response, error) {
+// a code other than frame.CodeOK is returned as an *Error. A NotIdempotent request that may have been executed is
+// not sent again, and the error of that attempt is returned.
+func (c *Client) Call(ctx context.Context, request *frame.Request, idempotence Idempotence) (*frame.Response, error) {
 	ignore := func(*frame.Response) error { return nil }
 	backoff := minBackoff
 	for {
@@ -169,11 +178,11 @@
 				return response, nil
 			}
 			err = &Error{response.Code, response.Error}
-			retryable := response.Code == frame.CodeRetry || response.Code == frame.CodeOutcomeUnknown && idempotent
+			retryable := response.Code == frame.CodeRetry || response.Code == frame.CodeOutcomeUnknown && idempotence == Idempotent
 			if !retryable {
 				return response, err
 			}
-		} else if conn != nil && !idempotent { // it was sent and may have been executed
+		} else if conn != nil && idempotence == NotIdempotent { // it was sent and may have been executed
 			c.nextEndpoint(conn)
 			return nil, err
 		}
@@ -200,7 +209,7 @@
 		c.seq++
 		command.Session = c.session
 		command.Seq = c.seq
-		response, err := c.Call(ctx, &frame.Request{Op: frame.OpPropose, Command: &command}, true)
+		response, err := c.Call(ctx, &frame.Request{Op: frame.OpPropose, Command: &command}, Idempotent)
 		if err != nil {
 			c.session = 0 // its last command may still be applied, so its sequence numbers cannot be continued
 			return machine.Result{}, err
@@ -223,7 +232,7 @@
 // openSession opens a session for Transact. The caller holds sessionMu.
 func (c *Client) openSession(ctx context.Context) error {
 	open := &machine.Command{Kind: machine.OpenSessionKind}
-	response, err := c.Call(ctx, &frame.Request{Op: frame.OpPropose, Command: open}, true)
+	response, err := c.Call(ctx, &frame.Request{Op: frame.OpPropose, Command: open}, Idempotent)
 	if err != nil {
 		return err
 	}
@@ -235,7 +244,7 @@
 // Get reads a key: linearizably, or with stale set from the local state of one instance. stalenessMS is an upper bound in
 // milliseconds on how far that state is behind; -1: unknown. It is 0 unless stale is set.
 func (c *Client) Get(ctx context.Context, ns, key string, stale bool) (kv machine.KV, found bool, stalenessMS int64, err error) {
-	response, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: key, Stale: stale}, true)
+	response, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: key, Stale: stale}, Idempotent)
 	if err != nil {
 		return kv, false, 0, err
 	}
@@ -247,7 +256,7 @@
 
 // List reads at most limit keys with a prefix in ascending order; -1: all. stale and stalenessMS are those of Get.
 func (c *Client) List(ctx context.Context, ns, prefix string, limit int, stale bool) (kvs []machine.KV, stalenessMS int64, err error) {
-	response, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: prefix, Limit: limit, Stale: stale}, true)
+	response, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: prefix, Limit: limit, Stale: stale}, Idempotent)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/store/node/join.go
+++ b/internal/store/node/join.go
@@ -88,7 +88,7 @@
 	request := &frame.Request{
 		Op: frame.OpJoin, NodeID: id, Address: cmp.Or(conf.Advertise, conf.Listen), Token: join.Token,
 	}
-	if _, err := members.Call(ctx, request, false); err != nil {
+	if _, err := members.Call(ctx, request, client.NotIdempotent); err != nil {
 		return 0, err
 	}
 	return id, disk.CreateDir(conf.Data, disk.Identity{Cluster: cluster, Node: id, Name: conf.Name}, 0, nil)
--- a/internal/store/node/membership_test.go
+++ b/internal/store/node/membership_test.go
@@ -5,6 +5,7 @@
 	"strings"
 	"testing"
 
+	"cloverrock/internal/store/client"
 	"cloverrock/internal/store/core"
 	"cloverrock/internal/store/disk"
 	"cloverrock/internal/store/frame"
@@ -15,7 +16,7 @@
 // join requests that an instance is added under an id.
 func (cl *cluster) join(i int, id uint64, token string) error {
 	request := &frame.Request{Op: frame.OpJoin, NodeID: id, Address: cl.confs[i].Listen, Token: token}
-	_, err := cl.client(cl.confs[i].Name, 0, 1, 2).Call(cl.ctx, request, false)
+	_, err := cl.client(cl.confs[i].Name, 0, 1, 2).Call(cl.ctx, request, client.NotIdempotent)
 	return err
 }
 
@@ -60,14 +61,14 @@
 	cl.must(err)
 	cl.awaitEnd(again, "a removed instance is accepted with its old data")
 	cl.waitUntil("the new id is removed", func() bool { // the outcome may be unknown; then a retry is refused, because the member is gone
-		_, err := operator.Call(cl.ctx, &frame.Request{Op: frame.OpRemove, NodeID: 99}, false)
+		_, err := operator.Call(cl.ctx, &frame.Request{Op: frame.OpRemove, NodeID: 99}, client.NotIdempotent)
 		return err == nil || refused(err)
 	})
 	cl.waitUntil("three members are left", func() bool {
 		s, err := cl.nodes[0].Status(cl.ctx)
 		return err == nil && len(s.Members) == 3 && len(s.Learners) == 0
 	})
-	_, err = operator.Call(cl.ctx, &frame.Request{Op: frame.OpRemove, NodeID: 12345}, false)
+	_, err = operator.Call(cl.ctx, &frame.Request{Op: frame.OpRemove, NodeID: 12345}, client.NotIdempotent)
 	if !refused(err) {
 		t.Errorf("removal of an unknown member: %v", err)
 	}
--- a/internal/store/node/requests_test.go
+++ b/internal/store/node/requests_test.go
@@ -23,7 +23,7 @@
 	c := cl.client("operator")
 	cl.put(c, "k", "v")
 	cl.must(pki.Issue(cl.dir, "observer", pki.Observer, time.Now(), time.Hour))
-	_, err := cl.client("observer").Call(cl.ctx, &frame.Request{Op: frame.OpPropose, Command: &machine.Command{Kind: machine.OpenSessionKind}}, false)
+	_, err := cl.client("observer").Call(cl.ctx, &frame.Request{Op: frame.OpPropose, Command: &machine.Command{Kind: machine.OpenSessionKind}}, client.NotIdempotent)
 	if !refused(err) {
 		t.Errorf("an observer wrote: %v", err)
 	}
@@ -46,7 +46,7 @@
 	})
 	cl.leader()
 	put := func(c *client.Client, body string, base int64) error {
-		_, err := c.Call(cl.ctx, &frame.Request{Op: frame.OpDocument, Name: "gateway", Body: []byte(body), After: base}, false)
+		_, err := c.Call(cl.ctx, &frame.Request{Op: frame.OpDocument, Name: "gateway", Body: []byte(body), After: base}, client.NotIdempotent)
 		return err
 	}
 	c := cl.client("operator")
@@ -89,7 +89,7 @@
 		done <- cl.client("operator", 2).Watch(ctx, documents.NS, "head/", 0, collect)
 	}()
 	rollback := &frame.Request{Op: frame.OpDocument, Name: "gateway", Limit: 1, After: -1}
-	_, err := c.Call(cl.ctx, rollback, false)
+	_, err := c.Call(cl.ctx, rollback, client.NotIdempotent)
 	cl.must(err)
 	if err := <-done; !errors.Is(err, context.Canceled) {
 		cl.t.Errorf("the watch ended with %v after %d events", err, len(events))
--- a/internal/storecmd/documents.go
+++ b/internal/storecmd/documents.go
@@ -123,7 +123,7 @@
 // changeDocument sends a change of a document and prints the resulting revision.
 func (o *options) changeDocument(cmd *cobra.Command, request *frame.Request) error {
 	change := o.connected(func(ctx context.Context, s *session) error {
-		response, err := s.client.Call(ctx, request, false)
+		response, err := s.client.Call(ctx, request, client.NotIdempotent)
 		if err != nil {
 			return err
 		}
--- a/internal/storecmd/members.go
+++ b/internal/storecmd/members.go
@@ -85,7 +85,7 @@
 
 // fetchStatus returns the status of the instance that answers first.
 func fetchStatus(ctx context.Context, c *client.Client) (*node.Status, error) {
-	response, err := c.Call(ctx, &frame.Request{Op: frame.OpStatus}, true)
+	response, err := c.Call(ctx, &frame.Request{Op: frame.OpStatus}, client.Idempotent)
 	if err != nil {
 		return nil, err
 	}
@@ -160,7 +160,7 @@
 			if id == 0 {
 				return refused("no member is called %q", s.args[0])
 			}
-			if _, err := s.client.Call(ctx, &frame.Request{Op: frame.OpRemove, NodeID: id}, false); err != nil {
+			if _, err := s.client.Call(ctx, &frame.Request{Op: frame.OpRemove, NodeID: id}, client.NotIdempotent); err != nil {
 				return err
 			}
 			key := core.MemberKey(id)
@@ -190,7 +190,7 @@
 		Short: "Transfer leadership to another instance, before the leader's machine is stopped",
 		Args:  app.NoArgs,
 		RunE: o.connected(func(ctx context.Context, s *session) error {
-			_, err := s.client.Call(ctx, &frame.Request{Op: frame.OpTransfer}, true)
+			_, err := s.client.Call(ctx, &frame.Request{Op: frame.OpTransfer}, client.Idempotent)
 			return err
 		}),
 	}
