--- a/internal/store/node/requests_test.go
+++ b/internal/store/node/requests_test.go
@@ -18,12 +18,12 @@
 	"cloverrock/internal/store/pki"
 )
 
-func TestObserversAndProtectedNamespacesAreNotWritten(t *testing.T) {
+func TestObserversCannotWriteAndProtectedNamespacesAreReadOnly(t *testing.T) {
 	cl := startCluster(t, 1)
 	c := cl.client("operator")
 	cl.put(c, "k", "v")
 	cl.must(pki.Issue(cl.dir, "observer", pki.Observer, time.Now(), time.Hour))
-	_, err := cl.client("observer").Call(cl.ctx, &frame.Request{Op: frame.OpPropose, Command: &machine.Command{Kind: machine.OpenSessionKind}}, false)
+	_, err := cl.client("observer").Call(cl.ctx, &frame.Request{Op: frame.OpPropose, Command: &machine.Command{Kind: machine.OpenSessionKind}}, client.NotIdempotent)
 	if !refused(err) {
 		t.Errorf("an observer wrote: %v", err)
 	}
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestDocumentsAreCheckedNumberedAndRolledBack(t *testing.T) {
+func TestDocumentChangesAreValidatedSerializedAndRolledBack(t *testing.T) {
 	cl := startCluster(t, 3, func(c *Config) {
 		c.Validate = func(name string, body, _ []byte) error {
 			if strings.Contains(string(body), "bad") {
@@ -46,7 +46,7 @@
 	})
 	cl.leader()
 	put := func(c *client.Client, body string, base int64) error {
-		_, err := c.Call(cl.ctx, &frame.Request{Op: frame.OpDocument, Name: "gateway", Body: []byte(body), After: base}, false)
+		_, err := c.Call(cl.ctx, &frame.Request{Op: frame.OpDocument, Name: "gateway", Body: []byte(body), After: base}, client.NotIdempotent)
 		return err
 	}
 	c := cl.client("operator")
@@ -56,7 +56,7 @@
 			t.Errorf("%s: %v", body, err)
 		}
 	}
-	// Two operators change the same revision at once, at two instances: one of them does.
+	// Two operators change the same revision concurrently, at two instances: exactly one change is committed.
 	var wg sync.WaitGroup
 	errs := make([]error, 2)
 	for i := range errs {
@@ -71,7 +71,7 @@
 	cl.expectRollback(c)
 }
 
-// expectRollback rolls the document back to its first revision, and holds what is recorded and watched of it.
+// expectRollback rolls the document back to its first revision, and checks the stored revision and the watched events.
 func (cl *cluster) expectRollback(c *client.Client) {
 	cl.t.Helper()
 	var events []machine.Event
@@ -89,7 +89,7 @@
 		done <- cl.client("operator", 2).Watch(ctx, documents.NS, "head/", 0, collect)
 	}()
 	rollback := &frame.Request{Op: frame.OpDocument, Name: "gateway", Limit: 1, After: -1}
-	_, err := c.Call(cl.ctx, rollback, false)
+	_, err := c.Call(cl.ctx, rollback, client.NotIdempotent)
 	cl.must(err)
 	if err := <-done; !errors.Is(err, context.Canceled) {
 		cl.t.Errorf("the watch ended with %v after %d events", err, len(events))
--- a/internal/storecmd/golden_test.go
+++ b/internal/storecmd/golden_test.go
@@ -31,8 +31,8 @@
 	return &fixture{storetest.New(t, daemon.Extension{})}
 }
 
-// foundAnew is apart from update: the directory is worth most as long as an older build wrote it.
-var foundAnew = flag.Bool("update-founded", false, "write the founded data directory anew")
+// foundAnew is separate from -update, because the directory is most useful when an older build has written it.
+var foundAnew = flag.Bool("update-founded", false, "write the founded data directory again")
 
 // serve opens the instance's directory as "store serve" does; 0 entries between snapshots is the default.
 func (f *fixture) serve(snapshotEntries uint64) *node.Node {
@@ -94,8 +94,8 @@
 	return lines
 }
 
-// writeFounded founds a store of one, writes until snapshots are taken, stops, writes more behind them, and keeps the
-// directory: what it holds comes back partly from a snapshot and partly from the log.
+// writeFounded founds a store of one, writes until snapshots are taken, stops, writes more after them, and keeps the
+// directory: its content is restored partly from a snapshot and partly from the log.
 func writeFounded(t *testing.T, to string) {
 	t.Helper()
 	f := newFixture(t)
@@ -115,7 +115,8 @@
 	copyFiles(t, f.Path("store", "a-data"), to)
 }
 
-// A data directory which an earlier build founded and wrote is read by this one, which goes on from there. The certificates are made now and are not in the directory: no verdict depends on the date.
+// A data directory which an earlier build founded and wrote is read by this one, which continues from it.
+// The certificates are created by the test and are not in the directory, so that the result does not depend on the date.
 func TestFoundedDirectoryOpens(t *testing.T) {
 	kept := filepath.Join("testdata", "founded")
 	if *foundAnew {
--- a/internal/storecmd/members.go
+++ b/internal/storecmd/members.go
@@ -24,44 +24,54 @@
 func (o *options) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Tell how the instances stand, and what revision of each document they run",
+		Short: "Show an instance's state, and the document revisions that all instances run",
 		Args:  app.NoArgs,
 		RunE: o.connected(func(ctx context.Context, s *session) error {
 			status, err := fetchStatus(ctx, s.client)
 			if err != nil {
 				return err
 			}
-			kvs, _, err := s.client.List(ctx, documents.StatusNS, "running/", -1, true)
+			running, err := fetchRunning(ctx, s.client)
 			if err != nil {
 				return err
 			}
-			running := []documents.Running{}
-			for _, kv := range kvs {
-				var r documents.Running
-				if json.Unmarshal(kv.Value, &r) == nil {
-					running = append(running, r)
-				}
-			}
 			value := map[string]any{"instance": status, "running": running}
 			return s.print(value, func(p *printer) {
 				printInstance(p, status)
-				for _, r := range running {
-					p.printf("%s\t%s: revision %d, %s %s\n", r.Document, r.Instance, r.Applied, r.State, r.Detail)
+				for _, report := range running {
+					p.printf("%s\t%s: revision %d, %s %s\n",
+						report.Document, report.Instance, report.Applied, report.State, report.Detail)
 				}
 			})
 		}),
 	}
 }
 
+// fetchRunning returns the reports of all instances; those that cannot be decoded are skipped.
+func fetchRunning(ctx context.Context, c *client.Client) ([]documents.Running, error) {
+	kvs, _, err := c.List(ctx, documents.StatusNS, "running/", -1, true)
+	if err != nil {
+		return nil, err
+	}
+	running := []documents.Running{}
+	for _, kv := range kvs {
+		var report documents.Running
+		if json.Unmarshal(kv.Value, &report) == nil {
+			running = append(running, report)
+		}
+	}
+	return running, nil
+}
+
 func printInstance(p *printer, status *node.Status) {
 	p.printf("instance\t%s (%s)\n", status.Name, core.MemberKey(status.ID))
 	p.printf("cluster\t%s\n", status.Cluster)
 	p.printf("role\t%s, term %d\n", strings.ToLower(strings.TrimPrefix(status.Role, "State")), status.Term)
 	p.printf("leader\t%s\n", status.Members[core.MemberKey(status.Leader)].Name)
 	p.printf("revision\t%d, %d keys\n", status.Revision, status.Keys)
-	behind := "not known: cut off, or just started"
-	if status.AgeMS >= 0 {
-		behind = fmt.Sprintf("at most %d ms", status.AgeMS)
+	behind := "unknown: no contact with a leader since the start"
+	if status.StalenessMS >= 0 {
+		behind = fmt.Sprintf("at most %d ms", status.StalenessMS)
 	}
 	p.printf("behind\t%s\n", behind)
 	p.printf("log\tapplied %d of %d, snapshot at %d, %d files\n", status.Applied, status.Commit, status.SnapshotIndex, status.Segments)
@@ -73,8 +83,9 @@
 	}
 }
 
+// fetchStatus returns the status of the instance that answers first.
 func fetchStatus(ctx context.Context, c *client.Client) (*node.Status, error) {
-	response, err := c.Call(ctx, &frame.Request{Op: frame.OpStatus}, true)
+	response, err := c.Call(ctx, &frame.Request{Op: frame.OpStatus}, client.Idempotent)
 	if err != nil {
 		return nil, err
 	}
@@ -85,7 +96,7 @@
 	return status, nil
 }
 
-// member is a line of the command "members".
+// member is one entry in the output of the command "members".
 type member struct {
 	ID string `json:"id"`
 	core.Member
@@ -117,6 +128,7 @@
 	}
 }
 
+// listMembers returns the members in a status, ordered by name.
 func listMembers(status *node.Status) []member {
 	members := []member{}
 	for key, record := range status.Members {
@@ -137,7 +149,7 @@
 func (o *options) removeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "remove NAME|ID",
-		Short: "Remove an instance for good: it hands over first if it leads, and its data is of no more use",
+		Short: "Remove an instance permanently: its data directory cannot be used again",
 		Args:  exactly("NAME or ID"),
 		RunE: o.connected(func(ctx context.Context, s *session) error {
 			status, err := fetchStatus(ctx, s.client)
@@ -148,7 +160,7 @@
 			if id == 0 {
 				return refused("no member is called %q", s.args[0])
 			}
-			if _, err := s.client.Call(ctx, &frame.Request{Op: frame.OpRemove, NodeID: id}, false); err != nil {
+			if _, err := s.client.Call(ctx, &frame.Request{Op: frame.OpRemove, NodeID: id}, client.NotIdempotent); err != nil {
 				return err
 			}
 			key := core.MemberKey(id)
@@ -159,7 +171,7 @@
 	}
 }
 
-// findMember returns the id of a member that is given by its id or name; 0: there is none.
+// findMember returns the id of the member with a name or id; 0: there is none.
 func findMember(status *node.Status, nameOrID string) (id uint64) {
 	for key, record := range status.Members {
 		if key != nameOrID && record.Name != nameOrID {
@@ -175,10 +187,10 @@
 func (o *options) transferCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "transfer",
-		Short: "Have the leader hand over, before its machine is stopped",
+		Short: "Transfer leadership to another instance, before the leader's machine is stopped",
 		Args:  app.NoArgs,
 		RunE: o.connected(func(ctx context.Context, s *session) error {
-			_, err := s.client.Call(ctx, &frame.Request{Op: frame.OpTransfer}, true)
+			_, err := s.client.Call(ctx, &frame.Request{Op: frame.OpTransfer}, client.Idempotent)
 			return err
 		}),
 	}
@@ -188,7 +200,7 @@
 	var life time.Duration
 	cmd := &cobra.Command{
 		Use:   "token",
-		Short: "Make a token by which one new instance may join",
+		Short: "Create a token with which one new instance may join",
 		Args:  app.NoArgs,
 		RunE: o.connected(func(ctx context.Context, s *session) error {
 			random, err := disk.NewID()
@@ -207,6 +219,6 @@
 			return s.print(map[string]string{"token": token}, func(p *printer) { p.printf("%s\n", token) })
 		}),
 	}
-	cmd.Flags().DurationVar(&life, "life", time.Hour, "how long it may be used")
+	cmd.Flags().DurationVar(&life, "life", time.Hour, "how long it is valid")
 	return cmd
 }
