--- a/internal/lab/chaos/check.go
+++ b/internal/lab/chaos/check.go
@@ -140,7 +140,7 @@
 }
 
 func readStatus(ctx context.Context, store *client.Client) (*core.Status, error) {
-	answer, err := store.Call(ctx, &frame.Request{Op: frame.OpStatus}, true)
+	answer, err := store.Call(ctx, &frame.Request{Op: frame.OpStatus}, client.Idempotent)
 	if err != nil {
 		return nil, err
 	}
