--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,6 @@
-// Package config reads, checks and completes the configuration with defaults. No other package reads it.
+// Package config reads the gateway's configuration: a JSON file, which environment variables and a document of the store
+// may override. It checks the values and fills in defaults. No other package reads the file. Every error is an *Error that
+// names the faulty key.
 package config
 
 import (
@@ -17,7 +19,7 @@
 	"cloverrock/internal/peer"
 )
 
-// Config is what the program uses of its configuration. Times are microseconds.
+// Config is a checked configuration. Times are microseconds.
 type Config struct {
 	Name            string
 	Listen          string // ip:port
@@ -26,10 +28,10 @@
 	MemoryMB        int // MiB
 	Sockets         int // descriptors that the process may have open
 	Peer            peer.Config
-	KnownEndpoints  *discovery.EndpointList // nil if none was given
+	KnownEndpoints  *discovery.EndpointList // the list to use until discovery answers; nil if none was given
 	Names           discovery.Names
 	Classes         map[string]frontend.Class
-	LongestDeadline int64 // of all classes
+	LongestDeadline int64 // the longest deadline of all classes
 	IdleClose       int64 // idle time after which hosts close connections
 	Gateways        int   // of the fleet, this one included
 	Settings        balance.Settings
@@ -56,8 +58,8 @@
 	envDiscovery = "EDGE_DISCOVERY"
 )
 
-// Load reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override its keys. Like those of
-// the other functions that read a configuration, the error is an *Error.
+// Load reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override its keys. The error is an
+// *Error.
 func Load(getenv func(string) string) (*Config, error) {
 	file, err := readFile(getenv)
 	if err != nil {
@@ -66,9 +68,10 @@
 	return parse(file, getenv, overrideAll)
 }
 
-// LoadUnder reads the file and puts a document of the store over it: the keys that the document has for all instances,
-// and then those for this instance, override the file's and, as on a reload, EDGE_DISCOVERY. A nil document is none.
-func LoadUnder(getenv func(string) string, document []byte) (*Config, error) {
+// LoadWithOverlay reads the file with a document of the store on top: the document's keys for all instances override the file's,
+// and its keys for this instance override both. As in Reload, the resulting discovery address overrides EDGE_DISCOVERY. A
+// nil document overrides nothing. The error is an *Error.
+func LoadWithOverlay(getenv func(string) string, document []byte) (*Config, error) {
 	file, err := readFile(getenv)
 	if err != nil {
 		return nil, err
@@ -82,10 +85,10 @@
 }
 
 // Reload reads the file again while the program runs. The environment is still that of the start, so the file's
-// discovery overrides EDGE_DISCOVERY: otherwise no new address would ever be used.
-func Reload(getenv func(string) string) (*Config, error) { return LoadUnder(getenv, nil) }
+// discovery address overrides EDGE_DISCOVERY: otherwise a changed address would never be used. The error is an *Error.
+func Reload(getenv func(string) string) (*Config, error) { return LoadWithOverlay(getenv, nil) }
 
-// Parse reads the configuration's JSON as Load does the file's.
+// Parse parses the text of a configuration file and applies the environment as Load does. The error is an *Error.
 func Parse(document []byte, getenv func(string) string) (*Config, error) {
 	return parse(document, getenv, overrideAll)
 }
@@ -102,7 +105,7 @@
 	return file, nil
 }
 
-// RestartOnlyChanges names the keys in which other differs from c and that only a restart can change.
+// RestartOnlyChanges returns the keys in which other differs from c and which take effect only at a restart.
 func (c *Config) RestartOnlyChanges(other *Config) (keys []string) {
 	samePeers := reflect.DeepEqual(c.Peer, other.Peer)
 	sameLimits := c.MemoryMB == other.MemoryMB && c.Sockets == other.Sockets
@@ -125,7 +128,7 @@
 	return keys
 }
 
-// Defaults and least values of limits.
+// Defaults and lower bounds.
 const (
 	defaultName     = "cloverrock"
 	defaultSockets  = 1024
@@ -177,12 +180,12 @@
 	return c, nil
 }
 
-// overrideMode says which keys the environment overrides.
+// overrideMode selects the keys that the environment overrides.
 type overrideMode int
 
 const (
 	overrideAll   overrideMode = iota
-	keepDiscovery              // the file's discovery holds if it has one
+	keepDiscovery              // all but the file's discovery address, if it has one
 )
 
 // applyEnvironment overrides keys by environment variables and checks the results.
@@ -202,7 +205,8 @@
 	return overrideAddress(&c.Discovery, "discovery", envDiscovery, getenv)
 }
 
-// overrideAddress replaces an address by a variable's, if that is set. An error names the one that was used.
+// overrideAddress replaces an address by a variable's value, if that is set, and checks the result. An error names the
+// variable if its value was used, else the key.
 func overrideAddress(address *string, key, variable string, getenv func(string) string) error {
 	if value := getenv(variable); value != "" {
 		*address = value
@@ -264,7 +268,7 @@
 	return nil
 }
 
-// setKnownEndpoints reads the endpoint list of an earlier run, if there is one. It always counts as complete.
+// setKnownEndpoints reads the known endpoint list, if there is one. It always counts as complete.
 func (c *Config) setKnownEndpoints(document json.RawMessage) error {
 	if len(document) == 0 || string(document) == "null" {
 		return nil
@@ -278,8 +282,8 @@
 	return nil
 }
 
-// decodeError names the key that encoding/json could not read; parent is the key of the object that was decoded, or
-// empty.
+// decodeError returns an *Error that names the key that encoding/json could not decode. parent is the key of the object
+// that was being decoded; it is empty for the document itself, and EDGE_CONFIG is named if the document is not JSON.
 func decodeError(parent string, err error) error {
 	if wrongType, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
 		return errorf(joinKey(parent, wrongType.Field), "is a %s", wrongType.Value)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -19,7 +19,7 @@
 
 func noEnvironment(string) string { return "" }
 
-// environment returns a getenv that knows the variables of a map.
+// environment returns a getenv function with the variables of a map.
 func environment(variables map[string]string) func(string) string {
 	return func(key string) string { return variables[key] }
 }
@@ -86,7 +86,7 @@
 	}
 }
 
-// At the start EDGE_DISCOVERY overrides the file; a reload follows the file, for the environment can't have changed.
+// At the start EDGE_DISCOVERY overrides the file. A reload uses the file's address: the environment can't have changed.
 func TestReloadUsesDiscoveryOfTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	getenv := environment(map[string]string{"EDGE_CONFIG": path, "EDGE_DISCOVERY": "127.9.0.1:1", "EDGE_NAME": "n9"})
@@ -127,14 +127,17 @@
 	}
 }
 
-// The number of gateways may be left out, but not contradict the list of peers.
+// The number of gateways may be left out, but must not contradict the list of peers.
 func TestNumberOfGatewaysFitsThePeers(t *testing.T) {
+	const invalid = 0
 	const form = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","peer_listen":"127.0.0.1:3","peers_all":"127.0.0.1:4",
 		"peers":["127.0.0.1:3","127.0.0.1:5"],"settings":{%s"limits":{"maxAttempts":3,"mayTell":true},"tickMs":1,
 		"classes":[{"name":"a","aimMs":1,"deadlineMs":2,"repeat":"read_like"}],"extra":{"classRead":["loose"]}}}`
-	for text, want := range map[string]int{"": 2, `"balancers":2,`: 2, `"balancers":0,`: 2, `"balancers":80,`: 0, `"balancers":-1,`: 0} {
+	for text, want := range map[string]int{
+		"": 2, `"balancers":2,`: 2, `"balancers":0,`: 2, `"balancers":80,`: invalid, `"balancers":-1,`: invalid,
+	} {
 		c, err := Parse(fmt.Appendf(nil, form, text), noEnvironment)
-		if want == 0 {
+		if want == invalid {
 			if err == nil || !strings.Contains(err.Error(), "settings.balancers") {
 				t.Errorf("%q: %v", text, err)
 			}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -130,7 +130,7 @@
 			}
 		}
 		for _, word := range slices.Sorted(maps.Keys(every)) {
-			if _, told := values[word]; !told && values["error"] == "" {
+			if _, present := values[word]; !present && values["error"] == "" {
 				differs = append(differs, word+" is not there")
 			}
 		}
--- a/internal/config/overlay.go
+++ b/internal/config/overlay.go
@@ -2,14 +2,14 @@
 
 import "encoding/json"
 
-// instancesKey is the document's key for what holds for single instances only.
+// instancesKey is the document's key for the overrides of single instances.
 const instancesKey = "instances"
 
 type keyValues map[string]json.RawMessage
 
-// Overlay puts a document of the store over a configuration file and returns the result as JSON. The document's keys
-// override the file's; those under instances hold only for the instance of that name. name is this instance's; if empty,
-// the file's is used. The error is an *Error.
+// Overlay merges a document of the store into a configuration file and returns the result as JSON. The document's
+// top-level keys replace the file's; those under "instances" apply only to the instance of that name. name is this
+// instance's name; if it is empty, the file's is used. The error is an *Error.
 func Overlay(file, document []byte, name string) ([]byte, error) {
 	var keys, forAll keyValues
 	if err := json.Unmarshal(file, &keys); err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -19,7 +19,7 @@
 	defaultIdleCloseMs   = 30_000
 )
 
-// setSettings reads the settings, which have the form of the simulator's.
+// setSettings reads the key settings, which has the form of the simulator's options.
 func (c *Config) setSettings(document json.RawMessage) error {
 	if len(document) == 0 {
 		return errorf("settings", "missing")
@@ -40,7 +40,7 @@
 		}
 		return &Error{"settings", err}
 	}
-	c.Settings, _ = options.Settings() // positions of real hosts are Unix times
+	c.Settings, _ = options.Settings() // real hosts report positions as Unix times, so the origin is not needed
 	if c.Peer.Listen == "" || !c.Peer.All.IsValid() {
 		c.Settings.Gateways = 0 // nobody would receive gossip
 		c.Settings.GossipBytesPerRequest = 0
@@ -50,7 +50,7 @@
 	return c.setClasses(options.Classes)
 }
 
-// checkLimits fills in defaults and checks what must be positive.
+// checkLimits fills in the defaults of limits and checks the values that must be positive.
 func checkLimits(options *simprotocol.Options) error {
 	limits := &options.Limits
 	if limits.DialTimeoutMs == 0 {
@@ -74,9 +74,9 @@
 	return nil
 }
 
-// setFleet determines the number of gateways and this one's ordinal. The list of peers gives what the options leave out;
-// a gateway that is alone has neither. Numbers that contradict each other are an error: the gateway would send gossip to
-// fewer gateways than it pays for, or wait for more than there are.
+// setFleet determines the number of gateways and this gateway's ordinal. Both default to what the list of peers shows.
+// Numbers that contradict each other are an error: the gateway would send gossip to fewer gateways than it budgets for, or
+// wait for more than there are.
 func (c *Config) setFleet(options *simprotocol.Options) error {
 	peers := c.Peer.Peers
 	if options.Gateways == 0 {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// ordinalAmongPeers returns this gateway's place in the list of peers, or nil: the list has it only where gateways send
-// from the address at which they listen.
+// ordinalAmongPeers returns this gateway's index in the list of peers. It is nil if the list lacks this gateway, as where
+// gateways do not send from the address at which they listen.
 func (c *Config) ordinalAmongPeers() *int {
 	i := slices.IndexFunc(c.Peer.Peers, func(a netip.AddrPort) bool { return a.String() == c.Peer.Listen })
 	if i < 0 {
@@ -109,6 +109,8 @@
 	return &i
 }
 
+// setClasses checks the classes, indexes them by name and determines the longest deadline. c.Settings has the classes in
+// the same order.
 func (c *Config) setClasses(entries []simprotocol.ClassEntry) error {
 	c.Classes = map[string]frontend.Class{}
 	for i, entry := range entries {
--- a/internal/daemon/document.go
+++ b/internal/daemon/document.go
@@ -35,7 +35,7 @@
 	if !d.readLocal(func(m *machine.Machine) { revision = readDocument(m) }) || revision == nil {
 		return conf
 	}
-	overlaid, err := config.LoadUnder(d.getenv, revision.Body)
+	overlaid, err := config.LoadWithOverlay(d.getenv, revision.Body)
 	d.setStatus(revision, nil, err)
 	if err != nil {
 		d.log.Error().Err(err).Int64("revision", revision.Number).Msg("store: gateway document not applied")
@@ -48,7 +48,7 @@
 // ReloadConfig implements app.Component: the configuration for a reload by signal, with the document laid over it.
 func (d *daemon) ReloadConfig() (*config.Config, error) {
 	if _, document := d.currentStatus(); document != nil {
-		return config.LoadUnder(d.getenv, document)
+		return config.LoadWithOverlay(d.getenv, document)
 	}
 	return config.Reload(d.getenv)
 }
@@ -113,7 +113,7 @@
 	if status, _ := d.currentStatus(); status.Revision == revision.Number {
 		return
 	}
-	conf, err := config.LoadUnder(d.getenv, revision.Body)
+	conf, err := config.LoadWithOverlay(d.getenv, revision.Body)
 	if restart, ok := d.gateway.Reload(conf, err); ok {
 		d.setStatus(revision, restart, err)
 	}
