--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,5 +1,6 @@
-// Package app is the gateway as a program: its parts put together, its command line, its signals and its graceful
-// shutdown. A larger build adds to it through Extension.
+// Package app assembles the gateway's parts into a program: command line, start, signals, reload and graceful shutdown.
+// Everything in a running gateway happens on the goroutine of one event loop. A larger build adds commands and components
+// by an Extension.
 package app
 
 import (
@@ -20,8 +21,8 @@
 const (
 	ExitFailed      = 1 // any failure without a code of its own
 	ExitUsage       = 2 // a mistake on the command line
-	ExitRejected    = 3 // the store rejects the command: not allowed, or changed meanwhile
-	ExitUnavailable = 4 // no instance of the store answers
+	ExitRejected    = 3 // the store rejected the command: not allowed, or a condition did not hold
+	ExitUnavailable = 4 // no instance of the store answered
 	ExitDamaged     = 5 // a file of the store is damaged
 )
 
@@ -34,46 +35,51 @@
 // Usage returns a UsageError, with the format of fmt.Errorf.
 func Usage(format string, a ...any) error { return UsageError{fmt.Errorf(format, a...)} }
 
-// Extension is what a larger build adds to the gateway: commands, and the components that a settings file turns on.
+// Extension is what a larger build adds to the gateway: commands, and the component that a settings file turns on.
 type Extension interface {
+	// Commands returns the commands to add to the root command.
 	Commands(getenv func(string) string) []*cobra.Command
 	// Check checks the settings file at a path.
 	Check(path string) error
-	// Open starts the component that the settings file at a path asks for.
+	// Open starts the component that the settings file at a path describes.
 	Open(path string, getenv func(string) string, log zerolog.Logger) (Component, error)
 	// ExitCode returns the exit code for a command's error.
 	ExitCode(error) int
 }
 
-// Component runs beside the gateway, which never waits for it.
+// Component runs in the gateway's process. Requests never wait for it.
 type Component interface {
-	// OverlayConfig puts what the component has stored over the configuration, before the start.
+	// OverlayConfig returns the configuration with the overrides that the component has stored. It is called before the
+	// gateway starts.
 	OverlayConfig(*config.Config) *config.Config
-	// Attach gives the component the gateway, once that has started.
+	// Attach passes the started gateway to the component.
 	Attach(Gateway)
-	// ReloadConfig reads the configuration again, with what the component has stored over it.
+	// ReloadConfig reads the configuration again, with the overrides that the component has stored.
 	ReloadConfig() (*config.Config, error)
+	// Close stops the component. It is called after the gateway has ended, or has failed to start.
 	Close()
 }
 
-// Gateway is what a component may ask of a running gateway, from any goroutine.
+// Gateway is a running gateway as a component sees it. Its methods may be called from any goroutine, but Reload and
+// Snapshot wait for the event loop and must not be called on its goroutine.
 type Gateway interface {
-	// Reload applies a configuration and returns the keys that need a restart. err is that of reading the configuration;
-	// if it is not nil nothing changes. ok is false if the gateway has ended.
+	// Reload applies a configuration and returns the keys that need a restart. err is the error of reading the
+	// configuration: if it is not nil, it is logged and nothing changes. ok is false if the gateway has ended.
 	Reload(conf *config.Config, err error) (restart []string, ok bool)
 	// Snapshot returns the router's state and the endpoint list; false if the gateway has ended.
 	Snapshot() (balance.Snapshot, discovery.EndpointList, bool)
-	// Restore gives the router the state of another, and an endpoint list, which is used if it is younger than the
-	// gateway's; nil: none.
+	// Restore loads another router's state, and an endpoint list if it is newer than the gateway's; nil: no list. It does
+	// not wait for that.
 	Restore(balance.Snapshot, *discovery.EndpointList)
-	// ObserveOutcomes has f called with the outcome of each attempt and health check, on the gateway's goroutine: f must
-	// not block.
+	// ObserveOutcomes registers f to be called with the outcome of each attempt and health check, on the event loop's
+	// goroutine: f must not block.
 	ObserveOutcomes(f func(host string, class int, o gateway.Outcome))
-	// SetZoneShares has the router use the shares of zones that a fleet has agreed on.
+	// SetZoneShares sets the shares of zones that a fleet has agreed on.
 	SetZoneShares(balance.ZoneShares)
 }
 
-// Logger returns a logger that writes lines of a level and above as JSON. An unknown level is a UsageError.
+// Logger returns a logger that writes lines of a level and above as JSON, with the gateway's name in each. An unknown
+// level is a UsageError.
 func Logger(out io.Writer, level, name string) (zerolog.Logger, error) {
 	minLevel, err := zerolog.ParseLevel(level)
 	if err != nil {
--- a/internal/app/clients_test.go
+++ b/internal/app/clients_test.go
@@ -77,7 +77,7 @@
 	}
 	client := gw.connect()
 	client.query(queryText(readForm, 99))
-	for { // what the clients above left behind comes first
+	for { // queries that the clients above left in flight come first
 		query := gw.hosts[0].nextQuery()
 		query.answer("v")
 		if strings.Contains(query.text, "id=99,") {
@@ -118,10 +118,10 @@
 	busy.want("")
 	held := gw.hosts[0].nextQuery()
 	startup := pgwire.AppendStartup(nil, "user", "worker")
-	for _, said := range [][]byte{nil, startup[:9], startup, append(startup, "Q\x00\x00\x00\x20/* id"...)} {
+	for _, sent := range [][]byte{nil, startup[:9], startup, append(startup, "Q\x00\x00\x00\x20/* id"...)} {
 		client := gw.dial()
-		client.write(said)
-		if len(said) >= len(startup) {
+		client.write(sent)
+		if len(sent) >= len(startup) {
 			client.want("")
 		}
 		client.want("closed")
@@ -167,7 +167,7 @@
 }
 
 // Clients that sent a request and stay are closed beyond a quarter of the descriptors, the longest idle first, though there
-// is capacity here: the load balancer in front has only so many connections.
+// is capacity here: the number of connections of the load balancer in front is limited.
 func TestIdleClientsAreLimitedToAQuarterOfTheDescriptors(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 64 }) // 35 clients, 26 of them active
 	var stay []*pgClient
--- a/internal/app/commands.go
+++ b/internal/app/commands.go
@@ -10,7 +10,7 @@
 	"cloverrock/internal/config"
 )
 
-// settingsVariable names the settings file where the command line does not.
+// settingsVariable is the environment variable for the path of the settings file; --settings overrides it.
 const settingsVariable = "CLOVERROCK_SETTINGS"
 
 const longHelp = `cloverrock stands between clients and groups of database hosts. Without a command it serves.
@@ -18,7 +18,7 @@
 The configuration is the JSON file that EDGE_CONFIG names; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override it.
 SIGHUP has serve read the file again and follow its discovery; SIGTERM and SIGINT end it in order.`
 
-// Main runs a command and returns the exit code. args are those behind the program's name.
+// Main runs a command and returns the exit code. args are the arguments after the program's name.
 func Main(args []string, getenv func(string) string, out, diagnostics io.Writer, ext Extension) int {
 	line := &commandLine{getenv: getenv, ext: ext}
 	root := line.root()
@@ -37,7 +37,7 @@
 	return ext.ExitCode(err)
 }
 
-// commandLine holds the values of flags.
+// commandLine holds what the commands share: environment, extension and the values of flags.
 type commandLine struct {
 	getenv       func(string) string
 	ext          Extension
@@ -108,7 +108,7 @@
 			return err
 		}
 	}
-	// The exit code has the result, too.
+	// A failed write changes nothing: the exit code states the result as well.
 	_, _ = fmt.Fprintf(cmd.OutOrStdout(), "configuration of %s is good: listen %s, discovery %s, %d classes\n",
 		conf.Name, conf.Listen, conf.Discovery, len(conf.Classes))
 	return nil
--- a/internal/app/counts.go
+++ b/internal/app/counts.go
@@ -7,13 +7,14 @@
 	"cloverrock/internal/gateway"
 )
 
-// countsInterval is how often counts are logged, in microseconds.
+// countsInterval is the time between lines of counts, in microseconds.
 const countsInterval = 1_000_000
 
 // CountsMessage marks the lines of counts, which `cloverrock-lab fleet` adds up over many gateways by their fields.
 const CountsMessage = "counts"
 
-// resultFields are the fields for the results of attempts, by balance.Result. Like those of the line, their names stay: other programs read them.
+// resultFields names the fields for the results of attempts, by balance.Result. Other programs read the line, so the names
+// of its fields do not follow those in the code.
 var resultFields = [...]string{
 	balance.Succeeded:         "served",
 	balance.Failed:            "errored",
@@ -26,7 +27,7 @@
 	balance.NotPrimary:        "missed",
 }
 
-// countsLogger logs what the gateway did since the last line.
+// countsLogger logs the counts since its last line.
 type countsLogger struct {
 	server          *server
 	hosts           map[string]*hostOutcomes // since the last line
@@ -53,7 +54,7 @@
 	})
 }
 
-// record counts an attempt; health checks are none.
+// record counts an attempt. Health checks are not attempts.
 func (c *countsLogger) record(host string, class int, o gateway.Outcome) {
 	if class == gateway.HealthCheckClass {
 		return
@@ -98,7 +99,7 @@
 // hostOutcomes counts the attempts at one host.
 type hostOutcomes struct {
 	succeeded, failed, timedOut, other int
-	latencyMs                          int // of the succeeded ones, added up
+	latencyMs                          int // sum over the succeeded attempts
 }
 
 func (n *hostOutcomes) add(o gateway.Outcome) {
@@ -115,7 +116,7 @@
 	}
 }
 
-// values returns the counts and the mean latency in the order in which the line has them.
+// values returns the counts and the mean latency in milliseconds, in the order in which they are logged.
 func (n *hostOutcomes) values() []int {
 	return []int{n.succeeded, n.failed, n.timedOut, n.other, n.latencyMs / max(n.succeeded, 1)}
 }
--- a/internal/app/fakehost_test.go
+++ b/internal/app/fakehost_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// report returns what the host says of itself; the role is 1 for a primary.
+// report returns the host's report: its role, 1 for a primary, and its log position in milliseconds.
 func (h *fakeHost) report() (role int, position int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -185,7 +185,7 @@
 	}
 }
 
-// writeEnd writes what a host says of itself behind an answer, and that it is ready again.
+// writeEnd writes an answer's messages, followed by the host's report and ReadyForQuery.
 func (q *hostQuery) writeEnd(b []byte) {
 	role, position := q.host.report()
 	b = pgwire.AppendParameterStatus(b, "rank", [...]string{"copy", "source"}[role])
--- a/internal/app/harness_test.go
+++ b/internal/app/harness_test.go
@@ -139,7 +139,7 @@
 	<-done
 }
 
-// waitForGeneration waits until the gateway uses the list of a generation.
+// waitForGeneration waits until the gateway uses the list of a generation or a later one.
 func (gw *harness) waitForGeneration(generation int64) {
 	for current := int64(0); current < generation; {
 		gw.onLoop(func() { current = gw.server.endpoints.Generation })
@@ -152,7 +152,7 @@
 	return inFlight
 }
 
-// hasUnsentBytes reports whether a client has left more unread than its next command may find.
+// hasUnsentBytes reports whether clients have left so many bytes unread that the gateway stops reading their commands.
 func (gw *harness) hasUnsentBytes() (unsent bool) {
 	gw.onLoop(func() { unsent = gw.server.frontend.UnsentBytes() > 64<<10 })
 	return unsent
@@ -188,7 +188,7 @@
 	return call
 }
 
-// dial opens a connection of a client, which says nothing yet.
+// dial opens a client's connection and sends nothing on it.
 func (gw *harness) dial() *pgClient {
 	gw.t.Helper()
 	if gw.server != nil {
--- a/internal/app/hosts_test.go
+++ b/internal/app/hosts_test.go
@@ -23,29 +23,29 @@
 	gw := startGateway(t, 0, func(c *config.Config) { c.Settings.DialTimeout = 200e3 })
 	ready := string(pgwire.AppendReadyForQuery(nil))
 	good, failed := "value v", "error "+pgwire.CodeSystemError
-	whole := string(rowMessages("v"))
-	full := string(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: pgwire.CodeTooManyConnections, Message: "no"}))
+	row := string(rowMessages("v"))
+	refusal := string(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: pgwire.CodeTooManyConnections, Message: "no"}))
 	status := func(name, value string) string { return string(pgwire.AppendParameterStatus(nil, name, value)) }
 	for name, c := range map[string]struct{ sent, want string }{
-		"a second copy":            {whole + ready + whole + ready, good},
-		"noise behind":             {whole + ready + "\xff\x00noise", good},
-		"one byte behind":          {whole + ready + "T", good},
-		"a refusal behind":         {whole + ready + full + ready, good},
-		"a report without sense":   {status("vitals", "x0=?,x1=1") + status("as_of", "-1e9") + "S\x00\x00\x00\x08open" + whole + ready, good},
+		"a second copy":            {row + ready + row + ready, good},
+		"noise behind":             {row + ready + "\xff\x00noise", good},
+		"one byte behind":          {row + ready + "T", good},
+		"a refusal behind":         {row + ready + refusal + ready, good},
+		"a malformed report":       {status("vitals", "x0=?,x1=1") + status("as_of", "-1e9") + "S\x00\x00\x00\x08open" + row + ready, good},
 		"noise":                    {"\xde\xad\xbe\xef", failed},
 		"a line":                   {"HTTP/1.1 200 OK\r\n", failed},
-		"noise before the row":     {"!" + whole + ready, failed},
-		"noise for the end":        {whole + "!", failed},
-		"two rows":                 {whole + whole + ready, failed},
-		"a row without its head":   {whole[strings.IndexByte(whole, 'D'):] + ready, failed},
+		"noise before the row":     {"!" + row + ready, failed},
+		"noise for the end":        {row + "!", failed},
+		"two rows":                 {row + row + ready, failed},
+		"a row without its header": {row[strings.IndexByte(row, 'D'):] + ready, failed},
 		"no row":                   {string(pgwire.AppendCommandComplete(nil, "SELECT 0")) + ready, failed},
 		"nothing but ready":        {ready, failed},
-		"3 GB":                     {whole[:strings.IndexByte(whole, 'D')] + "D\xb2\xd0\x5e\x00\x00\x01\xb2\xd0\x5d\xf6vvvv", failed},
+		"3 GB":                     {row[:strings.IndexByte(row, 'D')] + "D\xb2\xd0\x5e\x00\x00\x01\xb2\xd0\x5d\xf6vvvv", failed},
 		"length below 4":           {"D\x00\x00\x00\x00", failed},
-		"a value cut short":        {strings.Replace(whole, "\x00\x00\x00\x01v", "\x00\x00\x00\x00v", 1) + ready, failed},
+		"a value cut short":        {strings.Replace(row, "\x00\x00\x00\x01v", "\x00\x00\x00\x00v", 1) + ready, failed},
 		"an error without its end": {"E\x00\x00\x00\x0cC53300\x00S" + ready, failed},
-		"a refusal and more":       {full + "T" + ready, failed},
-		"an answer without end":    {whole[:len(whole)-3], failed},
+		"a refusal and more":       {refusal + "T" + ready, failed},
+		"an answer without end":    {row[:len(row)-3], failed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := gw.connect()
@@ -54,7 +54,7 @@
 				t.Fatal(err)
 			}
 			client.want(c.want)
-			if name != "a report without sense" {
+			if name != "a malformed report" {
 				gw.hosts[0].wantClosed()
 			}
 			gw.exchange(client, 2, "own")
--- a/internal/app/lifecycle.go
+++ b/internal/app/lifecycle.go
@@ -9,15 +9,15 @@
 
 // Times in microseconds.
 const (
-	// drainDelay is how long requests are accepted after SIGTERM as before it: the load balancer in front sends new
-	// connections for 0.4 s more, and clients use the open ones for up to 0.7 s.
+	// drainDelay is how long connections and requests are still accepted after SIGTERM: the load balancer in front sends
+	// new connections for another 0.4 s, and clients use open ones for up to 0.7 s.
 	drainDelay = 700_000
-	// drainGrace is added to the longest deadline before the program ends with requests still in flight.
+	// drainGrace is the time beyond the longest deadline after which the program ends with requests still in flight.
 	drainGrace = 100_000
 )
 
-// handleSignals follows the operators' signals until c is closed: SIGHUP reloads, others drain. It blocks. readConfig runs
-// on the calling goroutine, so that no request waits for the file.
+// handleSignals handles signals until c is closed: SIGHUP reloads the configuration, any other signal drains the gateway.
+// It blocks. readConfig runs on the calling goroutine, so that no request waits for the file.
 func (s *server) handleSignals(c <-chan os.Signal, readConfig func() (*config.Config, error)) {
 	for sig := range c {
 		if sig != syscall.SIGHUP {
@@ -29,8 +29,8 @@
 	}
 }
 
-// reload applies what can change in a running gateway and returns the keys that need a restart. If the configuration
-// could not be read, err says why, and nothing changes.
+// reload applies the changes that a running gateway can make and returns the keys that need a restart. err is the error of
+// reading the configuration: if it is not nil, it is logged and nothing changes.
 func (s *server) reload(conf *config.Config, err error) (restart []string) {
 	if err != nil {
 		s.log.Error().Err(err).Msg("app: reload failed, configuration unchanged")
@@ -58,7 +58,7 @@
 	s.loop.CallAt(stopAt+s.conf.LongestDeadline+drainGrace, s.loop.Stop)
 }
 
-// stopAccepting ends the delay: only connections that the system has accepted already are still taken.
+// stopAccepting ends the drain delay. Connections that the kernel has already accepted are still served.
 func (s *server) stopAccepting() {
 	s.loop.StopListening(func() { s.frontend.Shutdown(s.loop.Stop) })
 }
--- a/internal/app/pgclient_test.go
+++ b/internal/app/pgclient_test.go
@@ -32,7 +32,7 @@
 	c.write(pgwire.AppendQuery(nil, text))
 }
 
-// answer reads until the gateway is ready, or closes, and puts what came into words.
+// answer reads until the gateway is ready or closes the connection, and returns a summary of the messages.
 func (c *pgClient) answer() string {
 	c.t.Helper()
 	var got []string
@@ -79,7 +79,8 @@
 	}
 }
 
-// wantEnd waits for the end. A client that went on sending may see a reset, which takes with it what was said last.
+// wantEnd waits for the end of the connection. A client that is still sending may see a reset, which discards the last
+// messages of the gateway.
 func (c *pgClient) wantEnd() {
 	c.t.Helper()
 	if _, err := io.Copy(io.Discard, c.reader); errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/app/process_test.go
+++ b/internal/app/process_test.go
@@ -62,7 +62,7 @@
 // processMemoryMB is the memory limit in the configuration of processes.
 const processMemoryMB = 64
 
-// startProcess runs the gateway as a program of its own with a number of descriptors, with or without a known list.
+// startProcess runs the gateway as a process with a number of descriptors, with or without a known list.
 func (gw *harness) startProcess(sockets int, known bool) (*exec.Cmd, *logBuffer) {
 	t := gw.t
 	t.Helper()
@@ -127,7 +127,7 @@
 }
 
 // A process that may have 128 descriptors open, with a silent discovery and many more clients than that, which send nothing or
-// stop in their startup, goes on calling discovery and dialing hosts, and serves the clients that send requests.
+// stop in their startup, still calls discovery, dials hosts, and serves the clients that send requests.
 func TestIdleClientsLeaveDescriptorsForHostsAndDiscovery(t *testing.T) {
 	const idle = 1000
 	gw := newHarness(t, 0)
@@ -194,7 +194,7 @@
 	return kib >> 10
 }
 
-// flood has clients send whole requests, endless ones and what is none. done is closed once they have gone.
+// flood has clients send complete requests, endless ones and noise. done is closed once they have disconnected.
 func (gw *harness) flood(clients int) (done <-chan struct{}) {
 	gw.t.Helper()
 	startup := pgwire.AppendStartup(nil, "user", "worker")
--- a/internal/app/requests_test.go
+++ b/internal/app/requests_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// A write that was written whole may have run: it fails and goes nowhere else. Its connection is not used again.
+// A write that was sent completely may have run: it fails and is sent to no other host. Its connection is not used again.
 func TestWriteThatMayHaveRunIsNotRetried(t *testing.T) {
 	for name, end := range map[string]func(*hostQuery){
 		"reset": func(query *hostQuery) { query.reset() },
@@ -126,7 +126,7 @@
 	client.want("value done")
 }
 
-// A rejection says when to retry.
+// A rejection carries a Retry-After.
 func TestRejectionCarriesRetryAfter(t *testing.T) {
 	gw := startGateway(t, 0)
 	gw.hosts[0].stopListening()
@@ -176,8 +176,8 @@
 	}
 }
 
-// The id of a request that is owed an answer belongs to it: another under it gets an error and goes to no host.
-func TestIDInFlightIsRejected(t *testing.T) {
+// The id of a request in flight is taken: another request with that id gets an error and goes to no host.
+func TestSecondRequestWithAnIDInFlightIsRejected(t *testing.T) {
 	gw := startGateway(t, 0)
 	client := gw.connect()
 	other := gw.connect()
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -10,10 +10,10 @@
 	"cloverrock/internal/config"
 )
 
-// signalQueue holds signals that are not handled yet: a SIGTERM behind some SIGHUPs must not be dropped.
+// signalQueue is the number of unhandled signals that are queued: a SIGTERM after several SIGHUPs must not be dropped.
 const signalQueue = 8
 
-// serve runs the gateway, with its component if a settings file is named, until it has drained.
+// serve runs the gateway until it has drained, with a component if a settings file is named.
 func (c *commandLine) serve(cmd *cobra.Command, _ []string) error {
 	conf, err := config.Load(c.getenv)
 	if err != nil {
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -18,27 +18,40 @@
 )
 
 const (
-	// reservedDescriptors are taken by neither clients nor hosts: standard streams, engine, listener, discovery, peers,
-	// and connections on their way in or out.
+	// reservedDescriptors are left for standard streams, event loop, listener, discovery, peers, and connections that are
+	// being accepted or closed.
 	reservedDescriptors = 40
-	// maxBackendLogLines a second are written of hosts' faults: a host that only fails must not fill the log.
+	// clientDescriptorPercent is the part of the other descriptors that clients may use; connections to hosts have the rest.
+	clientDescriptorPercent = 55
+	// activeClientsDivisor divides all descriptors: with more clients than that which have sent a request, idle ones are
+	// closed.
+	activeClientsDivisor = 4
+	// maxBackendLogLines limits the log lines about hosts per second: a host that fails all the time must not fill the log.
 	maxBackendLogLines = 20
 )
 
+// Parts of the memory limit.
+const (
+	heapPercent           = 60 // the Go runtime's soft limit
+	queuedBytesDivisor    = 16 // bytes that the event loop has read and nobody has handled
+	clientBytesDivisor    = 8  // requests and incomplete messages of clients
+	backendAnswersDivisor = 8  // incomplete answers of hosts
+)
+
 // Times in microseconds.
 const (
-	// messageTimeout is for a client that connects and sends nothing, or stops within a message: the protocol promises a
-	// close within 3 s.
+	// messageTimeout limits the time that a client takes to complete a message, and its first one after it connects. The
+	// protocol promises a close within 3 s.
 	messageTimeout = 2_000_000
-	// idleTimeout is for a client between requests, which the protocol allows to be closed after 2 s.
+	// idleTimeout limits the time between requests: the protocol allows to close a client after 2 s.
 	idleTimeout = 2_000_000
-	// firstListTimeout is for the first list of a discovery agent on this machine, which answers at once unless the service
-	// is down.
+	// firstListTimeout limits the wait for the first list of a discovery agent on this machine, which answers at once
+	// unless the service is down.
 	firstListTimeout = 500_000
 )
 
-// server is a gateway with all its parts. Its methods belong to the loop's goroutine, except handleSignals and those that
-// implement Gateway.
+// server is a gateway with all its parts. Its methods must be called on the loop's goroutine, except handleSignals and
+// those that implement Gateway, which may be called from any.
 type server struct {
 	conf       *config.Config
 	log        zerolog.Logger
@@ -52,35 +65,35 @@
 	endpoints  discovery.EndpointList // the current list
 }
 
-// clock is the loop's clock as the gateway's.
+// clock implements gateway.Clock by the event loop.
 type clock struct{ *eventloop.Loop }
 
 // CallAt implements gateway.Clock.
 func (c clock) CallAt(at int64, f func()) { c.Loop.CallAt(at, f) }
 
-// timeouts are microseconds.
+// timeouts holds the timeouts that tests replace, in microseconds.
 type timeouts struct {
-	message   int64 // for a client to complete a message
-	idle      int64 // for a client between requests
-	firstList int64 // for discovery to answer before the known list is used; 0: it is used at once
+	message   int64 // as messageTimeout
+	idle      int64 // as idleTimeout
+	firstList int64 // as firstListTimeout; 0: the known list is used at once
 }
 
-// newServer starts to listen and to follow the endpoint list; the loop is still to be run. withComponent says that a
-// component runs beside the gateway.
+// newServer starts to listen and to follow the endpoint list; the caller runs the loop. withComponent is true if a
+// component runs in the same process.
 func newServer(conf *config.Config, t timeouts, withComponent bool, log zerolog.Logger) (*server, error) {
 	limitRuntime(conf, withComponent)
 	router, err := balance.New(conf.Settings, conf.Seed)
 	if err != nil {
 		return nil, err
 	}
-	loop := eventloop.New(conf.Sockets, bytesOf(conf, 16), log)
+	loop := eventloop.New(conf.Sockets, memoryBytes(conf)/queuedBytesDivisor, log)
 	s := &server{conf: conf, log: log, loop: loop, drainDelay: drainDelay}
 	s.gateway = gateway.New(router, clock{loop}, log)
 	maxClients, maxHosts := connectionLimits(conf.Sockets)
 	s.frontend = frontend.New(loop, s.gateway, conf.Classes, frontend.Limits{
 		Connections:       maxClients,
-		ActiveConnections: max(conf.Sockets/4, 1),
-		Bytes:             bytesOf(conf, 8),
+		ActiveConnections: max(conf.Sockets/activeClientsDivisor, 1),
+		Bytes:             memoryBytes(conf) / clientBytesDivisor,
 		MessageTimeout:    t.message,
 		IdleTimeout:       t.idle,
 	}, log)
@@ -88,7 +101,7 @@
 		DialTimeout: conf.Settings.DialTimeout,
 		IdleClose:   conf.IdleClose,
 		Connections: maxHosts,
-		Bytes:       bytesOf(conf, 8),
+		Bytes:       memoryBytes(conf) / backendAnswersDivisor,
 	}, log.Sample(&zerolog.BurstSampler{Burst: maxBackendLogLines, Period: time.Second}))
 
 	pollsFirst := s.pollsBeforeKnownList(t)
@@ -109,26 +122,26 @@
 	return s, nil
 }
 
-// limitRuntime has the Go runtime use one thread and most of the memory. With a component, that has a thread of its own.
+// limitRuntime sets the Go runtime's limits: most of the memory, and one thread unless a component needs another.
 func limitRuntime(conf *config.Config, withComponent bool) {
 	if !withComponent {
-		runtime.GOMAXPROCS(1) // a gateway has one core; a second thread costs it more than it brings
+		runtime.GOMAXPROCS(1) // a gateway has one core; a second thread costs more than it gains
 	}
-	debug.SetMemoryLimit(int64(conf.MemoryMB) << 20 * 6 / 10)
+	debug.SetMemoryLimit(int64(memoryBytes(conf)) * heapPercent / 100)
 }
 
-// bytesOf returns a part of the gateway's memory.
-func bytesOf(conf *config.Config, divisor int) int { return conf.MemoryMB << 20 / divisor }
+// memoryBytes returns the memory limit in bytes.
+func memoryBytes(conf *config.Config) int { return conf.MemoryMB << 20 }
 
-// connectionLimits divides the descriptors between clients and hosts.
+// connectionLimits divides the descriptors between connections of clients and connections to hosts.
 func connectionLimits(sockets int) (maxClients, maxHosts int) {
 	free := sockets - reservedDescriptors
-	maxClients = free * 11 / 20 // 55 %
+	maxClients = free * clientDescriptorPercent / 100
 	return maxClients, free - maxClients
 }
 
-// pollsBeforeKnownList reports whether discovery is asked for the complete list before the known one is used: an agent on
-// this machine holds the list, and what it holds counts as delivered from the start, while the known one may be older.
+// pollsBeforeKnownList reports whether the complete list is requested from discovery before the known one is used. An
+// agent on this machine has the current list, which counts as delivered from the start, while the known one may be older.
 func (s *server) pollsBeforeKnownList(t timeouts) bool {
 	return s.conf.KnownEndpoints != nil && !s.conf.Settings.MustSubscribe && t.firstList > 0
 }
@@ -153,7 +166,8 @@
 	})
 }
 
-// useKnownList uses the known list, if there is one: at once, or if discovery does not answer within a time.
+// useKnownList applies the known list, if there is one: at once, or with pollsFirst after a timeout (µs) within which
+// discovery has not answered.
 func (s *server) useKnownList(pollsFirst bool, timeout int64) {
 	if s.conf.KnownEndpoints == nil {
 		return
@@ -172,7 +186,7 @@
 	})
 }
 
-// endpointsUpdated applies a list. The pool gets it first: the gateway may use its hosts at once.
+// endpointsUpdated applies a list. The pool receives it first: the gateway may use its hosts at once.
 func (s *server) endpointsUpdated(l discovery.EndpointList) {
 	var removed []string
 	for _, endpoint := range l.Endpoints {
--- a/internal/app/shutdown_test.go
+++ b/internal/app/shutdown_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Clients go on sending after SIGTERM. What is in a connection's socket when it ends is read and answered: a request, half
-// of one, the first half of several, a startup with its query behind it.
+// Clients still send after SIGTERM. What is in a connection's socket when it ends is read and answered: a request, half
+// of one, the first half of several, a startup followed by its query.
 func TestShutdownAnswersWhatIsInTheSocket(t *testing.T) {
 	startup := pgwire.AppendStartup(nil, "user", "worker")
 	query := func(ids ...int) (b []byte) {
@@ -113,7 +113,7 @@
 }
 
 // A client that reads slowly is idle with its answer half written: neither a new client nor the shutdown cuts it off.
-func TestSlowReaderGetsItsWholeAnswer(t *testing.T) {
+func TestSlowReaderGetsItsCompleteAnswer(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 4 }) // 2 clients
 	slow := gw.connect()
 	other := gw.connect()
