--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -34,7 +34,7 @@
 	if err := c.setFleet(&options); err != nil {
 		return err
 	}
-	if err := options.CheckWords(); err != nil {
+	if err := options.Validate(); err != nil {
 		if faulty, ok := errors.AsType[*simprotocol.OptionError](err); ok {
 			return &Error{"settings." + faulty.Key, faulty.Err}
 		}
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -7,7 +7,7 @@
 	"cloverrock/balance"
 )
 
-// actionWords are the simulator's words for the module's actions.
+// actionWords maps balance.ActionKind to the first word of the action's line.
 var actionWords = [...]string{
 	balance.SendAction:          "issue",
 	balance.CancelAction:        "recall",
@@ -78,7 +78,7 @@
 	return append(b, '\n')
 }
 
-// oneLine replaces control characters by blanks.
+// oneLine replaces control characters by blanks, so that the text cannot end the line.
 func oneLine(s string) string {
 	out := []byte(s)
 	for i, ch := range out {
@@ -99,7 +99,7 @@
 	return strconv.AppendInt(b, value, 10)
 }
 
-// appendMilliseconds writes microseconds as milliseconds, with three decimals where they are not whole.
+// appendMilliseconds appends microseconds as milliseconds, with three decimals unless the number is an integer.
 func appendMilliseconds(b []byte, name string, us int64) []byte {
 	b = append(b, name...)
 	if us < 0 {
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -17,13 +17,13 @@
 // noList is Codec.filling while no list is being read.
 const noList = -1
 
-// Codec reads events. It holds what spans lines: numbered endpoint lists and interned host names. It is not safe for
-// concurrent use.
+// Codec decodes events. It holds the state that spans lines: numbered endpoint lists and interned host names. It is not
+// safe for concurrent use.
 type Codec struct {
 	hostNames map[string]string
 	lists     [maxLists][]balance.Endpoint
-	filling   int // number of the list that takes the next endpoints, or noList
-	missing   int // endpoints that the list still lacks
+	filling   int // number of the list that receives the next endpoints, or noList
+	missing   int // number of endpoints that are still to come
 }
 
 // NewCodec returns a codec without lists.
@@ -39,7 +39,7 @@
 	return name
 }
 
-// results are the simulator's words for the results of attempts.
+// results maps the protocol's names for the results of attempts.
 var results = map[string]balance.Result{
 	"done":         balance.Succeeded,
 	"err":          balance.Failed,
@@ -52,7 +52,7 @@
 	"enoent":       balance.NotPrimary,
 }
 
-// ErrUnknownMessage reports a message that the codec does not know; it is to be skipped.
+// ErrUnknownMessage reports a message of an unknown type. The caller should skip the line.
 var ErrUnknownMessage = errors.New("unknown message")
 
 // ParseInstance returns the number of the instance to which a line is addressed.
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// AddEndpoint reads an endpoint into the list that was begun last. The simulator numbers states as the module does.
+// AddEndpoint appends an endpoint to the list that was begun last. The protocol numbers states as package balance does.
 func (c *Codec) AddEndpoint(l Line) error {
 	if c.filling == noList || c.missing == 0 {
 		return l.errorf("an entry outside a list")
@@ -126,8 +126,9 @@
 	return nil
 }
 
-// ParseEvent reads a message into ev. positionOrigin is the instance's, in microseconds. For an unknown message the error
-// is ErrUnknownMessage, for a faulty one a *LineError; ev then has no meaning.
+// ParseEvent decodes a message into ev. positionOrigin is the instance's, as returned by ParseStart. The error is
+// ErrUnknownMessage or a *LineError; the contents of ev are then undefined. The event may share the memory of the codec's
+// endpoint lists, but not that of the line.
 func (c *Codec) ParseEvent(l Line, positionOrigin int64, ev *balance.Event) error {
 	*ev = balance.Event{}
 	r := valueReader{line: l}
@@ -228,10 +229,10 @@
 	return parseReport(l.Get("feedback"), positionOrigin, &ev.Report)
 }
 
-// primaryThreshold is the value from which on a host reports itself as primary.
+// primaryThreshold is the least value of x1 that means primary.
 const primaryThreshold = 0.5
 
-// parseReport reads a host's report: name:value pairs behind commas. Unknown names are skipped.
+// parseReport decodes a host's report: name:value pairs separated by commas. Unknown names are skipped.
 func parseReport(b []byte, positionOrigin int64, report *balance.HostReport) error {
 	for len(b) > 0 {
 		var pair []byte
@@ -256,7 +257,7 @@
 	return nil
 }
 
-// noContents stands for a message without contents.
+// noContents is the value of contents in a message without any.
 const noContents = "-"
 
 func parseGossip(r *valueReader, ev *balance.Event) error {
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -9,8 +9,8 @@
 	"cloverrock/internal/golden"
 )
 
-// Each kind of action is written as the same line as ever.
-func TestActionsKeepTheirForm(t *testing.T) {
+// Each kind of action is encoded as the same line as by earlier versions.
+func TestActionsAreEncodedAsBefore(t *testing.T) {
 	actions := []struct {
 		name   string
 		action balance.Action
@@ -38,8 +38,8 @@
 	golden.Check(t, "actions.golden", cases)
 }
 
-// Each kind of line is read as the same event as ever: what a line says under each of its names, and nothing else.
-func TestEventsKeepTheirForm(t *testing.T) {
+// Each kind of line is decoded to the same event as by earlier versions: each named part sets its field and no other.
+func TestEventsAreDecodedAsBefore(t *testing.T) {
 	entries := []balance.Endpoint{{Host: "h", Zone: 1, Group: 2, Kind: 3, State: balance.Draining, Primary: true, Weight: 2.5, StartedAt: 1500}}
 	report := balance.HostReport{HasPosition: true, Position: 1_500_007, HasRole: true, Primary: true}
 	tests := []struct {
@@ -83,9 +83,8 @@
 	}
 }
 
-// Each name of a start line's options has the same effect as ever. The names are those that the simulator writes, whatever
-// our code calls them.
-func TestStartOptionsKeepTheirEffect(t *testing.T) {
+// Each option of a start line has the same effect as in earlier versions. The keys are the protocol's.
+func TestStartOptionsAreDecodedAsBefore(t *testing.T) {
 	line := `start who=1 entropy=18446744073709551615 options={"zone":1,"zones":["a","b"],"hostTypes":["x"],"tickMs":5,"discovery":"subscribe",` +
 		`"classes":[{"name":"n","aimMs":1,"deadlineMs":2,"windowMs":3,"worth":4,"lateWorth":0.5,"aimStretch":6,"repeat":"idempotency_key","group":"cell"},` +
 		`{"repeat":"non_idempotent","group":"zone"},{},{},{}],"balancers":3,"ordinal":2,"costs":{"crossZone":7,"peer":8},` +
--- a/internal/simprotocol/line.go
+++ b/internal/simprotocol/line.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Line is one line of the protocol: a word, then name=value parts in any order.
+// Line is one line of the protocol: a word that gives its type, then name=value parts in any order.
 type Line struct{ Word, parts []byte }
 
 // ParseLine splits a line. The result refers to the line's memory.
@@ -48,9 +48,9 @@
 	return part[len(name)+1:], true
 }
 
-// LineError reports a line that can't be read; Word is the line's first.
+// LineError reports a line that can't be decoded.
 type LineError struct {
-	Word string
+	Word string // the line's first word, or "feedback" for a fault in a host's report
 	Err  error
 }
 
@@ -63,7 +63,7 @@
 	return &LineError{string(l.Word), fmt.Errorf(format, args...)}
 }
 
-// valueReader converts a line's parts and keeps the first error. Absent parts are 0.
+// valueReader converts the values of a line's parts and records the first error. Absent parts are 0.
 type valueReader struct {
 	line Line
 	err  error
@@ -75,7 +75,7 @@
 	}
 }
 
-// maxFastDigits is the longest row of digits that is read without strconv.
+// maxFastDigits is the largest number of digits that is converted without strconv.
 const maxFastDigits = 19
 
 func (r *valueReader) int(name string) int64 {
@@ -96,7 +96,7 @@
 	return n
 }
 
-// parseInt reads what the fast path does not: signs, long numbers, and whole numbers written as fractions.
+// parseInt converts what the fast path does not: signs, long numbers, and integers written as fractions ("7.0").
 func (r *valueReader) parseInt(name string, b []byte) int64 {
 	n, err := strconv.ParseInt(string(b), 10, 64)
 	if err == nil {
@@ -111,7 +111,7 @@
 
 func (r *valueReader) bool(name string) bool { return r.int(name) != 0 }
 
-// milliseconds reads decimal milliseconds as microseconds.
+// milliseconds converts a part in decimal milliseconds to microseconds.
 func (r *valueReader) milliseconds(name string) int64 {
 	b := r.line.Get(name)
 	if b == nil {
@@ -127,7 +127,7 @@
 // maxMilliseconds bounds times, so that their microseconds fit into an int64.
 const maxMilliseconds = 9e15
 
-// parseMilliseconds reads decimal milliseconds as whole microseconds, rounded to the nearest.
+// parseMilliseconds converts decimal milliseconds to microseconds, rounded to the nearest integer.
 func parseMilliseconds(b []byte) (us int64, ok bool) {
 	ms, ok := parseFloat(b)
 	if !ok || math.Abs(ms) > maxMilliseconds {
--- a/internal/simprotocol/line_test.go
+++ b/internal/simprotocol/line_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestUnknownMessageIsAnErrorOfItsOwn(t *testing.T) {
+func TestUnknownMessageIsReportedAsErrUnknownMessage(t *testing.T) {
 	var ev balance.Event
 	if err := NewCodec().ParseEvent(ParseLine([]byte("strange who=1")), 0, &ev); !errors.Is(err, ErrUnknownMessage) {
 		t.Error(err)
--- a/internal/simprotocol/options.go
+++ b/internal/simprotocol/options.go
@@ -9,8 +9,8 @@
 	"cloverrock/balance"
 )
 
-// Options is the settings object of a start message, which the gateway finds in its configuration as well. Keys that are
-// not listed are skipped. Fields ending in Ms are milliseconds.
+// Options is the settings object of a start message; the key settings of the gateway's configuration has the same form.
+// Keys that are not listed are ignored. Fields ending in Ms are milliseconds.
 type Options struct {
 	Zone        int          `json:"zone"`
 	Zones       []string     `json:"zones"`
@@ -26,7 +26,7 @@
 	Obligations HostOptions  `json:"obligations"`
 }
 
-// ClassEntry describes a class of requests. What ExtraOptions says of it stands there at the same index.
+// ClassEntry describes a class of requests. The lists of ExtraOptions have further properties of it at the same index.
 type ClassEntry struct {
 	Name                  string  `json:"name"`
 	LatencyObjectiveMs    float64 `json:"aimMs"`
@@ -39,22 +39,22 @@
 	DeduplicationScope    string  `json:"group"`
 }
 
-// CostOptions are prices as parts of the result.
+// CostOptions are the prices of side effects, as parts of the simulator's score.
 type CostOptions struct {
-	CrossZone float64 `json:"crossZone"`
-	Gossip    float64 `json:"peer"`
+	CrossZone float64 `json:"crossZone"` // of an attempt in another zone
+	Gossip    float64 `json:"peer"`      // of gossip; see gossipBytesPerRequest
 }
 
 // ExtraOptions concern positions and sessions.
 type ExtraOptions struct {
-	PositionOriginMs    float64   `json:"baseTimeMs"`
+	PositionOriginMs    float64   `json:"baseTimeMs"`       // origin of log positions on the simulator's clock
 	Consistency         []string  `json:"classRead"`        // by class
 	MaxStalenessMs      []float64 `json:"stalenessBoundMs"` // by class
 	HostStalenessChecks string    `json:"serverChecks"`
 	SessionPositions    string    `json:"tokens"`
 }
 
-// LimitOptions say what a gateway may do.
+// LimitOptions are the features that a gateway may use and its limits.
 type LimitOptions struct {
 	Cancellation    bool    `json:"cancel"`
 	HealthChecks    bool    `json:"probes"`
@@ -74,53 +74,55 @@
 	OnlyDrainingExcludes      bool    `json:"drainBindsAlone"`
 }
 
-// words maps the words that a key may have to their values, in the order in which errors list them.
-type words[T any] []struct {
+// enum maps the texts that a key may have to their values, in the order in which errors list them.
+type enum[T any] []struct {
 	text  string
 	value T
 }
 
-// value returns the zero value for an unknown word: the simulator may know more words than the module.
-func (w words[T]) value(text string) T {
-	for _, word := range w {
-		if word.text == text {
-			return word.value
+// value returns the value of a text. An unknown text has the zero value: a later simulator may use texts that this version
+// does not have.
+func (e enum[T]) value(text string) T {
+	for _, entry := range e {
+		if entry.text == text {
+			return entry.value
 		}
 	}
 	var zero T
 	return zero
 }
 
-// check returns an *OptionError if a key's text is none of its words.
-func (w words[T]) check(key, text string) error {
-	var known []string
-	for _, word := range w {
-		if word.text == text {
+// check returns an *OptionError unless a key's text is one of the enum's.
+func (e enum[T]) check(key, text string) error {
+	var valid []string
+	for _, entry := range e {
+		if entry.text == text {
 			return nil
 		}
-		if word.text != "" { // the empty word stands for a key that is left out
-			known = append(known, word.text)
+		if entry.text != "" { // the empty text is that of an absent key
+			valid = append(valid, entry.text)
 		}
 	}
-	return &OptionError{key, fmt.Errorf("is %q; want one of %s", text, strings.Join(known, ", "))}
+	return &OptionError{key, fmt.Errorf("is %q; want one of %s", text, strings.Join(valid, ", "))}
 }
 
+// The values of each enumerated key.
 var (
-	subscriptions = words[bool]{{"", false}, {"automatic", false}, {"subscribe", true}}
-	hostChecks    = words[bool]{{"", false}, {"none", false}, {"reject", true}, {"hold", true}}
-	clientTokens  = words[bool]{{"", false}, {"client", true}, {"router", false}}
-	retrySafeties = words[balance.RetrySafety]{
+	subscriptions = enum[bool]{{"", false}, {"automatic", false}, {"subscribe", true}}
+	hostChecks    = enum[bool]{{"", false}, {"none", false}, {"reject", true}, {"hold", true}}
+	clientTokens  = enum[bool]{{"", false}, {"client", true}, {"router", false}}
+	retrySafeties = enum[balance.RetrySafety]{
 		{"read_like", balance.Idempotent},
 		{"idempotency_key", balance.IdempotencyKey},
 		{"non_idempotent", balance.NonIdempotent},
 	}
-	scopes = words[balance.DeduplicationScope]{
+	scopes = enum[balance.DeduplicationScope]{
 		{"", balance.ScopeGlobal},
 		{"all", balance.ScopeGlobal},
 		{"cell", balance.ScopeGroup},
 		{"zone", balance.ScopeZone},
 	}
-	consistencies = words[balance.Consistency]{
+	consistencies = enum[balance.Consistency]{
 		{"loose", balance.Eventual},
 		{"recent", balance.BoundedStaleness},
 		{"own_writes", balance.ReadYourWrites},
@@ -129,7 +131,7 @@
 	}
 )
 
-// OptionError reports a wrong option. Key is its path in the settings object.
+// OptionError reports an invalid option. Key is its path in the settings object.
 type OptionError struct {
 	Key string
 	Err error
@@ -140,10 +142,10 @@
 // Unwrap returns the cause.
 func (e *OptionError) Unwrap() error { return e.Err }
 
-// CheckWords checks the keys whose values are words, and that each class with bounded staleness has a bound. A misspelt
-// word must not pass for the mildest: a write that must never run twice would be retried, or a read answered from data of
-// any age. The error is an *OptionError.
-func (o *Options) CheckWords() error {
+// Validate checks the enumerated keys, and that each class with bounded staleness has a bound. A misspelt text must not be
+// taken for the zero value, as Settings does: a write that must never run twice would be retried, or a read answered from
+// data of any age. The error is an *OptionError.
+func (o *Options) Validate() error {
 	if n := len(o.Extra.Consistency); n != len(o.Classes) {
 		err := fmt.Errorf("names %d classes, but settings.classes has %d", n, len(o.Classes))
 		return &OptionError{"extra.classRead", err}
@@ -164,7 +166,7 @@
 		return err
 	}
 	for i := range o.Classes {
-		if err := o.checkClassWords(i); err != nil {
+		if err := o.validateClass(i); err != nil {
 			return err
 		}
 	}
@@ -175,7 +177,7 @@
 	return class < len(o.Extra.MaxStalenessMs) && o.Extra.MaxStalenessMs[class] >= 0
 }
 
-func (o *Options) checkClassWords(i int) error {
+func (o *Options) validateClass(i int) error {
 	class := &o.Classes[i]
 	if err := retrySafeties.check(fmt.Sprintf("classes[%d].repeat", i), class.RetrySafety); err != nil {
 		return err
@@ -186,11 +188,14 @@
 	return consistencies.check(fmt.Sprintf("extra.classRead[%d]", i), o.Extra.Consistency[i])
 }
 
-// microseconds rounds milliseconds to whole microseconds.
+// unknownOrdinal is balance.Settings.Ordinal of a gateway that does not know its place in the fleet.
+const unknownOrdinal = -1
+
+// microseconds converts milliseconds to microseconds, rounded to the nearest integer.
 func microseconds(ms float64) int64 { return int64(math.Round(ms * 1000)) }
 
-// gossipBytesPerRequest returns how many bytes of gossip a request pays for, counted once for each gateway that receives
-// them. The price is due in full at fullPriceBytes for each request; gossip may take maxGossipShare of the result.
+// gossipBytesPerRequest returns the budget of gossip for each request in bytes, counted once for each gateway that receives
+// them. At fullPriceBytes for each request gossip costs the price; it may cost up to maxGossipShare of the score.
 func gossipBytesPerRequest(price float64) float64 {
 	const (
 		fullPriceBytes = 256
@@ -200,8 +205,8 @@
 	return fullPriceBytes * maxGossipShare / max(price, minPrice)
 }
 
-// Settings converts the options into the decision module's settings. The second result is the origin of log positions
-// on the clock, in microseconds.
+// Settings converts the options into the settings of package balance. positionOrigin is the origin of log positions on the
+// simulator's clock, in microseconds. Unknown texts of enumerated keys have the zero value; Validate reports them.
 func (o *Options) Settings() (settings balance.Settings, positionOrigin int64) {
 	settings = balance.Settings{
 		Zone:                    o.Zone,
@@ -224,7 +229,7 @@
 	if o.Limits.Gossip {
 		settings.Gateways = o.Gateways
 		settings.GossipBytesPerRequest = gossipBytesPerRequest(o.Costs.Gossip)
-		settings.Ordinal = -1 // unknown
+		settings.Ordinal = unknownOrdinal
 		if o.Ordinal != nil {
 			settings.Ordinal = *o.Ordinal
 		}
--- a/internal/simprotocol/start.go
+++ b/internal/simprotocol/start.go
@@ -1,5 +1,6 @@
-// Package simprotocol reads and writes the simulator's line protocol. It translates between its words and the decision
-// module's types and decides nothing.
+// Package simprotocol encodes and decodes the simulator's line protocol: it translates between the protocol's names and the
+// types of package balance, and takes no decisions. ParseLine splits a line, ParseStart and Codec decode messages to an
+// instance, and AppendAction encodes what an instance does. The names of the protocol appear in this package only.
 package simprotocol
 
 import (
