--- a/cmd/cloverrock-lab/main.go
+++ b/cmd/cloverrock-lab/main.go
@@ -1,4 +1,4 @@
-// Command cloverrock-lab plays models of the gateway and the store, and rehearses failures of real processes, on this
+// Command cloverrock-lab simulates the gateway and the store, and tests real processes of them under faults, on this
 // machine's loopback addresses only.
 package main
 
@@ -24,7 +24,7 @@
 	exitFailed     = 2 // the experiment could not be run
 )
 
-// errFaultFound is returned by an experiment that ran to its end and found a violated rule.
+// errFaultFound is returned by an experiment that ran to its end and found a violated invariant.
 var errFaultFound = errors.New("the experiment found a fault")
 
 func main() {
@@ -80,8 +80,8 @@
 	fmt.Fprintf(os.Stderr, format+"\n", args...)
 }
 
-// processContext returns the context of a run with real processes, which ends after the bound or at a signal. Where no
-// program is named it fills in the gateway's program beside this one.
+// processContext returns the context of a run with real processes, as signalContext does. If *program is empty it sets it
+// to the path of the gateway's program in the directory of this one.
 func processContext(bound time.Duration, program *string) (context.Context, context.CancelFunc, error) {
 	if *program == "" {
 		var err error
@@ -93,7 +93,7 @@
 	return ctx, cancel, nil
 }
 
-// signalContext returns a context that ends after the bound or at SIGINT or SIGTERM.
+// signalContext returns a context that is canceled after the bound or at SIGINT or SIGTERM.
 func signalContext(bound time.Duration) (context.Context, context.CancelFunc) {
 	signals, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	ctx, stopTimer := context.WithTimeout(signals, bound)
--- a/cmd/cloverrock-lab/processes.go
+++ b/cmd/cloverrock-lab/processes.go
@@ -21,7 +21,8 @@
 	return cmd
 }
 
-// playProcesses plays once, writes the result, and returns an error that names the faults which the check finds in it.
+// playProcesses makes one run and writes its result. The error is errFaultFound, with the names of the faults that the
+// check finds in the result, or says why the run was not possible.
 func playProcesses(
 	cmd *cobra.Command, options processrig.Options, path string, check func(*processrig.Result) []string,
 ) error {
@@ -74,10 +75,10 @@
 	defaults := fleetDefaults{gateways: 50, hosts: 60, members: 5, use: 0.15, plan: "none"}
 	addFleetFlags(cmd.Flags(), &options, defaults, processrig.Plans)
 	cmd.Flags().StringVar(&options.Policy, "policy", "",
-		"random: gateways tell one another nothing; before: --program is another version, and the result says so")
+		"random: gateways send no gossip; before: --program is another version, which the result records")
 	cmd.Flags().StringVar(&options.Break, "break", "",
-		"blind-herd: all go to the host told to be least loaded; subset-fixed: all know the same part of the hosts; "+
-			"abrupt: restarts give no time to end; each must be found")
+		"blind-herd: all use the host reported as least loaded; subset-fixed: all have the same part of the hosts; "+
+			"abrupt: restarts allow no graceful shutdown; the checks must find each")
 	addProgramFlag(cmd, &options.Program)
 	addReportFlag(cmd, &path)
 	return cmd
@@ -100,9 +101,9 @@
 	addFleetFlags(cmd.Flags(), &options, defaults, processrig.ZonePlans)
 	cmd.Flags().IntVar(&options.Zoned.Zones, "zones", 3, "zones, over which hosts and gateways are spread")
 	cmd.Flags().StringVar(&policy, "policy", "",
-		"alone: each gateway decides for itself; off: and they tell one another nothing")
+		"alone: each gateway decides for itself; off: and they send no gossip")
 	cmd.Flags().StringVar(&options.Zoned.Break, "break", "",
-		"quorum, pace, capacity: what the gateways do without; it must be found")
+		"quorum, pace, capacity: the rule that the gateways skip; the checks must find it")
 	addProgramFlag(cmd, &options.Program)
 	addReportFlag(cmd, &path)
 	return cmd
--- a/cmd/cloverrock-lab/storechaos.go
+++ b/cmd/cloverrock-lab/storechaos.go
@@ -16,7 +16,7 @@
 	var quiet bool
 	cmd := &cobra.Command{
 		Use:   "store-chaos",
-		Short: "Kill, cut and restart real instances of the store under load, and check what clients were told",
+		Short: "Kill, cut and restart real instances of the store under load, and check the answers that clients got",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := signalContext(options.For + 2*time.Minute)
@@ -39,12 +39,12 @@
 	}
 	flags := cmd.Flags()
 	flags.IntVar(&options.Instances, "instances", 3, "instances of the store")
-	flags.DurationVar(&options.For, "for", 30*time.Second, "how long faults go on")
+	flags.DurationVar(&options.For, "for", 30*time.Second, "how long faults occur")
 	flags.Uint64Var(&options.Seed, "seed", 1, "decides the faults and the operations")
 	flags.BoolVar(&options.LoseSyncs, "break-fsync", false, "the log is not synced, and a loss of power drops it: the check must find it")
 	addProgramFlag(cmd, &options.Program)
 	flags.BoolVar(&options.Keep, "keep", false, "keep the directory with the logs of the instances")
-	flags.BoolVar(&quiet, "quiet", false, "do not tell what happens")
+	flags.BoolVar(&quiet, "quiet", false, "do not log what happens")
 	addReportFlag(cmd, &path)
 	return cmd
 }
--- a/cmd/cloverrock-lab/storesim.go
+++ b/cmd/cloverrock-lab/storesim.go
@@ -25,7 +25,7 @@
 	hash         hash.Hash64
 }
 
-// seedViolations is what the checks found with one seed.
+// seedViolations lists the violations that the checks found with one seed.
 type seedViolations struct {
 	Seed uint64   `json:"seed"`
 	What []string `json:"what"`
@@ -59,12 +59,12 @@
 	flags.IntVar(&run.options.Seconds, "for", 20, "simulated seconds under faults")
 	flags.BoolVar(&run.options.LoseSyncs, "break-fsync", false, "syncs do nothing: the checks must find it")
 	flags.BoolVar(&run.options.ResendAsNew, "break-sessions", false, "retries come as new commands: the checks must find it")
-	flags.BoolVar(&trace, "trace", false, "tell on standard error what happens")
+	flags.BoolVar(&trace, "trace", false, "log what happens to standard error")
 	addReportFlag(cmd, &path)
 	return cmd
 }
 
-// play plays each seed. raft draws its election timeouts from crypto/rand, which is replaced meanwhile.
+// play simulates each seed. raft draws its election timeouts from crypto/rand, so its reader is replaced meanwhile.
 func (r *storeSimRun) play(cmd *cobra.Command) {
 	systemRandom := rand.Reader
 	defer func() { rand.Reader = systemRandom }()
--- a/cmd/cloverrock/main.go
+++ b/cmd/cloverrock/main.go
@@ -1,4 +1,5 @@
-// The runtime would hold files open to follow the limit of cores; the gateway runs one thread at a time as it is.
+// By default the runtime keeps files open to follow changes of the container's CPU limit. The gateway sets GOMAXPROCS
+// itself and needs the descriptors.
 //
 //go:debug containermaxprocs=0
 //go:debug updatemaxprocs=0
@@ -14,7 +15,7 @@
 	"cloverrock/internal/launcher"
 )
 
-// fullProgram is the program with the store.
+// fullProgram is the name of the program that contains the store.
 const fullProgram = "cloverrockd"
 
 func main() {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -17,9 +17,9 @@
 	}
 }
 
-const bufferSize = 1 << 20 // bytes, each way
+const bufferSize = 1 << 20 // bytes of each buffer
 
-// run answers batches until the input ends. Lines that can't be used are reported to diagnostics and skipped.
+// run answers batches until the input ends. Invalid lines are reported to diagnostics and skipped.
 func run(in io.Reader, out, diagnostics io.Writer) error {
 	lines := &lineReader{in: bufio.NewReaderSize(in, bufferSize)}
 	replies := bufio.NewWriterSize(out, bufferSize)
@@ -46,7 +46,8 @@
 	long []byte // the beginning of a line that does not fit
 }
 
-// next returns the next line without its end. It is valid until the next call, and may come with an error.
+// next returns the next line without its line break. The line is valid until the next call. It may be returned together
+// with an error, such as io.EOF after a last line without a line break.
 func (r *lineReader) next() ([]byte, error) {
 	r.long = r.long[:0]
 	line, err := r.in.ReadSlice('\n')
--- a/cmd/simadapter/simulation.go
+++ b/cmd/simadapter/simulation.go
@@ -16,15 +16,15 @@
 	positionOrigin int64 // µs on the simulator's clock
 }
 
-// simulation holds the instances and what spans the lines of a batch.
+// simulation holds the instances, and the state that spans the lines of a batch.
 type simulation struct {
 	codec       *simprotocol.Codec
 	instances   map[int]*instance
 	diagnostics io.Writer
-	now         int64 // µs; the clock of the batch
-	event       balance.Event
-	actions     []balance.Action
-	reply       []byte // to the batch
+	now         int64            // µs on the simulator's clock, for all events of the batch
+	event       balance.Event    // reused between messages
+	actions     []balance.Action // reused between messages
+	reply       []byte           // to the batch, so far
 }
 
 func newSimulation(diagnostics io.Writer) *simulation {
@@ -118,7 +118,8 @@
 	return nil
 }
 
-// decide has the instance handle the event. A panic in the module ends that instance alone, by an exception.
+// decide has the instance handle the event and appends its actions to the reply. A panic ends only that instance; it is
+// reported to the simulator as an exception.
 func (s *simulation) decide(number int, inst *instance) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -1,4 +1,4 @@
-// Package deploy holds the forms that operators' files have to keep: they lie beside the files, and in the program.
+// Package deploy embeds the JSON Schemas of the files that operators write, which the program checks.
 package deploy
 
 import _ "embed"
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy plays what the gateway needs around it, to try it by hand: discovery and a group of three database
-// hosts that keep small objects in memory. It is a toy: nothing is stored and replicas never lag.
+// Command toy emulates what a gateway needs around it, to try one by hand: the discovery service and a group of three
+// database hosts, which share small objects in memory. It is a toy: nothing is stored on disk and replicas never lag.
 package main
 
 import (
@@ -17,40 +17,46 @@
 	"cloverrock/internal/pgwire"
 )
 
-const discovery = "127.0.0.1:8500"
+const (
+	discoveryAddress = "127.0.0.1:8500"
+	hostCount        = 3
+	// heartbeat is the longest time between two lines of a watch.
+	heartbeat = 2 * time.Second
+)
+
+// The two statements that the hosts execute.
+var (
+	insertStatement = regexp.MustCompile(`(?i)INSERT INTO objects.*VALUES \('([^']*)', '([^']*)'\)`)
+	lookupStatement = regexp.MustCompile(`(?i)WHERE oid = '([^']*)'`)
+)
 
 // group is the three hosts with the objects that they share.
 type group struct {
 	mu         sync.Mutex
-	changed    *sync.Cond
-	generation int
-	primary    string
-	addresses  map[string]string
-	objects    map[string]string
-
-	insert, lookup *regexp.Regexp
+	changed    *sync.Cond        // signaled at each new generation, and at heartbeats
+	generation int               // of the endpoint list
+	primary    string            // id of the primary
+	addresses  map[string]string // by id; constant once discovery is served
+	objects    map[string]string // values by key
 }
 
 func main() {
-	g := &group{
-		generation: 1, primary: "toy-1", objects: map[string]string{}, addresses: map[string]string{},
-		insert: regexp.MustCompile(`(?i)INSERT INTO objects.*VALUES \('([^']*)', '([^']*)'\)`),
-		lookup: regexp.MustCompile(`(?i)WHERE oid = '([^']*)'`),
-	}
+	g := &group{generation: 1, primary: "toy-1", objects: map[string]string{}, addresses: map[string]string{}}
 	g.changed = sync.NewCond(&g.mu)
-	for i := 1; i <= 3; i++ {
-		id, address := fmt.Sprint("toy-", i), fmt.Sprint("127.0.0.1:700", i)
-		ln, err := net.Listen("tcp4", address)
+	for i := 1; i <= hostCount; i++ {
+		id := fmt.Sprint("toy-", i)
+		address := fmt.Sprint("127.0.0.1:700", i)
+		listener, err := net.Listen("tcp4", address)
 		if err != nil {
 			log.Fatal(err)
 		}
 		g.addresses[id] = address
-		go g.listen(id, ln)
+		go g.listen(id, listener)
 	}
 	http.HandleFunc("GET /api/targets", g.targets)
 	http.HandleFunc("POST /promote/{id}", g.promote)
-	log.Printf("hosts toy-1 to toy-3 on 127.0.0.1:7001 to :7003, discovery on %s", discovery)
-	log.Fatal(http.ListenAndServe(discovery, nil))
+	log.Printf("hosts toy-1 to toy-3 on 127.0.0.1:7001 to :7003, discovery on %s", discoveryAddress)
+	log.Fatal(http.ListenAndServe(discoveryAddress, nil))
 }
 
 // promote makes another host the primary.
@@ -68,7 +74,7 @@
 	_, _ = fmt.Fprintln(w, id, "is the primary now") // the client may be gone
 }
 
-// list is the hosts in discovery's form.
+// list returns the endpoint list in discovery's JSON form. The caller holds g.mu.
 func (g *group) list() []byte {
 	type instance struct {
 		ID        string  `json:"instanceId"`
@@ -86,58 +92,61 @@
 		}
 		all = append(all, instance{id, address, 1, "SERVING", 1, rank})
 	}
-	b, _ := json.Marshal(map[string]any{"generation": g.generation, "reset": true, "instances": all})
+	b, _ := json.Marshal(map[string]any{"generation": g.generation, "reset": true, "instances": all}) // never fails
 	return append(b, '\n')
 }
 
-// targets answers with the list; a stream goes on with each change, and an empty line every 2 s.
+// targets answers with the list. With stream=1 it then sends the list at each change, and an empty line at heartbeats.
 func (g *group) targets(w http.ResponseWriter, r *http.Request) {
-	stream, last := r.FormValue("stream") == "1", 0
-	beat := time.AfterFunc(2*time.Second, g.changed.Broadcast)
+	stream := r.FormValue("stream") == "1"
+	sentGeneration := 0
+	beat := time.AfterFunc(heartbeat, g.changed.Broadcast)
 	defer beat.Stop()
 	for r.Context().Err() == nil {
 		g.mu.Lock()
 		line := []byte("\n")
-		if g.generation != last {
-			line, last = g.list(), g.generation
+		if g.generation != sentGeneration {
+			line = g.list()
+			sentGeneration = g.generation
 		}
 		g.mu.Unlock()
 		if _, err := w.Write(line); err != nil || !stream {
 			return
 		}
 		w.(http.Flusher).Flush()
-		beat.Reset(2 * time.Second)
+		beat.Reset(heartbeat)
 		g.mu.Lock()
 		g.changed.Wait()
 		g.mu.Unlock()
 	}
 }
 
-func (g *group) listen(id string, ln net.Listener) {
+// listen serves the connections to a host.
+func (g *group) listen(id string, listener net.Listener) {
 	for {
-		c, err := ln.Accept()
+		accepted, err := listener.Accept()
 		if err != nil {
 			log.Fatal(err)
 		}
-		go g.serve(id, c)
+		go g.serve(id, accepted)
 	}
 }
 
-// connection is one of the gateway's, with what was read and not yet handled.
+// connection is a connection from the gateway.
 type connection struct {
 	net.Conn
-	unread []byte
+	unparsed []byte // bytes that were read and do not yet form a message
 }
 
-// readMore adds what the gateway sends next; it returns false at the end of the connection.
+// readMore reads more bytes; it returns false at the end of the connection.
 func (c *connection) readMore() bool {
 	chunk := make([]byte, 4096)
 	n, err := c.Read(chunk)
-	c.unread = append(c.unread, chunk[:n]...)
+	c.unparsed = append(c.unparsed, chunk[:n]...)
 	return err == nil
 }
 
-// serve speaks as much of PostgreSQL's protocol as the gateway uses.
+// serve serves one connection to a host, with the part of PostgreSQL's protocol that the gateway uses.
 func (g *group) serve(id string, accepted net.Conn) {
 	c := &connection{Conn: accepted}
 	defer func() { _ = c.Close() }() // the connection is over either way
@@ -145,7 +154,7 @@
 		return
 	}
 	for {
-		message, rest, complete, err := pgwire.Next(c.unread)
+		message, rest, complete, err := pgwire.Next(c.unparsed)
 		if err != nil {
 			return
 		}
@@ -155,20 +164,22 @@
 			}
 			continue
 		}
-		c.unread = rest
+		c.unparsed = rest
 		if message.Type != 'Q' {
 			return
 		}
-		if _, err := c.Write(g.query(id, strings.TrimSuffix(string(message.Body), "\x00"))); err != nil {
+		statement := strings.TrimSuffix(string(message.Body), "\x00")
+		if _, err := c.Write(g.query(id, statement)); err != nil {
 			return
 		}
 	}
 }
 
-// start answers startup messages, declining TLS, until one asks for the protocol's version.
+// start answers startup messages, declining TLS, until one requests version 3 of the protocol. It returns false if the
+// connection ends first.
 func (c *connection) start() bool {
 	for {
-		startup, rest, complete, err := pgwire.NextStartup(c.unread)
+		startup, rest, complete, err := pgwire.NextStartup(c.unparsed)
 		if err != nil {
 			return false
 		}
@@ -178,7 +189,7 @@
 			}
 			continue
 		}
-		c.unread = rest
+		c.unparsed = rest
 		if startup.Code == pgwire.ProtocolVersion {
 			_, err = c.Write(pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil)))
 			return err == nil
@@ -189,44 +200,54 @@
 	}
 }
 
-// query answers one statement, and says what the host's role and position are.
-func (g *group) query(id, text string) []byte {
+// query executes a statement at a host and returns the messages of the answer, with the host's role and position.
+func (g *group) query(id, statement string) []byte {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := time.Now().UnixMilli()
+	position := time.Now().UnixMilli()
 	rank := "copy"
 	role := 0
 	if id == g.primary {
 		rank = "source"
 		role = 1
 	}
-	vitals := fmt.Sprintf("x0=%d.%03d,x1=%d", now/1000, now%1000, role)
-	row := func(value string) []byte {
-		return pgwire.AppendCommandComplete(pgwire.AppendRow(nil, "body", value), "SELECT 1")
-	}
+	vitals := fmt.Sprintf("x0=%d.%03d,x1=%d", position/1000, position%1000, role)
 	var b []byte
-	insert := g.insert.FindStringSubmatch(text)
-	lookup := g.lookup.FindStringSubmatch(text)
+	if statement == "SHOW vitals" {
+		b = singleRow(vitals)
+	} else {
+		b = g.execute(id, statement)
+	}
+	b = pgwire.AppendParameterStatus(b, "rank", rank)
+	b = pgwire.AppendParameterStatus(b, "as_of", strconv.FormatInt(position, 10))
+	b = pgwire.AppendParameterStatus(b, "vitals", vitals)
+	return pgwire.AppendReadyForQuery(b)
+}
+
+// execute executes an INSERT or a SELECT of one object. The caller holds g.mu.
+func (g *group) execute(id, statement string) []byte {
+	insert := insertStatement.FindStringSubmatch(statement)
+	lookup := lookupStatement.FindStringSubmatch(statement)
 	switch {
-	case text == "SHOW vitals":
-		b = row(vitals)
 	case insert != nil && id != g.primary:
-		b = queryError(pgwire.CodeReadOnly, "not the primary")
+		return queryError(pgwire.CodeReadOnly, "not the primary")
 	case insert != nil:
-		oid, body := insert[1], insert[2]
-		g.objects[oid] = body
-		b = row(body)
-		log.Printf("%s wrote %s", id, oid)
+		key, value := insert[1], insert[2]
+		g.objects[key] = value
+		log.Printf("%s wrote %s", id, key)
+		return singleRow(value)
 	case lookup != nil:
-		b = row(g.objects[lookup[1]])
-		log.Printf("%s read %s", id, lookup[1])
+		key := lookup[1]
+		log.Printf("%s read %s", id, key)
+		return singleRow(g.objects[key])
 	default:
-		b = queryError(pgwire.CodeSyntaxError, "the toy knows two statements")
-	}
-	for _, p := range [...][2]string{{"rank", rank}, {"as_of", strconv.FormatInt(now, 10)}, {"vitals", vitals}} {
-		b = pgwire.AppendParameterStatus(b, p[0], p[1])
+		return queryError(pgwire.CodeSyntaxError, "the toy has two statements")
 	}
-	return pgwire.AppendReadyForQuery(b)
+}
+
+// singleRow returns the messages of an answer with one value.
+func singleRow(value string) []byte {
+	return pgwire.AppendCommandComplete(pgwire.AppendRow(nil, "body", value), "SELECT 1")
 }
 
 func queryError(code, message string) []byte {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
-// Package golden compares what code produces with golden files, which an earlier version has written: encodings on the
-// wire and on disk, and hashes of decisions. Only tests import it.
+// Package golden compares the output of code with golden files that an earlier version has written: encodings on the wire
+// and on disk, and hashes of decisions. Only tests import it.
 //
-// A test run with -update writes its golden files anew; that is only right where a change of a form is intended.
+// A test run with -update rewrites its golden files. Use that only for an intended change of an encoding.
 package golden
 
 import (
@@ -20,7 +20,7 @@
 // directory holds the golden files of the package under test.
 const directory = "testdata"
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // Case is one named encoding. Neither part may contain a line break, nor Name a tab.
 type Case struct{ Name, Form string }
@@ -36,13 +36,13 @@
 	return formsByName(t, file, "\t", CheckText(t, file, lines))
 }
 
-// CheckLines is Check for lines of a name without blanks, a blank and the form.
+// CheckLines is like Check for lines that each consist of a name without blanks, a blank and the form.
 func CheckLines(t *testing.T, file string, lines []string) map[string]string {
 	t.Helper()
 	return formsByName(t, file, " ", CheckText(t, file, lines))
 }
 
-// CheckText compares lines with those of testdata/file, and returns the stored lines.
+// CheckText compares lines with those of testdata/file and returns the stored lines. A difference fails the test.
 func CheckText(t *testing.T, file string, lines []string) (stored []string) {
 	t.Helper()
 	path := filepath.Join(directory, file)
@@ -89,7 +89,7 @@
 	}
 }
 
-// Hash is a SHA-256 hash of the values of a module's answers. Names of fields, types and constants don't enter it.
+// Hash is a SHA-256 hash of values. Names of fields, types and constants don't enter it, so that they may be renamed.
 type Hash struct{ sum hash.Hash }
 
 // NewHash returns the hash of no values.
@@ -105,7 +105,7 @@
 // Float adds a number by its bits.
 func (h *Hash) Float(value float64) { h.Numbers(int64(math.Float64bits(value))) }
 
-// Text adds a string with its length.
+// Text adds a string, preceded by its length.
 func (h *Hash) Text(value string) {
 	h.Numbers(int64(len(value)))
 	h.sum.Write([]byte(value))
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -1,6 +1,6 @@
-// Package launcher stands for the store in the gateway's program, which does not contain it: where the store is asked
-// for, the process executes a larger program that does, under the same process id and with the same arguments. So the store
-// takes no memory where it is not used.
+// Package launcher replaces the store in the gateway's program, which does not contain it. When a command or a settings
+// file needs the store, the process executes (execve) a larger program that contains it, with the same process id and
+// arguments. A gateway without the store thus needs no memory for it.
 package launcher
 
 import (
@@ -16,14 +16,14 @@
 	"cloverrock/internal/app"
 )
 
-// Launcher is an app.Extension that executes the larger program for whatever it is asked.
+// Launcher is an app.Extension whose methods execute the larger program. They return only if that fails.
 type Launcher struct{ program string }
 
 // New returns a launcher of a program in the directory of the running one.
 func New(program string) Launcher { return Launcher{program} }
 
-// HandleCompletion executes the larger program if a shell asks for completions, or for help on the store: only that program
-// knows all commands. args are those of the command line. It returns nil if there is nothing to do.
+// HandleCompletion executes the larger program if args, the arguments of the command line, ask for shell completion or for
+// help on the store: only that program has all commands. It returns nil if args ask for neither.
 func (l Launcher) HandleCompletion(args []string) error {
 	if isCompletion(args) || isStoreHelp(args) {
 		return l.exec()
--- a/internal/launcher/launcher_test.go
+++ b/internal/launcher/launcher_test.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 )
 
-// The program that these tests ask for does not exist: whatever executes it fails and names it.
+// missing is the name of a program that does not exist: to execute it fails with an error that names it.
 const missing = "no-such-program"
 
 func TestCompletionAndStoreHelpNeedTheLargerProgram(t *testing.T) {
