--- a/internal/lab/fleetmodel/client.go
+++ b/internal/lab/fleetmodel/client.go
@@ -10,14 +10,17 @@
 	maxTries        = 4
 	swingPeriod     = 10 * second
 	retryDelay      = 30 * millisecond
-	gatewayDownWait = 100 * millisecond // until a client that meets a dead gateway asks another
+	gatewayDownWait = 100 * millisecond // until a client whose gateway is down tries another
+	minPatience     = 0.4               // least part of the deadline that a client waits for one gateway
+	patienceRange   = 0.6               // beyond it, at random
+	meanWriteAge    = 500               // milliseconds since the write that a session read must see
 
-	sessionShare     = 0.62 // of session reads, those that follow a write of their session
-	retryAfterShare  = 0.7  // of clients, those that heed Retry-After
-	busierGroupShare = 0.12 // of requests, those that move to a group of a lower number
+	sessionShare     = 0.62 // part of the session reads that follow a write of their session
+	retryAfterShare  = 0.7  // part of the clients that respect Retry-After
+	busierGroupShare = 0.12 // chance that a request goes to the lower-numbered one of two random groups
 )
 
-// request is what a client wants; it may ask several gateways for it.
+// request is a request of a client, which may send it to several gateways, one after the other.
 type request struct {
 	class, group int
 	arrivedAt    int64
@@ -26,17 +29,17 @@
 	minPosition  int64 // log position that a session read must see; 0 if none
 	done         bool
 	current      *attempt
-	attempts     int   // of the current try
-	tryDeadline  int64 // when the client stops waiting for this gateway
+	attempts     int   // number of attempts of the current try
+	tryDeadline  int64 // time at which the client stops waiting for the current gateway
 }
 
-// arrivalRate is the rate of requests now: a sine wave around the mean.
+// arrivalRate is the current rate of requests per second: a sine wave around the mean.
 func (s *simulation) arrivalRate() float64 {
 	phase := 2 * math.Pi * float64(s.now-startTime) / float64(swingPeriod)
 	return s.options.Rate * (1 + s.options.RateSwing*math.Sin(phase))
 }
 
-// arrival has one request come, and schedules the next.
+// arrival sends one request and schedules the next arrival.
 func (s *simulation) arrival() {
 	s.schedule(int64(s.random.ExpFloat64()/s.arrivalRate()*float64(second)), s.arrival)
 	index := s.drawClass()
@@ -51,7 +54,7 @@
 		}
 	}
 	if class.consistency == balance.ReadYourWrites && s.random.Float64() < sessionShare {
-		req.minPosition = s.now - int64(s.random.ExpFloat64()*500*float64(millisecond)) - millisecond
+		req.minPosition = s.now - int64(s.random.ExpFloat64()*meanWriteAge*float64(millisecond)) - millisecond
 	}
 	s.result.Requests++
 	s.result.Asked += class.weight
@@ -69,7 +72,7 @@
 	return index
 }
 
-// sendRequest has the client ask a random gateway.
+// sendRequest sends a request to a random gateway.
 func (s *simulation) sendRequest(req *request) {
 	to := s.random.IntN(len(s.gateways))
 	if !s.gateways[to].up {
@@ -82,7 +85,7 @@
 	id := s.lastRequest
 	req.attempts = 0
 	req.current = nil
-	patience := (0.4 + 0.6*s.random.Float64()) * float64(s.classes[req.class].deadline)
+	patience := (minPatience + patienceRange*s.random.Float64()) * float64(s.classes[req.class].deadline)
 	req.tryDeadline = min(req.deadline, s.now+int64(patience))
 	s.inFlight[id] = req
 	s.scheduleGiveUp(to, id, req)
@@ -95,8 +98,8 @@
 	s.handleEvent(to, event)
 }
 
-// scheduleGiveUp has the client leave and retry if it has no answer by the try's deadline, be it that the gateway
-// answered nothing or that it is gone.
+// scheduleGiveUp has the client disconnect and retry if it has no answer by the try's deadline, because the gateway has
+// sent none or is down.
 func (s *simulation) scheduleGiveUp(to int, id int64, req *request) {
 	incarnation := s.gateways[to].incarnation
 	s.schedule(req.tryDeadline-s.now, func() {
@@ -111,7 +114,7 @@
 	})
 }
 
-// retryRequest has a client that was rejected or got no answer ask again, where it may and has time left.
+// retryRequest schedules another try of a request that was rejected or got no answer, if that is safe and in time.
 func (s *simulation) retryRequest(req *request, retryAfter int64) {
 	mayHaveRun := s.classes[req.class].consistency == balance.Write && req.attempts > 0
 	if req.tries >= maxTries || req.done || mayHaveRun {
--- a/internal/lab/fleetmodel/faults.go
+++ b/internal/lab/fleetmodel/faults.go
@@ -1,13 +1,13 @@
 package fleetmodel
 
 const (
-	failoverTime = 3 * second         // until a group has a new primary
-	listDelay    = 1500 * millisecond // until the endpoint list shows hosts that are back
-	restartMin   = second             // shortest time that a killed gateway is away
-	restartRange = float64(second)    // range of that time
+	failoverTime = 3 * second         // from the outage until groups have new primaries
+	listDelay    = 1500 * millisecond // from the hosts' return until the endpoint list shows it
+	restartMin   = second             // shortest time that a killed gateway is down
+	restartRange = float64(second)    // range of that time beyond restartMin
 )
 
-// outage takes a random part of the hosts away, primaries among them, and brings them back in slow start.
+// outage crashes a random part of the hosts, primaries included, and restarts them in slow start.
 func (s *simulation) outage() {
 	var lost []*host
 	for _, candidate := range s.hosts {
--- a/internal/lab/fleetmodel/fleetmodel.go
+++ b/internal/lab/fleetmodel/fleetmodel.go
@@ -1,6 +1,6 @@
-// Package fleetmodel plays a fleet of gateways in front of many hosts in one process, in simulated time. The decision
-// modules are the real ones, hosts are queues, and clients retry as clients do. It shows within seconds what gateways
-// that are harmless alone do together. The same options give the same result.
+// Package fleetmodel simulates a fleet of gateways in front of many hosts in one process, in simulated time. The routers
+// are those of package balance, hosts are queues, and clients retry. It shows within seconds the combined effect of many
+// gateways whose behavior is harmless alone. The same options give the same result.
 package fleetmodel
 
 import (
@@ -32,13 +32,13 @@
 	hostByID      map[string]*host
 	primary       []*host // by group
 	gateways      []*gateway
-	inFlight      map[int64]*request // by the id that the gateway knows it under
-	lastRequest   int64
-	spreadSamples int
+	inFlight      map[int64]*request // by the request id that the gateway has for the current try
+	lastRequest   int64              // last request id in use
+	spreadSamples int                // number of values added up in Result.CV1s
 	result        Result
 }
 
-// Run plays a day.
+// Run simulates a day. The error is that of balance.New for settings that it rejects.
 func Run(options Options) (*Result, error) {
 	s := &simulation{
 		options:  options,
@@ -64,7 +64,7 @@
 	return &s.result, nil
 }
 
-// addHosts makes each group, its first member the primary. Hosts differ in speed.
+// addHosts adds the hosts of each group. The first member of a group is its primary. Hosts differ in speed.
 func (s *simulation) addHosts() {
 	for group := range s.options.Groups {
 		for member := range s.options.Members {
@@ -73,10 +73,10 @@
 				group:           group,
 				up:              true,
 				idleConnections: map[int]int{},
-				speed:           0.95 * (1 + 0.12*s.random.NormFloat64()),
-				startedAt:       -second * 1000,
+				speed:           meanSpeed * (1 + speedDeviation*s.random.NormFloat64()),
+				startedAt:       -startTime, // long before the start: warmed up
 				advancedTo:      startTime,
-				applied:         startTime - 20*millisecond,
+				applied:         startTime - initialLag,
 			}
 			s.hosts = append(s.hosts, added)
 			s.hostByID[added.id] = added
@@ -111,7 +111,7 @@
 	return &s.result.Seconds[i]
 }
 
-// measureSpread measures, each second, how evenly the replicas of each group were used.
+// measureSpread measures, once a second, how evenly the replicas of each group were used.
 func (s *simulation) measureSpread() {
 	for group := range s.options.Groups {
 		s.measureGroup(group)
@@ -120,7 +120,7 @@
 }
 
 func (s *simulation) measureGroup(group int) {
-	const settled = startTime + 2*second // not before the gateways have met the hosts
+	const settled = startTime + 2*second // by then the gateways have had reports of the hosts
 	var counts []float64
 	sum := 0.0
 	for _, member := range s.hosts[group*s.options.Members : (group+1)*s.options.Members] {
--- a/internal/lab/fleetmodel/fleetmodel_test.go
+++ b/internal/lab/fleetmodel/fleetmodel_test.go
@@ -15,30 +15,30 @@
 	return r
 }
 
-// With more asked than the busiest groups can do, so much must be shed that the rest is in time. Without
-// shedding, each gateway's own limit of one attempt is 80 at a host: most of it then runs for nobody.
-func TestOverloadDoesNotSpreadWaste(t *testing.T) {
+// With more load than the busiest groups can serve, enough must be shed for the rest to be in time. Without shedding,
+// even one attempt of each gateway is 80 at a host, most of which would end after their clients have left.
+func TestOverloadIsShedSoThatTheRestIsInTime(t *testing.T) {
 	o := busy()
 	o.Rate = 1750
 	r := play(t, o)
 	n := float64(r.Requests)
 	if r.InTime/r.Asked < 0.68 || float64(r.TimedOut)/n > 0.15 {
-		t.Errorf("%.2f of the worth in time, %.2f of the requests timed out at a host", r.InTime/r.Asked, float64(r.TimedOut)/n)
+		t.Errorf("%.2f of the weight in time, %.2f of the requests timed out at a host", r.InTime/r.Asked, float64(r.TimedOut)/n)
 	}
 }
 
-// On a busy day that the hosts can carry, what 80 gateways do beside requests stays small.
-func TestManyGatewaysAskLittle(t *testing.T) {
+// On a busy day within the hosts' capacity, the health checks, connections and gossip of 80 gateways stay small.
+func TestManyGatewaysAddLittleTraffic(t *testing.T) {
 	r := play(t, busy())
 	n := float64(r.Requests)
-	if r.InTime/r.Asked < 0.85 || float64(r.Probes)/n > 0.08 || float64(r.Dials)/n > 0.5 || r.TellBytes/n > 700 {
+	if r.InTime/r.Asked < 0.85 || float64(r.HealthChecks)/n > 0.08 || float64(r.Dials)/n > 0.5 || r.GossipBytes/n > 700 {
 		t.Errorf("%.2f in time; for each request %.2f probes, %.2f connections, %.0f bytes to others", r.InTime/r.Asked,
-			float64(r.Probes)/n, float64(r.Dials)/n, r.TellBytes/n)
+			float64(r.HealthChecks)/n, float64(r.Dials)/n, r.GossipBytes/n)
 	}
 }
 
-// The same rules, by the settings, before one gateway and before 300.
-func TestAnyNumberOfGateways(t *testing.T) {
+// The same settings serve a fleet of one gateway and one of 300.
+func TestAnyNumberOfGatewaysServesInTime(t *testing.T) {
 	for _, gateways := range []int{1, 300} {
 		o := busy()
 		o.Gateways, o.Seconds = gateways, 4
@@ -48,11 +48,11 @@
 	}
 }
 
-func TestSameSeedSameDay(t *testing.T) {
+func TestSameSeedGivesTheSameResult(t *testing.T) {
 	o := busy()
 	o.Seconds = 2
 	a, b := play(t, o), play(t, o)
-	if a.InTime != b.InTime || a.Probes != b.Probes || a.TellBytes != b.TellBytes {
+	if a.InTime != b.InTime || a.HealthChecks != b.HealthChecks || a.GossipBytes != b.GossipBytes {
 		t.Errorf("%+v and then %+v", a, b)
 	}
 }
--- a/internal/lab/fleetmodel/gateway.go
+++ b/internal/lab/fleetmodel/gateway.go
@@ -2,9 +2,12 @@
 
 import "cloverrock/balance"
 
+// incarnationStride separates the seeds of the incarnations of one gateway.
+const incarnationStride = 7919
+
 type gateway struct {
 	router      *balance.Router
-	incarnation int
+	incarnation int // incremented at each start
 	up          bool
 }
 
@@ -60,10 +63,10 @@
 	return list
 }
 
-// startGateway starts gateway i with a router that knows nothing, and gives it the endpoint list.
+// startGateway starts gateway i with a router without any state, and sends it the endpoint list.
 func (s *simulation) startGateway(i int) error {
 	started := s.gateways[i]
-	seed := s.options.Seed*1000 + uint64(i) + uint64(started.incarnation)*7919
+	seed := s.options.Seed*1000 + uint64(i) + uint64(started.incarnation)*incarnationStride
 	router, err := balance.New(s.settings(i), seed)
 	if err != nil {
 		return err
@@ -79,7 +82,7 @@
 	s.handleEvent(i, balance.Event{Kind: balance.EndpointsEvent, Complete: true, Endpoints: s.endpoints()})
 }
 
-// handleEvent gives an event to the router of gateway i and performs what it answers.
+// handleEvent passes an event to the router of gateway i and performs the resulting actions.
 func (s *simulation) handleEvent(i int, event balance.Event) {
 	for _, action := range s.gateways[i].router.Handle(s.now, event, nil) {
 		s.perform(i, action)
@@ -121,8 +124,8 @@
 }
 
 func (s *simulation) checkHealth(i int, checked *host) {
-	s.result.Probes++
-	s.currentSecond().Probe++
+	s.result.HealthChecks++
+	s.currentSecond().HealthChecks++
 	latency := millisecond
 	result := balance.Succeeded
 	if !checked.up {
@@ -138,7 +141,7 @@
 	})
 }
 
-// answer gives a client the error that its request ended with.
+// answer ends a request by a rejection or failure. A rejected client may retry.
 func (s *simulation) answer(action balance.Action) {
 	req := s.inFlight[action.Request]
 	if req == nil {
@@ -149,17 +152,17 @@
 		s.result.Failed++
 		return
 	}
-	s.result.Refused++
-	s.currentSecond().Refused++
+	s.result.Rejected++
+	s.currentSecond().Rejected++
 	s.retryRequest(req, action.RetryAfter)
 }
 
-// deliverGossip takes a message from gateway i to one other, or to all.
+// deliverGossip delivers a message of gateway i to one other gateway, or to all.
 func (s *simulation) deliverGossip(i int, action balance.Action) {
-	s.result.Told++
+	s.result.GossipMessages++
 	message := balance.Event{Kind: balance.GossipEvent, Peer: i, Data: action.Data}
 	if action.Peer >= 0 {
-		s.result.TellBytes += float64(len(action.Data))
+		s.result.GossipBytes += float64(len(action.Data))
 		s.schedule(s.networkDelay(), func() {
 			if s.gateways[action.Peer].up {
 				s.handleEvent(action.Peer, message)
@@ -167,7 +170,7 @@
 		})
 		return
 	}
-	s.result.TellBytes += float64(len(action.Data) * (len(s.gateways) - 1))
+	s.result.GossipBytes += float64(len(action.Data) * (len(s.gateways) - 1))
 	s.schedule(s.networkDelay(), func() {
 		for to, receiver := range s.gateways {
 			if to != i && receiver.up {
@@ -177,7 +180,13 @@
 	})
 }
 
+// Delays between gateways.
+const (
+	minNetworkDelay   = millisecond
+	meanNetworkJitter = 10 // milliseconds beyond the minimum
+)
+
 // networkDelay draws the time that a message takes between gateways.
 func (s *simulation) networkDelay() int64 {
-	return millisecond + int64(s.random.ExpFloat64()*10*float64(millisecond))
+	return minNetworkDelay + int64(s.random.ExpFloat64()*meanNetworkJitter*float64(millisecond))
 }
--- a/internal/lab/fleetmodel/host.go
+++ b/internal/lab/fleetmodel/host.go
@@ -7,18 +7,27 @@
 	"cloverrock/balance"
 )
 
-// What a host can do.
+// Properties of a host.
 const (
+	meanSpeed      = 0.95 // of the cores, as a part of a reference core
+	speedDeviation = 0.12 // standard deviation of the speed, as a part of meanSpeed
+	initialLag     = 20 * millisecond
+
 	cores         = 4.0
 	maxRunning    = 32
 	maxQueued     = 100
-	applyCost     = 0.45 // part of a core that applying the log takes in the long run
+	applyCost     = 0.45 // mean part of a core that applying the log takes
 	dialCost      = 6    // milliseconds of a core for a new connection
 	dialTimeout   = 250 * millisecond
 	minLag        = 10 * millisecond // of a replica behind its primary
 	warmingTime   = 16 * second
 	coldCapacity  = 0.3   // part of its capacity that a host has when it starts
-	workTolerance = 0.001 // milliseconds of work left that count as none
+	warmingGain   = 0.7   // part of its capacity that it gains while it warms up
+	workTolerance = 0.001 // remaining work in milliseconds at which an attempt is complete
+	// With more than crowdedPerCore attempts for each core a host loses efficiency: its rate falls by crowdingLoss for each
+	// further crowdedPerCore.
+	crowdedPerCore = 5
+	crowdingLoss   = 0.2
 )
 
 type host struct {
@@ -28,10 +37,10 @@
 	speed              float64
 	startedAt          int64
 	running            []*attempt  // they share the cores
-	queue              []*attempt  // they wait for a slot
-	advancedTo         int64       // until when work and log are computed
+	queue              []*attempt  // they wait for one of maxRunning slots
+	advancedTo         int64       // time up to which work and log are computed
 	applied            int64       // log position
-	completions        int64       // serial number of the completion that is scheduled
+	completions        int64       // serial number of the scheduled completion; earlier ones do nothing
 	idleConnections    map[int]int // by gateway
 	attemptsThisSecond int
 }
@@ -43,7 +52,7 @@
 	host                 *host
 	work                 float64 // left, in milliseconds of a core
 	sentAt               int64
-	finished             bool // the gateway has its outcome, or has given it up
+	finished             bool // the gateway has received its outcome, or has canceled it
 	write                bool
 }
 
@@ -51,13 +60,13 @@
 func (s *simulation) capacity(of *host) float64 {
 	capacity := of.speed
 	if age := s.now - of.startedAt; age < warmingTime {
-		capacity *= coldCapacity + 0.7*float64(age)/float64(warmingTime)
+		capacity *= coldCapacity + warmingGain*float64(age)/float64(warmingTime)
 	}
 	return capacity
 }
 
 // advance computes a host's work and log up to now. All that runs shares the cores, and so does the thread that applies
-// the log: a crowded replica falls behind, though it goes on answering.
+// the log: a replica with many attempts falls behind, although it still answers.
 func (s *simulation) advance(of *host) {
 	elapsed := float64(s.now-of.advancedTo) / float64(millisecond)
 	of.advancedTo = s.now
@@ -75,14 +84,14 @@
 	of.applied = min(s.now-minLag, of.applied+int64(elapsed*applyRate*float64(millisecond)))
 }
 
-// workRate is how fast each running attempt goes on, as a part of a core. A host that holds too many is less efficient.
+// workRate is the rate at which each running attempt progresses, as a part of a core. A crowded host is less efficient.
 func (s *simulation) workRate(of *host) float64 {
 	n := float64(len(of.running))
 	if s.primary[of.group] != of {
 		n += applyCost
 	}
-	over := max(0, n/cores-5)
-	return s.capacity(of) * min(1, cores/max(n, 1)) / (1 + 0.2*over/5)
+	crowding := max(0, n/cores-crowdedPerCore)
+	return s.capacity(of) * min(1, cores/max(n, 1)) / (1 + crowdingLoss*crowding/crowdedPerCore)
 }
 
 // statusReport is what a host reports of itself.
--- a/internal/lab/fleetmodel/options.go
+++ b/internal/lab/fleetmodel/options.go
@@ -2,14 +2,14 @@
 
 import "cloverrock/balance"
 
-// Options describe a day.
+// Options describe a day, as the package calls one run of the model.
 type Options struct {
 	Gateways, Groups, Members int // Members is the number of hosts in each group
 	Seconds                   int
 	Seed                      uint64
-	Rate                      float64 // requests a second, all together, on the mean
-	RateSwing                 float64 // part by which the rate swings, in ten seconds
-	Work                      float64 // of the dearest class, on the mean; milliseconds of a core
+	Rate                      float64 // mean requests per second, all together
+	RateSwing                 float64 // amplitude of the rate's sine wave of ten seconds, as a part of Rate
+	Work                      float64 // mean work of the most expensive class, in milliseconds of a core
 	GossipBytesPerRequest     float64
 	// The outage takes a part of the hosts away; they come back in slow start. Times are seconds.
 	OutageAt, OutageFor int
@@ -19,13 +19,16 @@
 	ReleasePart float64
 }
 
-// Result is the outcome of a day. It is printed as JSON under the names of its fields.
+// Result is the outcome of a day. It is printed as JSON; tags keep the names that readers of the output use.
 type Result struct {
 	Asked, InTime, Late      float64 // priority weight
-	Refused, Failed          int
+	Rejected                 int     `json:"Refused"`
+	Failed                   int
 	Attempts, TimedOut, Full int
-	Probes, Dials, Told      int
-	TellBytes                float64
+	HealthChecks             int `json:"Probes"`
+	Dials                    int
+	GossipMessages           int     `json:"Told"`
+	GossipBytes              float64 `json:"TellBytes"`
 	Seconds                  []Second
 	Overloads                int // not measured; kept for readers of the form
 	Requests                 int
@@ -36,9 +39,12 @@
 
 // Second is one second of a day.
 type Second struct {
-	Asked, InTime                                 float64 // priority weight
-	Tries, Served, TimedOut, Refused, Full, Probe int
-	Deepest                                       int // the most that one host held
+	Asked, InTime           float64 // priority weight
+	Tries, Served, TimedOut int
+	Rejected                int `json:"Refused"`
+	Full                    int
+	HealthChecks            int `json:"Probe"`
+	Deepest                 int // the largest number of attempts at one host
 }
 
 // Prices of a request's side effects, as parts of the score.
@@ -52,8 +58,8 @@
 // Score is the share of the weight that was answered in time, less the price of checks, connections and gossip.
 func (r *Result) Score() float64 {
 	n := float64(max(r.Requests, 1))
-	return r.InTime/r.Asked - healthCheckPrice*float64(r.Probes)/n - connectionPrice*float64(r.Dials)/n -
-		gossipPrice*r.TellBytes/gossipUnit/n
+	return r.InTime/r.Asked - healthCheckPrice*float64(r.HealthChecks)/n - connectionPrice*float64(r.Dials)/n -
+		gossipPrice*r.GossipBytes/gossipUnit/n
 }
 
 // lateWriteWeight is the part of its weight that a late write still earns.
@@ -66,9 +72,12 @@
 	objective, deadline int64
 }
 
-// classes returns bounded reads, session reads and writes. Their times follow the work of the dearest.
+// referenceWork is the work, in milliseconds of a core, for which the times in classes are milliseconds.
+const referenceWork = 85
+
+// classes returns bounded reads, session reads and writes. Their objectives and deadlines are proportional to the work.
 func classes(work float64) []requestClass {
-	unit := int64(work / 85 * float64(millisecond))
+	unit := int64(work / referenceWork * float64(millisecond))
 	return []requestClass{
 		{balance.BoundedStaleness, 0.58, 1, 1, 300 * unit, 750 * unit},
 		{balance.ReadYourWrites, 0.32, 1, 0.6, 200 * unit, 800 * unit},
