--- a/cmd/cloverrock-lab/main.go
+++ b/cmd/cloverrock-lab/main.go
@@ -85,7 +85,7 @@
 func processContext(bound time.Duration, program *string) (context.Context, context.CancelFunc, error) {
 	if *program == "" {
 		var err error
-		if *program, err = chaos.Beside(); err != nil {
+		if *program, err = chaos.FindProgram(); err != nil {
 			return nil, nil, err
 		}
 	}
--- a/cmd/cloverrock-lab/processes.go
+++ b/cmd/cloverrock-lab/processes.go
@@ -69,7 +69,7 @@
 	cmd := &cobra.Command{
 		Use: "spread", Short: "Measure at the hosts how evenly the gateways' load falls", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return playProcesses(cmd, options, path, (*processrig.Result).Found)
+			return playProcesses(cmd, options, path, (*processrig.Result).Faults)
 		},
 	}
 	defaults := fleetDefaults{gateways: 50, hosts: 60, members: 5, use: 0.15, plan: "none"}
@@ -93,7 +93,7 @@
 			if err := applyZonePolicy(&options, policy); err != nil {
 				return err
 			}
-			check := func(result *processrig.Result) []string { return result.FoundInZones(options.Zoned.Alone) }
+			check := func(result *processrig.Result) []string { return result.ZoneFaults(options.Zoned.Alone) }
 			return playProcesses(cmd, options, path, check)
 		},
 	}
--- a/cmd/cloverrock-lab/storecost.go
+++ b/cmd/cloverrock-lab/storecost.go
@@ -24,7 +24,7 @@
 				return err
 			}
 			defer cancel()
-			result, err := restart.RunBeside(ctx, options, rounds, each)
+			result, err := restart.MeasureStoreCost(ctx, options, rounds, each)
 			if err != nil {
 				return err
 			}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -51,7 +51,7 @@
 }
 
 // Instances that share a process decide as each does alone.
-func TestInstancesActTogetherAsAlone(t *testing.T) {
+func TestInstancesOfOneProcessAreIndependent(t *testing.T) {
 	session := func(whos ...int) string {
 		var b strings.Builder
 		b.WriteString("turn wallMs=8000\n")
--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -74,7 +74,7 @@
 	}
 	if options.Program == "" {
 		var err error
-		if options.Program, err = Beside(); err != nil {
+		if options.Program, err = FindProgram(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/chaos/cluster.go
+++ b/internal/lab/chaos/cluster.go
@@ -235,8 +235,8 @@
 	return client.New(config), nil
 }
 
-// Beside returns the path of the gateway's program in the directory of this one.
-func Beside() (string, error) {
+// FindProgram returns the path of the gateway's program in the directory of this one.
+func FindProgram() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", err
--- a/internal/lab/emulator/host.go
+++ b/internal/lab/emulator/host.go
@@ -27,11 +27,11 @@
 	connections map[net.Conn]struct{}
 	wait        sync.WaitGroup
 
-	slowStart  atomic.Pointer[slowStart]
-	pushedOver atomic.Bool
-	cores      chan struct{} // nil: no limit
-	present    atomic.Int32  // requests that wait for a core or have one
-	arrived    func(before int)
+	slowStart             atomic.Pointer[slowStart]
+	overloadedInSlowStart atomic.Bool
+	cores                 chan struct{} // nil: no limit
+	present               atomic.Int32  // requests that wait for a core or have one
+	arrived               func(before int)
 }
 
 // NewHost listens on a loopback address. Each request takes the time given as work, and a replica's data is as old as lag.
--- a/internal/lab/emulator/slowstart.go
+++ b/internal/lab/emulator/slowstart.go
@@ -19,8 +19,8 @@
 	arrivals []time.Time // within the window
 }
 
-// StartCold has the host begin its slow start now.
-func (h *Host) StartCold(
+// BeginSlowStart has the host begin its slow start now.
+func (h *Host) BeginSlowStart(
 	duration time.Duration, initialShare, capacity, overloadFactor float64, window time.Duration,
 ) {
 	now := time.Now()
@@ -30,8 +30,8 @@
 	})
 }
 
-// PushedOver reports whether the host was overloaded in its slow start.
-func (h *Host) PushedOver() bool { return h.pushedOver.Load() }
+// OverloadedInSlowStart reports whether the host was overloaded in its slow start.
+func (h *Host) OverloadedInSlowStart() bool { return h.overloadedInSlowStart.Load() }
 
 // admitInSlowStart notes a request and returns the share of its capacity that the host has now.
 func (h *Host) admitInSlowStart() float64 {
@@ -42,7 +42,7 @@
 	}
 	share := start.share(now)
 	if start.overloaded(now, share) {
-		h.pushedOver.Store(true)
+		h.overloadedInSlowStart.Store(true)
 		h.hanging.Store(true)
 	}
 	return share
--- a/internal/lab/processrig/datagrams.go
+++ b/internal/lab/processrig/datagrams.go
@@ -46,22 +46,22 @@
 
 // newDatagramRelay takes the addresses at which the gateways listen.
 func newDatagramRelay(listen []string, seed uint64, spoil func([]byte)) (*datagramRelay, error) {
-	x := &datagramRelay{
+	r := &datagramRelay{
 		numbers: map[netip.AddrPort]int{}, spoil: spoil, links: make([]link, len(listen)),
 		random: rand.New(rand.NewPCG(seed, relayRandoms)),
 	}
-	if err := x.open(listen); err != nil {
-		x.close()
+	if err := r.open(listen); err != nil {
+		r.close()
 		return nil, fmt.Errorf("datagram relay: %w", err)
 	}
-	for i, socket := range x.sockets {
-		x.wait.Go(func() { x.carry(socket, i) })
+	for i, socket := range r.sockets {
+		r.wait.Go(func() { r.carry(socket, i) })
 	}
-	x.wait.Go(func() { x.carry(x.all, broadcast) })
-	return x, nil
+	r.wait.Go(func() { r.carry(r.all, broadcast) })
+	return r, nil
 }
 
-func (x *datagramRelay) open(listen []string) error {
+func (r *datagramRelay) open(listen []string) error {
 	for i, text := range listen {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -71,12 +71,12 @@
 		if err != nil {
 			return err
 		}
-		x.sockets = append(x.sockets, socket)
-		x.to = append(x.to, address)
-		x.numbers[address] = i
+		r.sockets = append(r.sockets, socket)
+		r.to = append(r.to, address)
+		r.numbers[address] = i
 	}
 	var err error
-	x.all, err = openSocket()
+	r.all, err = openSocket()
 	return err
 }
 
@@ -90,58 +90,58 @@
 }
 
 // addresses are those under which the gateways know one another.
-func (x *datagramRelay) addresses() []string {
+func (r *datagramRelay) addresses() []string {
 	var addresses []string
-	for _, socket := range x.sockets {
+	for _, socket := range r.sockets {
 		addresses = append(addresses, socket.LocalAddr().String())
 	}
 	return addresses
 }
 
-func (x *datagramRelay) broadcastAddress() string { return x.all.LocalAddr().String() }
+func (r *datagramRelay) broadcastAddress() string { return r.all.LocalAddr().String() }
 
-func (x *datagramRelay) close() {
-	for _, socket := range append(x.sockets, x.all) {
+func (r *datagramRelay) close() {
+	for _, socket := range append(r.sockets, r.all) {
 		if socket != nil {
 			_ = socket.Close() // the run is over
 		}
 	}
-	x.wait.Wait()
+	r.wait.Wait()
 }
 
 // carry takes the datagrams of one socket on to a gateway, or to all.
-func (x *datagramRelay) carry(socket *net.UDPConn, to int) {
+func (r *datagramRelay) carry(socket *net.UDPConn, to int) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, sender, err := socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		from, known := x.numbers[sender]
+		from, known := r.numbers[sender]
 		if !known {
 			continue
 		}
 		datagram := bytes.Clone(buffer[:n])
-		if x.spoil != nil {
-			x.spoil(datagram)
+		if r.spoil != nil {
+			r.spoil(datagram)
 		}
 		if to != broadcast {
-			x.pass(from, to, datagram)
+			r.pass(from, to, datagram)
 			continue
 		}
-		for receiver := range x.sockets {
+		for receiver := range r.sockets {
 			if receiver != from {
-				x.pass(from, receiver, datagram)
+				r.pass(from, receiver, datagram)
 			}
 		}
 	}
 }
 
 // pass sends one datagram on, as the links have it.
-func (x *datagramRelay) pass(from, to int, datagram []byte) {
-	copies, delay := x.fate(from, to, len(datagram))
+func (r *datagramRelay) pass(from, to int, datagram []byte) {
+	copies, delay := r.fate(from, to, len(datagram))
 	send := func() {
-		_, _ = x.sockets[from].WriteToUDPAddrPort(datagram, x.to[to]) // a datagram may be lost
+		_, _ = r.sockets[from].WriteToUDPAddrPort(datagram, r.to[to]) // a datagram may be lost
 	}
 	for range copies {
 		if delay == 0 {
@@ -153,34 +153,34 @@
 }
 
 // fate decides how many copies of a datagram arrive, and how late.
-func (x *datagramRelay) fate(from, to, size int) (copies int, delay time.Duration) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	receiver := x.links[to]
+func (r *datagramRelay) fate(from, to, size int) (copies int, delay time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	receiver := r.links[to]
 	copies = 1
-	if x.links[from].cutFrom || receiver.cutTo || receiver.lossy && x.random.IntN(loseOneOf) == 0 {
+	if r.links[from].cutFrom || receiver.cutTo || receiver.lossy && r.random.IntN(loseOneOf) == 0 {
 		copies = 0
-		x.lost++
-	} else if receiver.lossy && x.random.IntN(doubleOneOf) == 0 {
+		r.lost++
+	} else if receiver.lossy && r.random.IntN(doubleOneOf) == 0 {
 		copies = 2
 	}
-	x.delivered += copies
-	x.bytes += copies * size
+	r.delivered += copies
+	r.bytes += copies * size
 	delay = receiver.delay
 	if delay > 0 {
-		delay += time.Duration(x.random.Int64N(int64(delay / 4)))
+		delay += time.Duration(r.random.Int64N(int64(delay / 4)))
 	}
 	return copies, delay
 }
 
-func (x *datagramRelay) setLink(gateway int, l link) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.links[gateway] = l
+func (r *datagramRelay) setLink(gateway int, l link) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.links[gateway] = l
 }
 
-func (x *datagramRelay) counts() (delivered, bytes, lost int) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.delivered, x.bytes, x.lost
+func (r *datagramRelay) counts() (delivered, bytes, lost int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.delivered, r.bytes, r.lost
 }
--- a/internal/lab/processrig/fleetrelay.go
+++ b/internal/lab/processrig/fleetrelay.go
@@ -30,41 +30,41 @@
 
 // newFleetRelay takes the addresses at which the gateways listen.
 func newFleetRelay(listen []string, lossy bool, cut func(from, to int) bool) (*fleetRelay, error) {
-	p := &fleetRelay{numbers: map[string]int{}, cut: cut, lossy: lossy, open: map[net.Conn]struct{}{}}
+	r := &fleetRelay{numbers: map[string]int{}, cut: cut, lossy: lossy, open: map[net.Conn]struct{}{}}
 	for i, address := range listen {
-		p.numbers[address] = i
+		r.numbers[address] = i
 	}
 	for i := range listen {
-		if err := p.listen(i); err != nil {
-			p.close()
+		if err := r.listen(i); err != nil {
+			r.close()
 			return nil, err
 		}
 	}
-	return p, nil
+	return r, nil
 }
 
 // listen opens a gateway's address, for datagrams and streams alike.
-func (p *fleetRelay) listen(from int) error {
+func (r *fleetRelay) listen(from int) error {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	p.listeners = append(p.listeners, listener)
+	r.listeners = append(r.listeners, listener)
 	port := listener.Addr().(*net.TCPAddr).Port
 	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: port})
 	if err != nil {
 		return err
 	}
-	p.sockets = append(p.sockets, socket)
-	p.wait.Go(func() { p.carryDatagrams(from, socket) })
-	p.wait.Go(func() { p.acceptStreams(from, listener) })
+	r.sockets = append(r.sockets, socket)
+	r.wait.Go(func() { r.carryDatagrams(from, socket) })
+	r.wait.Go(func() { r.acceptStreams(from, listener) })
 	return nil
 }
 
 // address is where a gateway sends to.
-func (p *fleetRelay) address(gateway int) string { return p.listeners[gateway].Addr().String() }
+func (r *fleetRelay) address(gateway int) string { return r.listeners[gateway].Addr().String() }
 
-func (p *fleetRelay) carryDatagrams(from int, socket *net.UDPConn) {
+func (r *fleetRelay) carryDatagrams(from int, socket *net.UDPConn) {
 	buffer := make([]byte, maxFleetDatagram)
 	for {
 		n, _, err := socket.ReadFromUDP(buffer)
@@ -77,80 +77,80 @@
 		body := 1 + int(buffer[0])
 		receiver := string(buffer[1:body])
 		address, err := net.ResolveUDPAddr("udp4", receiver)
-		if err != nil || !p.connected(from, receiver) || p.lossy && rand.IntN(loseOneOf) == 0 {
+		if err != nil || !r.connected(from, receiver) || r.lossy && rand.IntN(loseOneOf) == 0 {
 			continue
 		}
-		p.bytes.Add(int64(n))
+		r.bytes.Add(int64(n))
 		_, _ = socket.WriteToUDP(buffer[body:n], address) // a datagram may be lost
 	}
 }
 
 // connected reports whether the gateway at an address can be reached from another.
-func (p *fleetRelay) connected(from int, address string) bool {
-	to, known := p.numbers[address]
-	return known && !p.cut(from, to)
+func (r *fleetRelay) connected(from int, address string) bool {
+	to, known := r.numbers[address]
+	return known && !r.cut(from, to)
 }
 
-func (p *fleetRelay) acceptStreams(from int, listener net.Listener) {
+func (r *fleetRelay) acceptStreams(from int, listener net.Listener) {
 	for {
 		accepted, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		p.wait.Go(func() { p.carryStream(from, accepted) })
+		r.wait.Go(func() { r.carryStream(from, accepted) })
 	}
 }
 
-func (p *fleetRelay) carryStream(from int, accepted net.Conn) {
-	defer p.track(accepted)()
+func (r *fleetRelay) carryStream(from int, accepted net.Conn) {
+	defer r.track(accepted)()
 	reader := bufio.NewReader(accepted)
 	line, err := reader.ReadString('\n')
 	receiver := strings.TrimSpace(line)
-	if err != nil || !p.connected(from, receiver) {
+	if err != nil || !r.connected(from, receiver) {
 		return
 	}
 	dialed, err := net.Dial("tcp4", receiver)
 	if err != nil {
 		return
 	}
-	defer p.track(dialed)()
+	defer r.track(dialed)()
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
 		n, _ := io.Copy(dialed, reader) // either side may end the stream
-		p.bytes.Add(n)
+		r.bytes.Add(n)
 		_ = dialed.(*net.TCPConn).CloseWrite() // as above
 	}()
 	n, _ := io.Copy(accepted, dialed) // as above
-	p.bytes.Add(n)
+	r.bytes.Add(n)
 	_ = accepted.Close() // ends the copy above
 	<-sent
 }
 
 // track has the connection closed at the end of the run, and returns a function that closes it now.
-func (p *fleetRelay) track(connection net.Conn) func() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.open[connection] = struct{}{}
+func (r *fleetRelay) track(connection net.Conn) func() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.open[connection] = struct{}{}
 	return func() {
 		_ = connection.Close() // the stream is over
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		delete(p.open, connection)
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		delete(r.open, connection)
 	}
 }
 
-func (p *fleetRelay) close() {
-	for _, socket := range p.sockets {
+func (r *fleetRelay) close() {
+	for _, socket := range r.sockets {
 		_ = socket.Close() // the run is over
 	}
-	for _, listener := range p.listeners {
+	for _, listener := range r.listeners {
 		_ = listener.Close() // the run is over
 	}
-	p.mu.Lock()
-	for connection := range p.open {
+	r.mu.Lock()
+	for connection := range r.open {
 		_ = connection.Close() // the run is over
 	}
-	p.mu.Unlock()
-	p.wait.Wait()
+	r.mu.Unlock()
+	r.wait.Wait()
 }
--- a/internal/lab/processrig/processes_test.go
+++ b/internal/lab/processrig/processes_test.go
@@ -63,7 +63,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			faults := slices.DeleteFunc(res.FoundInZones(false), func(f string) bool { return f == FaultFarApart })
+			faults := slices.DeleteFunc(res.ZoneFaults(false), func(f string) bool { return f == FaultFarApart })
 			if (len(faults) > 0) != c.found {
 				t.Errorf("found %v: %+v", faults, res.Zone)
 			}
--- a/internal/lab/processrig/result.go
+++ b/internal/lab/processrig/result.go
@@ -40,8 +40,8 @@
 // newConnectionsPerClose is how many requests there must be for each new connection that got no answer.
 const newConnectionsPerClose = 200
 
-// Found returns the faults of a run, in order.
-func (r *Result) Found() []string {
+// Faults returns the faults of a run, in order.
+func (r *Result) Faults() []string {
 	return faultsOf(map[string]bool{
 		"requests were lost":                         r.Lost > 0,
 		"hosts were idle":                            r.Spread.IdleSeconds > 0,
@@ -53,8 +53,8 @@
 	})
 }
 
-// FoundInZones returns the faults of a run with zones, in order. Gateways that decide alone have no duty together.
-func (r *Result) FoundInZones(alone bool) []string {
+// ZoneFaults returns the faults of a run with zones, in order. Gateways that decide alone have no duty together.
+func (r *Result) ZoneFaults(alone bool) []string {
 	var faults []string
 	if r.Lost > 0 {
 		faults = append(faults, "requests were lost")
@@ -65,7 +65,7 @@
 	if alone {
 		return faults
 	}
-	return append(faults, r.Zone.faults(r.Plan, r.Gateways)...)
+	return append(faults, r.Zone.faultsOfPlan(r.Plan, r.Gateways)...)
 }
 
 // faultsOf returns the names of the checks that are true.
--- a/internal/lab/processrig/zoneplan.go
+++ b/internal/lab/processrig/zoneplan.go
@@ -144,7 +144,7 @@
 	sleep(ctx, duration)
 	capacity := float64(coresPerHost) / workTime.Seconds()
 	for _, host := range affected {
-		host.StartCold(warmingTime, slowStartShare, capacity, overloadFactor, overloadWindow)
+		host.BeginSlowStart(warmingTime, slowStartShare, capacity, overloadFactor, overloadWindow)
 		host.SetHanging(false)
 	}
 }
--- a/internal/lab/processrig/zoneresult.go
+++ b/internal/lab/processrig/zoneresult.go
@@ -15,18 +15,18 @@
 
 // ZoneResult is what the gateways did about a zone that failed. Times are milliseconds after the outage began.
 type ZoneResult struct {
-	FirstMS   int64   `json:"first"`
-	P99MS     int64   `json:"p99"`
-	LastMS    int64   `json:"last"`
-	Gateways  int     `json:"gateways"` // that left it
-	Steps     []int   `json:"steps"`    // of the return, as the first gateway took them
-	ReturnMS  int64   `json:"return_ms"`
-	InTime    float64 `json:"in_time"` // of the requests from the outage to the end
-	Reads     int     `json:"reads_while_left"`
-	Agreed    int     `json:"epochs"`
-	LateAtMS  int64   `json:"late_at_most_ms"`
-	Kept      int     `json:"kept"` // the share that was kept when it was left
-	ColdFalls int     `json:"cold_falls"`
+	FirstMS            int64   `json:"first"`
+	P99MS              int64   `json:"p99"`
+	LastMS             int64   `json:"last"`
+	Gateways           int     `json:"gateways"` // that left it
+	Steps              []int   `json:"steps"`    // of the return, as the first gateway took them
+	ReturnMS           int64   `json:"return_ms"`
+	InTime             float64 `json:"in_time"` // of the requests from the outage to the end
+	Reads              int     `json:"reads_while_left"`
+	Agreed             int     `json:"epochs"`
+	LateAtMS           int64   `json:"late_at_most_ms"`
+	Kept               int     `json:"kept"` // the share that was kept when it was left
+	SlowStartOverloads int     `json:"cold_falls"`
 	// FalseLeaves are of zones that did not fail, or by gateways that see less than half of the others.
 	FalseLeaves int     `json:"false_leaves"`
 	Bytes       float64 `json:"fleet_bytes_per_gateway_s"`
@@ -46,7 +46,7 @@
 
 const (
 	inForceMessage = "in force"
-	wholeShare     = 100
+	fullShare      = 100
 	firstGateway   = "n0"
 	settledMS      = 1000 // after the last gateway has left a zone, until which reads may still be on their way
 )
@@ -61,8 +61,8 @@
 		Bytes: float64(r.fleetRelay.bytes.Load()) / float64(len(r.gateways)) / r.For.Seconds(),
 	}
 	for _, host := range r.hosts {
-		if host.PushedOver() {
-			result.ColdFalls++
+		if host.OverloadedInSlowStart() {
+			result.SlowStartOverloads++
 		}
 	}
 	for _, ofGateway := range lines {
@@ -110,7 +110,7 @@
 			result.FalseLeaves++ // neither half is a majority
 		}
 		share := line.Shares[outage.Zone]
-		if share < wholeShare && !left {
+		if share < fullShare && !left {
 			left = true
 			result.Kept = max(result.Kept, share)
 			result.leftAt = append(result.leftAt, at)
@@ -128,7 +128,7 @@
 	count := 0
 	for zone, share := range line.Shares {
 		fails := slices.ContainsFunc(r.Zoned.Outages, func(outage Outage) bool { return outage.Zone == zone })
-		if share < wholeShare && !fails {
+		if share < fullShare && !fails {
 			count++
 		}
 	}
@@ -139,7 +139,7 @@
 	if gateway == firstGateway {
 		z.Steps = append(z.Steps, share)
 	}
-	if share == wholeShare {
+	if share == fullShare {
 		z.ReturnMS = max(z.ReturnMS, at)
 	}
 }
@@ -194,15 +194,15 @@
 // farApartMS is how far apart the gateways may leave a zone.
 const farApartMS = 500
 
-// faults returns what the gateways of a run by the plan did wrong.
-func (z *ZoneResult) faults(plan string, gateways int) []string {
+// faultsOfPlan returns what the gateways of a run by the plan did wrong.
+func (z *ZoneResult) faultsOfPlan(plan string, gateways int) []string {
 	// After a split has healed, the halves may find that the outage is over.
 	leaves := !slices.Contains([]string{"none", "host", "group", "partial", "split"}, plan)
 	inStep := slices.Contains([]string{"lost", "flap", "two"}, plan)
-	returned := len(z.Steps) > 0 && z.Steps[len(z.Steps)-1] == wholeShare
+	returned := len(z.Steps) > 0 && z.Steps[len(z.Steps)-1] == fullShare
 	steps := fmt.Sprint(z.Steps)
 	return faultsOf(map[string]bool{
-		"cold hosts were pushed over":                            z.ColdFalls > 0,
+		"cold hosts were pushed over":                            z.SlowStartOverloads > 0,
 		"zones were left that did not fail, or without a quorum": z.FalseLeaves > 0,
 		"not all gateways left the zone":                         leaves && z.Gateways < gateways,
 		FaultFarApart:                                            inStep && z.P99MS-z.FirstMS > farApartMS,
--- a/internal/lab/restart/storecost.go
+++ b/internal/lab/restart/storecost.go
@@ -57,8 +57,8 @@
 	storeLoads // their number
 )
 
-// RunBeside plays rounds of the three loads in turn, so that a noisy machine meets all alike.
-func RunBeside(ctx context.Context, options Options, rounds int, each time.Duration) (*StoreCost, error) {
+// MeasureStoreCost plays rounds of the three loads in turn, so that a noisy machine meets all alike.
+func MeasureStoreCost(ctx context.Context, options Options, rounds int, each time.Duration) (*StoreCost, error) {
 	var measured [storeLoads][]Latency
 	for range rounds {
 		for load := range storeLoads {
--- a/internal/lab/storesim/checks.go
+++ b/internal/lab/storesim/checks.go
@@ -23,43 +23,43 @@
 }
 
 // observeApplied checks each command that any instance applies: an index has to mean the same everywhere, for ever.
-func (s *simulation) observeApplied(p *instance, index, term, chain uint64) {
-	s.hashEvent('a', p.id<<32|index, chain)
+func (s *simulation) observeApplied(inst *instance, index, term, chain uint64) {
+	s.hashEvent('a', inst.id<<32|index, chain)
 	before, known := s.applied[index]
 	switch {
 	case known && before.chain != chain:
-		s.addViolation("state-machine safety: %s applied something else at %d", p.name, index)
+		s.addViolation("state-machine safety: %s applied something else at %d", inst.name, index)
 	case known && before.term != term:
-		s.addViolation("log matching: %s has term %d at %d, others %d", p.name, term, index, before.term)
+		s.addViolation("log matching: %s has term %d at %d, others %d", inst.name, term, index, before.term)
 	}
 	s.applied[index] = appliedEntry{term, chain}
 	s.highestApplied = max(s.highestApplied, index)
 }
 
 // checkLeaderAndCommit looks for two leaders of one term, and for a commit that goes back or lies behind what is applied.
-func (s *simulation) checkLeaderAndCommit(p *instance) {
-	status := p.core.Status()
+func (s *simulation) checkLeaderAndCommit(inst *instance) {
+	status := inst.core.Status()
 	if status.Role == "StateLeader" {
-		s.checkLeader(p, status.Term)
+		s.checkLeader(inst, status.Term)
 	}
 	if status.Applied > status.Commit {
-		s.addViolation("%s applied %d and committed %d", p.name, status.Applied, status.Commit)
+		s.addViolation("%s applied %d and committed %d", inst.name, status.Applied, status.Commit)
 	}
-	if status.Commit < s.commits[p.id] {
-		s.addViolation("%s committed %d and then %d", p.name, s.commits[p.id], status.Commit)
+	if status.Commit < s.commits[inst.id] {
+		s.addViolation("%s committed %d and then %d", inst.name, s.commits[inst.id], status.Commit)
 	}
-	s.commits[p.id] = status.Commit
+	s.commits[inst.id] = status.Commit
 }
 
-func (s *simulation) checkLeader(p *instance, term uint64) {
+func (s *simulation) checkLeader(inst *instance, term uint64) {
 	leader, known := s.leaders[term]
 	switch {
-	case known && leader != p.id:
-		s.addViolation("election safety: %d and %d lead term %d", leader, p.id, term)
+	case known && leader != inst.id:
+		s.addViolation("election safety: %d and %d lead term %d", leader, inst.id, term)
 	case !known:
 		s.result.Elections++
-		s.leaders[term] = p.id
-		s.trace("%s leads term %d", p.name, term)
+		s.leaders[term] = inst.id
+		s.trace("%s leads term %d", inst.name, term)
 	}
 }
 
@@ -68,40 +68,40 @@
 	if len(s.result.Violations) > 0 {
 		return
 	}
-	for _, p := range s.instances {
-		if p.core != nil {
-			s.trace("%s at the end: %+v", p.name, p.core.Status())
+	for _, inst := range s.instances {
+		if inst.core != nil {
+			s.trace("%s at the end: %+v", inst.name, inst.core.Status())
 		}
 	}
-	for _, p := range s.instances {
-		if p.core == nil {
-			s.addViolation("%s is not up at the end", p.name)
+	for _, inst := range s.instances {
+		if inst.core == nil {
+			s.addViolation("%s is not up at the end", inst.name)
 			continue
 		}
-		s.checkFinalState(p)
+		s.checkFinalState(inst)
 	}
 }
 
-func (s *simulation) checkFinalState(p *instance) {
-	status := p.core.Status()
+func (s *simulation) checkFinalState(inst *instance) {
+	status := inst.core.Status()
 	s.hashEvent('e', status.Applied, status.Chain)
 	if status.Applied < s.highestApplied {
 		s.addViolation("durability: %s stands at %d, and %d was applied somewhere (%+v)",
-			p.name, status.Applied, s.highestApplied, status)
+			inst.name, status.Applied, s.highestApplied, status)
 		return
 	}
 	for _, key := range slices.Sorted(maps.Keys(s.acknowledged)) {
-		entry, found := p.core.Machine().Get(dataNamespace, key)
+		entry, found := inst.core.Machine().Get(dataNamespace, key)
 		switch {
 		case !found:
-			s.addViolation("durability: %s lacks %s, which was acknowledged", p.name, key)
+			s.addViolation("durability: %s lacks %s, which was acknowledged", inst.name, key)
 		case entry.Version != 1:
-			s.addViolation("%s has %s %d times", p.name, key, entry.Version)
+			s.addViolation("%s has %s %d times", inst.name, key, entry.Version)
 		}
 	}
-	for _, entry := range p.core.Machine().List(dataNamespace, "", 0) {
+	for _, entry := range inst.core.Machine().List(dataNamespace, "", 0) {
 		if entry.Version != 1 && !strings.HasPrefix(entry.Key, sharedPrefix) {
-			s.addViolation("%s has %s %d times", p.name, entry.Key, entry.Version)
+			s.addViolation("%s has %s %d times", inst.name, entry.Key, entry.Version)
 		}
 	}
 }
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -29,7 +29,7 @@
 
 func (s *simulation) playFault() {
 	i := s.random.IntN(len(s.instances))
-	p := s.instances[i]
+	inst := s.instances[i]
 	duration := int64(100+s.random.IntN(4000)) * millisecond
 	switch s.random.IntN(faultWeights) {
 	case 0, 1: // the process ends; the kernel keeps what it wrote
@@ -41,34 +41,34 @@
 	case 5, 6:
 		s.cutOff(i, duration)
 	case 7: // its clock runs fast or slow
-		p.tickInterval = []int64{30, 60, 200, 400}[s.random.IntN(4)] * millisecond
-		s.schedule(duration, func() { p.tickInterval = normalTick })
+		inst.tickInterval = []int64{30, 60, 200, 400}[s.random.IntN(4)] * millisecond
+		s.schedule(duration, func() { inst.tickInterval = normalTick })
 	case 8:
-		s.fillDisk(p, duration)
+		s.fillDisk(inst, duration)
 	case 9: // a sync fails: the instance must not go on
-		p.disk.failSync = true
-		s.schedule(duration, func() { p.disk.failSync = false })
+		inst.disk.failSync = true
+		s.schedule(duration, func() { inst.disk.failSync = false })
 	case 10:
 		s.corruptDisk(i, duration)
 	case 11:
-		if p.core != nil && !p.diskFull {
-			p.core.TransferLeadership()
-			s.process(p)
+		if inst.core != nil && !inst.diskFull {
+			inst.core.TransferLeadership()
+			s.process(inst)
 		}
 	case 12, 13: // the machine loses power in the middle of a write, a rename, a removal, a snapshot or a start
-		p.disk.changesUntilPowerLoss = 1 + s.random.IntN(maxChangesUntilPowerLoss)
+		inst.disk.changesUntilPowerLoss = 1 + s.random.IntN(maxChangesUntilPowerLoss)
 	}
 }
 
 // stopFor stops an instance, if it is up, and starts it after a time.
 func (s *simulation) stopFor(i int, powerLost bool, duration int64) {
-	p := s.instances[i]
-	if p.core == nil {
+	inst := s.instances[i]
+	if inst.core == nil {
 		return
 	}
-	s.stop(p, powerLost)
+	s.stop(inst, powerLost)
 	s.schedule(duration, func() {
-		if p.core == nil {
+		if inst.core == nil {
 			s.start(i)
 		}
 	})
@@ -99,19 +99,19 @@
 	})
 }
 
-func (s *simulation) fillDisk(p *instance, duration int64) {
-	p.disk.full = true
-	s.trace("%s has a full disk", p.name)
+func (s *simulation) fillDisk(inst *instance, duration int64) {
+	inst.disk.full = true
+	s.trace("%s has a full disk", inst.name)
 	s.schedule(duration, func() {
-		p.disk.full = false
-		s.process(p)
+		inst.disk.full = false
+		s.process(inst)
 	})
 }
 
 // corruptDisk has a bit flip while the machine is down; on one disk at a time, or there is no majority to learn from.
 func (s *simulation) corruptDisk(i int, duration int64) {
-	for _, p := range s.instances {
-		if !p.joined || p.corrupt {
+	for _, inst := range s.instances {
+		if !inst.joined || inst.corrupt {
 			return
 		}
 	}
@@ -126,15 +126,15 @@
 	s.healed = true
 	s.cut = map[direction]bool{}
 	s.trace("healed")
-	for i, p := range s.instances {
-		p.disk.full = false
-		p.disk.failSync = false
-		p.disk.changesUntilPowerLoss = 0
-		p.tickInterval = normalTick
-		if p.core == nil {
+	for i, inst := range s.instances {
+		inst.disk.full = false
+		inst.disk.failSync = false
+		inst.disk.changesUntilPowerLoss = 0
+		inst.tickInterval = normalTick
+		if inst.core == nil {
 			s.start(i)
 		} else {
-			s.process(p)
+			s.process(inst)
 		}
 	}
 }
--- a/internal/lab/storesim/instance.go
+++ b/internal/lab/storesim/instance.go
@@ -40,26 +40,26 @@
 }
 
 // recoverPowerLoss ends a call in whose middle the instance's machine lost power, and has it come back.
-func (s *simulation) recoverPowerLoss(p *instance) {
+func (s *simulation) recoverPowerLoss(inst *instance) {
 	switch reason := recover().(type) {
 	case nil:
 	case powerLoss:
-		if reason.disk != p.disk {
+		if reason.disk != inst.disk {
 			panic(reason)
 		}
-		s.stop(p, true)
-		s.scheduleStart(p, powerReturns)
+		s.stop(inst, true)
+		s.scheduleStart(inst, powerReturns)
 	default:
 		panic(reason)
 	}
 }
 
 // scheduleStart starts an instance after a time, unless it was started or stopped meanwhile.
-func (s *simulation) scheduleStart(p *instance, after int64) {
-	i := s.indexOf(p.id)
-	incarnation := p.incarnation
+func (s *simulation) scheduleStart(inst *instance, after int64) {
+	i := s.indexOf(inst.id)
+	incarnation := inst.incarnation
 	s.schedule(after, func() {
-		if p.core == nil && p.incarnation == incarnation {
+		if inst.core == nil && inst.incarnation == incarnation {
 			s.start(i)
 		}
 	})
@@ -67,27 +67,27 @@
 
 // start starts the process of an instance.
 func (s *simulation) start(i int) {
-	p := s.instances[i]
-	defer s.recoverPowerLoss(p)
-	p.incarnation++
-	if p.corrupt {
-		p.corruptLog()
+	inst := s.instances[i]
+	defer s.recoverPowerLoss(inst)
+	inst.incarnation++
+	if inst.corrupt {
+		inst.corruptLog()
 	}
-	store, state, err := disk.Open(p.disk, s.logOptions())
+	store, state, err := disk.Open(inst.disk, s.logOptions())
 	var corrupt *disk.CorruptError
 	switch {
-	case errors.As(err, &corrupt) && p.corrupt:
-		s.trace("%s: %v", p.name, err)
+	case errors.As(err, &corrupt) && inst.corrupt:
+		s.trace("%s: %v", inst.name, err)
 		s.result.Corrupt++
-		s.replace(p)
+		s.replace(inst)
 		return
 	case errors.Is(err, errSync) || errors.Is(err, disk.ErrFull):
-		s.scheduleStart(p, supervisorRestart)
+		s.scheduleStart(inst, supervisorRestart)
 		return
 	}
-	p.corrupt = false
+	inst.corrupt = false
 	if err != nil {
-		s.addViolation("%s cannot open its disk: %v", p.name, err)
+		s.addViolation("%s cannot open its disk: %v", inst.name, err)
 		return
 	}
 	s.run(i, store, state)
@@ -95,168 +95,168 @@
 
 // run starts the core of an instance on what its disk holds.
 func (s *simulation) run(i int, store *disk.Store, state *disk.Opened) {
-	p := s.instances[i]
+	inst := s.instances[i]
 	s.nextNonce++
 	config := core.Config{
-		ID: p.id, Nonce: s.nextNonce << 24, SnapshotInterval: snapshotInterval, RetainedEntries: retainedEntries,
+		ID: inst.id, Nonce: s.nextNonce << 24, SnapshotInterval: snapshotInterval, RetainedEntries: retainedEntries,
 		ChunkSize: chunkSize, SnapshotBytesPerTick: snapshotBytesPerTick, TimeoutTicks: timeoutTicks,
 		Logger:  s.logger,
-		Observe: func(index, term, chain uint64) { s.observeApplied(p, index, term, chain) },
+		Observe: func(index, term, chain uint64) { s.observeApplied(inst, index, term, chain) },
 	}
 	initial := core.InitialState{Snapshot: state.Snapshot, SnapshotName: state.SnapshotName, Log: state.Loaded}
 	started, err := core.New(config, initial)
 	if err != nil {
-		s.addViolation("%s cannot start: %v", p.name, err)
+		s.addViolation("%s cannot start: %v", inst.name, err)
 		return
 	}
-	p.core = started
-	p.store = store
-	p.diskFull = false
-	delete(s.commits, p.id) // how far a commit went may be lost; what was committed may not
-	s.trace("%s started as %d, cut %d", p.name, p.id, state.Loaded.TornBytes)
-	s.hashEvent('s', p.id, uint64(state.Loaded.TornBytes))
-	s.tick(p, p.incarnation)
+	inst.core = started
+	inst.store = store
+	inst.diskFull = false
+	delete(s.commits, inst.id) // how far a commit went may be lost; what was committed may not
+	s.trace("%s started as %d, cut %d", inst.name, inst.id, state.Loaded.TornBytes)
+	s.hashEvent('s', inst.id, uint64(state.Loaded.TornBytes))
+	s.tick(inst, inst.incarnation)
 }
 
-func (s *simulation) tick(p *instance, incarnation int) {
-	if p.core == nil || p.incarnation != incarnation {
+func (s *simulation) tick(inst *instance, incarnation int) {
+	if inst.core == nil || inst.incarnation != incarnation {
 		return
 	}
-	if !p.diskFull {
-		p.core.Tick()
+	if !inst.diskFull {
+		inst.core.Tick()
 	}
-	s.process(p)
-	s.schedule(p.tickInterval, func() { s.tick(p, incarnation) })
+	s.process(inst)
+	s.schedule(inst.tickInterval, func() { s.tick(inst, incarnation) })
 }
 
 // process does an instance's work, as the daemon's loop does it.
-func (s *simulation) process(p *instance) {
-	defer s.recoverPowerLoss(p)
-	for p.core != nil {
-		if p.core.NeedsSnapshotData() {
-			snapshot, _, err := disk.LoadSnapshot(p.disk)
-			p.core.ProvideSnapshotData(snapshot, err)
+func (s *simulation) process(inst *instance) {
+	defer s.recoverPowerLoss(inst)
+	for inst.core != nil {
+		if inst.core.NeedsSnapshotData() {
+			snapshot, _, err := disk.LoadSnapshot(inst.disk)
+			inst.core.ProvideSnapshotData(snapshot, err)
 		}
-		if p.diskFull && p.disk.full {
+		if inst.diskFull && inst.disk.full {
 			return
 		}
-		work := p.pendingWork()
+		work := inst.pendingWork()
 		if work == nil {
 			break
 		}
-		if !s.handleWork(p, work) {
+		if !s.handleWork(inst, work) {
 			return
 		}
-		s.checkLeaderAndCommit(p)
+		s.checkLeaderAndCommit(inst)
 	}
-	if p.core == nil {
+	if inst.core == nil {
 		return
 	}
-	for _, answer := range p.core.Answers() {
+	for _, answer := range inst.core.Answers() {
 		if finish := s.waiting[answer.Token]; finish != nil {
 			delete(s.waiting, answer.Token)
 			finish(answer)
 		}
 	}
-	if due := p.core.DueSnapshot(false); due != nil {
-		s.saveInBackground(p, due)
+	if due := inst.core.DueSnapshot(false); due != nil {
+		s.saveInBackground(inst, due)
 	}
 }
 
 // handleWork sends and saves one piece of work. It reports whether the instance can go on.
-func (s *simulation) handleWork(p *instance, work *core.Work) bool {
-	s.send(p, work.SendBeforeSave)
-	err := s.save(p, work)
+func (s *simulation) handleWork(inst *instance, work *core.Work) bool {
+	s.send(inst, work.SendBeforeSave)
+	err := s.save(inst, work)
 	switch {
 	case errors.Is(err, disk.ErrFull):
-		p.diskFull = true
-		p.stalled = work
+		inst.diskFull = true
+		inst.stalled = work
 		work.SendBeforeSave = nil
 		return false
 	case err != nil:
-		s.trace("%s: %v", p.name, err)
-		s.stop(p, true)
+		s.trace("%s: %v", inst.name, err)
+		s.stop(inst, true)
 		return false
 	}
-	p.diskFull = false
-	p.stalled = nil
-	s.send(p, work.SendAfterSave)
-	if err := p.core.Done(work); err != nil {
-		s.addViolation("%s: %v", p.name, err)
+	inst.diskFull = false
+	inst.stalled = nil
+	s.send(inst, work.SendAfterSave)
+	if err := inst.core.Done(work); err != nil {
+		s.addViolation("%s: %v", inst.name, err)
 		return false
 	}
 	return true
 }
 
-func (s *simulation) save(p *instance, work *core.Work) error {
+func (s *simulation) save(inst *instance, work *core.Work) error {
 	if work.SnapshotData != nil {
 		s.result.Installs++
-		if err := p.store.SaveSnapshot(work.SnapshotMeta, work.SnapshotData); err != nil {
+		if err := inst.store.SaveSnapshot(work.SnapshotMeta, work.SnapshotData); err != nil {
 			return err
 		}
 	}
-	return p.store.Log.Save(work.HardState, work.SnapshotMeta, work.Entries)
+	return inst.store.Log.Save(work.HardState, work.SnapshotMeta, work.Entries)
 }
 
 // saveInBackground saves a snapshot after a while: the instance may crash before.
-func (s *simulation) saveInBackground(p *instance, due *core.Snapshot) {
-	incarnation := p.incarnation
+func (s *simulation) saveInBackground(inst *instance, due *core.Snapshot) {
+	incarnation := inst.incarnation
 	s.schedule(int64(s.random.IntN(maxSnapshotDelay))*millisecond, func() {
-		defer s.recoverPowerLoss(p)
-		if p.core == nil || p.incarnation != incarnation {
+		defer s.recoverPowerLoss(inst)
+		if inst.core == nil || inst.incarnation != incarnation {
 			return
 		}
 		index := due.Meta.GetIndex()
-		err := disk.SaveSnapshot(p.disk, index, func(out io.Writer) error {
+		err := disk.SaveSnapshot(inst.disk, index, func(out io.Writer) error {
 			return disk.EncodeSnapshot(out, due.Meta, due.Image.Write)
 		})
-		if release := p.core.SnapshotSaved(due, err); release > 0 {
-			_ = p.store.Log.Release(release)       // old files that stay do no harm
-			_ = disk.RemoveObsolete(p.disk, index) // as above
+		if release := inst.core.SnapshotSaved(due, err); release > 0 {
+			_ = inst.store.Log.Release(release)       // old files that stay do no harm
+			_ = disk.RemoveObsolete(inst.disk, index) // as above
 		}
 	})
 }
 
 // pendingWork is what found no room on the disk, or what comes next.
-func (p *instance) pendingWork() *core.Work {
-	if p.stalled != nil {
-		return p.stalled
+func (inst *instance) pendingWork() *core.Work {
+	if inst.stalled != nil {
+		return inst.stalled
 	}
-	return p.core.Next()
+	return inst.core.Next()
 }
 
 // stop ends the process of an instance. One whose disk could not sync is started again once the disk was replaced.
-func (s *simulation) stop(p *instance, powerLost bool) {
-	s.trace("%s down, power lost: %t", p.name, powerLost)
+func (s *simulation) stop(inst *instance, powerLost bool) {
+	s.trace("%s down, power lost: %t", inst.name, powerLost)
 	s.result.Crashes++
-	p.core = nil
-	p.store = nil
-	p.stalled = nil
-	p.diskFull = false
-	p.incarnation++
+	inst.core = nil
+	inst.store = nil
+	inst.stalled = nil
+	inst.diskFull = false
+	inst.incarnation++
 	if powerLost {
-		p.disk.crash()
+		inst.disk.crash()
 	}
-	if p.disk.failSync {
-		s.scheduleStart(p, diskReplaced)
+	if inst.disk.failSync {
+		s.scheduleStart(inst, diskReplaced)
 	}
 }
 
 // corruptLog flips a bit of a log file that is certainly on the disk. The end of the last file cannot be told from a torn
 // write for certain, so there must be two.
-func (p *instance) corruptLog() {
+func (inst *instance) corruptLog() {
 	var logs []string
-	for _, name := range p.disk.names() {
+	for _, name := range inst.disk.names() {
 		if strings.HasPrefix(name, "log-") {
 			logs = append(logs, name)
 		}
 	}
 	if len(logs) < 2 {
-		p.corrupt = false
+		inst.corrupt = false
 		return
 	}
-	name := logs[p.simulation.random.IntN(len(logs)-1)]
-	if p.disk.flipBit(name) {
-		p.simulation.trace("%s: a bit of %s flips", p.name, name)
+	name := logs[inst.simulation.random.IntN(len(logs)-1)]
+	if inst.disk.flipBit(name) {
+		inst.simulation.trace("%s: a bit of %s flips", inst.name, name)
 	}
 }
--- a/internal/lab/storesim/membership.go
+++ b/internal/lab/storesim/membership.go
@@ -12,47 +12,47 @@
 const admitInterval = 1500 * millisecond
 
 // replace gives an instance an empty disk and a new id, and has it join.
-func (s *simulation) replace(p *instance) {
+func (s *simulation) replace(inst *instance) {
 	s.result.Replaced++
 	s.nextID++
-	p.corrupt = false
-	p.joined = false
-	p.disk = newDisk(s.random)
-	identity := disk.Identity{Cluster: clusterID, Node: s.nextID, Name: p.name}
-	if err := disk.Create(p.disk, identity, 0, nil, s.logOptions()); err != nil {
-		s.addViolation("%s cannot begin anew: %v", p.name, err)
+	inst.corrupt = false
+	inst.joined = false
+	inst.disk = newDisk(s.random)
+	identity := disk.Identity{Cluster: clusterID, Node: s.nextID, Name: inst.name}
+	if err := disk.Create(inst.disk, identity, 0, nil, s.logOptions()); err != nil {
+		s.addViolation("%s cannot begin anew: %v", inst.name, err)
 		return
 	}
-	p.disk.ignoreSyncs = s.LoseSyncs
-	p.id = identity.Node
-	s.admit(p)
-	s.start(s.indexOf(p.id))
+	inst.disk.ignoreSyncs = s.LoseSyncs
+	inst.id = identity.Node
+	s.admit(inst)
+	s.start(s.indexOf(inst.id))
 }
 
 // admit asks another instance to admit this one, until it is a voter. A learner does not count: until then the others must
 // keep their disks.
-func (s *simulation) admit(p *instance) {
-	if p.joined {
+func (s *simulation) admit(inst *instance) {
+	if inst.joined {
 		return
 	}
 	asked := false
 	for _, other := range s.instances {
-		if other.core == nil || other.id == p.id || other.diskFull {
+		if other.core == nil || other.id == inst.id || other.diskFull {
 			continue
 		}
-		if slices.Contains(other.core.Status().Voters, p.id) {
-			p.joined = true
+		if slices.Contains(other.core.Status().Voters, inst.id) {
+			inst.joined = true
 			return
 		}
-		if _, member := core.Members(other.core.Machine())[p.id]; member || asked {
+		if _, member := core.Members(other.core.Machine())[inst.id]; member || asked {
 			continue
 		}
 		asked = true
-		if !s.proposeJoin(other, p) {
+		if !s.proposeJoin(other, inst) {
 			return
 		}
 	}
-	s.schedule(admitInterval, func() { s.admit(p) })
+	s.schedule(admitInterval, func() { s.admit(inst) })
 }
 
 func (s *simulation) proposeJoin(at, joining *instance) bool {
--- a/internal/lab/storesim/network.go
+++ b/internal/lab/storesim/network.go
@@ -14,8 +14,8 @@
 )
 
 // send sends messages of an instance over the network, which may lose, double and delay them.
-func (s *simulation) send(p *instance, messages []core.Envelope) {
-	from := s.indexOf(p.id)
+func (s *simulation) send(inst *instance, messages []core.Envelope) {
+	from := s.indexOf(inst.id)
 	for _, message := range messages {
 		to := s.indexOf(message.To)
 		if to < 0 || from < 0 || s.cut[direction{from, to}] || s.chance(lossPercent) {
@@ -56,8 +56,8 @@
 
 // indexOf returns the index of the instance with an id, or -1.
 func (s *simulation) indexOf(id uint64) int {
-	for i, p := range s.instances {
-		if p.id == id {
+	for i, inst := range s.instances {
+		if inst.id == id {
 			return i
 		}
 	}
