--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -1,5 +1,5 @@
-// Package chaos rehearses the replicated store with real processes. It kills them, cuts their connections and restarts
-// all together, and checks what clients were told against what the instances hold afterwards.
+// Package chaos tests the replicated store with real processes under faults. It kills instances, cuts their connections
+// and restarts all of them at once, and checks the answers that clients got against the state of the instances afterwards.
 package chaos
 
 import (
@@ -13,12 +13,12 @@
 // Options of a rehearsal.
 type Options struct {
 	Instances int
-	For       time.Duration // of the faults
+	For       time.Duration // how long faults occur
 	Seed      uint64
-	LoseSyncs bool   // the log is not synced: the checks must find it
-	Program   string // empty: the gateway's program beside this one
-	Keep      bool   // keep the directory
-	Log       func(format string, args ...any)
+	LoseSyncs bool                             // the log is not synced: the checks must find it
+	Program   string                           // path of the gateway's program; empty: the one in the directory of this program
+	Keep      bool                             // keep the directory with the instances' files
+	Log       func(format string, args ...any) // nil: nothing is logged
 }
 
 // Result of a rehearsal.
@@ -37,16 +37,16 @@
 	Contradictions     int      `json:"contradictions"`
 	Linearizable       bool     `json:"linearizable"`
 	LongestUnavailable int64    `json:"longest_unavailable_ms"`
-	UnaskedEnds        int      `json:"unasked_ends"` // of processes that ended by themselves
-	Converged          bool     `json:"converged"`    // all instances came to the same state in the end
-	What               []string `json:"what,omitempty"`
+	UnaskedEnds        int      `json:"unasked_ends"`   // processes that ended although nobody killed them
+	Converged          bool     `json:"converged"`      // all instances had the same state in the end
+	What               []string `json:"what,omitempty"` // the findings in words, at most maxFindings
 	Directory          string   `json:"directory,omitempty"`
 }
 
 // maxFindings limits the findings that a result describes.
 const maxFindings = 20
 
-// Good reports whether no fault was found, and anything was acknowledged at all.
+// Good reports whether no fault was found and at least one write was acknowledged.
 func (r *Result) Good() bool {
 	consistent := r.Lost == 0 && r.Contradictions == 0 && r.Linearizable && r.Converged
 	return consistent && r.UnaskedEnds == 0 && r.Acknowledged > 0
@@ -110,7 +110,7 @@
 	return result, ctx.Err()
 }
 
-// play has clients work while the faults go on.
+// play runs the clients while faults occur.
 func (r *rehearsal) play(ctx context.Context) error {
 	clientContext, stop := context.WithCancel(ctx)
 	defer stop()
--- a/internal/lab/chaos/check.go
+++ b/internal/lab/chaos/check.go
@@ -21,7 +21,7 @@
 	allKeys                = -1
 )
 
-// instanceState is what an instance holds in the end.
+// instanceState is the final state of an instance.
 type instanceState struct {
 	instance int
 	applied  uint64 // index of the last entry
@@ -113,7 +113,7 @@
 	return states
 }
 
-// readState reads the state of an instance. By then nobody but the store itself writes.
+// readState reads the state of an instance. The clients have ended: only the store itself still writes.
 func (r *rehearsal) readState(ctx context.Context, i int) (*instanceState, error) {
 	ctx, cancel := context.WithTimeout(ctx, readStateTimeout)
 	defer cancel()
--- a/internal/lab/chaos/clients.go
+++ b/internal/lab/chaos/clients.go
@@ -14,7 +14,7 @@
 	clientCount   = 6
 	registerCount = 4
 	// registerAge is how long registers are in use, so that a write of unknown outcome meets few other operations.
-	registerAge      = 2 * time.Second
+	registerAge      = 2 * time.Second // after it, clients use new registers
 	namespace        = "rehearsal"
 	ownPrefix        = "own/" // keys of which each is written once
 	attemptTimeout   = 700 * time.Millisecond
@@ -22,7 +22,8 @@
 	clientStreams    = 100 // the clients' random numbers are the streams from here on
 )
 
-// storeClient is one client's work: it reads, writes and changes registers, and with each write puts a key of its own.
+// storeClient is a client of the store. It reads, writes and conditionally writes registers, and each of its writes puts a
+// key of its own in the same transaction.
 type storeClient struct {
 	number   int
 	store    *client.Client
@@ -73,7 +74,7 @@
 	return drawn
 }
 
-// execute sends an operation and fills in its outcome. The end of the rehearsal does not cut it short.
+// execute sends an operation and records its outcome in it. It completes even if ctx ends meanwhile.
 func (c *storeClient) execute(ctx context.Context, o *operation) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), operationTimeout)
 	defer cancel()
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// transaction writes the register, on its condition, and the own key.
+// transaction returns the command that writes the register, if its condition holds, and the operation's own key.
 func (o *operation) transaction() machine.Command {
 	value := []byte(o.value)
 	command := machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{
--- a/internal/lab/chaos/cluster.go
+++ b/internal/lab/chaos/cluster.go
@@ -21,8 +21,8 @@
 	"cloverrock/internal/store/pki"
 )
 
-// ErrNoProgram is returned where the gateway's program is not beside the one that rehearses.
-var ErrNoProgram = errors.New("the program under rehearsal is missing; build it beside this one")
+// ErrNoProgram reports that the gateway's program is not in the directory of the running program.
+var ErrNoProgram = errors.New("the program under test is missing; build it into the directory of this one")
 
 const (
 	snapshotEntries = 2000 // entries between snapshots
@@ -50,8 +50,8 @@
 	mu          sync.Mutex
 	command     *exec.Cmd
 	ended       chan struct{}
-	down        bool // on purpose
-	unaskedEnds int
+	down        bool // it was killed on purpose
+	unaskedEnds int  // times that it ended by itself
 }
 
 // newCluster founds a store in a directory.
@@ -204,7 +204,7 @@
 	return sum
 }
 
-// close ends all that was started.
+// close kills all processes and closes the relays.
 func (c *cluster) close() {
 	for _, instance := range c.instances {
 		_ = instance.kill(false) // fails only for a loss of power
@@ -217,7 +217,8 @@
 	}
 }
 
-// client connects as the operator, to the first endpoint alone if single, else to any. attempt is the time for one try.
+// client returns a client with the operator's credentials. It tries the instances from first on, or only that one if
+// single is set. attempt is the timeout of one try.
 func (c *cluster) client(first int, single bool, attempt time.Duration) (*client.Client, error) {
 	credentials, err := pki.LoadTLS(pki.Files{
 		Certificate: filepath.Join(c.directory, "operator.pem"),
--- a/internal/lab/chaos/faults.go
+++ b/internal/lab/chaos/faults.go
@@ -34,7 +34,7 @@
 	random *rand.Rand
 }
 
-// playFaults plays faults until the time is over. At the end all instances run and no connection is cut.
+// playFaults plays faults until the time is over. On success all instances run and no connection is cut afterwards.
 func (r *rehearsal) playFaults(ctx context.Context) error {
 	p := &faultPlayer{r, rand.New(rand.NewPCG(r.options.Seed, faultStream))}
 	if err := p.pause(ctx, 800, 1200); err != nil {
--- a/internal/lab/chaos/history.go
+++ b/internal/lab/chaos/history.go
@@ -17,12 +17,12 @@
 	changeRegister // writes if the register has the expected value
 )
 
-// operation is one of a client's, with its outcome. Times count from the start.
+// operation is an operation of a client, with its outcome. Times count from the start of the operations.
 type operation struct {
 	client          int
 	kind            operationKind
 	register        string
-	ownKey          string // written along; empty for a read
+	ownKey          string // a key of its own that the same transaction writes; empty for a read
 	expected, value string
 	call, returned  time.Duration
 
@@ -34,7 +34,7 @@
 // neverReturned is the return time of a write without an answer: it may take effect at any time from its call on.
 const neverReturned = time.Duration(math.MaxInt64 / 8)
 
-// history is the operations of all clients. It may be used from several goroutines.
+// history records the operations of all clients. It is safe for concurrent use.
 type history struct {
 	mu           sync.Mutex
 	operations   []porcupine.Operation
@@ -50,7 +50,7 @@
 	return &history{written: map[string]bool{}, lastSuccess: start}
 }
 
-// add records an operation. A read without an answer tells nothing and is left out.
+// add records an operation. A read without an answer constrains no order and is left out.
 func (h *history) add(o *operation, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -87,7 +87,7 @@
 	return porcupine.CheckOperationsTimeout(registerModel, h.operations, timeout) == porcupine.Ok
 }
 
-// registerModel is what the history is checked against: each register by itself.
+// registerModel is the specification that the history is checked against: registers that are independent of each other.
 var registerModel = porcupine.Model{
 	Partition: partitionByRegister,
 	Init:      func() any { return "" },
--- a/internal/lab/emulator/classes.go
+++ b/internal/lab/emulator/classes.go
@@ -9,12 +9,12 @@
 	LatencyObjective time.Duration
 	Deadline         time.Duration
 	PriorityWeight   float64
-	LatePart         float64 // of the weight, for an answer after the objective
+	LatePart         float64 // part of the weight that an answer after the objective earns
 	Write            bool
 	Session          bool // a read that must see its session's writes
 }
 
-// Classes are those of the deployment.
+// Classes are the request classes of the deployment.
 var Classes = [...]Class{
 	{
 		Name: "zone-lookup", Share: 0.58, PriorityWeight: 1,
@@ -30,7 +30,10 @@
 	},
 }
 
-// ClassSettings are the classes in the form of a gateway's configuration.
+// deduplicationWindowMs is the window within which a host recognizes a repeated idempotency key, in milliseconds.
+const deduplicationWindowMs = 5000
+
+// ClassSettings returns the classes in the form of a gateway's configuration.
 func ClassSettings() []map[string]any {
 	var settings []map[string]any
 	for _, class := range Classes {
@@ -46,7 +49,7 @@
 			"lateWorth":  class.LatePart,
 			"repeat":     repeat,
 			"group":      "all",
-			"windowMs":   5000,
+			"windowMs":   deduplicationWindowMs,
 		})
 	}
 	return settings
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -13,14 +13,14 @@
 // ErrConnectionClosed is a new connection that was closed before its first answer. It counts as rejected.
 var ErrConnectionClosed = fmt.Errorf("%w: its new connection was closed", ErrRejected)
 
-// closeCrossing is how long after a request was written the close of an idle connection may have crossed it. A close that
-// comes later took a request that the gateway had read.
+// closeCrossing is the time after a request was written within which the gateway's close of the idle connection may have
+// crossed it on the way. With a later close the gateway had read the request.
 const closeCrossing = 100 * time.Millisecond
 
-// sessionWriteAge is how long ago the writes of a session were that its reads must see.
+// sessionWriteAge is the age of the session's last write at each session read.
 const sessionWriteAge = 300 * time.Millisecond
 
-// clientConnection is one of a client's to a gateway.
+// clientConnection is a client's connection to a gateway.
 type clientConnection struct {
 	net.Conn
 	gateway int
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	c := &clientConnection{Conn: connection, gateway: gateway}
-	_ = c.SetDeadline(deadline) // fails only on a closed connection, which the write then tells
+	_ = c.SetDeadline(deadline) // fails only on a closed connection, on which the write fails as well
 	if _, err = c.Write(pgwire.AppendStartup(nil, "user", "lab", "database", "lab")); err == nil {
 		err = readUntilReady(bufio.NewReaderSize(c, 512))
 	}
@@ -66,7 +66,7 @@
 	return !isTimeout(err) && time.Since(c.sentAt) < closeCrossing
 }
 
-// query sends a request and waits for its answer until the slack after its deadline.
+// query sends a request and waits for its answer until slack after the request's deadline.
 func (c *clientConnection) query(req request, slack time.Duration) error {
 	_ = c.SetDeadline(req.deadline.Add(slack)) // as in dial
 	text := req.text()
@@ -91,7 +91,7 @@
 	return "/* " + comment + " */ " + statement
 }
 
-// newConnectionError is the error of a new connection that brought no answer.
+// newConnectionError converts the error of a request that got no answer on a new connection.
 func newConnectionError(err error) error {
 	if isTimeout(err) {
 		return err
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// Discovery answers watches. Each new one gets the endpoint list that was published last, and then each later one.
+// Discovery emulates the discovery service. Each watch gets the endpoint list that was published last and each later one.
 type Discovery struct {
 	listener net.Listener
 	wait     sync.WaitGroup
 
 	mu      sync.Mutex
 	watches []net.Conn
-	list    string // in the form of the wire; empty: none yet
+	list    string // as JSON; empty: none yet
 	silent  bool
 }
 
@@ -46,7 +46,7 @@
 	if d.silent {
 		return
 	}
-	_, _ = fmt.Fprint(watch, head) // a client that is gone learns of it by the connection
+	_, _ = fmt.Fprint(watch, head) // the watch's client may have closed it
 	d.send(watch)
 }
 
@@ -57,7 +57,7 @@
 	_, _ = fmt.Fprintf(watch, "%x\r\n%s\n\r\n", len(d.list)+1, d.list) // as in begin
 }
 
-// Publish sends a list to those that watch, and to those that come.
+// Publish sends a list, as JSON, to all present and future watches.
 func (d *Discovery) Publish(list string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,14 +67,14 @@
 	}
 }
 
-// Silence has it accept connections and answer none of them any more.
+// Silence makes it accept connections without answering them. Open watches still get published lists.
 func (d *Discovery) Silence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = true
 }
 
-// Address is where it listens.
+// Address returns the address at which it listens.
 func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
 // Close ends it and its connections.
--- a/internal/lab/emulator/host.go
+++ b/internal/lab/emulator/host.go
@@ -1,5 +1,5 @@
-// Package emulator plays database hosts, discovery and clients on loopback addresses, in PostgreSQL's wire protocol and
-// the endpoint list's form.
+// Package emulator emulates database hosts, the discovery service and clients on loopback addresses, with PostgreSQL's
+// wire protocol and the JSON form of the endpoint list.
 package emulator
 
 import (
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// Host is a database host: primary or replica, working or hanging. Its methods may be called from any goroutine.
+// Host is an emulated database host: primary or replica, answering or hanging. Its methods may be called from any
+// goroutine.
 type Host struct {
 	ID     string
-	Writes atomic.Int64 // executed
+	Writes atomic.Int64 // number of writes that were executed
 
 	listener       net.Listener
 	secondListener net.Listener
@@ -29,12 +30,13 @@
 
 	slowStart             atomic.Pointer[slowStart]
 	overloadedInSlowStart atomic.Bool
-	cores                 chan struct{} // nil: no limit
-	present               atomic.Int32  // requests that wait for a core or have one
-	arrived               func(before int)
+	cores                 chan struct{}    // a token for each core in use; nil: no limit
+	present               atomic.Int32     // requests that wait for a core or have one
+	arrived               func(before int) // called at each request; see LimitCores
 }
 
-// NewHost listens on a loopback address. Each request takes the time given as work, and a replica's data is as old as lag.
+// NewHost returns a replica that listens on a loopback address. Each request takes the time work, and a replica's log
+// position is lag behind the clock.
 func NewHost(id string, work, lag time.Duration) (*Host, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -45,8 +47,9 @@
 	return h, nil
 }
 
-// LimitCores limits the requests that are executed at once: those beyond wait, and their work varies. The function is
-// called for each request with the number of those before it. LimitCores is called before the first connection.
+// LimitCores limits the number of requests that are executed at once: further ones wait, and the work of each is random
+// with the mean given to NewHost. arrived is called at each request with the number of those that are waiting or being
+// executed. LimitCores must be called before the first connection.
 func (h *Host) LimitCores(cores int, arrived func(before int)) {
 	h.cores = make(chan struct{}, cores)
 	h.arrived = arrived
@@ -66,7 +69,7 @@
 	h.present.Add(-1)
 }
 
-// Connections is the number of open connections.
+// Connections returns the number of open connections.
 func (h *Host) Connections() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -116,7 +119,7 @@
 // SetPrimary makes the host the primary, or a replica.
 func (h *Host) SetPrimary(primary bool) { h.primary.Store(primary) }
 
-// SetHanging sets whether the host takes requests and answers none.
+// SetHanging sets whether the host reads requests without answering them.
 func (h *Host) SetHanging(hanging bool) { h.hanging.Store(hanging) }
 
 // Close ends the host and its connections.
--- a/internal/lab/emulator/load.go
+++ b/internal/lab/emulator/load.go
@@ -46,7 +46,7 @@
 	Groups      int      // of hosts, numbered from 1; 0 for one
 	Rate        float64  // requests a second
 	Seed        uint64
-	AnswerSlack time.Duration          // how long after the deadline an answer is still taken; it earns nothing
+	AnswerSlack time.Duration          // how long after its deadline an answer is still awaited; it earns nothing
 	Draining    func(gateway int) bool // whether new connections avoid a gateway; nil: never
 
 	mu      sync.Mutex
@@ -56,7 +56,7 @@
 	resent  int
 }
 
-// request is one of the load's.
+// request is a request to be sent.
 type request struct {
 	class    *Class
 	group    int
@@ -64,14 +64,14 @@
 	deadline time.Time
 }
 
-// Resent is the number of requests that met the end of an idle connection and were sent again.
+// Resent returns the number of requests that crossed the close of an idle connection and were sent again.
 func (l *Load) Resent() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.resent
 }
 
-// Run sends until the context ends, and waits for the last answers.
+// Run sends requests until the context ends, waits for the last answers, and returns a sample of each request.
 func (l *Load) Run(ctx context.Context) []Sample {
 	random := rand.New(rand.NewPCG(l.Seed, randomStream))
 	var wait sync.WaitGroup
@@ -105,7 +105,7 @@
 	return index
 }
 
-// play sends one request and notes what became of it.
+// play sends one request and records its outcome.
 func (l *Load) play(class, gateway, group int, at time.Time) {
 	asked, err := l.ask(class, gateway, group, at)
 	sample := Sample{
--- a/internal/lab/emulator/slowstart.go
+++ b/internal/lab/emulator/slowstart.go
@@ -6,34 +6,35 @@
 	"time"
 )
 
-// slowStart is the time after a host's start, in which its capacity grows from a share of it to the whole. A host that
-// gets more requests within the window than the factor allows hangs from then on.
+// SlowStart describes the time after a host's start in which its capacity grows linearly to its full value. A host that
+// receives more than OverloadFactor times its current capacity within a Window hangs from then on.
+type SlowStart struct {
+	Duration       time.Duration
+	InitialShare   float64 // part of the capacity at the start
+	Capacity       float64 // full capacity, in requests per second
+	OverloadFactor float64
+	Window         time.Duration
+}
+
+// slowStart is a slow start in progress.
 type slowStart struct {
+	SlowStart
 	startedAt, warmAt time.Time
-	initialShare      float64
-	capacity          float64 // requests a second of a warm host
-	overloadFactor    float64
-	window            time.Duration
 
 	mu       sync.Mutex
 	arrivals []time.Time // within the window
 }
 
-// BeginSlowStart has the host begin its slow start now.
-func (h *Host) BeginSlowStart(
-	duration time.Duration, initialShare, capacity, overloadFactor float64, window time.Duration,
-) {
+// BeginSlowStart begins a slow start of the host now.
+func (h *Host) BeginSlowStart(s SlowStart) {
 	now := time.Now()
-	h.slowStart.Store(&slowStart{
-		startedAt: now, warmAt: now.Add(duration), initialShare: initialShare, capacity: capacity,
-		overloadFactor: overloadFactor, window: window,
-	})
+	h.slowStart.Store(&slowStart{SlowStart: s, startedAt: now, warmAt: now.Add(s.Duration)})
 }
 
 // OverloadedInSlowStart reports whether the host was overloaded in its slow start.
 func (h *Host) OverloadedInSlowStart() bool { return h.overloadedInSlowStart.Load() }
 
-// admitInSlowStart notes a request and returns the share of its capacity that the host has now.
+// admitInSlowStart records a request and returns the share of its capacity that the host has now.
 func (h *Host) admitInSlowStart() float64 {
 	start := h.slowStart.Load()
 	now := time.Now()
@@ -50,17 +51,18 @@
 
 func (s *slowStart) share(now time.Time) float64 {
 	elapsed := float64(now.Sub(s.startedAt)) / float64(s.warmAt.Sub(s.startedAt))
-	return s.initialShare + (1-s.initialShare)*elapsed
+	return s.InitialShare + (1-s.InitialShare)*elapsed
 }
 
-// overloaded adds an arrival and reports whether those within the window exceed the allowed number by more than chance.
+// overloaded records an arrival and reports whether the number within the window exceeds the allowed one by more than two
+// standard deviations of a Poisson process.
 func (s *slowStart) overloaded(now time.Time, share float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrivals = append(s.arrivals, now)
-	for now.Sub(s.arrivals[0]) > s.window {
+	for now.Sub(s.arrivals[0]) > s.Window {
 		s.arrivals = s.arrivals[1:]
 	}
-	allowed := s.overloadFactor * share * s.capacity * s.window.Seconds()
+	allowed := s.OverloadFactor * share * s.Capacity * s.Window.Seconds()
 	return float64(len(s.arrivals)) > allowed+2*math.Sqrt(allowed)+2
 }
--- a/internal/lab/linkage/linkage.go
+++ b/internal/lab/linkage/linkage.go
@@ -1,5 +1,5 @@
-// Package linkage reads how a built program is linked. Some platforms load a library into the gateway's process before
-// it starts, and that reaches only a program that the C library's loader brings up.
+// Package linkage checks how a program is linked. Some platforms preload a library into the gateway's process, which works
+// only for a program that the C library's dynamic loader starts.
 package linkage
 
 import (
@@ -9,7 +9,8 @@
 	"strings"
 )
 
-// Check tells why a program is not linked dynamically against the C library; nil if it is.
+// Check returns nil if the program at a path is linked dynamically against the C library by the C linker, else an error
+// that says what is missing.
 func Check(path string) error {
 	f, err := elf.Open(path)
 	if err != nil {
@@ -26,7 +27,7 @@
 	if !slices.ContainsFunc(needed, func(l string) bool { return strings.HasPrefix(l, "libc.") }) {
 		return fmt.Errorf("%s does not need the C library, only %v", path, needed)
 	}
-	// The runtime's own linker can write a dynamic program, too; its start does not run the C library's.
+	// Go's internal linker can produce a dynamic program as well, but its start code does not run the C library's.
 	if f.Section(".init_array") == nil {
 		return fmt.Errorf("%s was not linked by the C linker: it has no table of start functions", path)
 	}
--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -1,5 +1,5 @@
-// Package logstats adds up what many gateways log once a second at debug level, to show what all of them do together to
-// the hosts: what is harmless in one log may not be in eighty.
+// Package logstats adds up the counts that many gateways log once a second at debug level, to show the load that all of
+// them together put on the hosts.
 package logstats
 
 import (
@@ -26,15 +26,15 @@
 	Changes  map[string]int  `json:"changes"` // gateways that learned of a primary, by group and host
 }
 
-// Host is what became of the attempts at one host that ended in the second.
+// Host counts the attempts at one host that ended in the second, by outcome.
 type Host struct {
 	Served, Errored, TimedOut, Other int
-	Took                             int // milliseconds, all served together
+	Took                             int // sum of the latencies of the served attempts, in milliseconds
 }
 
 func (h *Host) all() int { return h.Served + h.Errored + h.TimedOut + h.Other }
 
-// Table is the fleet's day, by seconds.
+// Table has the seconds of a run in order.
 type Table []*Second
 
 // ErrNoLogs is returned for a directory without log files.
@@ -158,7 +158,7 @@
 	"skipped", "missed", "probes", "probes_failed", "dials", "dials_failed", "told", "told_bytes", "heard",
 }
 
-// Print writes the table, one line a second: the sums, and the host that got most.
+// Print writes the table, one line for each second: the sums, the number of hosts, and the attempts at the busiest one.
 func (t Table) Print(w io.Writer) error {
 	var text strings.Builder
 	fmt.Fprint(&text, "s\tgateways\t", strings.Join(columns, "\t"), "\thosts\tmost\tprimaries\t\n")
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -1,7 +1,6 @@
-// Package loopback finds addresses for processes that are started later. A port of 127.0.0.1 that was free a moment ago
-// may be the source of somebody's connection by then, or be given to another listener: rehearsals saw both, on a
-// machine with many connections. Connections on this machine come from 127.0.0.1, so other addresses of 127.0.0.0/8 stay
-// free.
+// Package loopback finds addresses for processes that are started later. A port of 127.0.0.1 that is free now may become
+// the source port of a connection, or be assigned to another listener, before the process starts. Connections on this
+// machine originate from 127.0.0.1, so ports of other addresses in 127.0.0.0/8 stay free.
 package loopback
 
 import (
@@ -10,22 +9,26 @@
 	"net"
 )
 
-const port = 7443
+const (
+	port            = 7443
+	triesPerAddress = 10
+)
 
-// Reserve returns so many addresses that nobody listens at.
+// Reserve returns n random loopback addresses, as ip:port, at which nobody listens. It does not prevent others from using
+// them.
 func Reserve(n int) ([]string, error) {
-	var all []string
-	for tries := 0; len(all) < n; tries++ {
+	var addresses []string
+	for tries := 0; len(addresses) < n; tries++ {
 		address := fmt.Sprintf("127.%d.%d.%d:%d", 2+rand.IntN(250), rand.IntN(256), 1+rand.IntN(254), port)
-		ln, err := net.Listen("tcp4", address)
+		listener, err := net.Listen("tcp4", address)
 		if err != nil {
-			if tries > 10*n {
+			if tries > triesPerAddress*n {
 				return nil, fmt.Errorf("no loopback address is free: %w", err)
 			}
 			continue
 		}
-		_ = ln.Close() // the listener is over either way
-		all = append(all, address)
+		_ = listener.Close() // it was only opened to see that the address is free
+		addresses = append(addresses, address)
 	}
-	return all, nil
+	return addresses, nil
 }
--- a/internal/lab/processrig/datagrams.go
+++ b/internal/lab/processrig/datagrams.go
@@ -13,20 +13,20 @@
 const (
 	maxDatagram  = 2048
 	readBuffer   = 1 << 20
-	broadcast    = -1 // the receiver of what goes to all gateways
-	loseOneOf    = 5  // on a lossy link
-	doubleOneOf  = 20 // of the others
-	relayRandoms = 5  // separates the relay's random numbers from others of the same seed
+	broadcast    = -1 // stands for all gateways as the receiver
+	loseOneOf    = 5  // on a lossy link, one datagram in five is lost
+	doubleOneOf  = 20 // and one in twenty of the others is duplicated
+	relayRandoms = 5  // stream of the relay's random numbers, apart from others of the same seed
 )
 
-// datagramRelay carries the datagrams between gateways. Each gateway is known to the others by a socket of the relay, and
-// sends to theirs. So each direction of each pair can be delayed, cut or made lossy by itself.
+// datagramRelay forwards the datagrams between gateways. The others' configuration names a socket of the relay in place of
+// each gateway's own address, so each direction of each pair can be delayed, cut or made lossy separately.
 type datagramRelay struct {
-	all     *net.UDPConn   // receives what is sent to all
-	sockets []*net.UDPConn // by gateway: receive what is sent to it, and send on what comes from it
-	to      []netip.AddrPort
-	numbers map[netip.AddrPort]int
-	spoil   func(datagram []byte) // nil: datagrams stay as they are
+	all     *net.UDPConn           // receives what is sent to all
+	sockets []*net.UDPConn         // by gateway: receive what is sent to it, and forward what it sends
+	to      []netip.AddrPort       // by gateway: the address at which it listens
+	numbers map[netip.AddrPort]int // gateways by the address at which they listen
+	spoil   func(datagram []byte)  // changes each datagram; nil: none is changed
 	wait    sync.WaitGroup
 
 	mu        sync.Mutex
@@ -44,7 +44,7 @@
 	delay          time.Duration // of what goes to it
 }
 
-// newDatagramRelay takes the addresses at which the gateways listen.
+// newDatagramRelay returns a relay for the gateways that listen at the given addresses.
 func newDatagramRelay(listen []string, seed uint64, spoil func([]byte)) (*datagramRelay, error) {
 	r := &datagramRelay{
 		numbers: map[netip.AddrPort]int{}, spoil: spoil, links: make([]link, len(listen)),
@@ -85,11 +85,11 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = socket.SetReadBuffer(readBuffer) // a smaller one serves, too
+	_ = socket.SetReadBuffer(readBuffer) // a smaller one is sufficient
 	return socket, nil
 }
 
-// addresses are those under which the gateways know one another.
+// addresses returns the addresses that the gateways' configurations name as peers.
 func (r *datagramRelay) addresses() []string {
 	var addresses []string
 	for _, socket := range r.sockets {
@@ -109,7 +109,7 @@
 	r.wait.Wait()
 }
 
-// carry takes the datagrams of one socket on to a gateway, or to all.
+// carry forwards the datagrams that arrive at one socket to a gateway, or to all.
 func (r *datagramRelay) carry(socket *net.UDPConn, to int) {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -137,7 +137,7 @@
 	}
 }
 
-// pass sends one datagram on, as the links have it.
+// pass forwards one datagram, subject to the faults of the links.
 func (r *datagramRelay) pass(from, to int, datagram []byte) {
 	copies, delay := r.fate(from, to, len(datagram))
 	send := func() {
--- a/internal/lab/processrig/evaluate.go
+++ b/internal/lab/processrig/evaluate.go
@@ -82,7 +82,7 @@
 	return connections
 }
 
-// endGateways kills all gateways, and counts those that had ended before or don't end.
+// endGateways kills all gateways, and counts those that had already ended and those that don't end.
 func (r *rig) endGateways() {
 	for _, gateway := range r.gateways {
 		if gateway.hasEnded() {
@@ -97,8 +97,8 @@
 	}
 }
 
-// replicaLogs returns the logs of all replicas, sorted by time. Hosts that join are compared once all gateways have
-// known them for the settling time.
+// replicaLogs returns the logs of all replicas, sorted by time. Hosts that join are compared from settlingTime after the
+// last gateway has them in its list.
 func (r *rig) replicaLogs() []hostLog {
 	joined := time.Duration(0)
 	for _, event := range r.events {
--- a/internal/lab/processrig/faults.go
+++ b/internal/lab/processrig/faults.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	reconnectTime     = 100 * time.Millisecond // until a gateway that was stopped or killed accepts connections
+	reconnectTime     = 100 * time.Millisecond // from a gateway's return until it accepts connections
 	restartReadyLimit = 10 * time.Second
 	shutdownMargin    = 700 * time.Millisecond // beyond the longest deadline, for a graceful shutdown
 )
@@ -28,7 +28,7 @@
 	}
 }
 
-// carryOut has a fault of a gateway come and go.
+// carryOut begins a fault of a gateway at its time and ends it.
 func (r *rig) carryOut(ctx context.Context, event Event) {
 	if !r.sleepUntil(ctx, event.AtMS) {
 		return
@@ -49,11 +49,11 @@
 			r.Log("%v", err)
 		}
 		r.noteDisturbed(gateway, from)
-	case Restart: // no disturbance: what the gateway has accepted is to be answered
+	case Restart: // no disturbance: requests that the gateway has accepted must be answered
 		r.restart(ctx, event.Gateway, duration)
 	case Join:
 		r.discoveries[event.Gateway].Publish(r.lists.full)
-	case Cut, Late, Lossy: // no disturbance, either
+	case Cut, Late, Lossy: // no disturbance of requests
 		r.datagrams.setLink(event.Gateway, linkOf(event))
 		sleep(ctx, duration)
 		r.datagrams.setLink(event.Gateway, link{})
@@ -73,8 +73,8 @@
 	gateway.disturbed = append(gateway.disturbed, interval{from, time.Now().Add(reconnectTime)})
 }
 
-// restart ends a gateway as planned and starts it again. The front sends it new connections for a while after the signal;
-// clients send on connections that stay open until it has ended. The end of the run does not cut it short.
+// restart restarts a gateway gracefully. Clients open new connections to it until frontDelay after the signal, as through a
+// load balancer, and use open ones until it has ended. The restart completes even if the run ends meanwhile.
 func (r *rig) restart(ctx context.Context, i int, frontDelay time.Duration) {
 	ctx = context.WithoutCancel(ctx)
 	gateway := r.gateways[i]
@@ -120,12 +120,12 @@
 	return longest
 }
 
-// sleepUntil waits for a time since the start, and reports whether the run still goes on.
+// sleepUntil waits until the given time after the start, and returns false if the run ends before.
 func (r *rig) sleepUntil(ctx context.Context, milliseconds int64) bool {
 	return sleep(ctx, time.Until(r.start.Add(time.Duration(milliseconds)*time.Millisecond)))
 }
 
-// sleep waits, and reports whether the run still goes on.
+// sleep waits, and returns false if the run ends before.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/processrig/fleetrelay.go
+++ b/internal/lab/processrig/fleetrelay.go
@@ -12,13 +12,13 @@
 
 const maxFleetDatagram = 64 << 10
 
-// fleetRelay carries what gateways tell one another of their decisions. Each gateway sends everything to an address of its
-// own here, with the receiver's address before it: in a datagram a length byte and the address, on a stream a line. It is
-// carried on unless the two are cut off from each other.
+// fleetRelay forwards the messages by which gateways decide together. Each gateway sends all of them to an address of its
+// own at the relay. The receiver's address precedes the contents: in a datagram as a length byte and the address, on a
+// stream as a line. Messages are forwarded unless the two gateways are cut off from each other.
 type fleetRelay struct {
 	numbers   map[string]int // by the address at which a gateway listens
 	cut       func(from, to int) bool
-	lossy     bool // one datagram in five is lost
+	lossy     bool // one datagram in loseOneOf is lost
 	bytes     atomic.Int64
 	sockets   []*net.UDPConn
 	listeners []net.Listener
@@ -28,7 +28,7 @@
 	open map[net.Conn]struct{}
 }
 
-// newFleetRelay takes the addresses at which the gateways listen.
+// newFleetRelay returns a relay for the gateways that listen at the given addresses.
 func newFleetRelay(listen []string, lossy bool, cut func(from, to int) bool) (*fleetRelay, error) {
 	r := &fleetRelay{numbers: map[string]int{}, cut: cut, lossy: lossy, open: map[net.Conn]struct{}{}}
 	for i, address := range listen {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// address is where a gateway sends to.
+// address returns the address to which a gateway sends.
 func (r *fleetRelay) address(gateway int) string { return r.listeners[gateway].Addr().String() }
 
 func (r *fleetRelay) carryDatagrams(from int, socket *net.UDPConn) {
--- a/internal/lab/processrig/gateway.go
+++ b/internal/lab/processrig/gateway.go
@@ -16,13 +16,13 @@
 // gatewayProcess is one process of the gateway.
 type gatewayProcess struct {
 	listen, peer string
-	fleet        string // where it hears those with which it decides
+	fleet        string // address for the messages of joint decisions
 	configFile   string
-	settingsFile string // empty: it decides alone
+	settingsFile string // empty: it takes no joint decisions
 	command      *exec.Cmd
 	ended        chan struct{}
-	draining     atomic.Bool // the front sends no new connections
-	disturbed    []interval  // when it was stopped or dead
+	draining     atomic.Bool // clients open no new connections to it
+	disturbed    []interval  // when it was stopped or down
 }
 
 type interval struct{ from, to time.Time }
@@ -32,7 +32,7 @@
 	return i.from.Before(other.to) && i.to.After(other.from)
 }
 
-// errEndedAtStart is a gateway that ended before it accepted connections.
+// errEndedAtStart reports a gateway that ended before it accepted connections.
 var errEndedAtStart = errors.New("ended at its start")
 
 // logName is the file in the rig's directory to which all gateways log.
--- a/internal/lab/processrig/herd.go
+++ b/internal/lab/processrig/herd.go
@@ -13,11 +13,11 @@
 	unknownAge     = 255
 	idleAndFast    = 1         // load 0, shortest latency
 	fullAndLate    = 31<<3 | 6 // greatest load, longest latency
-	slowestAttempt = 1         // the least rate that can be told
+	slowestAttempt = 1         // the lowest rate of attempts that a digest can state
 )
 
-// spoilDigest makes a digest say that one replica has nothing to do and that all others are busy, so that every gateway
-// goes to the one that was last told to be least loaded.
+// spoilDigest changes a digest to report one replica as idle and all others as overloaded, so that every gateway uses the
+// one that was last reported as least loaded.
 func spoilDigest(digest []byte) {
 	if len(digest) < digestHead || digest[0] != digestVersion {
 		return
@@ -38,7 +38,7 @@
 	digest[digestRate] = leads | slowestAttempt
 }
 
-// leastLoaded returns the offset of the least loaded replica of which a position is told, or 0.
+// leastLoaded returns the offset of the least loaded replica with a known position, or 0.
 func leastLoaded(digest []byte, first int) int {
 	least := 0
 	for entry := first; entry+entryBytes <= len(digest); entry += entryBytes {
--- a/internal/lab/processrig/options.go
+++ b/internal/lab/processrig/options.go
@@ -8,36 +8,36 @@
 
 // Options of a run.
 type Options struct {
-	Program  string
+	Program  string // path of the gateway's program
 	Gateways int
 	Hosts    int // in groups of Members
 	Members  int
 	For      time.Duration
 	Seed     uint64
-	Plan     string  // of faults
-	Use      float64 // part of the hosts' capacity that is asked for
-	Policy   string  // one of the Policy constants
-	Break    string  // one of the Break constants
-	Zoned    *Zoned  // nil: one zone
-	Log      func(format string, args ...any)
+	Plan     string                           // of faults
+	Use      float64                          // load as a part of the hosts' capacity
+	Policy   string                           // one of the Policy constants
+	Break    string                           // one of the Break constants
+	Zoned    *Zoned                           // nil: one zone
+	Log      func(format string, args ...any) // nil: nothing is logged
 }
 
 // Policies.
 const (
 	PolicyNormal = ""       // the program as it is
-	PolicyRandom = "random" // gateways tell one another nothing
-	PolicyBefore = "before" // Program is another version, and the result says so
+	PolicyRandom = "random" // gateways send no gossip
+	PolicyBefore = "before" // Program is another version, which the result records
 )
 
-// What a run takes away or spoils, so that it can be seen that the checks find it.
+// Deliberate defects of a run, to show that the checks find them.
 const (
 	BreakNothing     = ""
-	BreakBlindHerd   = "blind-herd"   // all gateways go to the host that was told to be least loaded
-	BreakSubsetFixed = "subset-fixed" // all gateways know the same part of the hosts
-	BreakAbrupt      = "abrupt"       // a planned restart gives no time to end
+	BreakBlindHerd   = "blind-herd"   // all gateways use the host reported as least loaded
+	BreakSubsetFixed = "subset-fixed" // all gateways have the same part of the hosts in their lists
+	BreakAbrupt      = "abrupt"       // a planned restart allows no graceful shutdown
 )
 
-// OptionError is an option that has no valid value.
+// OptionError reports an option with an invalid value.
 type OptionError struct{ Name, Problem string }
 
 func (e *OptionError) Error() string { return e.Name + ": " + e.Problem }
@@ -46,8 +46,9 @@
 	workTime     = 40 * time.Millisecond // of a request at a host, on the mean
 	replicaLag   = 15 * time.Millisecond
 	coresPerHost = 2
-	settlingTime = 3 * time.Second // from the first request on: connections open, and reports get known
-	// answerSlack is how long after its deadline an answer earns nothing. A request with a later one, or none, is lost.
+	settlingTime = 3 * time.Second // from the first request on, until connections are open and hosts have reported
+	// answerSlack is how long after its deadline an answer is still awaited; it earns nothing. A request without an answer
+	// by then is lost.
 	answerSlack = 500 * time.Millisecond
 	// nearCapacity is the use of plan "full", at which the other zones cannot bear the load of one that is left.
 	nearCapacity = 0.8
--- a/internal/lab/processrig/plan.go
+++ b/internal/lab/processrig/plan.go
@@ -1,5 +1,6 @@
-// Package processrig plays many real processes of the gateway in front of emulated hosts, with faults in them and between
-// them, and measures from outside how their load falls on the hosts and whether they lose requests.
+// Package processrig runs many real processes of the gateway in front of emulated hosts, with faults of the processes and of
+// the network between them. It measures from outside how evenly their load is spread over the hosts and whether requests
+// are lost.
 package processrig
 
 import (
@@ -13,18 +14,18 @@
 	"time"
 )
 
-// Fault is what happens to a gateway, or to the datagrams on the way between gateways.
+// Fault is a fault of a gateway, or of the datagrams between gateways.
 type Fault string
 
 // The faults.
 const (
 	Stop    Fault = "stop"    // SIGSTOP, and SIGCONT at its end
-	Kill    Fault = "kill"    // SIGKILL, and a new start at its end
-	Restart Fault = "restart" // SIGTERM, SIGKILL if the shutdown takes too long, and a new start
-	Cut     Fault = "cut"     // no datagram comes from the gateway, or none to it, or both
-	Late    Fault = "late"    // datagrams to the gateway take longer
-	Lossy   Fault = "lossy"   // one datagram in five to the gateway is lost, one in twenty comes twice
-	Join    Fault = "join"    // the gateway's endpoint list shows the last host of each group, which was not in it
+	Kill    Fault = "kill"    // SIGKILL, and a start at its end
+	Restart Fault = "restart" // SIGTERM, SIGKILL if the shutdown takes too long, and a start
+	Cut     Fault = "cut"     // datagrams from the gateway, or to it, or both, are lost
+	Late    Fault = "late"    // datagrams to the gateway are delayed
+	Lossy   Fault = "lossy"   // of the datagrams to the gateway one in five is lost and one in twenty duplicated
+	Join    Fault = "join"    // the last host of each group, missing before, is added to the gateway's endpoint list
 )
 
 // Event is one fault.
@@ -33,8 +34,8 @@
 	ForMS   int64 `json:"for_ms"`
 	Gateway int   `json:"gateway"`
 	Fault   Fault `json:"fault"`
-	From    bool  `json:"from,omitempty"` // a cut of what the gateway sends
-	To      bool  `json:"to,omitempty"`   // and of what goes to it
+	From    bool  `json:"from,omitempty"` // a cut of the datagrams from the gateway
+	To      bool  `json:"to,omitempty"`   // a cut of those to it
 	Delay   int64 `json:"delay_ms,omitempty"`
 }
 
@@ -44,15 +45,16 @@
 // randomStream separates a plan's random numbers from those of other users of the same seed.
 const randomStream = 23
 
-// planner makes the events of a plan. Faults lie in the middle half of the run; times are milliseconds.
+// planner makes the events of a plan. Faults begin in the middle half of the run. Times are milliseconds.
 type planner struct {
 	random *rand.Rand
-	order  []int // all gateways, at random
-	from   int64
-	span   int64
+	order  []int // all gateways, in random order
+	from   int64 // when the first fault may begin
+	span   int64 // of the faults
 }
 
-// MakePlan returns the faults of a run by name. The same arguments give the same events.
+// MakePlan returns the faults of a run by the plan's name, in order of time. The same arguments give the same events. The
+// error is an *OptionError for an unknown name.
 func MakePlan(name string, seed uint64, gateways int, run time.Duration) ([]Event, error) {
 	random := rand.New(rand.NewPCG(seed, randomStream))
 	p := &planner{
@@ -74,8 +76,8 @@
 	return events, nil
 }
 
-// part returns one of so many parts of the gateways, at least one of them.
-func (p *planner) part(of int) []int { return p.order[:max(len(p.order)/of, 1)] }
+// part returns a random 1/n of the gateways, at least one of them.
+func (p *planner) part(n int) []int { return p.order[:max(len(p.order)/n, 1)] }
 
 // stall stops a third of the gateways together for 3 s, or as long as fits.
 func (p *planner) stall() []Event {
@@ -86,7 +88,7 @@
 	return events
 }
 
-// late has half of the gateways hear the others a second late.
+// late delays the datagrams to half of the gateways by a second.
 func (p *planner) late() []Event {
 	var events []Event
 	for _, gateway := range p.part(2) {
@@ -95,7 +97,7 @@
 	return events
 }
 
-// cut cuts a third of the gateways off, each way by itself or both.
+// cut cuts off a third of the gateways, in one direction or both.
 func (p *planner) cut() []Event {
 	const fromOnly, toOnly, ways = 0, 1, 3
 	var events []Event
@@ -142,7 +144,8 @@
 	return events
 }
 
-// restart ends all gateways in order, a tenth at a time. The front sends new connections for ForMS after the signal.
+// restart restarts all gateways gracefully, a tenth at a time. The load balancer in front still sends new connections to a
+// gateway for ForMS after the signal.
 func (p *planner) restart() []Event {
 	var events []Event
 	for i, gateway := range p.order {
@@ -154,7 +157,7 @@
 	return events
 }
 
-// join shows new hosts to all gateways, to each at a time of its own.
+// join adds hosts to the endpoint lists of all gateways, for each at another time.
 func (p *planner) join() []Event {
 	var events []Event
 	for _, gateway := range p.order {
--- a/internal/lab/processrig/result.go
+++ b/internal/lab/processrig/result.go
@@ -11,15 +11,15 @@
 	PlanHash string `json:"plan_hash"`
 	Policy   string `json:"policy"`
 	Requests int    `json:"requests"`
-	// Lost requests had no answer from a gateway that was neither stopped nor killed meanwhile; Disturbed ones had none
-	// from one that was.
+	// Lost requests got no answer from a gateway that was neither stopped nor killed meanwhile, Disturbed ones none from a
+	// gateway that was.
 	Lost        int `json:"lost"`
 	Disturbed   int `json:"disturbed"`
 	LateAnswers int `json:"late"` // after their deadline
 	// ClosedNewConnections were closed before their first answer; their requests count as rejected.
 	ClosedNewConnections int     `json:"closed_new"`
-	Resent               int     `json:"sent_again"` // requests that met the end of an idle connection
-	Killed               int     `json:"killed"`     // gateways that had not ended by themselves when they had to
+	Resent               int     `json:"sent_again"` // requests that crossed the close of an idle connection
+	Killed               int     `json:"killed"`     // gateways whose graceful shutdown took too long
 	InTime               float64 `json:"in_time"`    // of all, by weight
 	Rejected             int     `json:"refused"`
 	Spread               Spread  `json:"spread"`
@@ -40,7 +40,7 @@
 // newConnectionsPerClose is how many requests there must be for each new connection that got no answer.
 const newConnectionsPerClose = 200
 
-// Faults returns the faults of a run, in order.
+// Faults returns the names of the checks that the run failed, sorted.
 func (r *Result) Faults() []string {
 	return faultsOf(map[string]bool{
 		"requests were lost":                         r.Lost > 0,
@@ -53,7 +53,8 @@
 	})
 }
 
-// ZoneFaults returns the faults of a run with zones, in order. Gateways that decide alone have no duty together.
+// ZoneFaults returns the names of the checks that a run with zones failed. With alone set, the checks of joint decisions
+// are left out.
 func (r *Result) ZoneFaults(alone bool) []string {
 	var faults []string
 	if r.Lost > 0 {
--- a/internal/lab/processrig/rig.go
+++ b/internal/lab/processrig/rig.go
@@ -12,7 +12,7 @@
 	"cloverrock/internal/lab/loopback"
 )
 
-// rig is the processes and emulated parts of one run.
+// rig holds the processes and emulated parts of one run.
 type rig struct {
 	Options
 	directory   string
@@ -22,7 +22,7 @@
 	discoveries []*emulator.Discovery // by gateway
 	lists       endpointLists
 	datagrams   *datagramRelay
-	fleetRelay  *fleetRelay // nil: the gateways don't decide together
+	fleetRelay  *fleetRelay // nil in a run without zones
 	cut         cutFunc
 	gateways    []*gatewayProcess
 
@@ -38,7 +38,7 @@
 // readyTimeout is how long all gateways together may take to come up.
 const readyTimeout = 30 * time.Second
 
-// Run plays once. It ends only the processes that it started.
+// Run makes one run. It ends only the processes that it started.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	if options.Log == nil {
 		options.Log = func(string, ...any) {}
--- a/internal/lab/processrig/zoneplan.go
+++ b/internal/lab/processrig/zoneplan.go
@@ -8,16 +8,18 @@
 	"cloverrock/internal/lab/emulator"
 )
 
-// Zoned describes a run with zones: hosts and gateways lie in zones, and the gateways decide together which they use.
+// Zoned describes a run with zones: each host and gateway is in a zone, and the gateways decide together which zones to
+// use.
 type Zoned struct {
 	Zones   int
 	Alone   bool     // each gateway decides for itself
 	StepMS  int      // of the return to a zone
-	Break   string   // "quorum", "pace", "capacity": what the gateways are to do without
+	Break   string   // "quorum", "pace", "capacity": the rule that the gateways skip; empty: none
 	Outages []Outage // of zones; set by the plan
-	// SilentHosts is the number of hosts of the first group that fall silent in place of a zone; set by the plan.
+	// SilentHosts is the number of hosts of the first group that stop answering instead of a zone; set by the plan.
 	SilentHosts int
-	// SecondAddresses gives every second gateway other addresses of the hosts, and only those fall silent; set by the plan.
+	// SecondAddresses gives every second gateway other addresses of the hosts; only at those the hosts stop answering. Set
+	// by the plan.
 	SecondAddresses bool
 }
 
@@ -43,15 +45,15 @@
 	secondOutageMS  = 3000
 	returnMiddleMS  = 9000 // from the end of an outage to the middle of the return
 	stallMS         = 5000
-	cutBeforeMS     = 500 // a cut begins so long before the outage
-	stallBeforeMS   = 200
-	stalledOneOf    = 3
-	outageStartPart = 6 // an outage begins after this part of the run
-	outagePart      = 5 // and takes this part of it
-	splitPart       = 2 // of a split: long enough for each half to take the other for dead
+	cutBeforeMS     = 500 // from the beginning of a cut to the outage
+	stallBeforeMS   = 200 // from the beginning of a stall to the outage
+	stalledOneOf    = 3   // one gateway in three of each zone is stalled
+	outageStartPart = 6   // an outage begins after a sixth of the run
+	outagePart      = 5   // and takes a fifth of it
+	splitPart       = 2   // or half of it in a split: long enough for each half to consider the other down
 )
 
-// planZones sets the outages, the faults of gateways and who hears whom by the plan's name.
+// planZones sets the outages, the faults of gateways and the cuts between gateways by the plan's name.
 func (r *rig) planZones() error {
 	zoned := r.Zoned
 	from := r.For.Milliseconds() / outageStartPart
@@ -81,7 +83,7 @@
 	case "stall":
 		zoned.Outages = []Outage{lost}
 		r.events = stallAcross(from, r.Gateways, zoned.Zones)
-	case "split": // neither half of the gateways hears the other
+	case "split": // the two halves of the gateways are cut off from each other
 		zoned.Outages = []Outage{lost}
 		r.cut = cutBetween(lost, func(gateway int) bool { return gateway%2 == 0 })
 	case "cutoff": // the gateways of the zone are cut off with it
@@ -121,7 +123,7 @@
 	return r.Zoned.Outages
 }
 
-// playOutage has hosts, or their second addresses, fall silent and come back.
+// playOutage has hosts stop answering, at all addresses or at the second ones, and recover.
 func (r *rig) playOutage(ctx context.Context, outage Outage) {
 	if !r.sleepUntil(ctx, outage.AtMS) {
 		return
@@ -144,7 +146,10 @@
 	sleep(ctx, duration)
 	capacity := float64(coresPerHost) / workTime.Seconds()
 	for _, host := range affected {
-		host.BeginSlowStart(warmingTime, slowStartShare, capacity, overloadFactor, overloadWindow)
+		host.BeginSlowStart(emulator.SlowStart{
+			Duration: warmingTime, InitialShare: slowStartShare, Capacity: capacity,
+			OverloadFactor: overloadFactor, Window: overloadWindow,
+		})
 		host.SetHanging(false)
 	}
 }
--- a/internal/lab/processrig/zoneresult.go
+++ b/internal/lab/processrig/zoneresult.go
@@ -13,7 +13,8 @@
 	"cloverrock/internal/lab/emulator"
 )
 
-// ZoneResult is what the gateways did about a zone that failed. Times are milliseconds after the outage began.
+// ZoneResult describes how the gateways left a zone that failed and returned to it. Times are milliseconds after the
+// beginning of the outage.
 type ZoneResult struct {
 	FirstMS            int64   `json:"first"`
 	P99MS              int64   `json:"p99"`
@@ -25,9 +26,9 @@
 	Reads              int     `json:"reads_while_left"`
 	Agreed             int     `json:"epochs"`
 	LateAtMS           int64   `json:"late_at_most_ms"`
-	Kept               int     `json:"kept"` // the share that was kept when it was left
+	Kept               int     `json:"kept"` // share of the zone, in hundredths, that remained in use when it was left
 	SlowStartOverloads int     `json:"cold_falls"`
-	// FalseLeaves are of zones that did not fail, or by gateways that see less than half of the others.
+	// FalseLeaves counts departures from zones that did not fail, or by gateways without a majority.
 	FalseLeaves int     `json:"false_leaves"`
 	Bytes       float64 `json:"fleet_bytes_per_gateway_s"`
 
@@ -48,10 +49,10 @@
 	inForceMessage = "in force"
 	fullShare      = 100
 	firstGateway   = "n0"
-	settledMS      = 1000 // after the last gateway has left a zone, until which reads may still be on their way
+	settledMS      = 1000 // after the last gateway has left a zone: reads that were sent before may still arrive
 )
 
-// evaluateZones reads what the gateways did from their log lines, and what came of it from the hosts and clients.
+// evaluateZones evaluates the gateways' log lines, the requests at the hosts and the clients' samples.
 func (r *rig) evaluateZones(samples []emulator.Sample) (*ZoneResult, error) {
 	lines, err := readInForceLines(filepath.Join(r.directory, logName))
 	if err != nil {
@@ -94,7 +95,7 @@
 	return lines, scanner.Err()
 }
 
-// evaluateGateway adds what one gateway did.
+// evaluateGateway adds the log lines of one gateway to the result.
 func (r *rig) evaluateGateway(result *ZoneResult, lines []inForceLine) {
 	left := false
 	lastShare := -1
@@ -188,13 +189,13 @@
 	return reads
 }
 
-// FaultFarApart is the one fault that depends on how fast the machine is.
+// FaultFarApart is the only fault that depends on the machine's speed.
 const FaultFarApart = "gateways left the zone far apart"
 
-// farApartMS is how far apart the gateways may leave a zone.
+// farApartMS is the longest time between the first gateway's departure from a zone and the 99th percentile.
 const farApartMS = 500
 
-// faultsOfPlan returns what the gateways of a run by the plan did wrong.
+// faultsOfPlan returns the names of the checks that the gateways of a run by the plan failed, sorted.
 func (z *ZoneResult) faultsOfPlan(plan string, gateways int) []string {
 	// After a split has healed, the halves may find that the outage is over.
 	leaves := !slices.Contains([]string{"none", "host", "group", "partial", "split"}, plan)
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is a line between two processes that can be cut: bytes stop, and neither end is told, as when a cable
-// is pulled; or both ends are reset.
+// Package relay forwards TCP connections between two processes and can interrupt them: bytes stop without a notice to
+// either end, as when a cable is pulled, or both ends are reset.
 package relay
 
 import (
@@ -9,120 +9,121 @@
 	"cloverrock/internal/lab/loopback"
 )
 
-// Relay listens on a loopback address and passes on to another.
+// Relay listens on a loopback address and forwards connections to another address. Its methods may be called from any
+// goroutine.
 type Relay struct {
-	ln    net.Listener
-	to    string
-	mu    sync.Mutex
-	cond  *sync.Cond
-	cut   bool
-	ended bool
-	conns map[net.Conn]struct{}
-	wg    sync.WaitGroup
+	listener net.Listener
+	target   string
+	wait     sync.WaitGroup // for the goroutines
+
+	mu          sync.Mutex
+	changed     *sync.Cond // signaled when cut or ended changes
+	cut         bool
+	ended       bool
+	connections map[net.Conn]struct{} // both ends of each forwarded connection
 }
 
 // New returns a relay to an address.
-func New(to string) (*Relay, error) {
+func New(target string) (*Relay, error) {
 	free, err := loopback.Reserve(1)
 	if err != nil {
 		return nil, err
 	}
-	ln, err := net.Listen("tcp4", free[0])
+	listener, err := net.Listen("tcp4", free[0])
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{ln: ln, to: to, conns: map[net.Conn]struct{}{}}
-	r.cond = sync.NewCond(&r.mu)
-	r.wg.Add(1)
-	go r.accept()
+	r := &Relay{listener: listener, target: target, connections: map[net.Conn]struct{}{}}
+	r.changed = sync.NewCond(&r.mu)
+	r.wait.Go(r.accept)
 	return r, nil
 }
 
-// Address is where the relay listens.
-func (r *Relay) Address() string { return r.ln.Addr().String() }
+// Address returns the address at which the relay listens.
+func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Cut stops all bytes until Mend. New connections are taken, and hear nothing.
-func (r *Relay) Cut() { r.set(true) }
+// Cut stops all bytes until Mend. New connections are accepted, but no bytes arrive on them.
+func (r *Relay) Cut() { r.setCut(true) }
 
-// Mend lets what was held go on.
-func (r *Relay) Mend() { r.set(false) }
+// Mend ends a cut: the bytes that were held back are forwarded.
+func (r *Relay) Mend() { r.setCut(false) }
 
-func (r *Relay) set(cut bool) {
+func (r *Relay) setCut(cut bool) {
 	r.mu.Lock()
 	r.cut = cut
 	r.mu.Unlock()
-	r.cond.Broadcast()
+	r.changed.Broadcast()
 }
 
-// Reset ends the open connections.
+// Reset closes the open connections by a TCP reset.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for c := range r.conns {
-		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0)
+	for connection := range r.connections {
+		if tcp, ok := connection.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0) // fails only on a closed connection
 		}
-		_ = c.Close() // the connection is over either way
+		closeConnection(connection)
 	}
 }
 
-// Close ends the relay.
+func closeConnection(connection net.Conn) {
+	_ = connection.Close() // the connection is over either way
+}
+
+// Close resets the connections, ends the relay and waits for its goroutines.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.ended = true
 	r.mu.Unlock()
-	r.cond.Broadcast()
-	_ = r.ln.Close() // the listener is over either way
+	r.changed.Broadcast()
+	_ = r.listener.Close() // the listener is over either way
 	r.Reset()
-	r.wg.Wait()
+	r.wait.Wait()
 }
 
 func (r *Relay) accept() {
-	defer r.wg.Done()
 	for {
-		a, err := r.ln.Accept()
+		accepted, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		b, err := net.Dial("tcp", r.to)
+		dialed, err := net.Dial("tcp", r.target)
 		if err != nil {
-			_ = a.Close() // the connection is over either way
+			closeConnection(accepted)
 			continue
 		}
 		r.mu.Lock()
-		r.conns[a], r.conns[b] = struct{}{}, struct{}{}
+		r.connections[accepted] = struct{}{}
+		r.connections[dialed] = struct{}{}
 		ended := r.ended
 		r.mu.Unlock()
-		if ended {
-			_ = a.Close() // the connection is over either way
-			_ = b.Close() // the connection is over either way
+		if ended { // Close may have reset the others before
+			closeConnection(accepted)
+			closeConnection(dialed)
 		}
-		r.wg.Add(2)
-		go r.pass(a, b)
-		go r.pass(b, a)
+		r.wait.Go(func() { r.forward(accepted, dialed) })
+		r.wait.Go(func() { r.forward(dialed, accepted) })
 	}
 }
 
-func (r *Relay) pass(from, to net.Conn) {
-	defer r.wg.Done()
+const bufferSize = 32 << 10 // bytes
+
+// forward copies one direction of a connection until either end or the relay ends.
+func (r *Relay) forward(from, to net.Conn) {
 	defer func() {
-		_ = from.Close() // the connection is over either way
-		_ = to.Close()   // the connection is over either way
+		closeConnection(from)
+		closeConnection(to)
 		r.mu.Lock()
-		delete(r.conns, from)
+		delete(r.connections, from)
 		r.mu.Unlock()
 	}()
-	buf := make([]byte, 32<<10)
+	buffer := make([]byte, bufferSize)
 	for {
-		n, err := from.Read(buf)
-		r.mu.Lock()
-		for r.cut && !r.ended {
-			r.cond.Wait()
-		}
-		ended := r.ended
-		r.mu.Unlock()
+		n, err := from.Read(buffer)
+		ended := r.waitWhileCut()
 		if n > 0 && !ended {
-			if _, err := to.Write(buf[:n]); err != nil {
+			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -131,3 +132,13 @@
 		}
 	}
 }
+
+// waitWhileCut waits until the relay is not cut, and reports whether it has ended.
+func (r *Relay) waitWhileCut() (ended bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for r.cut && !r.ended {
+		r.changed.Wait()
+	}
+	return r.ended
+}
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -1,6 +1,6 @@
-// Package restart rehearses the return of a gateway that was killed: discovery is silent, and the endpoint list that the
-// gateway comes back with names a primary that hangs. It is played with a replicated store and without one. The package
-// also measures what the store costs the requests of the gateway that it runs beside.
+// Package restart tests the restart of a gateway that was killed: discovery does not answer, and the known endpoint list of
+// the gateway names a primary that hangs. Each run is made with a replicated store, which has cached routing state, and
+// without one. The package also measures what the store costs the requests of the gateway in whose process it runs.
 package restart
 
 import (
@@ -24,7 +24,7 @@
 	Log     func(format string, args ...any)
 }
 
-// Side is the outcome of one way.
+// Side is the outcome with the store or without it.
 type Side struct {
 	Share    float64            `json:"share"` // of the weight asked for in the 5 s after the return
 	ByClass  map[string]float64 `json:"by_class"`
@@ -32,7 +32,7 @@
 	ReadyMS  int64              `json:"ready_ms"` // from the start of the process to its first accepted connection
 }
 
-// Result of both ways.
+// Result has the outcomes with and without the store; With and Without are their shares.
 type Result struct {
 	Seed         uint64  `json:"seed"`
 	With         float64 `json:"with_store"`
@@ -41,7 +41,7 @@
 	WithoutBasis Side    `json:"without"`
 }
 
-// ReplaceError is a number of replaced hosts that the group does not have.
+// ReplaceError reports a number of hosts to replace that the group does not have.
 type ReplaceError struct{ Hosts int }
 
 func (e *ReplaceError) Error() string {
@@ -53,14 +53,14 @@
 	measuredTime = 5 * time.Second // after the return
 
 	warmUpTime    = 2 * time.Second
-	listKnownTime = time.Second            // after a new list
-	failoverTime  = 800 * time.Millisecond // from the primary's hang to its successor
-	newGeneration = 8
+	listKnownTime = time.Second            // from the publication of a list to its use by the gateway
+	failoverTime  = 800 * time.Millisecond // from the primary's hang to the promotion of its successor
+	newGeneration = 8                      // of the list without the replaced hosts
 
 	randomStream = 11 // separates the random numbers from those of other users of the same seed
 )
 
-// Run plays both ways, the one without the store first.
+// Run makes both runs, first the one without the store.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	if options.Log == nil {
 		options.Log = func(string, ...any) {}
@@ -118,8 +118,8 @@
 	return evaluate(<-samples, returned, returned.Sub(started)), nil
 }
 
-// changeHosts has hosts replaced, discovery fall silent, and the primary hang until another takes over. The gateway comes
-// to know all of it; the list on file knows none of it.
+// changeHosts replaces hosts, silences discovery, and has the primary hang until another host is promoted. The running
+// gateway learns of all these changes; the list in its configuration file has none of them.
 func (r *rig) changeHosts(ctx context.Context, random *rand.Rand) error {
 	if err := pause(ctx, warmUpTime); err != nil {
 		return err
@@ -172,7 +172,7 @@
 	return successor
 }
 
-// randomPause draws a time from a minimum on, in milliseconds.
+// randomPause draws a time from minimum to minimum+spread milliseconds.
 func randomPause(random *rand.Rand, minimum, spread int) time.Duration {
 	return time.Duration(minimum+random.IntN(spread)) * time.Millisecond
 }
--- a/internal/lab/restart/rig.go
+++ b/internal/lab/restart/rig.go
@@ -18,8 +18,8 @@
 	"cloverrock/internal/settings"
 )
 
-// ErrNotReady is a gateway that does not accept connections in time.
-var ErrNotReady = errors.New("the gateway does not come up")
+// ErrNotReady reports that the gateway did not accept connections in time.
+var ErrNotReady = errors.New("the gateway does not accept connections")
 
 const (
 	readyTimeout    = 10 * time.Second
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// close ends all that was started.
+// close kills all processes and closes the emulated parts.
 func (r *rig) close() {
 	r.killGateway()
 	for _, instance := range r.instances {
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// endpointList is a list in the form of the wire. The first host is said to be the primary.
+// endpointList returns a complete endpoint list in discovery's JSON form. It names the first host as the primary.
 func endpointList(generation int, hosts []*emulator.Host) map[string]any {
 	var endpoints []map[string]any
 	for i, host := range hosts {
--- a/internal/lab/restart/storecost.go
+++ b/internal/lab/restart/storecost.go
@@ -18,23 +18,23 @@
 	"cloverrock/internal/store/pki"
 )
 
-// Latency of requests through a gateway, from the time for which they were scheduled, in microseconds.
+// Latency describes the latency of requests through a gateway, from their scheduled times on, in microseconds.
 type Latency struct {
 	Median int64   `json:"p50_us"`
 	P99    int64   `json:"p99_us"`
 	P999   int64   `json:"p999_us"`
 	Served float64 `json:"served"`
-	Writes int64   `json:"store_writes"` // that the store took meanwhile
+	Writes int64   `json:"store_writes"` // writes that the store acknowledged meanwhile
 }
 
-// StoreCost is what the store costs the requests of the gateway that it runs beside: each figure is the median of the
-// rounds, but for Served, which is the least.
+// StoreCost is what the store costs the requests of the gateway in whose process it runs. Each figure is the median of the
+// rounds, except Served, which is the minimum.
 type StoreCost struct {
 	Seed   uint64  `json:"seed"`
 	Rounds int     `json:"rounds"`
 	Off    Latency `json:"off"`
 	Idle   Latency `json:"idle"`
-	Busy   Latency `json:"busy"` // the store takes all the writes that its clients can send, and saves snapshots
+	Busy   Latency `json:"busy"` // clients write to the store as fast as it acknowledges, and it saves snapshots
 }
 
 const (
@@ -47,7 +47,7 @@
 	digits       = 3 // of the histogram's values
 )
 
-// storeLoad is what the store has to do in a round.
+// storeLoad is the load of the store in a round.
 type storeLoad int
 
 const (
@@ -57,7 +57,7 @@
 	storeLoads // their number
 )
 
-// MeasureStoreCost plays rounds of the three loads in turn, so that a noisy machine meets all alike.
+// MeasureStoreCost plays rounds of the three loads in turn, so that noise of the machine affects all equally.
 func MeasureStoreCost(ctx context.Context, options Options, rounds int, each time.Duration) (*StoreCost, error) {
 	var measured [storeLoads][]Latency
 	for range rounds {
@@ -150,7 +150,8 @@
 	}
 }
 
-// writeToStore writes as fast as the store takes it. A client that cannot begin shows in the number of writes.
+// writeToStore writes to the store until the context ends, one write at a time. A client that cannot start is visible in
+// the number of writes.
 func (r *rig) writeToStore(ctx context.Context, writes *atomic.Int64) {
 	credentials, err := pki.LoadTLS(pki.Files{
 		Certificate: filepath.Join(r.directory, "operator.pem"),
--- a/internal/lab/storesim/checks.go
+++ b/internal/lab/storesim/checks.go
@@ -22,7 +22,7 @@
 	s.trace("VIOLATED "+format, args...)
 }
 
-// observeApplied checks each command that any instance applies: an index has to mean the same everywhere, for ever.
+// observeApplied checks each entry that an instance applies: all instances must apply the same entry at an index.
 func (s *simulation) observeApplied(inst *instance, index, term, chain uint64) {
 	s.hashEvent('a', inst.id<<32|index, chain)
 	before, known := s.applied[index]
@@ -36,7 +36,8 @@
 	s.highestApplied = max(s.highestApplied, index)
 }
 
-// checkLeaderAndCommit looks for two leaders of one term, and for a commit that goes back or lies behind what is applied.
+// checkLeaderAndCommit checks that a term has one leader, and that an instance's commit index neither decreases nor is
+// below its applied index.
 func (s *simulation) checkLeaderAndCommit(inst *instance) {
 	status := inst.core.Status()
 	if status.Role == "StateLeader" {
@@ -63,7 +64,7 @@
 	}
 }
 
-// checkAcknowledged looks at the end whether every instance holds all that was acknowledged, once.
+// checkAcknowledged checks, at the end of a run, that every instance has each acknowledged write exactly once.
 func (s *simulation) checkAcknowledged() {
 	if len(s.result.Violations) > 0 {
 		return
@@ -86,7 +87,7 @@
 	status := inst.core.Status()
 	s.hashEvent('e', status.Applied, status.Chain)
 	if status.Applied < s.highestApplied {
-		s.addViolation("durability: %s stands at %d, and %d was applied somewhere (%+v)",
+		s.addViolation("durability: %s has applied up to %d, and %d was applied somewhere (%+v)",
 			inst.name, status.Applied, s.highestApplied, status)
 		return
 	}
--- a/internal/lab/storesim/client.go
+++ b/internal/lab/storesim/client.go
@@ -18,8 +18,8 @@
 	newSessionDelay  = 10 * millisecond
 )
 
-// client opens a session, writes keys of its own and shared ones, and retries at other instances what was not answered,
-// under the same sequence number.
+// client opens a session and writes keys of its own and shared ones. It retries a write without an answer at a random
+// instance, with the same sequence number.
 type client struct {
 	simulation *simulation
 	number     int
--- a/internal/lab/storesim/disk.go
+++ b/internal/lab/storesim/disk.go
@@ -45,7 +45,7 @@
 type memoryFile struct {
 	disk        *memoryDisk
 	data        []byte
-	synced      int    // so many bytes of data are on the disk
+	synced      int    // number of bytes of data that are on the disk
 	durableData []byte // what is on the disk, if data was changed below synced; else nil
 }
 
@@ -124,10 +124,10 @@
 	return nil
 }
 
-// crash loses power: what was not synced is gone, torn, or there by luck.
+// crash simulates a loss of power: data that was not synced is lost, torn, or survives by chance.
 func (d *memoryDisk) crash() {
 	survivors := d.durable
-	if !d.ignoreSyncs && d.random.IntN(2) == 0 { // the directory may have been written by itself
+	if !d.ignoreSyncs && d.random.IntN(2) == 0 { // the directory may have been written without a sync
 		survivors = d.files
 	}
 	d.files = map[string]*memoryFile{}
@@ -142,7 +142,7 @@
 	}
 }
 
-// loseUnsynced leaves what a loss of power leaves of the file.
+// loseUnsynced reduces the file to what survives a loss of power.
 func (f *memoryFile) loseUnsynced() {
 	random := f.disk.random
 	switch {
@@ -155,7 +155,7 @@
 	f.synced = len(f.data)
 }
 
-// tear keeps a random part of what was written since the last sync, and may spoil some of it: the pieces of a write come to
+// tear keeps a random part of the data written since the last sync and may corrupt some of it: the pieces of a write reach
 // the disk in any order.
 func (f *memoryFile) tear() {
 	random := f.disk.random
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -1,6 +1,6 @@
 package storesim
 
-// faultWeights is the number of draws that playFault tells apart.
+// faultWeights is the number of equally likely draws of playFault.
 const faultWeights = 14
 
 // maxChangesUntilPowerLoss bounds the changes of a disk before its machine loses power.
@@ -16,7 +16,7 @@
 	cutWays        // their number
 )
 
-// scheduleFaults has faults come until the simulation is healed.
+// scheduleFaults plays faults at random times until the simulation is healed.
 func (s *simulation) scheduleFaults() {
 	s.schedule(int64(200+s.random.IntN(1500))*millisecond, func() {
 		if s.healed {
--- a/internal/lab/storesim/instance.go
+++ b/internal/lab/storesim/instance.go
@@ -33,10 +33,10 @@
 	core         *core.Core // nil: down
 	incarnation  int        // rises with each start and end, so that what was scheduled before is dropped
 	tickInterval int64
-	diskFull     bool // nothing goes on
-	stalled      *core.Work
-	joined       bool
-	corrupt      bool // a bit of its log flips at the next start
+	diskFull     bool       // the instance stands still until there is room
+	stalled      *core.Work // the work for which there was no room
+	joined       bool       // it is a voter
+	corrupt      bool       // a bit of its log flips at the next start
 }
 
 // recoverPowerLoss ends a call in whose middle the instance's machine lost power, and has it come back.
@@ -217,7 +217,7 @@
 	})
 }
 
-// pendingWork is what found no room on the disk, or what comes next.
+// pendingWork returns the work for which there was no room on the disk, or else the next work.
 func (inst *instance) pendingWork() *core.Work {
 	if inst.stalled != nil {
 		return inst.stalled
--- a/internal/lab/storesim/membership.go
+++ b/internal/lab/storesim/membership.go
@@ -20,7 +20,7 @@
 	inst.disk = newDisk(s.random)
 	identity := disk.Identity{Cluster: clusterID, Node: s.nextID, Name: inst.name}
 	if err := disk.Create(inst.disk, identity, 0, nil, s.logOptions()); err != nil {
-		s.addViolation("%s cannot begin anew: %v", inst.name, err)
+		s.addViolation("%s cannot start with an empty disk: %v", inst.name, err)
 		return
 	}
 	inst.disk.ignoreSyncs = s.LoseSyncs
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -1,5 +1,5 @@
-// Package storesim plays whole clusters of the store in one thread, with a simulated network, disks and clock. The code
-// of the instances is the daemon's. The same seed gives the same run, thousands of times faster than real time.
+// Package storesim simulates complete clusters of the store on one goroutine, with a simulated network, disks and clock.
+// The instances run the daemon's code. The same seed gives the same run, much faster than real time.
 package storesim
 
 import (
@@ -67,21 +67,21 @@
 	hash      *xxhash.Digest
 	logger    raft.Logger
 
-	// What the checks know.
-	leaders        map[uint64]uint64 // by term
-	applied        map[uint64]appliedEntry
-	commits        map[uint64]uint64 // by instance
+	// State of the checks.
+	leaders        map[uint64]uint64       // leader's id by term
+	applied        map[uint64]appliedEntry // by index
+	commits        map[uint64]uint64       // commit index by instance id
 	highestApplied uint64
-	acknowledged   map[string]int // by key: writes
+	acknowledged   map[string]int // number of acknowledged writes by key
 
-	nextID    uint64
-	nextNonce uint64
-	waiting   map[uint64]func(core.Answer) // by token
+	nextID    uint64                       // last id given to a replacement
+	nextNonce uint64                       // last nonce given to a process
+	waiting   map[uint64]func(core.Answer) // clients that wait, by the token of their proposal
 	lastToken uint64
 }
 
-// Run plays one seed. raft draws its election timeouts from crypto/rand: the caller replaces its reader by
-// Seeded before, in a program that does nothing else.
+// Run simulates one seed. raft draws its election timeouts from crypto/rand: for a reproducible run the caller first sets
+// rand.Reader to Seeded(seed), in a program that uses it for nothing else.
 func Run(options Options) Result {
 	if options.Instances == 0 {
 		options.Instances = defaultInstances
@@ -157,13 +157,13 @@
 
 func (s *simulation) logOptions() disk.Options { return disk.Options{SegmentSize: segmentSize} }
 
-// trace writes a line for a reader.
+// trace writes a line to Options.Trace, if that is set.
 func (s *simulation) trace(format string, args ...any) {
 	if s.Trace == nil {
 		return
 	}
 	line := fmt.Sprintf("%9.3f ", float64(s.now)/1e6) + fmt.Sprintf(format, args...)
-	_, _ = fmt.Fprintln(s.Trace, line) // it decides nothing
+	_, _ = fmt.Fprintln(s.Trace, line) // the run does not depend on it
 }
 
 // hashEvent adds an event to the hash of the run.
