--- a/internal/lab/linkage/linkage_test.go
+++ b/internal/lab/linkage/linkage_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The check must fail where the build has another form than the platform asks for, and on what is no program.
-func TestCheckTellsHowAProgramIsLinked(t *testing.T) {
+// The check fails for programs that the Go linker linked, statically or not, and for files that are no programs.
+func TestCheckPassesOnlyExternalLinkage(t *testing.T) {
 	dir := t.TempDir()
 	source := filepath.Join(dir, "main.go")
 	if err := os.WriteFile(source, []byte("package main\n\nimport _ \"net\"\n\nfunc main() {}\n"), 0o644); err != nil {
@@ -41,6 +41,6 @@
 		}
 	}
 	if Check(source) == nil || Check(filepath.Join(dir, "missing")) == nil {
-		t.Error("what is no program passes")
+		t.Error("a file that is no program passes")
 	}
 }
--- a/internal/lab/logstats/logstats_test.go
+++ b/internal/lab/logstats/logstats_test.go
@@ -6,7 +6,7 @@
 	"testing/fstest"
 )
 
-// Two gateways in one second, one of them also in the next; lines that are none of theirs.
+// Two gateways log in one second and one of them also in the next. Lines of other programs and other files are ignored.
 func TestReadAddsUpOverGateways(t *testing.T) {
 	dir := fstest.MapFS{
 		"n0.log": {Data: []byte(`1.100 {"time":5,"message":"balance: primary confirmed group=3 host=s-a"}
--- a/internal/lab/processrig/plan_test.go
+++ b/internal/lab/processrig/plan_test.go
@@ -6,18 +6,18 @@
 )
 
 // The same name and seed give the same faults; another seed gives others.
-func TestPlansFollowTheirSeed(t *testing.T) {
+func TestPlanIsDecidedByNameAndSeed(t *testing.T) {
 	for _, name := range Plans {
 		first := hashOfPlan(t, name, 1)
 		again := hashOfPlan(t, name, 1)
 		other := hashOfPlan(t, name, 2)
 		random := name != "none" && name != "loss"
 		if first != again || random && first == other {
-			t.Errorf("plan %s does not follow its seed", name)
+			t.Errorf("plan %s is not decided by its seed", name)
 		}
 	}
 	if _, err := MakePlan("storm", 1, 3, time.Second); err == nil {
-		t.Error("a plan that is none was taken")
+		t.Error("an unknown plan was accepted")
 	}
 }
 
--- a/internal/lab/storesim/storesim_test.go
+++ b/internal/lab/storesim/storesim_test.go
@@ -22,10 +22,10 @@
 	return violated, hash, steps
 }
 
-func TestNoSeedViolates(t *testing.T) {
+func TestNoSeedViolatesAnInvariant(t *testing.T) {
 	const seeds = 200
 	var options Options
-	if raceEnabled { // the detector is slow; shorter runs, as many of them
+	if raceEnabled { // the race detector is slow: the same number of shorter runs
 		options.Seconds = 5
 	}
 	if n, _, steps := play(options, seeds); n > 0 || steps < seeds*1000 {
@@ -44,12 +44,12 @@
 	}
 }
 
-// Each check finds a store that breaks what it guards.
+// The checks find a store that violates the invariants they check.
 func TestChecksFindABrokenStore(t *testing.T) {
 	if n, _, _ := play(Options{LoseSyncs: true}, 6); n == 0 {
-		t.Error("syncs that do nothing were not found out")
+		t.Error("syncs that do nothing were not found")
 	}
 	if n, _, _ := play(Options{ResendAsNew: true}, 8); n == 0 {
-		t.Error("retries under new numbers were not found out")
+		t.Error("retries with new sequence numbers were not found")
 	}
 }
