--- a/cmd/cloverrock-lab/main.go
+++ b/cmd/cloverrock-lab/main.go
@@ -41,7 +41,7 @@
 
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
-		Use: "cloverrock-lab", Short: "Play models and rehearse failures on this machine",
+		Use: "cloverrock-lab", Short: "Run simulations and tests with real processes on this machine",
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.AddCommand(
@@ -72,7 +72,7 @@
 
 // addProgramFlag adds the flag that names the gateway's program.
 func addProgramFlag(cmd *cobra.Command, program *string) {
-	cmd.Flags().StringVar(program, "program", "", "the gateway's program; beside this one if not given")
+	cmd.Flags().StringVar(program, "program", "", "path of the gateway's program (default: the one in the directory of this program)")
 }
 
 // logToStderr writes what an experiment does to standard error, a line each.
--- a/cmd/cloverrock-lab/storecost.go
+++ b/cmd/cloverrock-lab/storecost.go
@@ -15,7 +15,7 @@
 	var each time.Duration
 	cmd := &cobra.Command{
 		Use: "store-cost", Aliases: []string{"beside"},
-		Short: "Measure what the store costs the requests of the gateway that it runs beside",
+		Short: "Measure what the store costs the requests of the gateway in whose process it runs",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			bound := time.Duration(rounds) * 2 * (each + time.Minute)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simadapter hosts instances of the decision module behind the simulator's line protocol: it reads batches of
+// Command simadapter serves the simulator's line protocol with instances of package balance's router: it reads batches of
 // events from standard input and answers each batch with the actions of its instances on standard output.
 package main
 
--- a/internal/app/clients_test.go
+++ b/internal/app/clients_test.go
@@ -198,7 +198,7 @@
 	usual.want("value v")
 }
 
-// A client may disconnect while its request waits for a host's connection, with the event behind many others in the queue.
+// A client may disconnect while its request waits for a host's connection, with the event after many others in the queue.
 // Its socket is checked last: nothing is sent for it.
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	gw := newHarness(t, 0)
@@ -213,7 +213,7 @@
 	gw.onLoop(func() {
 		close(gw.hosts[0].startupGate)
 		<-gw.hosts[0].startedUp
-		// The engine reads nothing more behind this.
+		// The event loop reads nothing more after this.
 		flood.write(unfinishedMessage())
 		client.close()
 	})
--- a/internal/app/commands.go
+++ b/internal/app/commands.go
@@ -68,7 +68,7 @@
 }
 
 func (c *commandLine) addServeFlags(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&c.logLevel, "log", "info", "least level of log lines: debug, info, warn or error")
+	cmd.Flags().StringVar(&c.logLevel, "log", "info", "minimum level of log lines: debug, info, warn or error")
 	c.addSettingsFlag(cmd, "operators' file that turns on further parts (CLOVERROCK_SETTINGS)")
 }
 
@@ -90,7 +90,7 @@
 func (c *commandLine) checkCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "check",
-		Short: "Read and check the configuration, and say what is wrong with it",
+		Short: "Check the configuration and report what is wrong with it",
 		Args:  NoArgs,
 		RunE:  c.check,
 	}
--- a/internal/app/hosts_test.go
+++ b/internal/app/hosts_test.go
@@ -17,20 +17,21 @@
 	gw.hosts[0].wantClosed()
 }
 
-// Whatever a host sends beside an answer, its connection is not used again. A good answer before it counts; a faulty one
+// If a host sends anything besides an answer, its connection is not used again. A good answer before it counts; a faulty one
 // is a failure that may have run. The next request gets its own answer.
 func TestFaultyAnswersFailAndEndTheirConnection(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Settings.DialTimeout = 200e3 })
 	ready := string(pgwire.AppendReadyForQuery(nil))
-	good, failed := "value v", "error "+pgwire.CodeSystemError
+	const good = "value v"
+	const failed = "error " + pgwire.CodeSystemError
 	row := string(rowMessages("v"))
 	refusal := string(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: pgwire.CodeTooManyConnections, Message: "no"}))
 	status := func(name, value string) string { return string(pgwire.AppendParameterStatus(nil, name, value)) }
 	for name, c := range map[string]struct{ sent, want string }{
 		"a second copy":            {row + ready + row + ready, good},
-		"noise behind":             {row + ready + "\xff\x00noise", good},
-		"one byte behind":          {row + ready + "T", good},
-		"a refusal behind":         {row + ready + refusal + ready, good},
+		"noise after it":           {row + ready + "\xff\x00noise", good},
+		"one byte after it":        {row + ready + "T", good},
+		"a refusal after it":       {row + ready + refusal + ready, good},
 		"a malformed report":       {status("vitals", "x0=?,x1=1") + status("as_of", "-1e9") + "S\x00\x00\x00\x08open" + row + ready, good},
 		"noise":                    {"\xde\xad\xbe\xef", failed},
 		"a line":                   {"HTTP/1.1 200 OK\r\n", failed},
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -117,7 +117,7 @@
 	walk("", root)
 }
 
-// TestEachKeyKeepsItsValue holds what a file with every key becomes, what changes or what the error says where one key
+// TestEachKeyKeepsItsValue compares the configuration of a file with every key, the changes or the error where one key
 // is left out, what each variable of the environment puts over the file, and the errors' keys and messages.
 func TestEachKeyKeepsItsValue(t *testing.T) {
 	every := valuesOf(everyKey, nil)
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -39,7 +39,7 @@
 // Remedy returns what an operator can do. The watch reconnects in any case; until then the last list remains in use.
 func (e *WatchError) Remedy() string {
 	if errors.Is(e.Err, ErrWatchSilent) {
-		return "see whether discovery is up behind the agent at this address, and whether packets to it are dropped"
+		return "check that discovery is up and that the agent at this address reaches it, and whether packets to it are dropped"
 	}
 	if errors.Is(e.Err, ErrWatchEnded) {
 		return "none if discovery is being restarted; else look into its log for why it ends watches"
--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Options of a rehearsal.
+// Options of a run.
 type Options struct {
 	Instances int
 	For       time.Duration // how long faults occur
@@ -21,7 +21,7 @@
 	Log       func(format string, args ...any) // nil: nothing is logged
 }
 
-// Result of a rehearsal.
+// Result of a run.
 type Result struct {
 	Seed               uint64   `json:"seed"`
 	Instances          int      `json:"instances"`
@@ -58,8 +58,8 @@
 	}
 }
 
-// rehearsal is one run.
-type rehearsal struct {
+// chaosRun is one run.
+type chaosRun struct {
 	options Options
 	cluster *cluster
 	start   time.Time // of the operations
@@ -67,7 +67,7 @@
 	result  *Result
 }
 
-// Run rehearses once. It ends only the processes that it started.
+// Run makes one run. It ends only the processes that it started.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	if options.Log == nil {
 		options.Log = func(string, ...any) {}
@@ -99,7 +99,7 @@
 		}
 	}
 	start := time.Now()
-	r := &rehearsal{
+	r := &chaosRun{
 		options: options, cluster: cluster, start: start, history: newHistory(start), result: result,
 	}
 	if err := r.play(ctx); err != nil {
@@ -111,7 +111,7 @@
 }
 
 // play runs the clients while faults occur.
-func (r *rehearsal) play(ctx context.Context) error {
+func (r *chaosRun) play(ctx context.Context) error {
 	clientContext, stop := context.WithCancel(ctx)
 	defer stop()
 	var clients sync.WaitGroup
--- a/internal/lab/chaos/check.go
+++ b/internal/lab/chaos/check.go
@@ -31,7 +31,7 @@
 
 // check fills in the result: it waits until all instances have the same state, and looks for every acknowledged write in
 // each.
-func (r *rehearsal) check(ctx context.Context) {
+func (r *chaosRun) check(ctx context.Context) {
 	r.result.Operations = r.history.count
 	r.result.Unknown = r.history.unknown
 	r.result.Acknowledged = r.history.acknowledged
@@ -58,7 +58,7 @@
 
 // checkWrites adds the acknowledged writes that an instance lacks to those that are lost, and finds those that it holds
 // more than once.
-func (r *rehearsal) checkWrites(state *instanceState, lost map[string]bool) {
+func (r *chaosRun) checkWrites(state *instanceState, lost map[string]bool) {
 	for key := range r.history.written {
 		entry, found := state.own[key]
 		switch {
@@ -73,7 +73,7 @@
 }
 
 // waitConverged waits until all instances have applied the same entries, and returns the states that it read last.
-func (r *rehearsal) waitConverged(ctx context.Context) []*instanceState {
+func (r *chaosRun) waitConverged(ctx context.Context) []*instanceState {
 	var states []*instanceState
 	until := time.Now().Add(convergenceTimeout)
 	for time.Now().Before(until) && ctx.Err() == nil {
@@ -100,7 +100,7 @@
 }
 
 // readStates returns the states of the instances that answer.
-func (r *rehearsal) readStates(ctx context.Context) []*instanceState {
+func (r *chaosRun) readStates(ctx context.Context) []*instanceState {
 	var states []*instanceState
 	for i := range r.cluster.instances {
 		state, err := r.readState(ctx, i)
@@ -114,7 +114,7 @@
 }
 
 // readState reads the state of an instance. The clients have ended: only the store itself still writes.
-func (r *rehearsal) readState(ctx context.Context, i int) (*instanceState, error) {
+func (r *chaosRun) readState(ctx context.Context, i int) (*instanceState, error) {
 	ctx, cancel := context.WithTimeout(ctx, readStateTimeout)
 	defer cancel()
 	store, err := r.cluster.client(i, true, readStateAttempt)
--- a/internal/lab/chaos/clients.go
+++ b/internal/lab/chaos/clients.go
@@ -31,7 +31,7 @@
 	lastRead map[string]string // by register
 }
 
-func (r *rehearsal) runClient(ctx context.Context, number int) {
+func (r *chaosRun) runClient(ctx context.Context, number int) {
 	store, err := r.cluster.client(number, false, attemptTimeout)
 	if err != nil {
 		return // the result shows that nothing was acknowledged
--- a/internal/lab/chaos/cluster.go
+++ b/internal/lab/chaos/cluster.go
@@ -139,7 +139,7 @@
 	command := exec.Command(c.program, args...)
 	command.Stdout = started.log
 	command.Stderr = started.log
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the rehearsal
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the run
 	ended := make(chan struct{})
 	started.command = command
 	started.ended = ended
@@ -171,11 +171,13 @@
 	_ = i.command.Process.Kill() // it may have ended already
 }
 
-// kill ends a process at once, if it was started. With powerLoss its machine loses what was not synced, too.
+// kill kills a process, if it was started, and waits for its end. With powerLoss it then removes the data from its
+// directory that was not synced.
 func (i *instance) kill(powerLoss bool) error {
 	i.mu.Lock()
 	i.down = true
-	command, ended := i.command, i.ended
+	command := i.command
+	ended := i.ended
 	i.mu.Unlock()
 	if command == nil {
 		return nil
@@ -193,7 +195,7 @@
 	return disk.DiscardUnsynced(directory)
 }
 
-// unaskedEnds is the number of processes' ends that the rehearsal did not bring about.
+// unaskedEnds returns how many times processes ended although nobody killed them.
 func (c *cluster) unaskedEnds() int {
 	sum := 0
 	for _, instance := range c.instances {
--- a/internal/lab/chaos/faults.go
+++ b/internal/lab/chaos/faults.go
@@ -21,8 +21,8 @@
 
 const (
 	cutBoth cutWay = iota
-	cutFrom        // what the instance sends
-	cutTo          // what is sent to it
+	cutFrom        // messages from the instance
+	cutTo          // messages to the instance
 )
 
 // faultStream separates the faults' random numbers from those of the clients.
@@ -30,17 +30,17 @@
 
 // faultPlayer draws the faults and plays them.
 type faultPlayer struct {
-	*rehearsal
+	*chaosRun
 	random *rand.Rand
 }
 
 // playFaults plays faults until the time is over. On success all instances run and no connection is cut afterwards.
-func (r *rehearsal) playFaults(ctx context.Context) error {
+func (r *chaosRun) playFaults(ctx context.Context) error {
 	p := &faultPlayer{r, rand.New(rand.NewPCG(r.options.Seed, faultStream))}
 	if err := p.pause(ctx, 800, 1200); err != nil {
 		return err
 	}
-	// Each kind comes once before chance picks, so that a short rehearsal has them all.
+	// Each kind is played once before kinds are drawn at random, so that a short run has them all.
 	order := p.random.Perm(faultKinds)
 	for n := 0; n < len(order) || time.Since(r.start) < r.options.For; n++ {
 		kind := p.random.IntN(faultKinds)
--- a/internal/lab/fleetmodel/fleetmodel_test.go
+++ b/internal/lab/fleetmodel/fleetmodel_test.go
@@ -41,7 +41,8 @@
 func TestAnyNumberOfGatewaysServesInTime(t *testing.T) {
 	for _, gateways := range []int{1, 300} {
 		o := busy()
-		o.Gateways, o.Seconds = gateways, 4
+		o.Gateways = gateways
+		o.Seconds = 4
 		if r := play(t, o); r.InTime/r.Asked < 0.75 {
 			t.Errorf("%d gateways: %.2f in time", gateways, r.InTime/r.Asked)
 		}
--- a/internal/lab/processrig/result.go
+++ b/internal/lab/processrig/result.go
@@ -37,7 +37,7 @@
 	CVAtMost    float64     `json:"cv_1s_at_most"`
 }
 
-// newConnectionsPerClose is how many requests there must be for each new connection that got no answer.
+// newConnectionsPerClose is the least number of requests for each new connection that was closed without an answer.
 const newConnectionsPerClose = 200
 
 // Faults returns the names of the checks that the run failed, sorted.
@@ -47,8 +47,8 @@
 		"hosts were idle":                            r.Spread.IdleSeconds > 0,
 		"more herds than chance and half as many":    r.Spread.HerdWindows > r.HerdsAtMost,
 		"twice as uneven over a second as by chance": r.Spread.CV1s > r.CVAtMost,
-		"gateways ended by themselves or were left":  r.EndedByThemselves > 0 || r.StillRunning > 0,
-		"gateways told to end did not in time":       r.Killed > 0,
+		"gateways ended by themselves or survived":   r.EndedByThemselves > 0 || r.StillRunning > 0,
+		"gateways did not shut down in time":         r.Killed > 0,
 		"one new connection in 200 got no answer":    r.ClosedNewConnections*newConnectionsPerClose > r.Requests,
 	})
 }
@@ -61,7 +61,7 @@
 		faults = append(faults, "requests were lost")
 	}
 	if r.EndedByThemselves > 0 || r.StillRunning > 0 {
-		faults = append(faults, "gateways ended by themselves or were left")
+		faults = append(faults, "gateways ended by themselves or survived")
 	}
 	if alone {
 		return faults
--- a/internal/lab/processrig/spread.go
+++ b/internal/lab/processrig/spread.go
@@ -27,7 +27,7 @@
 	shortWindow = 100 * time.Millisecond
 	longWindow  = time.Second
 
-	herdFactor = 3.0     // a window with more than so many times its group's mean is a herd
+	herdFactor = 3.0     // a window with more than herdFactor times its group's mean is a herd
 	idlePart   = 1.0 / 4 // a host with less than this part of the mean may be idle
 	// rareChance is the probability below which it is: random draws would leave none of a run's thousands of windows so.
 	rareChance = 1e-5
@@ -181,7 +181,7 @@
 	return binomialTail(w.mean*hosts, 1/hosts, k)
 }
 
-// binomialTail is the probability that a binomial count of so many draws, each with probability p, exceeds k.
+// binomialTail returns the probability that a binomial count of draws, each with probability p, exceeds k.
 func binomialTail(draws, p float64, k int) float64 {
 	if p >= 1 {
 		return 0
--- a/internal/lab/processrig/zoneresult.go
+++ b/internal/lab/processrig/zoneresult.go
@@ -203,13 +203,13 @@
 	returned := len(z.Steps) > 0 && z.Steps[len(z.Steps)-1] == fullShare
 	steps := fmt.Sprint(z.Steps)
 	return faultsOf(map[string]bool{
-		"cold hosts were pushed over":                            z.SlowStartOverloads > 0,
+		"hosts were overloaded in slow start":                    z.SlowStartOverloads > 0,
 		"zones were left that did not fail, or without a quorum": z.FalseLeaves > 0,
 		"not all gateways left the zone":                         leaves && z.Gateways < gateways,
 		FaultFarApart:                                            inStep && z.P99MS-z.FirstMS > farApartMS,
-		"reads went on to a zone that was left":                  z.Kept == 0 && z.Reads > gateways,
-		"left whole, though the others do not bear it":           plan == "full" && z.Kept == 0,
+		"reads were sent to a zone that was left":                z.Kept == 0 && z.Reads > gateways,
+		"left completely without enough capacity elsewhere":      plan == "full" && z.Kept == 0,
 		"the zone was not returned to":                           leaves && plan != "flap" && !returned,
-		"the return was not by its steps":                        plan == "lost" && steps != "[0 2 5 10 20 40 70 100]",
+		"the return did not follow its steps":                    plan == "lost" && steps != "[0 2 5 10 20 40 70 100]",
 	})
 }
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -14,13 +14,13 @@
 	"cloverrock/internal/lab/emulator"
 )
 
-// Options of a rehearsal.
+// Options of a run.
 type Options struct {
 	Seed    uint64
 	Program string
 	Rate    float64 // requests a second
 	Replace int     // hosts that were replaced by new ones since the list on file
-	Forget  bool    // the store keeps no routing state: the check must see no gain
+	Forget  bool    // the store caches no routing state: the check must find no gain
 	Log     func(format string, args ...any)
 }
 
--- a/internal/lab/restart/rig.go
+++ b/internal/lab/restart/rig.go
@@ -42,7 +42,7 @@
 	discovery    *emulator.Discovery
 	hosts        []*emulator.Host
 	gateway      *exec.Cmd
-	instances    []*exec.Cmd // of the store, beside the gateway's own
+	instances    []*exec.Cmd // of the store, without the gateway's own
 }
 
 // openRig starts the hosts, discovery and, if wanted, the store, and writes the gateway's files.
@@ -192,7 +192,7 @@
 	return os.WriteFile(r.configFile, text, 0o600)
 }
 
-// startStore founds a store, and starts the instances beside the gateway's own.
+// startStore creates a store and starts its instances, except the one in the gateway's process.
 func (r *rig) startStore() error {
 	args := []string{"store", "init", "--dir", r.directory, "--local"}
 	free, err := loopback.Reserve(len(members))
--- a/internal/lab/storesim/disk.go
+++ b/internal/lab/storesim/disk.go
@@ -16,7 +16,7 @@
 // tornBytes is how much of a file a write that was under way at a power loss may spoil.
 const tornBytes = 512
 
-// memoryDisk implements disk.FS. At a loss of power it loses what was not synced.
+// memoryDisk implements disk.FS. At a loss of power it loses data that was not synced.
 type memoryDisk struct {
 	random                *rand.Rand
 	files                 map[string]*memoryFile // as a process sees them
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -11,8 +11,8 @@
 
 const (
 	cutBoth cutWay = iota
-	cutTo          // what is sent to the instance
-	cutFrom        // what it sends
+	cutTo          // messages to the instance
+	cutFrom        // messages from the instance
 	cutWays        // their number
 )
 
@@ -45,7 +45,7 @@
 		s.schedule(duration, func() { inst.tickInterval = normalTick })
 	case 8:
 		s.fillDisk(inst, duration)
-	case 9: // a sync fails: the instance must not go on
+	case 9: // a sync fails: the instance must stop
 		inst.disk.failSync = true
 		s.schedule(duration, func() { inst.disk.failSync = false })
 	case 10:
--- a/internal/lab/storesim/instance.go
+++ b/internal/lab/storesim/instance.go
@@ -31,7 +31,7 @@
 	disk         *memoryDisk
 	store        *disk.Store
 	core         *core.Core // nil: down
-	incarnation  int        // rises with each start and end, so that what was scheduled before is dropped
+	incarnation  int        // incremented at each start and end; calls scheduled for an earlier one are dropped
 	tickInterval int64
 	diskFull     bool       // the instance stands still until there is room
 	stalled      *core.Work // the work for which there was no room
@@ -112,7 +112,7 @@
 	inst.core = started
 	inst.store = store
 	inst.diskFull = false
-	delete(s.commits, inst.id) // how far a commit went may be lost; what was committed may not
+	delete(s.commits, inst.id) // the commit index may be lost in a crash; committed entries may not
 	s.trace("%s started as %d, cut %d", inst.name, inst.id, state.Loaded.TornBytes)
 	s.hashEvent('s', inst.id, uint64(state.Loaded.TornBytes))
 	s.tick(inst, inst.incarnation)
@@ -163,7 +163,7 @@
 	}
 }
 
-// handleWork sends and saves one piece of work. It reports whether the instance can go on.
+// handleWork sends and saves one piece of work. It reports whether the instance can continue.
 func (s *simulation) handleWork(inst *instance, work *core.Work) bool {
 	s.send(inst, work.SendBeforeSave)
 	err := s.save(inst, work)
