--- a/cmd/cloverrock-lab/main.go
+++ b/cmd/cloverrock-lab/main.go
@@ -1,4 +1,4 @@
-// Command cloverrock-lab plays models of the gateway and the store, and rehearses failures of real processes, on this
+// Command cloverrock-lab simulates the gateway and the store, and tests real processes of them under faults, on this
 // machine's loopback addresses only.
 package main
 
@@ -24,7 +24,7 @@
 	exitFailed     = 2 // the experiment could not be run
 )
 
-// errFaultFound is returned by an experiment that ran to its end and found a violated rule.
+// errFaultFound is returned by an experiment that ran to its end and found a violated invariant.
 var errFaultFound = errors.New("the experiment found a fault")
 
 func main() {
@@ -41,7 +41,7 @@
 
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
-		Use: "cloverrock-lab", Short: "Play models and rehearse failures on this machine",
+		Use: "cloverrock-lab", Short: "Run simulations and tests with real processes on this machine",
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.AddCommand(
@@ -72,7 +72,7 @@
 
 // addProgramFlag adds the flag that names the gateway's program.
 func addProgramFlag(cmd *cobra.Command, program *string) {
-	cmd.Flags().StringVar(program, "program", "", "the gateway's program; beside this one if not given")
+	cmd.Flags().StringVar(program, "program", "", "path of the gateway's program (default: the one in the directory of this program)")
 }
 
 // logToStderr writes what an experiment does to standard error, a line each.
@@ -80,12 +80,12 @@
 	fmt.Fprintf(os.Stderr, format+"\n", args...)
 }
 
-// processContext returns the context of a run with real processes, which ends after the bound or at a signal. Where no
-// program is named it fills in the gateway's program beside this one.
+// processContext returns the context of a run with real processes, as signalContext does. If *program is empty it sets it
+// to the path of the gateway's program in the directory of this one.
 func processContext(bound time.Duration, program *string) (context.Context, context.CancelFunc, error) {
 	if *program == "" {
 		var err error
-		if *program, err = chaos.Beside(); err != nil {
+		if *program, err = chaos.FindProgram(); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -93,7 +93,7 @@
 	return ctx, cancel, nil
 }
 
-// signalContext returns a context that ends after the bound or at SIGINT or SIGTERM.
+// signalContext returns a context that is canceled after the bound or at SIGINT or SIGTERM.
 func signalContext(bound time.Duration) (context.Context, context.CancelFunc) {
 	signals, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	ctx, stopTimer := context.WithTimeout(signals, bound)
--- a/internal/lab/chaos/cluster.go
+++ b/internal/lab/chaos/cluster.go
@@ -21,8 +21,8 @@
 	"cloverrock/internal/store/pki"
 )
 
-// ErrNoProgram is returned where the gateway's program is not beside the one that rehearses.
-var ErrNoProgram = errors.New("the program under rehearsal is missing; build it beside this one")
+// ErrNoProgram reports that the gateway's program is not in the directory of the running program.
+var ErrNoProgram = errors.New("the program under test is missing; build it into the directory of this one")
 
 const (
 	snapshotEntries = 2000 // entries between snapshots
@@ -50,8 +50,8 @@
 	mu          sync.Mutex
 	command     *exec.Cmd
 	ended       chan struct{}
-	down        bool // on purpose
-	unaskedEnds int
+	down        bool // it was killed on purpose
+	unaskedEnds int  // times that it ended by itself
 }
 
 // newCluster founds a store in a directory.
@@ -139,7 +139,7 @@
 	command := exec.Command(c.program, args...)
 	command.Stdout = started.log
 	command.Stderr = started.log
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the rehearsal
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the run
 	ended := make(chan struct{})
 	started.command = command
 	started.ended = ended
@@ -171,11 +171,13 @@
 	_ = i.command.Process.Kill() // it may have ended already
 }
 
-// kill ends a process at once, if it was started. With powerLoss its machine loses what was not synced, too.
+// kill kills a process, if it was started, and waits for its end. With powerLoss it then removes the data from its
+// directory that was not synced.
 func (i *instance) kill(powerLoss bool) error {
 	i.mu.Lock()
 	i.down = true
-	command, ended := i.command, i.ended
+	command := i.command
+	ended := i.ended
 	i.mu.Unlock()
 	if command == nil {
 		return nil
@@ -193,7 +195,7 @@
 	return disk.DiscardUnsynced(directory)
 }
 
-// unaskedEnds is the number of processes' ends that the rehearsal did not bring about.
+// unaskedEnds returns how many times processes ended although nobody killed them.
 func (c *cluster) unaskedEnds() int {
 	sum := 0
 	for _, instance := range c.instances {
@@ -204,7 +206,7 @@
 	return sum
 }
 
-// close ends all that was started.
+// close kills all processes and closes the relays.
 func (c *cluster) close() {
 	for _, instance := range c.instances {
 		_ = instance.kill(false) // fails only for a loss of power
@@ -217,7 +219,8 @@
 	}
 }
 
-// client connects as the operator, to the first endpoint alone if single, else to any. attempt is the time for one try.
+// client returns a client with the operator's credentials. It tries the instances from first on, or only that one if
+// single is set. attempt is the timeout of one try.
 func (c *cluster) client(first int, single bool, attempt time.Duration) (*client.Client, error) {
 	credentials, err := pki.LoadTLS(pki.Files{
 		Certificate: filepath.Join(c.directory, "operator.pem"),
@@ -235,8 +238,8 @@
 	return client.New(config), nil
 }
 
-// Beside returns the path of the gateway's program in the directory of this one.
-func Beside() (string, error) {
+// FindProgram returns the path of the gateway's program in the directory of this one.
+func FindProgram() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", err
--- a/internal/lab/processrig/datagrams.go
+++ b/internal/lab/processrig/datagrams.go
@@ -13,20 +13,20 @@
 const (
 	maxDatagram  = 2048
 	readBuffer   = 1 << 20
-	broadcast    = -1 // the receiver of what goes to all gateways
-	loseOneOf    = 5  // on a lossy link
-	doubleOneOf  = 20 // of the others
-	relayRandoms = 5  // separates the relay's random numbers from others of the same seed
+	broadcast    = -1 // stands for all gateways as the receiver
+	loseOneOf    = 5  // on a lossy link, one datagram in five is lost
+	doubleOneOf  = 20 // and one in twenty of the others is duplicated
+	relayRandoms = 5  // stream of the relay's random numbers, apart from others of the same seed
 )
 
-// datagramRelay carries the datagrams between gateways. Each gateway is known to the others by a socket of the relay, and
-// sends to theirs. So each direction of each pair can be delayed, cut or made lossy by itself.
+// datagramRelay forwards the datagrams between gateways. The others' configuration names a socket of the relay in place of
+// each gateway's own address, so each direction of each pair can be delayed, cut or made lossy separately.
 type datagramRelay struct {
-	all     *net.UDPConn   // receives what is sent to all
-	sockets []*net.UDPConn // by gateway: receive what is sent to it, and send on what comes from it
-	to      []netip.AddrPort
-	numbers map[netip.AddrPort]int
-	spoil   func(datagram []byte) // nil: datagrams stay as they are
+	all     *net.UDPConn           // receives what is sent to all
+	sockets []*net.UDPConn         // by gateway: receive what is sent to it, and forward what it sends
+	to      []netip.AddrPort       // by gateway: the address at which it listens
+	numbers map[netip.AddrPort]int // gateways by the address at which they listen
+	spoil   func(datagram []byte)  // changes each datagram; nil: none is changed
 	wait    sync.WaitGroup
 
 	mu        sync.Mutex
@@ -44,24 +44,24 @@
 	delay          time.Duration // of what goes to it
 }
 
-// newDatagramRelay takes the addresses at which the gateways listen.
+// newDatagramRelay returns a relay for the gateways that listen at the given addresses.
 func newDatagramRelay(listen []string, seed uint64, spoil func([]byte)) (*datagramRelay, error) {
-	x := &datagramRelay{
+	r := &datagramRelay{
 		numbers: map[netip.AddrPort]int{}, spoil: spoil, links: make([]link, len(listen)),
 		random: rand.New(rand.NewPCG(seed, relayRandoms)),
 	}
-	if err := x.open(listen); err != nil {
-		x.close()
+	if err := r.open(listen); err != nil {
+		r.close()
 		return nil, fmt.Errorf("datagram relay: %w", err)
 	}
-	for i, socket := range x.sockets {
-		x.wait.Go(func() { x.carry(socket, i) })
+	for i, socket := range r.sockets {
+		r.wait.Go(func() { r.carry(socket, i) })
 	}
-	x.wait.Go(func() { x.carry(x.all, broadcast) })
-	return x, nil
+	r.wait.Go(func() { r.carry(r.all, broadcast) })
+	return r, nil
 }
 
-func (x *datagramRelay) open(listen []string) error {
+func (r *datagramRelay) open(listen []string) error {
 	for i, text := range listen {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -71,12 +71,12 @@
 		if err != nil {
 			return err
 		}
-		x.sockets = append(x.sockets, socket)
-		x.to = append(x.to, address)
-		x.numbers[address] = i
+		r.sockets = append(r.sockets, socket)
+		r.to = append(r.to, address)
+		r.numbers[address] = i
 	}
 	var err error
-	x.all, err = openSocket()
+	r.all, err = openSocket()
 	return err
 }
 
@@ -85,63 +85,63 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = socket.SetReadBuffer(readBuffer) // a smaller one serves, too
+	_ = socket.SetReadBuffer(readBuffer) // a smaller one is sufficient
 	return socket, nil
 }
 
-// addresses are those under which the gateways know one another.
-func (x *datagramRelay) addresses() []string {
+// addresses returns the addresses that the gateways' configurations name as peers.
+func (r *datagramRelay) addresses() []string {
 	var addresses []string
-	for _, socket := range x.sockets {
+	for _, socket := range r.sockets {
 		addresses = append(addresses, socket.LocalAddr().String())
 	}
 	return addresses
 }
 
-func (x *datagramRelay) broadcastAddress() string { return x.all.LocalAddr().String() }
+func (r *datagramRelay) broadcastAddress() string { return r.all.LocalAddr().String() }
 
-func (x *datagramRelay) close() {
-	for _, socket := range append(x.sockets, x.all) {
+func (r *datagramRelay) close() {
+	for _, socket := range append(r.sockets, r.all) {
 		if socket != nil {
 			_ = socket.Close() // the run is over
 		}
 	}
-	x.wait.Wait()
+	r.wait.Wait()
 }
 
-// carry takes the datagrams of one socket on to a gateway, or to all.
-func (x *datagramRelay) carry(socket *net.UDPConn, to int) {
+// carry forwards the datagrams that arrive at one socket to a gateway, or to all.
+func (r *datagramRelay) carry(socket *net.UDPConn, to int) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, sender, err := socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		from, known := x.numbers[sender]
+		from, known := r.numbers[sender]
 		if !known {
 			continue
 		}
 		datagram := bytes.Clone(buffer[:n])
-		if x.spoil != nil {
-			x.spoil(datagram)
+		if r.spoil != nil {
+			r.spoil(datagram)
 		}
 		if to != broadcast {
-			x.pass(from, to, datagram)
+			r.pass(from, to, datagram)
 			continue
 		}
-		for receiver := range x.sockets {
+		for receiver := range r.sockets {
 			if receiver != from {
-				x.pass(from, receiver, datagram)
+				r.pass(from, receiver, datagram)
 			}
 		}
 	}
 }
 
-// pass sends one datagram on, as the links have it.
-func (x *datagramRelay) pass(from, to int, datagram []byte) {
-	copies, delay := x.fate(from, to, len(datagram))
+// pass forwards one datagram, subject to the faults of the links.
+func (r *datagramRelay) pass(from, to int, datagram []byte) {
+	copies, delay := r.fate(from, to, len(datagram))
 	send := func() {
-		_, _ = x.sockets[from].WriteToUDPAddrPort(datagram, x.to[to]) // a datagram may be lost
+		_, _ = r.sockets[from].WriteToUDPAddrPort(datagram, r.to[to]) // a datagram may be lost
 	}
 	for range copies {
 		if delay == 0 {
@@ -153,34 +153,34 @@
 }
 
 // fate decides how many copies of a datagram arrive, and how late.
-func (x *datagramRelay) fate(from, to, size int) (copies int, delay time.Duration) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	receiver := x.links[to]
+func (r *datagramRelay) fate(from, to, size int) (copies int, delay time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	receiver := r.links[to]
 	copies = 1
-	if x.links[from].cutFrom || receiver.cutTo || receiver.lossy && x.random.IntN(loseOneOf) == 0 {
+	if r.links[from].cutFrom || receiver.cutTo || receiver.lossy && r.random.IntN(loseOneOf) == 0 {
 		copies = 0
-		x.lost++
-	} else if receiver.lossy && x.random.IntN(doubleOneOf) == 0 {
+		r.lost++
+	} else if receiver.lossy && r.random.IntN(doubleOneOf) == 0 {
 		copies = 2
 	}
-	x.delivered += copies
-	x.bytes += copies * size
+	r.delivered += copies
+	r.bytes += copies * size
 	delay = receiver.delay
 	if delay > 0 {
-		delay += time.Duration(x.random.Int64N(int64(delay / 4)))
+		delay += time.Duration(r.random.Int64N(int64(delay / 4)))
 	}
 	return copies, delay
 }
 
-func (x *datagramRelay) setLink(gateway int, l link) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.links[gateway] = l
+func (r *datagramRelay) setLink(gateway int, l link) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.links[gateway] = l
 }
 
-func (x *datagramRelay) counts() (delivered, bytes, lost int) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.delivered, x.bytes, x.lost
+func (r *datagramRelay) counts() (delivered, bytes, lost int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.delivered, r.bytes, r.lost
 }
--- a/internal/lab/processrig/result.go
+++ b/internal/lab/processrig/result.go
@@ -11,15 +11,15 @@
 	PlanHash string `json:"plan_hash"`
 	Policy   string `json:"policy"`
 	Requests int    `json:"requests"`
-	// Lost requests had no answer from a gateway that was neither stopped nor killed meanwhile; Disturbed ones had none
-	// from one that was.
+	// Lost requests got no answer from a gateway that was neither stopped nor killed meanwhile, Disturbed ones none from a
+	// gateway that was.
 	Lost        int `json:"lost"`
 	Disturbed   int `json:"disturbed"`
 	LateAnswers int `json:"late"` // after their deadline
 	// ClosedNewConnections were closed before their first answer; their requests count as rejected.
 	ClosedNewConnections int     `json:"closed_new"`
-	Resent               int     `json:"sent_again"` // requests that met the end of an idle connection
-	Killed               int     `json:"killed"`     // gateways that had not ended by themselves when they had to
+	Resent               int     `json:"sent_again"` // requests that crossed the close of an idle connection
+	Killed               int     `json:"killed"`     // gateways whose graceful shutdown took too long
 	InTime               float64 `json:"in_time"`    // of all, by weight
 	Rejected             int     `json:"refused"`
 	Spread               Spread  `json:"spread"`
@@ -37,35 +37,36 @@
 	CVAtMost    float64     `json:"cv_1s_at_most"`
 }
 
-// newConnectionsPerClose is how many requests there must be for each new connection that got no answer.
+// newConnectionsPerClose is the least number of requests for each new connection that was closed without an answer.
 const newConnectionsPerClose = 200
 
-// Found returns the faults of a run, in order.
-func (r *Result) Found() []string {
+// Faults returns the names of the checks that the run failed, sorted.
+func (r *Result) Faults() []string {
 	return faultsOf(map[string]bool{
 		"requests were lost":                         r.Lost > 0,
 		"hosts were idle":                            r.Spread.IdleSeconds > 0,
 		"more herds than chance and half as many":    r.Spread.HerdWindows > r.HerdsAtMost,
 		"twice as uneven over a second as by chance": r.Spread.CV1s > r.CVAtMost,
-		"gateways ended by themselves or were left":  r.EndedByThemselves > 0 || r.StillRunning > 0,
-		"gateways told to end did not in time":       r.Killed > 0,
+		"gateways ended by themselves or survived":   r.EndedByThemselves > 0 || r.StillRunning > 0,
+		"gateways did not shut down in time":         r.Killed > 0,
 		"one new connection in 200 got no answer":    r.ClosedNewConnections*newConnectionsPerClose > r.Requests,
 	})
 }
 
-// FoundInZones returns the faults of a run with zones, in order. Gateways that decide alone have no duty together.
-func (r *Result) FoundInZones(alone bool) []string {
+// ZoneFaults returns the names of the checks that a run with zones failed. With alone set, the checks of joint decisions
+// are left out.
+func (r *Result) ZoneFaults(alone bool) []string {
 	var faults []string
 	if r.Lost > 0 {
 		faults = append(faults, "requests were lost")
 	}
 	if r.EndedByThemselves > 0 || r.StillRunning > 0 {
-		faults = append(faults, "gateways ended by themselves or were left")
+		faults = append(faults, "gateways ended by themselves or survived")
 	}
 	if alone {
 		return faults
 	}
-	return append(faults, r.Zone.faults(r.Plan, r.Gateways)...)
+	return append(faults, r.Zone.faultsOfPlan(r.Plan, r.Gateways)...)
 }
 
 // faultsOf returns the names of the checks that are true.
