--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -251,5 +251,5 @@
 }
 
 func queryError(code, message string) []byte {
-	return pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: code, Message: message})
+	return pgwire.AppendError(nil, pgwire.ErrorResponse{Severity: "ERROR", Code: code, Message: message})
 }
--- a/internal/app/fakehost_test.go
+++ b/internal/app/fakehost_test.go
@@ -201,7 +201,7 @@
 func (q *hostQuery) answer(value string) { q.writeEnd(rowMessages(value)) }
 
 func (q *hostQuery) answerError(code string) {
-	q.writeEnd(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: code, Message: "no"}))
+	q.writeEnd(pgwire.AppendError(nil, pgwire.ErrorResponse{Severity: "ERROR", Code: code, Message: "no"}))
 }
 
 // reset closes the connection without an answer.
--- a/internal/app/hosts_test.go
+++ b/internal/app/hosts_test.go
@@ -25,7 +25,7 @@
 	const good = "value v"
 	const failed = "error " + pgwire.CodeSystemError
 	row := string(rowMessages("v"))
-	refusal := string(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: pgwire.CodeTooManyConnections, Message: "no"}))
+	refusal := string(pgwire.AppendError(nil, pgwire.ErrorResponse{Severity: "ERROR", Code: pgwire.CodeTooManyConnections, Message: "no"}))
 	status := func(name, value string) string { return string(pgwire.AppendParameterStatus(nil, name, value)) }
 	for name, c := range map[string]struct{ sent, want string }{
 		"a second copy":            {row + ready + row + ready, good},
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -96,7 +96,7 @@
 		Bytes:             memoryBytes(conf) / clientBytesDivisor,
 		MessageTimeout:    t.message,
 		IdleTimeout:       t.idle,
-	}, log)
+	})
 	s.pool = backend.New(loop, s.gateway, backend.Limits{
 		DialTimeout: conf.Settings.DialTimeout,
 		IdleClose:   conf.IdleClose,
--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -40,13 +40,13 @@
 
 // answer is what has been received of the answer to the attempt in flight.
 type answer struct {
-	raw         []byte        // row description, row and completion, as they came
-	lastMessage byte          // type of the last message that belongs to the answer; 0 if none has come
-	value       []byte        // the row's column
-	hostError   *pgwire.Error // nil if there is none
-	role        string        // of the host, as reported
-	position    string        // of the host, as reported
-	report      string        // of the host, as reported
+	raw         []byte                // row description, row and completion, as they came
+	lastMessage byte                  // type of the last message that belongs to the answer; 0 if none has come
+	value       []byte                // the row's column
+	hostError   *pgwire.ErrorResponse // nil if there is none
+	role        string                // of the host, as reported
+	position    string                // of the host, as reported
+	report      string                // of the host, as reported
 }
 
 // complete reports whether nothing but ReadyForQuery is missing.
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -192,7 +192,7 @@
 
 // Reject implements gateway.Client. The error's detail is the time to retry after in milliseconds, rounded up.
 func (c *client) Reject(retryAfter int64) {
-	rejection := pgwire.Error{
+	rejection := pgwire.ErrorResponse{
 		Severity: "ERROR", Code: pgwire.CodeTooManyConnections, Message: "refused; trying again is harmless",
 	}
 	if retryAfter > 0 {
@@ -216,10 +216,10 @@
 
 // failConnection reports why the connection ends, and ends it.
 func (c *client) failConnection(code, message string) {
-	c.conn.Write(pgwire.AppendError(nil, pgwire.Error{Severity: "FATAL", Code: code, Message: message}))
+	c.conn.Write(pgwire.AppendError(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: code, Message: message}))
 	c.terminate()
 }
 
 func errorResponse(code, message string) []byte {
-	return pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: code, Message: message})
+	return pgwire.AppendError(nil, pgwire.ErrorResponse{Severity: "ERROR", Code: code, Message: message})
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -6,8 +6,6 @@
 import (
 	"container/list"
 
-	"github.com/rs/zerolog"
-
 	"cloverrock/internal/eventloop"
 	"cloverrock/internal/gateway"
 )
@@ -44,7 +42,6 @@
 	gateway Gateway
 	classes map[string]Class
 	limits  Limits
-	log     zerolog.Logger
 
 	clients       map[*client]struct{}
 	activeClients int // that have sent a request
@@ -63,9 +60,9 @@
 }
 
 // New returns a server without clients.
-func New(loop *eventloop.Loop, gw Gateway, classes map[string]Class, limits Limits, log zerolog.Logger) *Server {
+func New(loop *eventloop.Loop, gw Gateway, classes map[string]Class, limits Limits) *Server {
 	s := &Server{
-		loop: loop, gateway: gw, classes: classes, limits: limits, log: log,
+		loop: loop, gateway: gw, classes: classes, limits: limits,
 		clients:    map[*client]struct{}{},
 		newClients: list.New(), idleClients: list.New(), lingeringClients: list.New(),
 		cancelKeys: map[uint32]*client{}, openRequestIDs: map[string]struct{}{},
--- a/internal/lab/emulator/protocol.go
+++ b/internal/lab/emulator/protocol.go
@@ -90,7 +90,7 @@
 	}
 	write := strings.Contains(text, "INSERT")
 	if write && !h.primary.Load() {
-		return pgwire.AppendError(nil, pgwire.Error{
+		return pgwire.AppendError(nil, pgwire.ErrorResponse{
 			Severity: "ERROR", Code: pgwire.CodeReadOnly, Message: "not the primary",
 		})
 	}
--- a/internal/pgwire/error.go
+++ b/internal/pgwire/error.go
@@ -25,11 +25,11 @@
 	fieldDetail           = 'D'
 )
 
-// Error is the content of an ErrorResponse.
-type Error struct{ Severity, Code, Message, Detail string }
+// ErrorResponse is the content of the message of that name.
+type ErrorResponse struct{ Severity, Code, Message, Detail string }
 
 // AppendError appends an ErrorResponse.
-func AppendError(b []byte, e Error) []byte {
+func AppendError(b []byte, e ErrorResponse) []byte {
 	b, lengthAt := beginMessage(b, MsgErrorResponse)
 	for _, field := range [...]struct {
 		kind  byte
@@ -50,7 +50,7 @@
 
 // ParseError parses the body of an ErrorResponse; unknown fields are ignored. It reports whether the body is complete, has
 // a severity and a code of five characters, and has nothing behind its end.
-func ParseError(body []byte) (e Error, ok bool) {
+func ParseError(body []byte) (e ErrorResponse, ok bool) {
 	for len(body) > 0 && body[0] != 0 {
 		kind := body[0]
 		value, rest, ok := CString(body[1:])
--- a/internal/pgwire/error_test.go
+++ b/internal/pgwire/error_test.go
@@ -8,7 +8,7 @@
 
 // An error is parsed as it was appended; an incomplete one, or one without a valid code, is rejected.
 func TestErrorIsParsedAsItWasAppended(t *testing.T) {
-	want := Error{Severity: "ERROR", Code: CodeTooManyConnections, Message: "full", Detail: "150"}
+	want := ErrorResponse{Severity: "ERROR", Code: CodeTooManyConnections, Message: "full", Detail: "150"}
 	m, _, _, _ := Next(AppendError(nil, want))
 	got, ok := ParseError(m.Body)
 	if d := cmp.Diff(want, got); m.Type != 'E' || d != "" || !ok {
--- a/internal/pgwire/golden_test.go
+++ b/internal/pgwire/golden_test.go
@@ -30,7 +30,7 @@
 	wantStartup(t, message("startup"))
 }
 
-var goldenError = Error{"FATAL", CodeTooManyConnections, "message", "detail"}
+var goldenError = ErrorResponse{"FATAL", CodeTooManyConnections, "message", "detail"}
 
 func encodedMessages(t *testing.T) []golden.Case {
 	t.Helper()
@@ -52,7 +52,7 @@
 		{Name: "T and D", Form: string(AppendRow(nil, "column", "value"))},
 		{Name: "T and D, empty", Form: string(AppendRow(nil, "", ""))},
 		{Name: "E", Form: string(AppendError(nil, goldenError))},
-		{Name: "E without detail", Form: string(AppendError(nil, Error{Severity: "ERROR", Code: CodeReadOnly, Message: "m"}))},
+		{Name: "E without detail", Form: string(AppendError(nil, ErrorResponse{Severity: "ERROR", Code: CodeReadOnly, Message: "m"}))},
 		{Name: "startup", Form: string(AppendStartup(nil, "user", "u", "database", "d"))},
 	}
 	for i := range cases {
