--- a/balance/admission.go
+++ b/balance/admission.go
@@ -9,7 +9,7 @@
 	latencyShareWeight      = 0.15 // weight of a new value; high, since queues grow within a few answers
 
 	shedStartShare    = 0.3 // latency share above which a part of the reads is shed; at 1 all are
-	sparseRequestRate = 1.0 // requests per host and second; below it, overload is judged over all hosts
+	sparseRequestRate = 1.0 // requests per host and second; below it, the overload of all hosts counts too
 )
 
 // hostLoad is the load of a host and its concurrency limit. The limit is an AIMD limit (additive increase,
@@ -23,7 +23,7 @@
 	limitCutAt       int64             // when the limit was last cut
 
 	pauseLength int64 // µs; doubles while the host rejects attempts
-	pausedUntil int64 // no attempt is sent before
+	pausedUntil int64 // no attempt is sent before this time
 }
 
 // admits reports whether a host may be sent a request now: it is not excluded, it is healthy, this gateway
@@ -39,9 +39,10 @@
 	return r.healthAdmits(host) && r.slowStartAdmits(req, host) && !r.shouldShed(req, host)
 }
 
-// healthAdmits reports whether the health of a host allows an attempt. An unhealthy host gets a single one as
-// a trial when half of its backoff has passed. Where there are health checks, they decide, and the trial is
-// allowed only at the longest backoff: health checks may fail where requests would succeed.
+// healthAdmits reports whether the health of a host allows an attempt. An unhealthy host gets a single
+// attempt as a trial when half of its backoff has passed. In a deployment with health checks, a successful
+// check ends the unhealthy state, and the trial is allowed only at the longest backoff, for hosts whose
+// health checks fail although requests would succeed.
 func (r *Router) healthAdmits(host *hostState) bool {
 	if host.health == healthy {
 		return true
@@ -55,9 +56,9 @@
 	return !r.settings.HealthChecks || host.backoff >= r.maxBackoff()
 }
 
-// shouldShed reports whether to withhold a read from a host to shed load. Each gateway of a large fleet has
-// too few attempts in flight for a limit to bind, so each sheds a part of its reads that grows with the
-// host's latency share.
+// shouldShed reports whether to withhold a read from a host to shed load. In a large fleet each gateway has
+// too few attempts in flight for a concurrency limit to take effect. Each gateway therefore sheds a part of
+// its reads, which grows with the host's latency share.
 func (r *Router) shouldShed(req *pendingRequest, host *hostState) bool {
 	overload := host.latencyShare
 	if r.traffic.requestRatePerHost < sparseRequestRate {
@@ -70,8 +71,8 @@
 	return true
 }
 
-// recordLatency records how long an attempt took, in µs, and adjusts the limit. An attempt that timed out
-// counts as having taken at least its latency objective; otherwise only quick answers would count.
+// recordLatency records how long an attempt took, in µs, and adjusts the concurrency limit. An attempt that
+// timed out counts as having taken at least its latency objective; otherwise only quick answers would count.
 func (r *Router) recordLatency(host *hostState, req *pendingRequest, latency int64, succeeded bool) {
 	host.pauseLength /= 2
 	share := float64(latency) / float64(req.class.LatencyObjective)
@@ -105,8 +106,8 @@
 	}
 }
 
-// adjustLimit adjusts a host's limit to the part of its latency objective that an answer took, at this or
-// another gateway. The limit is cut at most once per mean latency.
+// adjustLimit adjusts a host's concurrency limit to the part of its latency objective that an answer took, at
+// this or another gateway. The limit is cut at most once per mean latency.
 func (r *Router) adjustLimit(host *hostState, share float64) {
 	host.latencyShare += latencyShareWeight * (min(share, 1) - host.latencyShare)
 	cutIsDue := r.now-host.limitCutAt > int64(host.latency.mean)
@@ -120,7 +121,7 @@
 	}
 }
 
-// pauseHost sends no attempts to a host for a random time, whose bound doubles with each call.
+// pauseHost stops attempts at a host for a random time, whose upper bound doubles with each call.
 func (r *Router) pauseHost(host *hostState) {
 	host.pauseLength = min(max(2*host.pauseLength, r.maintenanceInterval()), r.searchInterval())
 	host.pausedUntil = r.now + host.pauseLength/2 + r.rand.Below(host.pauseLength)
--- a/balance/api.go
+++ b/balance/api.go
@@ -9,18 +9,18 @@
 // The kinds of retry safety.
 const (
 	Idempotent     RetrySafety = iota // executing it again changes nothing
-	IdempotencyKey                    // repeats are dropped by its key, within a scope and a window
+	IdempotencyKey                    // repeats with its key are dropped, within a scope and a window
 	NonIdempotent                     // it must not be executed twice
 )
 
-// DeduplicationScope describes where the repeats of a request with an idempotency key are dropped.
+// DeduplicationScope describes which hosts drop the repeats of a request with an idempotency key.
 type DeduplicationScope uint8
 
 // The scopes of deduplication.
 const (
-	ScopeGlobal DeduplicationScope = iota // wherever they are executed
-	ScopeZone                             // in the zone of the first execution
-	ScopeGroup                            // in its group
+	ScopeGlobal DeduplicationScope = iota // all hosts
+	ScopeZone                             // the hosts in the zone of the first execution
+	ScopeGroup                            // the hosts of the request's group
 )
 
 // Consistency describes how recent the data behind an answer must be.
@@ -30,8 +30,8 @@
 const (
 	Eventual         Consistency = iota // of any age
 	BoundedStaleness                    // no older than Class.MaxStaleness when the request is sent
-	ReadYourWrites                      // with all that its session has written
-	Linearizable                        // with all that was written before the request arrived
+	ReadYourWrites                      // contains all that its session has written
+	Linearizable                        // contains all that was written before the request arrived
 	Write                               // not a read: only the primary accepts it
 )
 
@@ -66,19 +66,20 @@
 	RequestsCarrySessionAge bool    // Event.SessionWriteAge is set; otherwise the router remembers commits
 	CrossZoneCost           float64 // above 0: of equally busy hosts, the one in this zone is preferred
 
-	OnlyDrainingExcludes    bool    // a host that vanished from the list without draining may still serve
+	OnlyDrainingExcludes    bool    // a host that left the list without draining may still serve
 	SlowStartInitialShare   float64 // part of its capacity that a host has when it starts
 	SlowStartDuration       int64   // µs until a host that started has all of its capacity
-	SlowStartOverloadFactor float64 // multiple of its capacity by then that overloads a starting host
-	SlowStartOverloadWindow int64   // µs over which that multiple counts
+	SlowStartOverloadFactor float64 // multiple of its current capacity that overloads a starting host
+	SlowStartOverloadWindow int64   // µs over which that load is counted
 
 	Gateways              int     // gateways of the fleet, this one included; 0 or 1: no gossip
 	Ordinal               int     // index of this gateway in the fleet, from 0; -1: unknown, no gossip
-	GossipBytesPerRequest float64 // gossip bytes that each request pays for, counted for each receiver
+	GossipBytesPerRequest float64 // gossip bytes allowed for each request, counted once per receiver
 }
 
-// ZoneShares gives the shares of zones that the fleet has agreed on. Router calls it on the goroutine that
-// calls Handle, so it must not block. A share excludes hosts only where other hosts remain.
+// ZoneShares gives the part of their reads that zones may still get, as the fleet has agreed. Router calls it
+// on the goroutine that calls Handle, so it must not block. A share below 1 takes effect only in groups that
+// have a healthy replica in a zone whose share is 1.
 type ZoneShares interface {
 	// ReadShare returns the part of reads, from 0 to 1, that the replicas of a zone may get.
 	ReadShare(zone int) float64
@@ -89,7 +90,7 @@
 
 // The states of a host in the endpoint list.
 const (
-	Removed  EndpointState = iota // gone
+	Removed  EndpointState = iota // no longer listed
 	Ready                         // serving
 	Draining                      // gets no new requests
 )
@@ -117,8 +118,8 @@
 	TimedOut                 // no answer in time
 	ConnectionRefused        // no connection could be opened
 	ConnectionReset          // the connection broke
-	Canceled                 // ended by this side
-	NotSent                  // nothing was sent, for a reason on this side
+	Canceled                 // this gateway ended the attempt
+	NotSent                  // this gateway did not send the attempt
 	NotPrimary               // the host rejected a write since it is not the primary
 )
 
@@ -127,7 +128,7 @@
 	return r == Overloaded || r == ConnectionRefused || r == NotSent || r == NotPrimary
 }
 
-// Answered reports whether the host itself gave the result.
+// Answered reports whether the result was sent by the host itself.
 func (r Result) Answered() bool {
 	return r == Succeeded || r == Failed || r == Overloaded || r == NotPrimary
 }
@@ -156,14 +157,14 @@
 
 // The kinds of events, with the fields of Event that they use.
 const (
-	EndpointsEvent          EventKind = iota // Endpoints, Complete, or PollFailed alone
-	RequestEvent                             // Request, Class, Group, Key to WorkHint
+	EndpointsEvent          EventKind = iota // Endpoints and Complete; or only PollFailed
+	RequestEvent                             // Request, Class, Group, Key to WorkHint: a new request
 	OutcomeEvent                             // Request, Attempt to Report: an attempt has ended
-	ClientDisconnectedEvent                  // Request: its client has left
+	ClientDisconnectedEvent                  // Request: its client has disconnected
 	TimerEvent                               // the time of a TimerAction has come
 	HealthCheckEvent                         // Host, Result, Latency, Report
 	GossipEvent                              // Peer, Data: a message of another gateway
-	ShutdownEvent                            // Deadline: the program ends, answer everything by then
+	ShutdownEvent                            // Deadline: the program shuts down, all answers are due by then
 )
 
 // Event is one input of the router. Kind determines which of the other fields are used.
@@ -177,10 +178,10 @@
 	Request         int64 // id of the request, unique among those that have no final answer yet
 	Class           int   // index into Settings.Classes
 	Group           int64
-	Key             int64 // of the session
+	Key             int64 // of the session, if HasKey
 	HasKey          bool
 	SessionWriteAge int64 // age of the session's last write; 0: none; negative if it is ahead of the clock
-	Deadline        int64 // time at which the client gives up, or of a shutdown
+	Deadline        int64 // when the client gives up; with ShutdownEvent, when all answers are due
 	WorkHint        int64 // expected work, µs; 0 if unknown
 
 	Attempt  int // number of the attempt among those of its request, from 0
@@ -204,7 +205,7 @@
 const (
 	SendAction          ActionKind = iota // Request, Host: send it there; Timeout
 	CancelAction                          // Request, Attempt: end the attempt
-	RejectAction                          // Request, RetryAfter: final answer, trying again is harmless
+	RejectAction                          // Request, RetryAfter: final answer, it is safe to try again
 	FailAction                            // Request: final answer, the request may have been executed
 	TimerAction                           // At, Token: pass a TimerEvent then
 	HealthCheckAction                     // Host: check it
--- a/balance/average.go
+++ b/balance/average.go
@@ -4,11 +4,11 @@
 	// Weights of a new value in moving averages. With ewmaWeight the average covers about ten values.
 	ewmaWeight     = 0.1
 	slowEWMAWeight = ewmaWeight * ewmaWeight // for averages over all hosts, which have far more values
-	meanCostWeight = slowEWMAWeight / 5      // no faster than the average request rate follows changes
+	meanCostWeight = slowEWMAWeight / 5      // follows changes no faster than the average request rate
 
 	deviationFactor     = 4 // deviations above the mean that latencies rarely exceed
-	minDeviationDivisor = 4 // a deviation counts as at least this part of the mean
-	maxPatienceDivisor  = 4 // upper limit of the divisor of patience
+	minDeviationDivisor = 4 // a deviation counts as at least the mean divided by this
+	maxPatienceDivisor  = 4 // upper limit of the number of attempts that patience is divided by
 )
 
 // movingAverage is an exponentially weighted moving average; 0 means that there is no value yet.
@@ -28,8 +28,8 @@
 	deviation movingAverage
 }
 
-// add records one latency. Its deviation has a lower bound, so that equal latencies do not reduce
-// the margin of patience to 0.
+// add records one latency. Its deviation has a lower bound, so that equal latencies do not reduce the margin
+// of patience to 0.
 func (l *latencyEstimate) add(latency float64) {
 	l.mean.add(latency, ewmaWeight)
 	mean := float64(l.mean)
@@ -39,8 +39,8 @@
 // known reports whether any latency was recorded.
 func (l *latencyEstimate) known() bool { return l.mean != 0 }
 
-// patience is how long a host may answer none of its attempts in flight before it is suspected, µs. It is
-// shorter with more attempts in flight.
+// patience returns the time in µs after which a host that has answered none of its attempts in flight
+// becomes suspect. It is shorter with more attempts in flight.
 func (l *latencyEstimate) patience(inFlight int) float64 {
 	mean := float64(l.mean)
 	divisor := float64(max(min(inFlight, maxPatienceDivisor), 1))
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -1,10 +1,10 @@
 package balance
 
-// requestBudget limits retries and health checks in proportion to requests. Each request earns perRequest
+// requestBudget limits retries or health checks in proportion to requests. Each request adds perRequest
 // tokens.
 type requestBudget struct {
 	tokens     float64
-	perRequest float64 // tokens that a request earns
+	perRequest float64 // tokens that a request adds
 	capacity   float64 // upper limit of tokens
 }
 
@@ -13,7 +13,7 @@
 	return requestBudget{tokens: capacity, perRequest: perRequest, capacity: capacity}
 }
 
-// earn adds what one request earns.
+// earn adds the tokens of one request.
 func (b *requestBudget) earn() { b.tokens = min(b.capacity, b.tokens+b.perRequest) }
 
 // has reports whether the budget covers a cost in tokens.
@@ -28,7 +28,7 @@
 	refilledAt int64
 }
 
-// refill adds what has been earned since the last refill, at a rate in tokens per second, up to a capacity.
+// refill adds the tokens since the last refill, at a rate in tokens per second, up to a capacity.
 func (b *tokenBucket) refill(now int64, rate, capacity float64) {
 	b.tokens = min(capacity, b.tokens+rate*float64(now-b.refilledAt)/second)
 	b.refilledAt = now
--- a/balance/connections.go
+++ b/balance/connections.go
@@ -2,7 +2,7 @@
 
 const (
 	maxIdleTimeout    = 30e6 // µs; idle timeout while no host's connection table is full
-	idleTimeoutGrowth = 20   // a shortened idle timeout grows by this part of itself a second
+	idleTimeoutGrowth = 20   // a shortened idle timeout grows by itself divided by this each second
 	fullTableRefusals = 2    // refused dials in a row after which a host's connection table counts as full
 )
 
@@ -25,7 +25,8 @@
 func (c *hostConnections) hasFullTable() bool { return c.refusedDials >= fullTableRefusals }
 
 // recordBrokenConnection records a refused dial or a reset connection. A host with a full connection table
-// refuses new connections at once and does not reset open ones; a bad link does neither.
+// refuses new connections at once and does not reset open ones. Slow refusals, resets, and refusals beside an
+// open connection have another cause, such as a bad link.
 func (r *Router) recordBrokenConnection(host *hostState, req *pendingRequest, event *Event) {
 	dialed := req != nil && req.dialed
 	quick := event.Latency < r.settings.DialTimeout/2
@@ -42,8 +43,8 @@
 	r.markSuspect(host)
 }
 
-// freeConnectionTable shortens the idle timeout if a host that is alive has refused dials, since its
-// connection table is full.
+// freeConnectionTable shortens the idle timeout if a host that has answered had refused several dials before:
+// its connection table is full, and closing idle connections sooner frees entries in it.
 func (r *Router) freeConnectionTable(host *hostState) {
 	if host.hasFullTable() {
 		host.refusedDials = 0
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -18,7 +18,7 @@
 // that clock, of the latest commit that it covers; so positions, ages and times can be compared. Shares are
 // numbers from 0 to 1, rates are per second.
 //
-// # The life of a request
+// # How a request is handled
 //
 //  1. A [RequestEvent] adds the request to the queue of its group (queue.go). A request of an unknown group
 //     is rejected at once.
@@ -27,12 +27,12 @@
 //     position satisfies its consistency (replicas.go, sessions.go); the primary is the last resort.
 //  3. A host takes the request only if it is listed and healthy and has capacity (endpoints.go, health.go,
 //     admission.go, slowstart.go). Otherwise the request stays queued.
-//  4. The outcome of the attempt updates the state of the host (outcome.go) and ends the request, or
-//     decides whether it may be retried (retry.go). A request that may have been executed is retried only if
-//     its [RetrySafety] allows it and the retry budget has a token.
-//  5. A request that no host answers gets one final action: [RejectAction] where trying again is harmless,
-//     [FailAction] otherwise. It is given as soon as waiting longer
-//     cannot help.
+//  4. The outcome of the attempt updates the state of the host (outcome.go). It either ends the request or
+//     leads to a retry (retry.go). A request that may have been executed is retried only if its
+//     [RetrySafety] allows it and the retry budget has a token.
+//  5. A request that no host answers gets one final action: [RejectAction] if the client can safely try
+//     again, [FailAction] if the request may have been executed and a repeat could do harm. The action is
+//     emitted as soon as waiting longer cannot help.
 //
 // Gateways of one fleet exchange what their hosts report (gossip.go). A new router can start from the state
 // of another (snapshot.go).
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -100,7 +100,7 @@
 }
 
 // updateExclusion excludes draining and removed hosts at once, without a grace period. With
-// Settings.OnlyDrainingExcludes, a host that vanished from the list without draining may still serve.
+// Settings.OnlyDrainingExcludes, a host that left the list without draining may still serve.
 func (r *Router) updateExclusion(host *hostState) {
 	switch host.state {
 	case Draining:
@@ -124,7 +124,7 @@
 	r.gossip.AddHost(host.id, endpoint.Group)
 	r.hostsByID = insertByID(r.hostsByID, host)
 	group.members = insertByID(group.members, host)
-	// The list also marks former primaries, so this is a guess.
+	// The list also marks former primaries, so the marked host is only a guess.
 	if endpoint.Primary && group.primary == nil && group.round == 0 {
 		group.primary = host
 		group.round = 1
@@ -150,8 +150,8 @@
 	return r.groups[i]
 }
 
-// findGroup returns the index of a group in r.groups, which is sorted by id, and whether it exists. For
-// an unknown group it is the index to insert it at.
+// findGroup returns the index of a group in r.groups, which is sorted by id, and whether the group exists. If
+// it does not, the index is the position at which to insert it.
 func (r *Router) findGroup(id int64) (index int, known bool) {
 	byID := func(group *groupState, id int64) int { return cmp.Compare(group.id, id) }
 	return slices.BinarySearchFunc(r.groups, id, byID)
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -4,8 +4,9 @@
 	"cloverrock/internal/gossip"
 )
 
-// This file publishes what hosts have reported to the other gateways of the fleet, and applies what they
-// publish. Package gossip decides what is sent to whom and when. Role and gossip.Role have the same numbers.
+// This file publishes to the other gateways of the fleet what hosts have reported, and applies what the other
+// gateways publish. Package gossip decides what is sent to whom and when. Role and gossip.Role have the same
+// numeric values.
 
 // gossipConfig derives the configuration of gossip from the router's.
 func gossipConfig(settings *Settings) gossip.Config {
@@ -23,13 +24,13 @@
 	return config
 }
 
-// publishFact passes what a host itself has reported to package gossip, for the other gateways.
+// publishFact records what a host has reported of itself, for the next messages to the other gateways.
 func (r *Router) publishFact(host *hostState, position int64, role Role) {
 	r.gossip.Record(gossip.HostFact{Host: host.id, Position: position, Role: gossip.Role(role)})
 }
 
-// checkHostsForGossip starts health checks of the hosts whose position this gateway, as their coordinator,
-// lacks.
+// checkHostsForGossip starts health checks of the hosts that this gateway coordinates and whose position it
+// needs for its digests.
 func (r *Router) checkHostsForGossip() {
 	for _, id := range r.gossip.HostsToCheck(r.now) {
 		host := r.hosts[id]
@@ -57,8 +58,8 @@
 	}
 }
 
-// applyFact applies a fact that another gateway has observed as if this one had observed it. The role in it
-// is as old as the position.
+// applyFact applies a fact that another gateway has observed as if this gateway had observed it. The role in
+// a fact is as of the time of the position in it.
 func (r *Router) applyFact(fact *gossip.HostFact) {
 	host := r.hosts[fact.Host]
 	if fact.Position > host.position {
--- a/balance/health.go
+++ b/balance/health.go
@@ -1,9 +1,9 @@
 package balance
 
 const (
-	maxBackoffFactor    = 32   // search intervals: the longest backoff of an unhealthy host
+	maxBackoffFactor    = 32   // longest backoff of an unhealthy host, in search intervals
 	failingErrorShare   = 0.25 // error share above which the other candidate is preferred for a read
-	errorShareRetention = 0.8  // decay of the error share per second, so that the host is tried again
+	errorShareRetention = 0.8  // decay factor of the error share per second, so that the host is tried again
 
 	checkTokensPerRequest = 2.0  // health checks that each request earns
 	maxCheckTokens        = 10.0 // enough to check every member of a few groups
@@ -17,31 +17,31 @@
 
 const (
 	healthy   health = iota
-	suspect          // silent for too long, or a connection broke: a health check decides
-	unhealthy        // the health check failed, too
+	suspect          // silent for too long, or a connection broke; a health check decides what follows
+	unhealthy        // the health check failed as well
 )
 
 // hostHealth is the health of a host and the evidence for it.
 type hostHealth struct {
 	health        health
 	silentSince   int64   // since when attempts are in flight without any answer
-	lastContactAt int64   // last answer or newer position, seen by any gateway
+	lastContactAt int64   // last answer or newer position, received by any gateway
 	errorShare    float64 // part of the recent answers that were errors
 
-	crashed     bool  // it kept refusing or resetting connections: its caches will be cold when it returns
+	crashed     bool  // refused or reset connections repeatedly: its caches will be cold when it returns
 	unhealthyAt int64 // when it was last found unhealthy
 	backoff     int64 // µs between tries of an unhealthy host
-	nextTryAt   int64
+	nextTryAt   int64 // no health check or trial is due before this time
 
 	checkPending bool  // the result of a health check is awaited
-	rechecked    bool  // a health check that broke off was repeated once
+	rechecked    bool  // a health check whose connection broke has been repeated
 	checkedAt    int64 // when the last health check was sent
 }
 
-// countError adds an error to the error share.
+// countError counts an error in the error share.
 func (h *hostHealth) countError() { h.errorShare += ewmaWeight * (1 - h.errorShare) }
 
-// countSuccess adds a successful answer to the error share.
+// countSuccess counts a successful answer in the error share.
 func (h *hostHealth) countSuccess() { h.errorShare -= ewmaWeight * h.errorShare }
 
 // isFailing reports whether the error share of the host is too high for reads.
@@ -62,8 +62,9 @@
 	host.crashed = false
 }
 
-// markSuspect stops sending to a host until a health check decides: a lossy link is not a crash, and a
-// crashed host returns with cold caches.
+// markSuspect stops sending to a host until a health check shows whether it is healthy: a lossy link is not a
+// crash, and only a host that crashed returns with cold caches. Without health checks, the host is marked
+// unhealthy at once.
 func (r *Router) markSuspect(host *hostState) {
 	if !r.settings.HealthChecks {
 		r.markUnhealthy(host, true)
@@ -76,7 +77,7 @@
 }
 
 // markUnhealthy marks a host as unhealthy, with exponential backoff. If it is the primary, writes try the
-// next member of the group.
+// next member of the group. A host that has crashed begins a slow start when it returns.
 func (r *Router) markUnhealthy(host *hostState, crashed bool) {
 	host.crashed = host.crashed || crashed
 	host.rechecked = false
@@ -95,13 +96,13 @@
 // maxBackoff is the longest time between two tries of an unhealthy host, µs.
 func (r *Router) maxBackoff() int64 { return maxBackoffFactor * r.searchInterval() }
 
-// detectSilence suspects a host that has attempts in flight and answers none of them for clearly longer than
-// its answers take. A health check decides, so slow hosts are not taken for crashed ones.
+// detectSilence marks a host as suspect that has attempts in flight and answers none of them for clearly
+// longer than its answers usually take. The health check that follows tells slow hosts from crashed ones.
 func (r *Router) detectSilence(host *hostState) {
 	if host.health != healthy || len(host.inFlight) == 0 || !host.latency.known() {
 		return
 	}
-	// Answers to other gateways count too, and are reported with a delay.
+	// Answers to other gateways count as well, and reach this gateway with a delay.
 	reportDelay := float64(r.gossip.MaxReportDelay(host.id))
 	patience := max(host.latency.patience(len(host.inFlight)), float64(r.maintenanceInterval())) + reportDelay
 	if float64(r.now-host.silentSince) > patience {
@@ -109,10 +110,10 @@
 	}
 }
 
-// startHealthCheck checks a host if that is allowed and the budget covers the cost in tokens. It reports
-// whether it did.
+// startHealthCheck starts a health check of a host if none is pending, the host is not excluded, and the
+// budget covers the cost in tokens. It reports whether it did.
 func (r *Router) startHealthCheck(host *hostState, cost float64) bool {
-	// A result may be lost, so it is awaited for a limited time.
+	// A result may be lost, so a pending health check blocks another one only for a limited time.
 	awaited := host.checkPending && r.now-host.checkedAt < r.maxBackoff()
 	affordable := cost == requiredCheck || r.checkBudget.has(cost)
 	if !r.settings.HealthChecks || awaited || host.excluded || !affordable {
@@ -125,8 +126,8 @@
 	return true
 }
 
-// checkUnhealthyMembers checks the unhealthy members of a group that are due. It runs when a request for the
-// group arrives, so that a gateway with little traffic checks seldom.
+// checkUnhealthyMembers starts the health checks that are due of members of a group that are not healthy. It
+// runs when a request for the group arrives, so that a gateway with little traffic checks seldom.
 func (r *Router) checkUnhealthyMembers(group *groupState) {
 	for _, member := range group.members {
 		if member.health != healthy && r.now >= member.nextTryAt {
@@ -135,8 +136,8 @@
 	}
 }
 
-// handleHealthCheck applies the result of a health check. A rejection also proves that the host is alive:
-// many gateways that check at once may fill its connection table.
+// handleHealthCheck applies the result of a health check. A host that rejects the health check for lack of
+// capacity is alive, too: the checks of many gateways at once may fill its connection table.
 func (r *Router) handleHealthCheck(event *Event) {
 	host := r.hosts[event.Host]
 	if host == nil {
@@ -155,14 +156,14 @@
 	r.dispatch(host.group)
 }
 
-// handleFailedCheck applies a health check that the host did not answer. A single broken connection does not
-// make a host unhealthy: if it crashed, the next connection breaks at once as well.
+// handleFailedCheck applies a health check that the host did not answer. One broken connection does not
+// make a suspect host unhealthy: if the host has crashed, the next health check breaks at once as well.
 func (r *Router) handleFailedCheck(host *hostState, result Result) {
 	broken := result == ConnectionRefused || result == ConnectionReset
 	contactSinceCheck := host.lastContactAt >= host.checkedAt
 	switch {
 	case contactSinceCheck || result == NotSent:
-		// The failure is no evidence about the host.
+		// A failure before the latest contact, or of an unsent check, is no evidence about the host.
 	case broken && host.health == healthy:
 		r.markSuspect(host)
 	case broken && host.health == suspect && !host.rechecked:
--- a/balance/logentry.go
+++ b/balance/logentry.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// LogEntry is one line for the log of the embedding program. Fields at their zero values say nothing.
+// LogEntry is one line for the log of the embedding program. Fields with zero values are left out.
 type LogEntry struct {
 	Message  string
 	HasGroup bool
@@ -15,7 +15,7 @@
 	Count    int
 }
 
-// String returns the message with the fields behind it as name=value.
+// String returns the message, followed by the fields as name=value.
 func (e *LogEntry) String() string {
 	var text strings.Builder
 	text.WriteString(e.Message)
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// recordAnswer records what any answer shows about its host: that it is alive, and its role. The request may
-// be nil.
+// recordAnswer records what every answer shows, whatever its result: that the host is alive, and its role.
+// The request may be nil.
 func (r *Router) recordAnswer(host *hostState, req *pendingRequest, event *Event) {
 	r.markHealthy(host)
 	role := event.Role
--- a/balance/primary.go
+++ b/balance/primary.go
@@ -6,25 +6,25 @@
 
 const (
 	freshRoleIntervals   = 4 // search intervals for which a reported role is considered current
-	searchBackoffDivisor = 8 // of the duration of a search: the wait between its checks
-	newRoundDivisor      = 4 // of the longest backoff: without health checks, the duration of a round
+	searchBackoffDivisor = 8 // the wait between two checks is the time searched so far, divided by this
+	newRoundDivisor      = 4 // without health checks, a round takes the longest backoff divided by this
 )
 
 // hostRole is the role of a host and the evidence for it. Later evidence replaces earlier evidence.
 type hostRole struct {
 	role         Role
 	roleAsOf     int64 // time of the evidence for role
-	wasPrimary   bool  // seen as primary, and no later answer came from a replica
+	wasPrimary   bool  // the host was seen as primary, and no later answer showed it as a replica
 	triedInRound int   // round of the group in which writes last tried the host
-	nextSearchAt int64 // no search checks the host before
+	nextSearchAt int64 // no search checks the host before this time
 }
 
 // groupPrimary is the discovery of a group's primary.
 type groupPrimary struct {
-	primary        *hostState // the member that writes go to; nil while they are held
-	confirmed      bool       // an answer or report showed it; otherwise it is a guess
-	round          int        // number of the round, in which writes try each member once; 0 at first
-	searchingSince int64
+	primary        *hostState // the member that writes go to; nil while writes wait
+	confirmed      bool       // an answer or report showed it to be the primary; otherwise it is a guess
+	round          int        // number of the round of guesses; in a round, writes try each member once
+	searchingSince int64      // when the latest search began; 0 if none has begun
 }
 
 // recordReport applies a host's report of itself. The role in it is as old as the position in it, so a report
@@ -54,8 +54,8 @@
 	host.positionReceivedAt = r.now
 }
 
-// recordRole records evidence of a host's role as of a time. The latest evidence wins, also between two hosts
-// that both claim to be primary.
+// recordRole records evidence of a host's role as of a time. The latest evidence wins, also if two hosts of a
+// group claim to be the primary.
 func (r *Router) recordRole(host *hostState, role Role, asOf int64) {
 	if asOf < host.roleAsOf {
 		return
@@ -70,8 +70,8 @@
 	}
 }
 
-// confirmPrimary makes a host that reported itself as primary the target of writes, unless another member
-// did so later.
+// confirmPrimary makes a host that reported itself as primary the target of writes, unless another member is
+// confirmed by later evidence.
 func (r *Router) confirmPrimary(host *hostState) {
 	group := host.group
 	if host.excluded {
@@ -87,7 +87,7 @@
 	r.dispatch(group)
 }
 
-// demotePrimary stops writes to the primary and tries the next member. The reason is for the log line.
+// demotePrimary stops writes to the primary and guesses the next one. The reason is for the log line.
 func (r *Router) demotePrimary(group *groupState, reason string) {
 	old := group.primary
 	if group.confirmed {
@@ -102,9 +102,9 @@
 	r.searchPrimary(group)
 }
 
-// tryNextMember guesses the next member in the order of ids, after the last one tried, as primary. It skips
-// those that this round has tried and those that were recently reported as replicas. At the end of the
-// round there is no primary, and writes are held.
+// tryNextMember makes the next member, in the order of ids after the last one tried, the guessed primary.
+// It skips members that were tried in this round and members that were recently reported as replicas. At the
+// end of the round there is no primary, and writes wait.
 func (r *Router) tryNextMember(group *groupState, last *hostState) {
 	start := slices.Index(group.members, last) + 1
 	group.primary = nil
@@ -127,9 +127,9 @@
 	return member.role != Replica || !roleIsFresh
 }
 
-// searchPrimary searches for the primary of a group that has none confirmed. While requests wait it checks
-// the members, less often the longer the search takes. Without health checks it begins another round of
-// guesses.
+// searchPrimary searches for the primary of a group that has no confirmed one. While requests wait, it starts
+// health checks of the members, less often the longer the search takes. Without health checks, it begins
+// another round of guesses.
 func (r *Router) searchPrimary(group *groupState) {
 	waiting := len(group.queue) > 0
 	if group.searchingSince == 0 && waiting { // no primary was ever confirmed
@@ -160,7 +160,7 @@
 	if host == nil || !r.admits(req, host) {
 		return nil
 	}
-	// The repeat of a request is dropped only in the zone that may have executed it.
+	// With ScopeZone, a repeat is dropped only in the zone that may have executed the request.
 	zoneBound := req.mayHaveExecuted() && req.class.DeduplicationScope == ScopeZone
 	if zoneBound && host.zone != req.executedZone {
 		return nil
@@ -168,8 +168,8 @@
 	return host
 }
 
-// primaryForRead returns the primary if a read may go there now, or nil. A guessed primary does
-// not qualify: its data may be of any age.
+// primaryForRead returns the primary if a read may go there now, or nil. A host that was only guessed to be
+// the primary does not qualify: its data may be of any age.
 func (r *Router) primaryForRead(req *pendingRequest) *hostState {
 	host := req.group.primary
 	if host == nil || !host.wasPrimary || host.role == Replica || !r.admits(req, host) {
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// maxUnplacedReads is how many reads of a group may find no host in one dispatch before the remaining reads
-// are skipped.
+// maxUnplacedReads is the number of reads of a group that may find no host in one dispatch before the
+// remaining reads are skipped.
 const maxUnplacedReads = 8
 
-// handleRequest queues and dispatches a new request. A request for a group that no list has named is
-// rejected: no host can answer it, and a client may name any number of such groups.
+// handleRequest queues and dispatches a new request. A request for a group that no endpoint list has named is
+// rejected: no host can answer it. The group is not stored either, since clients may name any number of them.
 func (r *Router) handleRequest(event *Event) {
 	i, known := r.findGroup(event.Group)
 	if !known || event.Class < 0 || event.Class >= len(r.settings.Classes) {
@@ -58,7 +58,7 @@
 }
 
 // compareQueued orders a queue: late requests last, then by priority weight per service time, then newest
-// first. Under overload, oldest first would send each request with too little time left.
+// first. Under overload, oldest first would send each request when too little of its time is left.
 func (r *Router) compareQueued(a, b *pendingRequest) int {
 	valueRateA := a.class.PriorityWeight / float64(r.traffic.classCost[a.classIndex])
 	valueRateB := b.class.PriorityWeight / float64(r.traffic.classCost[b.classIndex])
@@ -69,7 +69,8 @@
 	)
 }
 
-// lateness is above 0 if a request that is sent now will miss its objective, by the latency of its group.
+// lateness is 1 if a request that is sent now will miss its objective, judged by the latency of its group;
+// -1 or 0 if it will not.
 func (r *Router) lateness(req *pendingRequest) int {
 	return cmp.Compare(float64(r.now)+float64(req.group.latency), float64(req.objectiveAt))
 }
@@ -137,9 +138,9 @@
 	slices.SortStableFunc(group.queue, r.compareQueued)
 }
 
-// shouldGiveUp reports whether a queued request is to be given up: it has expired, or it is late and its
-// class gives late answers no weight, or it is a read that no host has received by half of its time, so that
-// its client has time left to try again.
+// shouldGiveUp reports whether a queued request is to be given up, in one of three cases. It has expired.
+// It is late, and its class gives late answers no weight. It is a read that no host has received by half of
+// its time; its client then has time left to try again.
 func (r *Router) shouldGiveUp(req *pendingRequest) bool {
 	lateAndUseless := req.lateness > 0 && req.class.LatePriorityWeight == 0
 	halfOver := r.now+r.maintenanceInterval() >= req.halfTimeAt
@@ -148,7 +149,8 @@
 }
 
 // expired reports whether a request that is not in flight can no longer succeed: its deadline passes before
-// the next maintenance run, or a repeat of it might no longer be deduplicated.
+// the next maintenance run, a repeat of it might no longer be deduplicated, or the shutdown leaves it too
+// little time.
 func (r *Router) expired(req *pendingRequest) bool {
 	timeIsUp := r.now+2*r.maintenanceInterval() >= min(req.deadline, r.answersDueAt)
 	return timeIsUp || r.deduplicationLapsed(req, r.now) || r.cutShortByShutdown(req)
--- a/balance/replicas.go
+++ b/balance/replicas.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	// connectedWeight is how much more often a host with an open connection is drawn. New connections cost
-	// hosts work, which adds up over all gateways.
+	// connectedWeight is the factor by which an open connection raises the weight of a host in the draw. New
+	// connections cost hosts work, which adds up over all gateways.
 	connectedWeight = 16.0
 	// maxUncheckedAttempts is the number of attempts after which a read goes only to hosts whose known
 	// position satisfies it.
 	maxUncheckedAttempts = 2
 	// positionChecks is the number of replicas that are checked for a read that waits for a position.
 	positionChecks = 2
-	// positionWaitInterval is the time between two such checks for the same read, in search intervals.
+	// positionWaitInterval is the shortest time between two such checks for the same read, in search
+	// intervals.
 	positionWaitInterval = 3
 )
 
-// chooseReplica returns the host that a read may go to now, or nil if it must wait. It is the better of two
-// random replicas whose known position satisfies the read. Where there is none and hosts check staleness
-// themselves, replicas that should have caught up count too. The primary is the last resort.
+// chooseReplica returns the host that a read may go to now, or nil if the read must wait. It draws two
+// replicas at random among those whose known position satisfies the read, and returns the better one. If
+// there are none and hosts check staleness themselves, it draws among the replicas that should have caught
+// up by now. The primary is the last resort.
 func (r *Router) chooseReplica(req *pendingRequest) *hostState {
 	if req.class.Consistency == Linearizable {
 		return r.primaryForRead(req)
@@ -63,7 +65,7 @@
 	return r.primaryOrWait(req, minPosition, freshIsBusy)
 }
 
-// minPosition is the log position that a host must have applied to answer a read; 0 if any will do.
+// minPosition returns the log position that a host must have applied to answer a read; 0 if any will do.
 func (r *Router) minPosition(req *pendingRequest) int64 {
 	switch req.class.Consistency {
 	case BoundedStaleness:
@@ -75,16 +77,16 @@
 	}
 }
 
-// longReadHosts is the number of members that long reads go to: as many as their part of all work asks for,
-// but neither the primary nor the last replica. A long read may keep its host from applying the log; spread
-// over all replicas, long reads would leave none fresh.
+// longReadHosts returns the number of members that long reads go to. It grows with the part of all work
+// that is long reads, is at least 1, and leaves out the primary and one replica. A long read may keep its
+// host from applying the log, so long reads on all replicas would leave none of them fresh.
 func (r *Router) longReadHosts(group *groupState) int {
 	available := float64(len(group.members) - 2)
 	return max(1, int(r.traffic.longReadShare*available))
 }
 
-// takesLongReads reports whether a host counts among those that long reads go to. All gateways
-// select the same hosts.
+// takesLongReads reports whether a host is one of those that long reads may go to. The long reads go to the
+// first of these in the order of ids, so that all gateways select the same ones.
 func (h *hostState) takesLongReads() bool {
 	return h.health == healthy && !h.excluded && !h.warmingUp && !h.isFailing()
 }
@@ -102,8 +104,9 @@
 	return r.zoneShares != nil && r.avoidsZone(req, member)
 }
 
-// mayHaveCaughtUp reports whether a read may try a replica whose known position does not satisfy it: if the
-// host itself checks staleness, and it should be fresh by its last known lag or that lag is outdated.
+// mayHaveCaughtUp reports whether a read may try a replica whose known position does not satisfy it. The
+// hosts must check staleness themselves. In addition, the replica should be fresh enough by its last known
+// lag, or that lag must be outdated.
 func (r *Router) mayHaveCaughtUp(req *pendingRequest, host *hostState, minPosition int64) bool {
 	if !r.settings.HostsCheckStaleness || req.attemptsSent > maxUncheckedAttempts {
 		return false
@@ -114,8 +117,8 @@
 	return !tooFarBehind || !positionIsRecent
 }
 
-// replicaDraw is a weighted draw of two hosts: those with the lowest keys. Hosts whose known position
-// satisfies the read replace all others.
+// replicaDraw collects a random draw of two hosts by weight: those with the lowest keys (see drawKey). Hosts
+// whose known position satisfies the read replace all others.
 type replicaDraw struct {
 	first, second       *hostState
 	firstKey, secondKey float64
@@ -135,8 +138,9 @@
 	}
 }
 
-// drawKey draws an exponentially distributed key; the lowest of several keys is a draw by weight. The weight
-// is the capacity share of a host in slow start, and higher with an open connection.
+// drawKey returns a random, exponentially distributed key for a host. The host with the lowest of several
+// keys is a random choice by weight. The weight is the host's capacity share in slow start, and higher with
+// an open connection.
 func (r *Router) drawKey(host *hostState) float64 {
 	weight := r.slowStartShare(host)
 	if host.connected {
@@ -153,8 +157,9 @@
 	return draw.first
 }
 
-// preferred reports whether a read goes to host a rather than b: the one that is not failing, then
-// the one in the zone of the gateway if crossing zones has a cost, then the one with less load.
+// preferred reports whether a read goes to host a rather than b. A host that is not failing is preferred. If
+// crossing zones has a cost, a host in the gateway's zone is preferred to an equally busy one elsewhere.
+// Otherwise the host with less load is preferred.
 func (r *Router) preferred(a, b *hostState) bool {
 	if a.isFailing() != b.isFailing() { // errors are quick, so a failing host looks idle
 		return b.isFailing()
@@ -167,9 +172,9 @@
 	return r.lessLoaded(a, b)
 }
 
-// lessLoaded reports whether a read goes to host a by load. All gateways see the same difference in load, so
-// each moves only a part of its reads: together as many of those that start before the next digest as balance
-// the difference.
+// lessLoaded reports whether a read goes to host a rather than b because of their load. All gateways have the
+// same view of the load, so if each moved all of its reads to the less loaded host, they would overload it.
+// Each moves only a part: of the reads that start before the next digest, as many as balance the difference.
 func (r *Router) lessLoaded(a, b *hostState) bool {
 	loadA, starting := r.gossip.Load(r.now, a.id)
 	loadB, _ := r.gossip.Load(r.now, b.id)
@@ -180,13 +185,13 @@
 	return difference+starting/2 > starting*r.rand.Fraction()
 }
 
-// primaryOrWait returns the primary for a read that no replica can take now, or nil if it is to wait. The
-// primary has what a session has just written; a read with bounded staleness first checks whether a replica
-// has caught up.
+// primaryOrWait returns the primary for a read that no replica can take now, or nil if the read is to wait.
+// The primary has all that a session has just written. For a read with bounded staleness, health checks
+// first show whether a replica has caught up.
 func (r *Router) primaryOrWait(req *pendingRequest, minPosition int64, freshIsBusy bool) *hostState {
 	primary := r.primaryForRead(req)
 	wantsReplica := primary == nil || req.class.Consistency == BoundedStaleness
-	// A check does not help if a fresh replica is merely busy, or if hosts check staleness themselves.
+	// A health check does not help if a fresh replica is merely busy, or if hosts check staleness themselves.
 	checkHelps := !freshIsBusy && minPosition > 0 && !r.settings.HostsCheckStaleness
 	if wantsReplica && checkHelps && r.waitForPosition(req) {
 		return nil
@@ -194,8 +199,9 @@
 	return primary
 }
 
-// waitForPosition checks the positions of some replicas for a read, and reports whether it is to wait for
-// them. With little traffic, known positions are outdated at every read; checking in advance would cost more.
+// waitForPosition checks the positions of some replicas for a read, and reports whether the read is to wait
+// for the results. With little traffic, known positions are outdated at every read, but health checks in
+// advance of reads would cost more.
 func (r *Router) waitForPosition(req *pendingRequest) bool {
 	if r.now >= req.positionWaitUntil+positionWaitInterval*r.searchInterval() {
 		r.checkPositions(req)
@@ -207,8 +213,8 @@
 	return slices.ContainsFunc(req.group.members, pending)
 }
 
-// checkPositions checks up to positionChecks replicas, starting at a random one, and sets how long the read
-// waits for the results.
+// checkPositions checks the positions of up to positionChecks replicas, starting at a random one, and sets
+// how long the read waits for the results.
 func (r *Router) checkPositions(req *pendingRequest) {
 	req.positionWaitUntil = r.now
 	members := req.group.members
@@ -230,8 +236,8 @@
 	}
 }
 
-// isPositionChecked reports whether a host is being checked or was checked recently.
-// Otherwise it starts a health check and reports whether that was allowed.
+// isPositionChecked reports whether a health check of a host is pending or was started recently. If neither
+// is the case, it starts one and reports whether that was allowed.
 func (r *Router) isPositionChecked(host *hostState) bool {
 	if host.checkPending || r.now-host.checkedAt < r.searchInterval() {
 		return true
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -5,7 +5,7 @@
 	maxRetryTokens        = 20.0 // reserve for the retries after a crash
 	retryCost             = 1.0  // tokens
 
-	retryAfterJitterDivisor = 8 // shed reads retry within the last eighth of the longest wait
+	retryAfterJitterDivisor = 8 // clients of shed reads retry within the last eighth of the longest wait
 )
 
 // handleFailedAttempt decides what follows an attempt that did not succeed: a retry or the final answer.
@@ -32,8 +32,8 @@
 	r.enqueue(req)
 }
 
-// deduplicationLapsed reports whether the repeat of a request with an idempotency key, sent now, may come too
-// late to be deduplicated.
+// deduplicationLapsed reports whether a request with an idempotency key that may have been executed is too
+// old to be repeated: a repeat sent now might arrive after its deduplication window.
 func (r *Router) deduplicationLapsed(req *pendingRequest, now int64) bool {
 	if !req.mayHaveExecuted() || req.class.RetrySafety != IdempotencyKey {
 		return false
@@ -42,9 +42,9 @@
 }
 
 // AttemptStillValid reports whether the attempt in flight of a request may still be written. Call it just
-// before the first byte: while the connection was opened, the host may have been excluded, or its known
-// position may have become too old. Report an attempt that is not valid as NotSent; the router then decides
-// again.
+// before the first byte is written: while the connection was opened, the host may have been excluded, or
+// its known position may have become too old. Report an attempt that is not valid as NotSent; the router
+// then retries or ends the request.
 func (r *Router) AttemptStillValid(now int64, id int64) bool {
 	req := r.requests[id]
 	if req == nil || req.finished || req.host == nil || req.host.excluded {
@@ -81,8 +81,8 @@
 	r.finish(req)
 }
 
-// mayBeRepeated reports whether it is harmless that the client tries again, which a rejection promises:
-// it was not executed, or a repeat is harmless on any host.
+// mayBeRepeated reports whether the client can safely try again, which a rejection promises: the request
+// was not executed, or a repeat is harmless on any host.
 func (req *pendingRequest) mayBeRepeated() bool {
 	if !req.mayHaveExecuted() || req.class.RetrySafety == Idempotent {
 		return true
@@ -90,8 +90,9 @@
 	return req.class.RetrySafety == IdempotencyKey && req.class.DeduplicationScope == ScopeGlobal
 }
 
-// retryAfter is how long a rejected client should wait, µs. A shed read waits nearly as long as the settings
-// allow, since an immediate retry would defeat the shedding. The jitter spreads the retries.
+// retryAfter returns the time in µs that a rejected client should wait. The client of a shed read waits
+// nearly as long as the settings allow, since an immediate retry would defeat the shedding. The jitter
+// spreads the retries.
 func (r *Router) retryAfter(req *pendingRequest) int64 {
 	longest := r.settings.MaxRetryAfter
 	if req.shed {
--- a/balance/router.go
+++ b/balance/router.go
@@ -15,8 +15,8 @@
 	// minMaintenanceInterval is the shortest time between two runs of maintenance, µs: short compared with
 	// latency objectives, and long enough to be cheap.
 	minMaintenanceInterval = 20e3
-	// searchIntervalFactor is the shortest time between two searches for a primary, in maintenance intervals;
-	// reports are not updated more often.
+	// searchIntervalFactor is the shortest time between two searches for a primary, in maintenance intervals.
+	// Hosts do not update their reports more often.
 	searchIntervalFactor = 5
 	// assumedGateways is the assumed size of the fleet if Settings.Gateways is 0.
 	assumedGateways = 6
@@ -39,17 +39,17 @@
 	sessions     sessionCommits
 	traffic      trafficStats
 
-	answersDueAt     int64 // by when the shutdown wants all final answers; noShutdown before it begins
-	shutdownDuration int64 // µs from the begin of the shutdown to answersDueAt
+	answersDueAt     int64 // when all final answers are due; noShutdown before a shutdown begins
+	shutdownDuration int64 // µs from the start of the shutdown to answersDueAt
 
-	retryBudget         requestBudget // retries of what may have been executed
-	checkBudget         requestBudget // health checks that no decision waits for (optionalCheck)
-	healthCheckRTT      movingAverage // µs
+	retryBudget         requestBudget // for retries of requests that may have been executed
+	checkBudget         requestBudget // for health checks that no decision waits for (optionalCheck)
+	healthCheckRTT      movingAverage // round-trip time, µs
 	idleTimeout         int64         // how long idle connections are kept, µs
 	minConcurrencyLimit float64       // lower bound of hostLoad.concurrencyLimit
 
 	gossip     *gossip.State
-	zoneShares ZoneShares // nil: all zones may be read
+	zoneShares ZoneShares // nil: all zones get all of their reads
 }
 
 // SettingsError reports an invalid setting.
@@ -134,7 +134,7 @@
 	return r.actions
 }
 
-// start initializes what needs the time of the first event.
+// start does the initialization that needs the time of the first event.
 func (r *Router) start() {
 	r.started = true
 	r.sessions.rotatedAt = r.now
@@ -145,7 +145,7 @@
 	r.scheduleMaintenance()
 }
 
-// runMaintenance does the periodic work.
+// runMaintenance does the work that is due at each TimerEvent.
 func (r *Router) runMaintenance() {
 	r.renewSubscription()
 	r.sessions.rotate(r.now)
@@ -183,9 +183,9 @@
 
 func (r *Router) log(entry LogEntry) { r.emit(Action{Kind: LogAction, Log: &entry}) }
 
-// spreadOverFleet returns a random time, in µs, for what a single gateway would do after the given wait. It
-// grows with the square root of the number of gateways: gateways do not act in step, and the first to act
-// informs the others.
+// spreadOverFleet returns a random wait, in µs, before an action for which a single gateway would wait the
+// given time. The wait grows with the square root of the number of gateways: since it is random, gateways do
+// not act in step, and the first one to act informs the others by gossip.
 func (r *Router) spreadOverFleet(wait int64) int64 {
 	if r.settings.Gateways < 2 {
 		return wait
--- a/balance/sessions.go
+++ b/balance/sessions.go
@@ -3,19 +3,19 @@
 // commitRetention is the shortest time for which a commit is remembered by session, µs.
 const commitRetention = 10e6
 
-// sessionCommits remembers the position of the last commit of each session, by session key. Old ones are
-// folded into one floor that covers all of them.
+// sessionCommits remembers the position of the last commit of each session, by session key. Old commits are
+// replaced by a single floor: a position that covers all of them.
 type sessionCommits struct {
 	recent, older map[int64]int64
 	rotatedAt     int64 // when recent was created
-	floor         int64 // no session that was dropped has a later commit
+	floor         int64 // a position that covers the commits of all sessions that were dropped
 }
 
 func newSessionCommits() sessionCommits {
 	return sessionCommits{recent: map[int64]int64{}, older: map[int64]int64{}}
 }
 
-// rotate folds the older commits into the floor once commitRetention has passed.
+// rotate replaces the older commits by the floor, and makes the recent ones older, once per commitRetention.
 func (s *sessionCommits) rotate(now int64) {
 	if now-s.rotatedAt <= commitRetention {
 		return
@@ -46,8 +46,8 @@
 	}
 }
 
-// sessionPosition is the position that a host must have applied to show the writes of the session of a new
-// request; 0 if any will do.
+// sessionPosition returns the log position that covers the earlier writes of the session of a new request;
+// 0 if a host of any position may answer it.
 func (r *Router) sessionPosition(class *Class, event *Event) int64 {
 	switch {
 	case class.Consistency != ReadYourWrites:
--- a/balance/shutdown.go
+++ b/balance/shutdown.go
@@ -6,19 +6,20 @@
 	"slices"
 )
 
-// noShutdown is Router.answersDueAt while no shutdown has begun.
+// noShutdown is the value of Router.answersDueAt while no shutdown has begun.
 const noShutdown = math.MaxInt64
 
-// beginShutdown limits the time of all requests, waiting, in flight and to come.
+// beginShutdown sets the time by which all requests end: those queued, those in flight and those still to
+// come.
 func (r *Router) beginShutdown(answersDueAt int64) {
 	r.answersDueAt = answersDueAt
 	r.shutdownDuration = answersDueAt - r.now
 }
 
-// cutShortByShutdown reports whether a request that was not sent yet has too little time left before the
-// shutdown ends it, although its client would wait longer. Sent now, it might fail with an unknown outcome;
-// rejected, it can be tried again at another gateway. Enough is the latency objective of its class, or half
-// of the shutdown for classes that take longer.
+// cutShortByShutdown reports whether the shutdown leaves too little time for a request that is about to be
+// sent, although its client would wait longer. Sent now, the request might fail with an unknown outcome;
+// rejected, it can be tried again at another gateway. The time left must be at least the latency objective
+// of its class, or half of the duration of the shutdown if that is less.
 func (r *Router) cutShortByShutdown(req *pendingRequest) bool {
 	if req.mayHaveExecuted() || req.deadline <= r.answersDueAt {
 		return false
@@ -27,8 +28,8 @@
 	return r.now+enough > r.answersDueAt
 }
 
-// shutdownTimeout returns the time in µs that an attempt has until the shutdown ends it; 0 without one, for
-// no limit but the deadline of its request.
+// shutdownTimeout returns the time in µs that an attempt has until the shutdown ends it. It returns 0 while
+// there is no shutdown: the attempt then has until the deadline of its request.
 func (r *Router) shutdownTimeout() int64 {
 	if r.answersDueAt == noShutdown {
 		return 0
@@ -37,7 +38,7 @@
 }
 
 // endAttemptsForShutdown gives up the requests that are still in flight in the last maintenance run before
-// the shutdown wants their answers.
+// the shutdown deadline.
 func (r *Router) endAttemptsForShutdown() {
 	if r.answersDueAt == noShutdown || r.now+r.maintenanceInterval() < r.answersDueAt {
 		return
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -7,8 +7,9 @@
 	startBucket tokenBucket // attempts that this gateway may send
 }
 
-// beginSlowStart begins the slow start of a host that started at a time. The bucket begins with a random part
-// of a token, since hundreds of gateways with one token each would overload the host at once.
+// beginSlowStart begins the slow start of a host that started at the given time. The bucket begins with a
+// random part of a token: if each of hundreds of gateways began with a whole one, they would overload the
+// host at once.
 func (r *Router) beginSlowStart(host *hostState, at int64) {
 	host.warmingUp = true
 	host.slowStartAt = at
@@ -17,8 +18,8 @@
 	host.latencyShare = 0
 }
 
-// slowStartShare is the least part of its capacity that a host has now. It grows linearly to 1, at which the
-// slow start is ended here.
+// slowStartShare returns the part of its capacity that a host in slow start has at least. The part grows
+// linearly from Settings.SlowStartInitialShare to 1; at 1, slowStartShare ends the slow start of the host.
 func (r *Router) slowStartShare(host *hostState) float64 {
 	age := r.now - host.slowStartAt
 	duration := r.settings.SlowStartDuration
@@ -30,16 +31,17 @@
 	return initial + (1-initial)*float64(age)/float64(duration)
 }
 
-// slowStartAdmits reports whether a host's slow start leaves a token for a request. The bucket earns this
-// gateway's part of what all requests ask of a host, times half of what overloads a cold one. A long read
-// needs tokens for all of its cost, any other request one token.
+// slowStartAdmits reports whether the token bucket of a host in slow start admits a request. The bucket is
+// refilled at the rate of this gateway's requests per host, times the capacity share of the host, times
+// half of Settings.SlowStartOverloadFactor. A long read needs tokens for all of its cost, any other request
+// one token.
 func (r *Router) slowStartAdmits(req *pendingRequest, host *hostState) bool {
 	share := r.slowStartShare(host)
 	if !host.warmingUp {
 		return true
 	}
 	rate := float64(r.traffic.requestRatePerHost) * share * r.settings.SlowStartOverloadFactor / 2
-	// The bucket holds what it earns in a quarter of the window.
+	// The bucket holds as many tokens as are added in a quarter of the overload window.
 	capacity := max(1, rate*float64(r.settings.SlowStartOverloadWindow)/(4*second))
 	host.startBucket.refill(r.now, rate, capacity)
 	tokens := host.startBucket.tokens
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -1,9 +1,9 @@
 package balance
 
-// This file saves the state of a router that a new one can start from, and restores it. The embedding program
-// decides what is stored and for how long it is valid.
+// This file saves the part of a router's state that a new router can start from, and restores it. The
+// embedding program decides where a snapshot is stored and for how long it is valid.
 
-// HostSnapshot is the saved state of a host. Zero fields are unknown.
+// HostSnapshot is the saved state of a host. A zero value of a field means unknown.
 type HostSnapshot struct {
 	Host             string
 	Group            int64
@@ -61,14 +61,14 @@
 	if host.warmingUp {
 		snapshot.SlowStartUntil = host.slowStartAt + r.settings.SlowStartDuration
 	}
-	if host.latency.known() { // a limit that no answer has adjusted is still the initial one
+	if host.latency.known() { // before the first answer, the limit is still the initial one
 		snapshot.ConcurrencyLimit = host.concurrencyLimit
 	}
 	return snapshot
 }
 
-// Restore applies the state of another router, and appends the resulting actions. The router's own
-// observations take precedence; hosts and groups that no endpoint list has named are ignored.
+// Restore applies the state of another router, and appends the resulting actions. What the router itself has
+// observed takes precedence. Hosts and groups that no endpoint list has named are ignored.
 func (r *Router) Restore(now int64, snapshot Snapshot, actions []Action) []Action {
 	r.now = now
 	r.actions = actions
@@ -95,7 +95,7 @@
 	if host.lastContactAt != 0 {
 		return
 	}
-	if saved.ConcurrencyLimit > 0 { // limited, since it was adjusted to an earlier load
+	if saved.ConcurrencyLimit > 0 { // capped, since the saved limit was adjusted to an earlier load
 		host.concurrencyLimit = min(saved.ConcurrencyLimit, 2*initialConcurrencyLimit)
 	}
 	if saved.SlowStartUntil > r.now && !host.warmingUp {
@@ -106,7 +106,8 @@
 	}
 }
 
-// restoreGroup makes the saved primary the guess, like that of the endpoint list: the first answer decides.
+// restoreGroup makes the saved primary the guessed primary of its group, until an answer confirms or
+// refutes it.
 func (r *Router) restoreGroup(saved *GroupSnapshot) {
 	host := r.hosts[saved.Primary]
 	i, inList := r.findGroup(saved.Group)
--- a/balance/state.go
+++ b/balance/state.go
@@ -48,7 +48,7 @@
 	lastHost          *hostState // where the last failed attempt was
 	sentAt            int64
 	overdueHalves     int   // halves of its latency objective that the attempt has taken while in flight
-	positionWaitUntil int64 // how long the read waits for health checks to report positions
+	positionWaitUntil int64 // until when the read waits for health checks to report positions
 
 	executedAt   int64 // when the first attempt that may have been executed was sent; 0 if none
 	executedZone int   // zone of the host of that attempt
@@ -56,7 +56,7 @@
 	hasKey      bool
 	dialed      bool // the attempt in flight needed a new connection
 	reachedHost bool // a host has received the request
-	shed        bool // a host with capacity was withheld from it to shed load
+	shed        bool // load shedding withheld a host with capacity from it
 	finished    bool // the final answer was given; only the last attempt is still pending
 }
 
--- a/balance/traffic.go
+++ b/balance/traffic.go
@@ -7,9 +7,9 @@
 
 // trafficStats are averages over the requests of this gateway.
 type trafficStats struct {
-	classCost     []movingAverage // time that an attempt of each class takes, µs
-	meanCost      movingAverage   // the same over all requests, µs
-	longReadShare float64         // part of all work that is long reads of eventual consistency
+	classCost     []movingAverage // mean time that an attempt of each class takes, µs
+	meanCost      movingAverage   // mean time that an attempt of any class takes, µs
+	longReadShare float64         // part of all work that long reads of eventual consistency make up
 
 	requestCount       float64       // requests since measuredAt
 	measuredAt         int64         // when the rate was last measured
@@ -55,7 +55,7 @@
 	r.idleTimeout = min(r.idleTimeout+r.idleTimeout/idleTimeoutGrowth, maxIdleTimeout)
 }
 
-// costFactor is the cost of a request as a multiple of the mean cost, at least 1.
+// costFactor returns the cost of a request as a multiple of the mean cost, at least 1.
 func (r *Router) costFactor(req *pendingRequest) float64 {
 	return max(1, float64(r.traffic.classCost[req.classIndex]/r.traffic.meanCost))
 }
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -5,14 +5,16 @@
 	"slices"
 )
 
-// zoneRankFactor derives from the shed rank of a read another rank, independent of it.
+// zoneRankFactor multiplies the shed rank of a read; the fraction of the product is a second rank,
+// independent of the first.
 const zoneRankFactor = 1024
 
-// SetZoneShares sets the shares of zones that the fleet has agreed on; nil if all zones are in full use.
+// SetZoneShares sets the shares of zones that the fleet has agreed on; nil if all zones get all of their
+// reads.
 func (r *Router) SetZoneShares(shares ZoneShares) { r.zoneShares = shares }
 
-// avoidsZone reports whether a read avoids a host in a zone from which the fleet moves traffic away. It does
-// so only if a healthy replica of the group is in a zone in full use.
+// avoidsZone reports whether a read avoids a host because the fleet moves reads away from the zone of the
+// host. It does so only if a healthy replica of the group is in a zone whose share is 1.
 func (r *Router) avoidsZone(req *pendingRequest, host *hostState) bool {
 	elsewhere := func(member *hostState) bool {
 		usable := member != host.group.primary && member.health == healthy && !member.excluded
