--- a/balance/average.go
+++ b/balance/average.go
@@ -8,7 +8,7 @@
 
 	deviationFactor     = 4 // deviations above the mean that latencies rarely exceed
 	minDeviationDivisor = 4 // a deviation counts as at least the mean divided by this
-	maxPatienceDivisor  = 4 // upper limit of the number of attempts that patience is divided by
+	maxSilenceDivisor   = 4 // upper limit of the number of attempts that silenceTimeout is divided by
 )
 
 // movingAverage is an exponentially weighted moving average; 0 means that there is no value yet.
@@ -29,7 +29,7 @@
 }
 
 // add records one latency. Its deviation has a lower bound, so that equal latencies do not reduce the margin
-// of patience to 0.
+// of silenceTimeout to 0.
 func (l *latencyEstimate) add(latency float64) {
 	l.mean.add(latency, ewmaWeight)
 	mean := float64(l.mean)
@@ -39,10 +39,10 @@
 // known reports whether any latency was recorded.
 func (l *latencyEstimate) known() bool { return l.mean != 0 }
 
-// patience returns the time in µs after which a host that has answered none of its attempts in flight
+// silenceTimeout returns the time in µs after which a host that has answered none of its attempts in flight
 // becomes suspect. It is shorter with more attempts in flight.
-func (l *latencyEstimate) patience(inFlight int) float64 {
+func (l *latencyEstimate) silenceTimeout(inFlight int) float64 {
 	mean := float64(l.mean)
-	divisor := float64(max(min(inFlight, maxPatienceDivisor), 1))
+	divisor := float64(max(min(inFlight, maxSilenceDivisor), 1))
 	return max(mean, (mean+deviationFactor*float64(l.deviation))/divisor)
 }
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -1,26 +1,26 @@
 package balance
 
-// requestBudget limits retries or health checks in proportion to requests. Each request adds perRequest
+// requestBudget limits retries or health checks in proportion to requests. Each request adds tokensPerRequest
 // tokens.
 type requestBudget struct {
-	tokens     float64
-	perRequest float64 // tokens that a request adds
-	capacity   float64 // upper limit of tokens
+	tokens           float64
+	tokensPerRequest float64 // tokens that a request adds
+	capacity         float64 // upper limit of tokens
 }
 
 // newRequestBudget returns a full budget.
 func newRequestBudget(perRequest, capacity float64) requestBudget {
-	return requestBudget{tokens: capacity, perRequest: perRequest, capacity: capacity}
+	return requestBudget{tokens: capacity, tokensPerRequest: perRequest, capacity: capacity}
 }
 
-// earn adds the tokens of one request.
-func (b *requestBudget) earn() { b.tokens = min(b.capacity, b.tokens+b.perRequest) }
+// deposit adds the tokens of one request.
+func (b *requestBudget) deposit() { b.tokens = min(b.capacity, b.tokens+b.tokensPerRequest) }
 
-// has reports whether the budget covers a cost in tokens.
-func (b *requestBudget) has(cost float64) bool { return b.tokens >= cost }
+// covers reports whether the budget covers a cost in tokens.
+func (b *requestBudget) covers(cost float64) bool { return b.tokens >= cost }
 
-// spend removes tokens. The caller must have checked with has that they are available.
-func (b *requestBudget) spend(cost float64) { b.tokens -= cost }
+// withdraw removes tokens. The caller must have checked with covers that they are available.
+func (b *requestBudget) withdraw(cost float64) { b.tokens -= cost }
 
 // tokenBucket is a budget that is refilled at a rate over time.
 type tokenBucket struct {
--- a/balance/connections.go
+++ b/balance/connections.go
@@ -1,9 +1,9 @@
 package balance
 
 const (
-	maxIdleTimeout    = 30e6 // µs; idle timeout while no host's connection table is full
-	idleTimeoutGrowth = 20   // a shortened idle timeout grows by itself divided by this each second
-	fullTableRefusals = 2    // refused dials in a row after which a host's connection table counts as full
+	maxIdleTimeout           = 30e6 // µs; idle timeout while no host's connection table is full
+	idleTimeoutGrowthDivisor = 20   // a shortened idle timeout grows by itself divided by this each second
+	fullTableRefusals        = 2    // refused dials in a row that mark a connection table as full
 )
 
 // hostConnections is the state of this gateway's connections to a host.
--- a/balance/decisions_test.go
+++ b/balance/decisions_test.go
@@ -33,7 +33,7 @@
 
 // The same events always give the same actions, as recorded in the golden file.
 func TestDecisionsStayTheSame(t *testing.T) {
-	storms := []struct {
+	scenarios := []struct {
 		name     string
 		change   func(s *balance.Settings)
 		ordinals []int // of the simulated gateways
@@ -75,10 +75,10 @@
 		}, []int{-1}},
 	}
 	var lines []string
-	for i, storm := range storms {
+	for i, scenario := range scenarios {
 		settings := baseSettings()
-		storm.change(&settings)
-		lines = append(lines, storm.name+" "+playStorm(t, settings, uint64(i), storm.ordinals))
+		scenario.change(&settings)
+		lines = append(lines, scenario.name+" "+simulateScenario(t, settings, uint64(i), scenario.ordinals))
 	}
 	golden.CheckLines(t, goldenFile, lines)
 }
--- a/balance/decisionsevents_test.go
+++ b/balance/decisionsevents_test.go
@@ -195,8 +195,8 @@
 	sim.handle(gateway, event)
 }
 
-// callOthers calls one of the router's other methods.
-func (sim *simulation) callOthers(gateway *simulatedGateway) {
+// callOtherMethods calls one of the router's other methods.
+func (sim *simulation) callOtherMethods(gateway *simulatedGateway) {
 	switch sim.random.IntN(4) {
 	case 0:
 		for _, attempt := range gateway.attempts {
--- a/balance/decisionsrig_test.go
+++ b/balance/decisionsrig_test.go
@@ -284,15 +284,15 @@
 	sim.apply(gateway, gateway.router.Restore(sim.now, snapshot, nil))
 }
 
-// step passes one event to a random gateway; busy scales the rate of requests.
-func (sim *simulation) step(busy float64) {
+// step passes one event to a random gateway; requestRate scales the rate of requests.
+func (sim *simulation) step(requestRate float64) {
 	if sim.chance(0.8) { // some events have the same time
 		sim.now += int64(sim.random.IntN(7e3))
 	}
 	gateway := sim.randomGateway()
 	draw := sim.random.Float64()
 	switch {
-	case draw < 0.30*busy:
+	case draw < 0.30*requestRate:
 		sim.sendRequest(gateway)
 	case draw < 0.65:
 		sim.endAttempt(gateway)
@@ -303,7 +303,7 @@
 	case draw < 0.94:
 		sim.deliverGossip(gateway)
 	case draw < 0.96:
-		sim.callOthers(gateway)
+		sim.callOtherMethods(gateway)
 	case draw < 0.97:
 		sim.disconnectClient(gateway)
 	case draw < 0.98:
@@ -315,19 +315,19 @@
 	}
 }
 
-// playStorm simulates thousands of events at low and high request rates, a long pause, and a restart of each
+// simulateScenario simulates thousands of events at low and high request rates, a long pause, and a restart of each
 // gateway. It returns a hash of all actions of the routers.
-func playStorm(t *testing.T, settings balance.Settings, seed uint64, ordinals []int) string {
+func simulateScenario(t *testing.T, settings balance.Settings, seed uint64, ordinals []int) string {
 	t.Helper()
 	settings.Classes = allClasses()
 	sim := newSimulation(t, settings, seed, ordinals)
 	for _, gateway := range sim.gateways {
 		sim.sendEndpoints(gateway)
 	}
-	busy := []float64{1, 0.5, 2, 0.1}
+	requestRates := []float64{1, 0.5, 2, 0.1}
 	for part := range 8 {
 		for range 1500 {
-			sim.step(busy[part%len(busy)])
+			sim.step(requestRates[part%len(requestRates)])
 		}
 		if part == 3 {
 			sim.now += 40e6
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -61,7 +61,7 @@
 	for _, group := range r.groups {
 		if group.primary == nil && group.round == 0 {
 			group.round = 1
-			r.tryNextMember(group, nil)
+			r.guessNextPrimary(group, nil)
 		}
 		r.dispatch(group)
 	}
--- a/balance/fleetrig_test.go
+++ b/balance/fleetrig_test.go
@@ -73,7 +73,7 @@
 	t.Helper()
 	fleet := &routerFleet{
 		t:              t,
-		now:            base,
+		now:            testStart,
 		rand:           1,
 		attempts:       map[routerRequest]int{},
 		classOf:        map[routerRequest]int{},
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -24,11 +24,11 @@
 	if fleet.gossipBytes > 400*500+80*64*400 {
 		t.Errorf("%d bytes of gossip delivered", fleet.gossipBytes)
 	}
-	alone := fleetSettings(80)
-	alone.GossipBytesPerRequest = 0
-	_, checksAlone := checksFor400Reads(alone)
-	if checks > 100 || checksAlone < 3*checks {
-		t.Errorf("%d health checks for 400 reads, %d without gossip", checks, checksAlone)
+	withoutGossip := fleetSettings(80)
+	withoutGossip.GossipBytesPerRequest = 0
+	_, checksWithoutGossip := checksFor400Reads(withoutGossip)
+	if checks > 100 || checksWithoutGossip < 3*checks {
+		t.Errorf("%d health checks for 400 reads, %d without gossip", checks, checksWithoutGossip)
 	}
 }
 
@@ -102,14 +102,14 @@
 		inFlight += len(router.hosts["h1"].inFlight)
 	}
 	gossip := fleet.routers[0].gossip
-	load, coming := gossip.Load(fleet.now, "h1")
-	if math.Abs(load-float64(inFlight)) > 4 || load == 0 || coming <= 0 {
-		t.Fatalf("%.0f in flight at h1 by gossip, actually %d; %.1f starting", load, inFlight, coming)
+	load, starting := gossip.Load(fleet.now, "h1")
+	if math.Abs(load-float64(inFlight)) > 4 || load == 0 || starting <= 0 {
+		t.Fatalf("%.0f in flight at h1 by gossip, actually %d; %.1f starting", load, inFlight, starting)
 	}
 	if share := float64(fleet.sent["h1"]) / float64(fleet.sent["h1"]+fleet.sent["h2"]); share > 0.3 {
 		t.Errorf("%.2f of the reads went to the host that takes 40 times as long", share)
 	}
-	if load, coming := gossip.Load(fleet.now+5000*ms, "h1"); load != 0 || coming != 0 {
-		t.Errorf("reports of 5 s ago count: %.0f in flight, %.1f starting", load, coming)
+	if load, starting := gossip.Load(fleet.now+5000*ms, "h1"); load != 0 || starting != 0 {
+		t.Errorf("reports of 5 s ago count: %.0f in flight, %.1f starting", load, starting)
 	}
 }
--- a/balance/health.go
+++ b/balance/health.go
@@ -104,8 +104,11 @@
 	}
 	// Answers to other gateways count as well, and reach this gateway with a delay.
 	reportDelay := float64(r.gossip.MaxReportDelay(host.id))
-	patience := max(host.latency.patience(len(host.inFlight)), float64(r.maintenanceInterval())) + reportDelay
-	if float64(r.now-host.silentSince) > patience {
+	silenceTimeout := max(
+		host.latency.silenceTimeout(len(host.inFlight)),
+		float64(r.maintenanceInterval()),
+	) + reportDelay
+	if float64(r.now-host.silentSince) > silenceTimeout {
 		r.markSuspect(host)
 	}
 }
@@ -115,11 +118,11 @@
 func (r *Router) startHealthCheck(host *hostState, cost float64) bool {
 	// A result may be lost, so a pending health check blocks another one only for a limited time.
 	awaited := host.checkPending && r.now-host.checkedAt < r.maxBackoff()
-	affordable := cost == requiredCheck || r.checkBudget.has(cost)
+	affordable := cost == requiredCheck || r.checkBudget.covers(cost)
 	if !r.settings.HealthChecks || awaited || host.excluded || !affordable {
 		return false
 	}
-	r.checkBudget.spend(cost)
+	r.checkBudget.withdraw(cost)
 	host.checkPending = true
 	host.checkedAt = r.now
 	r.emit(Action{Kind: HealthCheckAction, Host: host.id})
--- a/balance/primary.go
+++ b/balance/primary.go
@@ -7,7 +7,7 @@
 const (
 	freshRoleIntervals   = 4 // search intervals for which a reported role is considered current
 	searchBackoffDivisor = 8 // the wait between two checks is the time searched so far, divided by this
-	newRoundDivisor      = 4 // without health checks, a round takes the longest backoff divided by this
+	roundDivisor         = 4 // without health checks, a round takes the longest backoff divided by this
 )
 
 // hostRole is the role of a host and the evidence for it. Later evidence replaces earlier evidence.
@@ -98,14 +98,14 @@
 	}
 	group.confirmed = false
 	old.triedInRound = group.round
-	r.tryNextMember(group, old)
+	r.guessNextPrimary(group, old)
 	r.searchPrimary(group)
 }
 
-// tryNextMember makes the next member, in the order of ids after the last one tried, the guessed primary.
+// guessNextPrimary makes the next member, in the order of ids after the last one tried, the guessed primary.
 // It skips members that were tried in this round and members that were recently reported as replicas. At the
 // end of the round there is no primary, and writes wait.
-func (r *Router) tryNextMember(group *groupState, last *hostState) {
+func (r *Router) guessNextPrimary(group *groupState, last *hostState) {
 	start := slices.Index(group.members, last) + 1
 	group.primary = nil
 	for i := range group.members {
@@ -147,10 +147,10 @@
 	if r.settings.HealthChecks || group.primary != nil {
 		return
 	}
-	if r.now-group.searchingSince >= r.maxBackoff()/newRoundDivisor {
+	if r.now-group.searchingSince >= r.maxBackoff()/roundDivisor {
 		group.searchingSince = r.now
 		group.round++
-		r.tryNextMember(group, nil)
+		r.guessNextPrimary(group, nil)
 	}
 }
 
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -18,8 +18,8 @@
 		return
 	}
 	req := r.newRequest(event, r.groups[i])
-	r.retryBudget.earn()
-	r.checkBudget.earn()
+	r.retryBudget.deposit()
+	r.checkBudget.deposit()
 	r.recordRequest(req)
 	req.shedRank = r.rand.Fraction()
 	r.requests[req.id] = req
@@ -121,7 +121,7 @@
 	req.overdueHalves = 0
 	host.inFlight = append(host.inFlight, req)
 	r.gossip.SetInFlight(host.id, len(host.inFlight))
-	r.spendSlowStart(host, req)
+	r.takeSlowStartTokens(host, req)
 	r.emit(Action{Kind: SendAction, Request: req.id, Host: host.id, Timeout: r.shutdownTimeout()})
 }
 
@@ -142,16 +142,16 @@
 // It is late, and its class gives late answers no weight. It is a read that no host has received by half of
 // its time; its client then has time left to try again.
 func (r *Router) shouldGiveUp(req *pendingRequest) bool {
-	lateAndUseless := req.lateness > 0 && req.class.LatePriorityWeight == 0
-	halfOver := r.now+r.maintenanceInterval() >= req.halfTimeAt
-	unservedRead := !req.isWrite() && !req.reachedHost && halfOver
-	return lateAndUseless || unservedRead || r.expired(req)
+	lateWithoutValue := req.lateness > 0 && req.class.LatePriorityWeight == 0
+	halfTimePassed := r.now+r.maintenanceInterval() >= req.halfTimeAt
+	unservedRead := !req.isWrite() && !req.reachedHost && halfTimePassed
+	return lateWithoutValue || unservedRead || r.expired(req)
 }
 
 // expired reports whether a request that is not in flight can no longer succeed: its deadline passes before
 // the next maintenance run, a repeat of it might no longer be deduplicated, or the shutdown leaves it too
 // little time.
 func (r *Router) expired(req *pendingRequest) bool {
-	timeIsUp := r.now+2*r.maintenanceInterval() >= min(req.deadline, r.answersDueAt)
-	return timeIsUp || r.deduplicationLapsed(req, r.now) || r.cutShortByShutdown(req)
+	timeIsUp := r.now+2*r.maintenanceInterval() >= min(req.deadline, r.shutdownDeadline)
+	return timeIsUp || r.deduplicationLapsed(req, r.now) || r.tooLateForShutdown(req)
 }
--- a/balance/replicas.go
+++ b/balance/replicas.go
@@ -28,12 +28,12 @@
 		return r.primaryForRead(req)
 	}
 	var (
-		group         = req.group
-		minPosition   = r.minPosition(req)
-		isLong        = r.isLongRead(req)
-		longReadHosts = r.longReadHosts(group)
-		draw          replicaDraw
-		freshIsBusy   bool
+		group            = req.group
+		minPosition      = r.minPosition(req)
+		isLong           = r.isLongRead(req)
+		longReadHosts    = r.longReadHosts(group)
+		draw             replicaDraw
+		freshReplicaBusy bool
 	)
 	for _, member := range group.members {
 		if r.skipsMember(req, member) {
@@ -52,17 +52,17 @@
 		}
 		fresh := member.position >= minPosition
 		if !admitted {
-			freshIsBusy = freshIsBusy || fresh && member.health == healthy
+			freshReplicaBusy = freshReplicaBusy || fresh && member.health == healthy
 			continue
 		}
 		if fresh || !draw.fresh && r.mayHaveCaughtUp(req, member, minPosition) {
 			draw.add(member, r.drawKey(member), fresh)
 		}
 	}
-	if chosen := r.betterOf(&draw); chosen != nil {
+	if chosen := r.betterDrawn(&draw); chosen != nil {
 		return chosen
 	}
-	return r.primaryOrWait(req, minPosition, freshIsBusy)
+	return r.primaryOrWait(req, minPosition, freshReplicaBusy)
 }
 
 // minPosition returns the log position that a host must have applied to answer a read; 0 if any will do.
@@ -149,8 +149,8 @@
 	return -math.Log(1-r.rand.Fraction()) / weight
 }
 
-// betterOf returns the better one of the drawn hosts, or nil if none was drawn.
-func (r *Router) betterOf(draw *replicaDraw) *hostState {
+// betterDrawn returns the better one of the drawn hosts, or nil if none was drawn.
+func (r *Router) betterDrawn(draw *replicaDraw) *hostState {
 	if draw.second != nil && r.preferred(draw.second, draw.first) {
 		return draw.second
 	}
@@ -188,12 +188,12 @@
 // primaryOrWait returns the primary for a read that no replica can take now, or nil if the read is to wait.
 // The primary has all that a session has just written. For a read with bounded staleness, health checks
 // first show whether a replica has caught up.
-func (r *Router) primaryOrWait(req *pendingRequest, minPosition int64, freshIsBusy bool) *hostState {
+func (r *Router) primaryOrWait(req *pendingRequest, minPosition int64, freshReplicaBusy bool) *hostState {
 	primary := r.primaryForRead(req)
-	wantsReplica := primary == nil || req.class.Consistency == BoundedStaleness
+	prefersReplica := primary == nil || req.class.Consistency == BoundedStaleness
 	// A health check does not help if a fresh replica is merely busy, or if hosts check staleness themselves.
-	checkHelps := !freshIsBusy && minPosition > 0 && !r.settings.HostsCheckStaleness
-	if wantsReplica && checkHelps && r.waitForPosition(req) {
+	checkHelps := !freshReplicaBusy && minPosition > 0 && !r.settings.HostsCheckStaleness
+	if prefersReplica && checkHelps && r.waitForPosition(req) {
 		return nil
 	}
 	return primary
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -23,11 +23,11 @@
 		return
 	}
 	if !notExecuted {
-		if req.class.RetrySafety == NonIdempotent || !r.retryBudget.has(retryCost) {
+		if req.class.RetrySafety == NonIdempotent || !r.retryBudget.covers(retryCost) {
 			r.giveUp(req)
 			return
 		}
-		r.retryBudget.spend(retryCost)
+		r.retryBudget.withdraw(retryCost)
 	}
 	r.enqueue(req)
 }
@@ -50,7 +50,7 @@
 	if req == nil || req.finished || req.host == nil || req.host.excluded {
 		return false
 	}
-	if now >= min(req.deadline, r.answersDueAt) || r.deduplicationLapsed(req, now) {
+	if now >= min(req.deadline, r.shutdownDeadline) || r.deduplicationLapsed(req, now) {
 		return false
 	}
 	if req.class.Consistency != BoundedStaleness || r.settings.HostsCheckStaleness || req.host.wasPrimary {
@@ -73,7 +73,7 @@
 
 // giveUp emits the final answer: a rejection if the client may repeat the request, otherwise a failure.
 func (r *Router) giveUp(req *pendingRequest) {
-	if req.mayBeRepeated() {
+	if req.repeatIsHarmless() {
 		r.emit(Action{Kind: RejectAction, Request: req.id, RetryAfter: r.retryAfter(req)})
 	} else {
 		r.emit(Action{Kind: FailAction, Request: req.id})
@@ -81,9 +81,9 @@
 	r.finish(req)
 }
 
-// mayBeRepeated reports whether the client can safely try again, which a rejection promises: the request
+// repeatIsHarmless reports whether the client can safely try again, which a rejection promises: the request
 // was not executed, or a repeat is harmless on any host.
-func (req *pendingRequest) mayBeRepeated() bool {
+func (req *pendingRequest) repeatIsHarmless() bool {
 	if !req.mayHaveExecuted() || req.class.RetrySafety == Idempotent {
 		return true
 	}
--- a/balance/rig_test.go
+++ b/balance/rig_test.go
@@ -4,8 +4,8 @@
 
 const ms = int64(1000) // µs
 
-// base is the time at which every test starts: far enough from zero for earlier positions to be positive.
-const base = 1000 * 1000 * ms
+// testStart is the time at which every test starts: far enough from zero for earlier positions to be positive.
+const testStart = 1000 * 1000 * ms
 
 // The classes of testSettings.
 const (
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rig := &routerRig{router: router, now: base, attempts: map[int64]int{}}
+	rig := &routerRig{router: router, now: testStart, attempts: map[int64]int{}}
 	rig.listAll(endpoints...)
 	return rig
 }
--- a/balance/router.go
+++ b/balance/router.go
@@ -39,8 +39,8 @@
 	sessions     sessionCommits
 	traffic      trafficStats
 
-	answersDueAt     int64 // when all final answers are due; noShutdown before a shutdown begins
-	shutdownDuration int64 // µs from the start of the shutdown to answersDueAt
+	shutdownDeadline int64 // when all final answers are due; noShutdown before a shutdown begins
+	shutdownDuration int64 // µs from the start of the shutdown to shutdownDeadline
 
 	retryBudget         requestBudget // for retries of requests that may have been executed
 	checkBudget         requestBudget // for health checks that no decision waits for (optionalCheck)
@@ -89,7 +89,7 @@
 	return &Router{
 		settings:            settings,
 		rand:                random.Source(seed),
-		answersDueAt:        noShutdown,
+		shutdownDeadline:    noShutdown,
 		hosts:               map[string]*hostState{},
 		requests:            map[int64]*pendingRequest{},
 		sessions:            newSessionCommits(),
--- a/balance/router_test.go
+++ b/balance/router_test.go
@@ -13,8 +13,8 @@
 		"Deadline":         {TickInterval: 1, MaxAttempts: 1, Classes: []Class{{LatencyObjective: 1}}},
 	} {
 		_, err := New(settings, 1)
-		var unusable *SettingsError
-		if !errors.As(err, &unusable) || unusable.Setting != want {
+		var settingsError *SettingsError
+		if !errors.As(err, &settingsError) || settingsError.Setting != want {
 			t.Errorf("got %v, want an error on %s", err, want)
 		}
 	}
@@ -28,7 +28,7 @@
 	contradictory[2].State = 99
 	future := threeHosts()
 	future[0].Weight = -1
-	future[0].StartedAt = base * 10
+	future[0].StartedAt = testStart * 10
 	return map[string]Event{
 		"empty list":                  {Kind: EndpointsEvent, Complete: true},
 		"list with every host twice":  {Kind: EndpointsEvent, Complete: true, Endpoints: twice},
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -98,7 +98,7 @@
 		rand:       random.Source(seed * 977),
 		requests:   map[int64]*checkedRequest{},
 		primary:    "a",
-		applied:    map[string]int64{"a": base, "b": base, "c": base},
+		applied:    map[string]int64{"a": testStart, "b": testStart, "c": testStart},
 		known:      map[string]int64{},
 		wasPrimary: map[string]bool{"a": true},
 		drainedAt:  map[string]int64{},
@@ -376,8 +376,8 @@
 	safety := request.class.RetrySafety
 	harmless := safety == Idempotent ||
 		safety == IdempotencyKey && request.class.DeduplicationScope == ScopeGlobal
-	mayRun := request.mayHaveExecuted || request.inFlight > 0
-	if action.Kind == RejectAction && mayRun && !harmless {
+	mayHaveRun := request.mayHaveExecuted || request.inFlight > 0
+	if action.Kind == RejectAction && mayHaveRun && !harmless {
 		c.failf("rejected what may have been executed")
 	}
 }
--- a/balance/shutdown_test.go
+++ b/balance/shutdown_test.go
@@ -54,10 +54,10 @@
 		t.Errorf("a read with 400 of 300 ms is not sent: %+v", actions)
 	}
 	rig.lastRequest++
-	impatient := Event{
+	shortDeadline := Event{
 		Kind: RequestEvent, Request: rig.lastRequest, Class: unsafeWrite, Deadline: rig.now + 200*ms,
 	}
-	if sentTo(rig.handle(impatient), impatient.Request) == "" {
+	if sentTo(rig.handle(shortDeadline), shortDeadline.Request) == "" {
 		t.Error("a write whose client waits for 200 ms is not sent")
 	}
 	rig.advance(400 * ms)
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -52,8 +52,8 @@
 	return tokens >= 1
 }
 
-// spendSlowStart removes the cost of a request from the bucket of a host in slow start.
-func (r *Router) spendSlowStart(host *hostState, req *pendingRequest) {
+// takeSlowStartTokens removes the cost of a request from the bucket of a host in slow start.
+func (r *Router) takeSlowStartTokens(host *hostState, req *pendingRequest) {
 	if host.warmingUp {
 		host.startBucket.tokens -= r.costFactor(req)
 	}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// startAll lists threeHosts as just started, without a primary.
-func (rig *routerRig) startAll() {
+// listAllAsStarted lists threeHosts as just started, without a primary.
+func (rig *routerRig) listAllAsStarted() {
 	endpoints := threeUnmarkedHosts()
 	for i := range endpoints {
 		endpoints[i].StartedAt = rig.now
@@ -58,7 +58,7 @@
 		return sent
 	}
 	serve(500)
-	rig.startAll()
+	rig.listAllAsStarted()
 	// Warm members served about 33 requests per second each: a cold one may get a fifth of that, and more as
 	// it warms up.
 	if sent := serve(300); sent < 30 || sent > 150 {
@@ -73,7 +73,7 @@
 	for seed := range uint64(gateways) {
 		rig := newSeededRig(t, settings, seed, threeHosts()...)
 		rig.reportAll(rig.now)
-		goesToC := func() int { // one read of any member, answered at once
+		sendRead := func() int { // one read of any member, answered at once
 			id, actions := rig.request(eventualRead)
 			host := sentTo(actions, id)
 			rig.answer(id, host, Succeeded, RoleUnknown, rig.now)
@@ -84,13 +84,13 @@
 		}
 		for range 20 { // sparse traffic: a request in two seconds
 			rig.advance(2000 * ms)
-			sentWarm += goesToC()
+			sentWarm += sendRead()
 		}
 		endpoints := threeHosts()
 		endpoints[2].StartedAt = rig.now
 		rig.listAll(endpoints...)
 		rig.advance(1000 * ms)
-		sentCold += goesToC()
+		sentCold += sendRead()
 	}
 	// In these 40 s the warm host got about 10 attempts of each gateway. A cold one may get, in two seconds,
 	// at most the overload factor times a cold host's share of that.
@@ -101,10 +101,10 @@
 	}
 }
 
-// serveByWork sends 200 requests per second, answers them at once, and adds their service time, in µs, to the
+// serveMixedReads sends 200 requests per second, answers them at once, and adds their service time, in µs, to the
 // work of their hosts. One in longEvery requests is an eventual read, which takes 15 times as long as the
 // others.
-func (rig *routerRig) serveByWork(duration, longEvery int64, work map[string]float64) {
+func (rig *routerRig) serveMixedReads(duration, longEvery int64, work map[string]float64) {
 	for end := rig.now + duration; rig.now < end; {
 		rig.now += 5 * ms
 		actions := rig.handle(Event{Kind: TimerEvent})
@@ -117,13 +117,13 @@
 		for ; len(actions) > 0; actions = actions[1:] {
 			req := rig.router.requests[actions[0].Request]
 			if actions[0].Kind == SendAction && req != nil && req.host != nil {
-				actions = append(actions, rig.answerByWork(req, work)...)
+				actions = append(actions, rig.answerMixedRead(req, work)...)
 			}
 		}
 	}
 }
 
-func (rig *routerRig) answerByWork(req *pendingRequest, work map[string]float64) []Action {
+func (rig *routerRig) answerMixedRead(req *pendingRequest, work map[string]float64) []Action {
 	latency := 20 * ms
 	if req.classIndex == eventualRead {
 		latency *= 15
@@ -146,11 +146,11 @@
 func TestColdHostIsPacedByWork(t *testing.T) {
 	rig := readyRig(t, longReadSettings())
 	work := map[string]float64{}
-	rig.serveByWork(3000*ms, 10, work)
+	rig.serveMixedReads(3000*ms, 10, work)
 	warm := (work["a"] + work["b"] + work["c"]) / 3 / 3 // for each host and second
 	clear(work)
-	rig.startAll()
-	rig.serveByWork(1000*ms, 1, work)
+	rig.listAllAsStarted()
+	rig.serveMixedReads(1000*ms, 1, work)
 	settings := &rig.router.settings
 	most := warm * (settings.SlowStartInitialShare + 0.1) * settings.SlowStartOverloadFactor
 	for host, cold := range work {
@@ -158,7 +158,7 @@
 			t.Errorf("cold %s got %.0f ms of work in a second, want at most %.0f", host, cold/1e3, most/1e3)
 		}
 	}
-	rig.serveByWork(1000*ms, 10, work)
+	rig.serveMixedReads(1000*ms, 10, work)
 	if work["b"]+work["c"] == 0 {
 		t.Error("cold hosts get no short reads either")
 	}
@@ -199,10 +199,10 @@
 	return worst
 }
 
-// play starts one of five hosts under a load of 1.2 times the capacity of warm hosts. A third of the gateways
+// simulate starts one of five hosts under a load of 1.2 times the capacity of warm hosts. A third of the gateways
 // receive the start two seconds late, another third restarts at that time. It returns the times of attempts
 // sent to the host by gateways that had received the start, and the time of the start.
-func (c *coldStart) play(t *testing.T, gateways int) (sentAt []int64, startedAt int64) {
+func (c *coldStart) simulate(t *testing.T, gateways int) (sentAt []int64, startedAt int64) {
 	t.Helper()
 	const hosts = 5
 	const load = 1.2
@@ -220,9 +220,9 @@
 		return 50 * ms, Succeeded
 	}
 	start := Event{Kind: EndpointsEvent, Endpoints: []Endpoint{cold}}
-	someAreLate := gateways >= 3
+	someReceiveLate := gateways >= 3
 	for i := range fleet.routers {
-		if !someAreLate || i%3 != 0 {
+		if !someReceiveLate || i%3 != 0 {
 			fleet.handle(i, start)
 		}
 	}
@@ -230,11 +230,11 @@
 	sentByUnaware := len(sentAt)
 	for i := range fleet.routers {
 		fleet.handle(i, start)
-		if someAreLate && i%3 == 1 {
+		if someReceiveLate && i%3 == 1 {
 			fleet.restart(i, append(warm[:hosts-1:hosts-1], cold))
 		}
 	}
-	if someAreLate {
+	if someReceiveLate {
 		sentAt = sentAt[sentByUnaware:]
 	}
 	fleet.run(c.duration-late, eventualRead, interval)
@@ -251,7 +251,7 @@
 		for _, gateways := range []int{1, 3, 20, 30, 80, 300} {
 			t.Run(fmt.Sprintf("%s, %d gateways", name, gateways), func(t *testing.T) {
 				t.Parallel()
-				sentAt, startedAt := start.play(t, gateways)
+				sentAt, startedAt := start.simulate(t, gateways)
 				worst := start.worstLoad(sentAt, startedAt)
 				t.Logf("%d sent, at most %.2f of what it bears", len(sentAt), worst)
 				if worst > 0.9 || len(sentAt) == 0 {
--- a/balance/traffic.go
+++ b/balance/traffic.go
@@ -52,7 +52,7 @@
 	for _, host := range r.hostsByID {
 		host.errorShare *= errorShareRetention
 	}
-	r.idleTimeout = min(r.idleTimeout+r.idleTimeout/idleTimeoutGrowth, maxIdleTimeout)
+	r.idleTimeout = min(r.idleTimeout+r.idleTimeout/idleTimeoutGrowthDivisor, maxIdleTimeout)
 }
 
 // costFactor returns the cost of a request as a multiple of the mean cost, at least 1.
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -56,13 +56,13 @@
 				b.Fatal(err)
 			}
 			router.SetZoneShares(shares)
-			router.Handle(base, Event{Kind: EndpointsEvent, Complete: true, Endpoints: threeHosts()}, nil)
+			router.Handle(testStart, Event{Kind: EndpointsEvent, Complete: true, Endpoints: threeHosts()}, nil)
 			var actions []Action
 			id := int64(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
-				now := base + id
+				now := testStart + id
 				actions = router.Handle(now, Event{
 					Kind: RequestEvent, Request: id, Class: eventualRead, Deadline: now + 1000*ms,
 				}, actions[:0])
