--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -15,7 +15,7 @@
 		rig.router.recordLatency(host, req, 500*ms, false)
 	}
 	if host.concurrencyLimit > 20 {
-		t.Fatalf("limit still %.1f", host.concurrencyLimit)
+		t.Fatalf("concurrency limit %.1f, want at most 20", host.concurrencyLimit)
 	}
 }
 
@@ -33,9 +33,9 @@
 	}
 }
 
-// A gateway among hundreds contacts each host only every few seconds. If its attempts at all hosts together
-// take all of their latency objectives, it sheds most reads, but no writes, and nothing once attempts are
-// quick again.
+// A gateway among hundreds contacts each host only every few seconds, too seldom to judge a single host. If
+// its attempts at all hosts together take all of their latency objectives, it sheds most reads, but no
+// writes. It sheds nothing once attempts are quick again.
 func TestSparseTrafficShedsReadsByTheOverloadOfAllHosts(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	router := rig.router
@@ -48,17 +48,17 @@
 		return router.admits(read, host)
 	}
 	if !admitsRead() || read.shed {
-		t.Error("shed without any measured latency")
+		t.Error("the read was shed before any latency was measured")
 	}
 	for range 200 {
 		router.recordLatencyShare(other, 1)
 	}
 	if admitsRead() || !read.shed {
-		t.Error("not shed, although all attempts take their objectives")
+		t.Error("the read was not shed, although all attempts take their latency objectives")
 	}
 	router.traffic.requestRatePerHost = 2
 	if !admitsRead() {
-		t.Error("shed by a gateway that contacts each host often")
+		t.Error("the read was shed by a gateway that contacts each host often")
 	}
 	router.traffic.requestRatePerHost = 0.5
 	if !router.admits(write, host) {
@@ -68,11 +68,11 @@
 		router.recordLatencyShare(other, 0.9)
 	}
 	if !admitsRead() {
-		t.Error("shed, although all attempts are answered within their objectives")
+		t.Error("the read was shed, although all attempts are answered within their latency objectives")
 	}
 }
 
-// A client whose read was shed must not retry while the hosts are still busy.
+// The client of a shed read must not retry while the hosts are still overloaded.
 func TestShedReadIsRejectedWithALongRetryAfter(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(1), hostList(3)...)
 	fleet.run(300*ms, boundedRead, 5*ms)
@@ -85,7 +85,7 @@
 		Kind: RequestEvent, Request: id, Class: boundedRead, Group: 1, Deadline: fleet.now + 1000*ms,
 	}, nil)
 	if host := sentTo(actions, id); host != "" {
-		t.Fatalf("sent to %s, whose answers take all of their objectives", host)
+		t.Fatalf("the read was sent to %s, whose answers take all of their latency objectives", host)
 	}
 	for now := fleet.now; now < fleet.now+600*ms; now += 20 * ms {
 		actions := router.Handle(now, Event{Kind: TimerEvent}, nil)
@@ -94,15 +94,16 @@
 			continue
 		}
 		if rejection.RetryAfter < router.settings.MaxRetryAfter*7/8 {
-			t.Errorf("rejected with a retry after %d ms", rejection.RetryAfter/ms)
+			t.Errorf("rejected with a retry after %d ms, want at least 7/8 of the maximum",
+				rejection.RetryAfter/ms)
 		}
 		return
 	}
-	t.Error("not rejected by half of its time")
+	t.Error("the read was not rejected after half of its time")
 }
 
-// In a small fleet each gateway must be allowed several attempts in flight, or cores of a host stay idle; in
-// a large one, or one of unknown size, a single attempt is enough.
+// In a small fleet, each gateway must be allowed several attempts in flight, or some cores of a host stay
+// idle. In a large fleet, or one of unknown size, one attempt is enough.
 func TestMinimumLimitDependsOnTheNumberOfGateways(t *testing.T) {
 	for gateways, want := range map[int]int{0: 1, 1: 4, 2: 3, 3: 2, 80: 1, 1000: 1} {
 		settings := testSettings()
@@ -120,7 +121,8 @@
 			admitted++
 		}
 		if admitted != want {
-			t.Errorf("%d gateways: %d attempts of each at a busy host, want %d", gateways, admitted, want)
+			t.Errorf("%d gateways: each may have %d attempts in flight at a busy host, want %d",
+				gateways, admitted, want)
 		}
 	}
 }
--- a/balance/connections_test.go
+++ b/balance/connections_test.go
@@ -22,9 +22,10 @@
 			rig.answer(id, "a", Succeeded, Primary, rig.now)
 		}
 		id, _ := rig.request(keyedWrite)
-		for attempt := range 2 { // a single one may be a link failure
+		for attempt := range 2 { // a single refusal may be a link failure
 			if rig.router.idleTimeout < maxIdleTimeout {
-				t.Errorf("%s: idle timeout %d us after one", c.name, rig.router.idleTimeout)
+				t.Errorf("%s: idle timeout %d us after at most one failed attempt, want no change",
+					c.name, rig.router.idleTimeout)
 			}
 			rig.handle(Event{
 				Kind: OutcomeEvent, Request: id, Attempt: attempt, Host: "a",
@@ -34,7 +35,7 @@
 			rig.report("a", true, rig.now)
 		}
 		if shorter := rig.router.idleTimeout < maxIdleTimeout; shorter != c.shorter {
-			t.Errorf("%s: idle timeout %d us", c.name, rig.router.idleTimeout)
+			t.Errorf("%s: wrong idle timeout %d us", c.name, rig.router.idleTimeout)
 		}
 	}
 }
--- a/balance/decisions_test.go
+++ b/balance/decisions_test.go
@@ -9,13 +9,13 @@
 )
 
 // This file compares the decisions of the package with recorded ones: it passes a fixed sequence of random
-// events to routers and compares a hash of all their actions with the one in testdata/decisions.txt. A change
-// that must not alter decisions leaves the hashes as they are. One that does alter them runs the test with
-// -update and states why.
+// events to routers and compares a hash of all their actions with the hash in testdata/decisions.txt. A
+// change that must not alter decisions leaves the hashes unchanged. For a change that does alter decisions,
+// run the test with -update and state the reason.
 
 const goldenFile = "decisions.txt"
 
-// baseSettings are the settings that each simulation changes.
+// baseSettings returns the settings that each scenario changes.
 func baseSettings() balance.Settings {
 	return balance.Settings{
 		Zone:                    1,
@@ -100,7 +100,7 @@
 		}
 		change(&settings)
 		if _, err := balance.New(settings, 1); err == nil || !strings.HasPrefix(err.Error(), "balance: ") {
-			t.Errorf("settings %d: got error %v", i, err)
+			t.Errorf("settings %d: got error %v, want one that begins with balance:", i, err)
 		}
 	}
 }
--- a/balance/decisionsevents_test.go
+++ b/balance/decisionsevents_test.go
@@ -6,7 +6,8 @@
 	"cloverrock/balance"
 )
 
-// This file has the events of the simulation of decisions_test.go. The order of random draws must not change.
+// This file contains the events of the simulation in decisions_test.go. The order of random draws must not
+// change.
 
 // sendEndpoints passes a complete or partial endpoint list, or a failed poll.
 func (sim *simulation) sendEndpoints(gateway *simulatedGateway) {
@@ -84,7 +85,7 @@
 	return results[sim.random.IntN(len(results))]
 }
 
-// endAttempt ends an attempt in flight; some end twice, so that the second outcome is late.
+// endAttempt ends an attempt in flight. Some attempts end twice, so that the second outcome is late.
 func (sim *simulation) endAttempt(gateway *simulatedGateway) {
 	if len(gateway.attempts) == 0 {
 		return
@@ -122,7 +123,7 @@
 	sim.handle(gateway, event)
 }
 
-// staysInFlight reports whether an attempt at a slow or crashed host is not ended yet.
+// staysInFlight reports whether an attempt at a slow or crashed host does not end yet.
 func (sim *simulation) staysInFlight(host *simulatedHost, attempt *simulatedAttempt) bool {
 	late := host.condition == conditionSlow || host.condition == conditionCrashed
 	return late && sim.now-attempt.sentAt < 400e3 && sim.chance(0.9)
@@ -134,7 +135,8 @@
 	return exists && sim.classes[class].Consistency == balance.Write
 }
 
-// fillAnswer fills in, for most answers, the position, role and report of the host; some contradict others.
+// fillAnswer adds the position, role and report of the host to most answers. Some roles contradict the
+// others.
 func (sim *simulation) fillAnswer(event *balance.Event, host *simulatedHost) {
 	if !event.Result.Answered() || !sim.chance(0.8) {
 		return
@@ -156,7 +158,7 @@
 	sim.handle(gateway, balance.Event{Kind: balance.ClientDisconnectedEvent, Request: gateway.unanswered[i]})
 }
 
-// answerHealthCheck ends the oldest health check; some results are lost.
+// answerHealthCheck ends the oldest health check. Some results are lost.
 func (sim *simulation) answerHealthCheck(gateway *simulatedGateway) {
 	if len(gateway.healthChecks) == 0 {
 		return
@@ -182,7 +184,7 @@
 	sim.handle(gateway, event)
 }
 
-// deliverGossip passes a message of a random gateway, sometimes corrupted.
+// deliverGossip passes a message of a random gateway. Some messages are corrupted.
 func (sim *simulation) deliverGossip(gateway *simulatedGateway) {
 	from := sim.randomGateway()
 	event := balance.Event{Kind: balance.GossipEvent, Peer: from.ordinal, Data: []byte{3, 1, 2}}
@@ -195,7 +197,7 @@
 	sim.handle(gateway, event)
 }
 
-// callOtherMethods calls one of the router's other methods.
+// callOtherMethods calls one of the router's methods other than Handle.
 func (sim *simulation) callOtherMethods(gateway *simulatedGateway) {
 	switch sim.random.IntN(4) {
 	case 0:
--- a/balance/decisionsrig_test.go
+++ b/balance/decisionsrig_test.go
@@ -10,10 +10,11 @@
 	"cloverrock/internal/golden"
 )
 
-// This file is the simulation of decisions_test.go. The golden hashes depend on each random number: the
-// number of draws and their order must not change.
+// This file contains the simulation of decisions_test.go. The golden hashes depend on every random number:
+// the number of draws and their order must not change.
 
-// actionHash hashes the actions of a router. The texts of log lines are excluded: they may be reworded.
+// actionHash hashes the actions of a router. The texts of log lines are left out, so that they may be
+// reworded.
 type actionHash struct{ *golden.Hash }
 
 func (h actionHash) action(action balance.Action) {
@@ -104,7 +105,7 @@
 	router       *balance.Router
 	ordinal      int
 	attempts     []simulatedAttempt
-	sends        map[int64]int // attempts of each request
+	sends        map[int64]int // number of attempts sent for each request
 	classOf      map[int64]int
 	unanswered   []int64
 	healthChecks []string
@@ -117,7 +118,8 @@
 
 func (z zoneShareList) ReadShare(zone int) float64 { return z[zone] }
 
-// allClasses has a class for each consistency with each kind of retry safety, and one of long eventual reads.
+// allClasses returns a class for each consistency with each kind of retry safety, and one class of long
+// reads.
 func allClasses() []balance.Class {
 	safeties := []balance.Class{
 		{RetrySafety: balance.Idempotent},
@@ -199,7 +201,7 @@
 	return sim.primaries[host.endpoint.Group] == host.endpoint.Host
 }
 
-// addHost adds a host; the list marks the first of a group as its primary.
+// addHost adds a host. The endpoint list marks the first host of each group as its primary.
 func (sim *simulation) addHost() {
 	n := len(sim.hosts)
 	group := int64(n%3 + 1)
@@ -275,7 +277,7 @@
 func (sim *simulation) restart(gateway *simulatedGateway, settings balance.Settings) {
 	snapshot := gateway.router.Snapshot()
 	for i := range snapshot.Hosts {
-		snapshot.Hosts[i].ConcurrencyLimit *= 4 // more than is restored
+		snapshot.Hosts[i].ConcurrencyLimit *= 4 // more than Restore accepts
 	}
 	settings.Ordinal = gateway.ordinal
 	*gateway = *sim.newGateway(settings, uint64(sim.requests))
@@ -315,8 +317,8 @@
 	}
 }
 
-// simulateScenario simulates thousands of events at low and high request rates, a long pause, and a restart of each
-// gateway. It returns a hash of all actions of the routers.
+// simulateScenario simulates thousands of events at low and high request rates, a long pause, and a restart
+// of each gateway. It returns a hash of all actions of the routers.
 func simulateScenario(t *testing.T, settings balance.Settings, seed uint64, ordinals []int) string {
 	t.Helper()
 	settings.Classes = allClasses()
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -26,7 +26,7 @@
 	rig := readyRig(t, settings)
 	rig.listAll(threeHosts()[1:]...)
 	if id, actions := rig.request(unsafeWrite); sentTo(actions, id) != "a" {
-		t.Fatal("a host that vanished from the list does not serve")
+		t.Fatal("the host that left the list without draining got no write")
 	}
 }
 
@@ -35,10 +35,10 @@
 	settings.MustSubscribe = true
 	rig := newRig(t, settings, threeHosts()...)
 	if !hasAction(rig.actions, SubscribeAction, anyRequest) {
-		t.Fatal("not subscribed at the start")
+		t.Fatal("did not subscribe at the start")
 	}
 	rig.handle(Event{Kind: EndpointsEvent, PollFailed: true})
 	if !hasAction(rig.advance(10000*ms), SubscribeAction, anyRequest) {
-		t.Fatal("not subscribed again")
+		t.Fatal("did not subscribe again after the failed poll")
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -6,7 +6,7 @@
 	"cloverrock/balance"
 )
 
-// The embedding program passes events and carries out the actions.
+// Example shows an embedding program that passes events to a router and carries out the actions.
 func Example() {
 	const ms = 1000
 	router, err := balance.New(balance.Settings{
@@ -47,7 +47,7 @@
 		Request:  1,
 		Deadline: now + 1000*ms,
 	}, nil))
-	// Host a is no longer the primary: it rejected the write, which goes to the next member.
+	// Host a is no longer the primary and rejects the write, which then goes to the next member.
 	now += 20 * ms
 	show(router.Handle(now, balance.Event{
 		Kind:    balance.OutcomeEvent,
--- a/balance/fleetrig_test.go
+++ b/balance/fleetrig_test.go
@@ -9,7 +9,8 @@
 	"cloverrock/internal/random"
 )
 
-// routerFleet is many routers and the hosts that answer them, on one simulated clock. Gossip takes 10 ms.
+// routerFleet consists of many routers and the hosts that answer them, on one simulated clock. Gossip takes
+// 10 ms.
 type routerFleet struct {
 	t           *testing.T
 	now         int64
@@ -17,17 +18,17 @@
 	routers     []*Router
 	events      []scheduledEvent // sorted by time
 	lastRequest int64
-	attempts    map[routerRequest]int // attempts sent
+	attempts    map[routerRequest]int // number of attempts sent
 	classOf     map[routerRequest]int
 
-	serviceTime    func(host string, class int) (int64, Result) // how long an attempt takes, and how it ends
+	serviceTime    func(host string, class int) (int64, Result) // how long an attempt takes and how it ends
 	roleOf         func(host string) Role
 	replicationLag int64
 
-	sent         map[string]int // attempts by host
-	checks       int            // health checks
-	gossipBytes  int            // delivered
-	gossipEvents int            // sent
+	sent         map[string]int // number of attempts by host
+	checks       int            // number of health checks
+	gossipBytes  int            // bytes delivered
+	gossipEvents int            // messages sent
 }
 
 type routerRequest struct {
@@ -49,7 +50,7 @@
 	return settings
 }
 
-// hostList is one group of hosts h0, h1 ...; h0 is its primary.
+// hostList returns one group of n hosts, h0, h1 and so on; h0 is its primary.
 func hostList(n int) []Endpoint {
 	var endpoints []Endpoint
 	for i := range n {
@@ -59,7 +60,7 @@
 	return endpoints
 }
 
-// primaryIs makes one host the primary and all others replicas.
+// primaryIs returns a role function for which one host is the primary and all others are replicas.
 func primaryIs(primary string) func(host string) Role {
 	return func(host string) Role {
 		if host == primary {
@@ -94,7 +95,7 @@
 	return fleet
 }
 
-// restart replaces a router by a new one; events on their way to the old one are dropped.
+// restart replaces a router by a new one. Events that are scheduled for the old router are dropped.
 func (f *routerFleet) restart(i int, endpoints []Endpoint) {
 	router, err := New(f.routers[i].settings, uint64(1000+i))
 	if err != nil {
@@ -105,7 +106,7 @@
 	f.handle(i, Event{Kind: EndpointsEvent, Complete: true, Endpoints: endpoints})
 }
 
-// schedule adds an event after those of the same time.
+// schedule adds an event, after all events of the same time.
 func (f *routerFleet) schedule(at int64, router int, event Event) {
 	byTime := func(e scheduledEvent, at int64) int { return cmp.Compare(e.at, at) }
 	i, _ := slices.BinarySearchFunc(f.events, at+1, byTime)
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// Eighty gateways that each contact a host only every few seconds receive its position from one another:
-// reads go to replicas, and few health checks are needed. Without gossip every read would need a health check
-// first, or load the primary.
+// Eighty gateways, each of which contacts a host only every few seconds, receive the positions of hosts
+// from one another. Reads then go to replicas, and few health checks are needed. Without gossip, every read
+// would need a health check first, or would load the primary.
 func TestGatewaysShareKnownPositions(t *testing.T) {
 	checksFor400Reads := func(settings Settings) (*routerFleet, int) {
 		fleet := newFleet(t, settings, hostList(5)...)
-		fleet.run(1000*ms, boundedRead, 10*ms) // all receive the positions of the hosts
+		fleet.run(1000*ms, boundedRead, 10*ms) // all gateways receive the positions of the hosts
 		fleet.checks = 0
 		fleet.sent = map[string]int{}
 		fleet.run(4000*ms, boundedRead, 10*ms) // 100 reads per second, 1.25 per gateway
@@ -32,8 +32,8 @@
 	}
 }
 
-// Replicas of unknown position get reads too. Otherwise they would get no reads with bounded staleness, and
-// their positions would stay unknown.
+// Replicas of unknown position must get reads, too. Otherwise no read would report their positions, so they
+// would stay unknown and the replicas would never get reads with bounded staleness.
 func TestReplicasOfUnknownPositionGetReadsToo(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(20), hostList(5)...)
 	for _, router := range fleet.routers { // the position of one replica is known, as after few reads
@@ -45,13 +45,14 @@
 	fleet.run(4000*ms, boundedRead, 8*ms) // 500 reads
 	for _, host := range []string{"h1", "h2", "h3", "h4"} {
 		if fleet.sent[host] < 60 {
-			t.Errorf("%v of 500 reads at the hosts", fleet.sent)
+			t.Errorf("reads by host: %v of 500, want at least 60 at each replica", fleet.sent)
 			break
 		}
 	}
 }
 
-// A replica's promotion, seen by one gateway, lets the others send writes without a search of their own.
+// If one gateway receives the report of a promoted replica, the other gateways send writes to it without a
+// search of their own.
 func TestNewPrimaryIsPublishedToAllGateways(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(80), hostList(5)...)
 	fleet.run(500*ms, boundedRead, 10*ms)
@@ -68,8 +69,8 @@
 	}
 }
 
-// Gossip can't add a host that no endpoint list has, restore one that the list has removed, or decrease a
-// position.
+// Gossip must not add a host that no endpoint list has named, restore a host that the list has removed, or
+// decrease a position.
 func TestGossipDoesNotOverrideTheEndpointList(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(2), hostList(3)...)
 	fleet.run(300*ms, boundedRead, 5*ms)
@@ -77,7 +78,7 @@
 	position := router.hosts["h1"].position
 	removed := []Endpoint{{Host: "h2", Group: 1, State: Removed}}
 	router.Handle(fleet.now, Event{Kind: EndpointsEvent, Endpoints: removed}, nil)
-	fleet.run(200*ms, boundedRead, 5*ms) // the other gateway still uses and reports it
+	fleet.run(200*ms, boundedRead, 5*ms) // the other gateway still uses the host and reports it
 	if host := router.hosts["h2"]; host != nil && !host.excluded {
 		t.Error("a removed host came back by gossip")
 	}
@@ -86,8 +87,9 @@
 	}
 }
 
-// Of two replicas, reads go to the one with fewer attempts in flight from all gateways, but not all reads of
-// all gateways at once: together they move as many as balance the difference. Outdated reports don't count.
+// Of two replicas, reads go to the one with fewer attempts in flight from all gateways. The gateways must
+// not move all reads at once; together they move as many as balance the difference. Outdated reports do not
+// count.
 func TestReadsGoToTheHostLessLoadedByAllGateways(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(20), hostList(3)...)
 	fleet.serviceTime = func(host string, _ int) (int64, Result) {
@@ -104,12 +106,13 @@
 	gossip := fleet.routers[0].gossip
 	load, starting := gossip.Load(fleet.now, "h1")
 	if math.Abs(load-float64(inFlight)) > 4 || load == 0 || starting <= 0 {
-		t.Fatalf("%.0f in flight at h1 by gossip, actually %d; %.1f starting", load, inFlight, starting)
+		t.Fatalf("gossip reports %.0f attempts in flight at h1, there are %d; %.1f starting",
+			load, inFlight, starting)
 	}
 	if share := float64(fleet.sent["h1"]) / float64(fleet.sent["h1"]+fleet.sent["h2"]); share > 0.3 {
 		t.Errorf("%.2f of the reads went to the host that takes 40 times as long", share)
 	}
 	if load, starting := gossip.Load(fleet.now+5000*ms, "h1"); load != 0 || starting != 0 {
-		t.Errorf("reports of 5 s ago count: %.0f in flight, %.1f starting", load, starting)
+		t.Errorf("reports of 5 s ago still count: %.0f attempts in flight, %.1f starting", load, starting)
 	}
 }
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -13,12 +13,12 @@
 	rig.answer(id, host, ConnectionRefused, RoleUnknown, 0)
 	for range 2 {
 		if rig.host(host).health != suspect {
-			t.Fatal("not suspect before a health check has failed twice")
+			t.Fatal("the host is not suspect before a health check has failed twice")
 		}
 		rig.endCheck(host, ConnectionRefused)
 	}
 	if rig.host(host).health != unhealthy {
-		t.Fatal("not unhealthy after two refused health checks")
+		t.Fatal("the host is not unhealthy after two refused health checks")
 	}
 	rig.now += 1000 * ms
 	rig.endCheck(host, ConnectionRefused)
@@ -29,8 +29,8 @@
 	}
 }
 
-// A link that breaks connections occasionally is no evidence against the host: a second health check
-// succeeds, and the host gets as many requests as before, at once.
+// A link that breaks connections occasionally is no evidence against a host. After a second health check,
+// which succeeds, the host gets as many requests as before, without a slow start.
 func TestOneBrokenHealthCheckDoesNotMakeAHostUnhealthy(t *testing.T) {
 	for _, result := range []Result{ConnectionRefused, ConnectionReset} {
 		rig := readyRig(t, testSettings())
@@ -42,22 +42,22 @@
 		actions = rig.endCheck(host.id, result)
 		isRecheck := func(a Action) bool { return a.Kind == HealthCheckAction && a.Host == host.id }
 		if !slices.ContainsFunc(actions, isRecheck) {
-			t.Errorf("%v: not checked again: %+v", result, actions)
+			t.Errorf("%v: no second health check: %+v", result, actions)
 		}
 		rig.report(host.id, false, rig.now)
 		if host.health != healthy || host.warmingUp || host.concurrencyLimit != limit {
-			t.Errorf("%v: after an answered health check: %+v", result, *host)
+			t.Errorf("%v: not as before the break after an answered health check: %+v", result, *host)
 		}
 		if !rig.router.admits(&pendingRequest{class: rig.class(boundedRead)}, host) {
 			t.Errorf("%v: gets no requests after an answered health check: %+v", result, *host)
 		}
 		if rig.router.idleTimeout != maxIdleTimeout {
-			t.Errorf("%v: idle timeout %d us", result, rig.router.idleTimeout)
+			t.Errorf("%v: idle timeout %d us, want no change", result, rig.router.idleTimeout)
 		}
 	}
 }
 
-// A single broken health check of a healthy host only makes it suspect.
+// A single health check of a healthy host whose connection breaks makes the host only suspect.
 func TestBrokenHealthCheckMakesAHealthyHostSuspect(t *testing.T) {
 	for _, result := range []Result{ConnectionRefused, ConnectionReset} {
 		rig := readyRig(t, testSettings())
@@ -69,10 +69,10 @@
 		rig.report(host.id, false, rig.now)
 		rig.router.startHealthCheck(host, requiredCheck)
 		rig.now += ms
-		host.checkedAt = rig.now // later than its last contact
+		host.checkedAt = rig.now // after the last answer of the host
 		rig.endCheck(host.id, result)
 		if host.health != suspect {
-			t.Errorf("%v: health %d", result, host.health)
+			t.Errorf("%v: health state %d, want suspect", result, host.health)
 		}
 	}
 }
@@ -99,12 +99,12 @@
 	rig.now += 10 * ms
 	id, actions := rig.request(eventualRead)
 	if sentTo(actions, id) != "b" {
-		t.Fatal("want the remaining replica")
+		t.Fatal("want the read at b, the only replica that is not excluded")
 	}
 	rig.answer(id, "b", ConnectionReset, RoleUnknown, 0)
 	rig.now += 5 * ms
 	rig.endCheck("b", TimedOut)
-	for range 1000 { // twenty seconds in which all health checks of b fail, while requests would succeed
+	for range 1000 { // 20 s, in which every health check of b fails although requests to b succeed
 		check := findAction(rig.advance(20*ms), HealthCheckAction, anyRequest)
 		if check != nil && check.Host == "b" {
 			rig.endCheck("b", TimedOut)
@@ -119,7 +119,7 @@
 		case "b":
 			rig.answer(id, "b", Succeeded, Replica, rig.now)
 			if rig.host("b").health != healthy {
-				t.Fatal("not healthy after a trial that succeeded")
+				t.Fatal("the host is not healthy after a trial that succeeded")
 			}
 			return
 		}
@@ -133,7 +133,7 @@
 	rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)
 	actions := append(rig.endCheck("a", Overloaded), rig.advance(40*ms)...)
 	if sentTo(actions, id) != "a" {
-		t.Errorf("a primary too busy for a health check was not used: %+v", actions)
+		t.Errorf("the primary rejected its health check and got no write: %+v", actions)
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 }
 
-// A health check that was not sent, for a reason on this side, is no evidence about its host.
+// A health check that this gateway did not send is no evidence about the host.
 func TestUnsentHealthCheckDoesNotChangeHealth(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	rig.advance(1000 * ms)
@@ -158,11 +158,11 @@
 	rig.now += ms
 	rig.endCheck("a", NotSent)
 	if host.health == unhealthy || host.group.primary != host {
-		t.Error("unhealthy by a health check that was not sent")
+		t.Error("a health check that was not sent made the host unhealthy")
 	}
 }
 
-// The tick interval limits how often a router may act; a shorter one does not cause more health checks.
+// The tick interval limits how often a router may act. A shorter interval must not cause more health checks.
 func TestCheckRateDoesNotFollowTheTickInterval(t *testing.T) {
 	checks := func(tick int64) int {
 		settings := fleetSettings(1)
--- a/balance/primary_test.go
+++ b/balance/primary_test.go
@@ -12,11 +12,11 @@
 		actions = rig.answer(id, want, NotPrimary, Replica, 0)
 	}
 	if sentTo(actions, id) != "" || hasAction(actions, RejectAction, id) {
-		t.Fatalf("does not wait after a round of all members: %v", actions)
+		t.Fatalf("the write does not wait after a round of all members: %v", actions)
 	}
 	rig.now += 300 * ms
 	if actions = rig.report("c", true, rig.now); sentTo(actions, id) != "c" {
-		t.Fatalf("not sent to the confirmed primary: %v", actions)
+		t.Fatalf("the write was not sent to the confirmed primary: %v", actions)
 	}
 }
 
@@ -30,13 +30,14 @@
 		rig := newRig(t, testSettings(), endpoints...)
 		id, actions := rig.request(unsafeWrite)
 		if got := sentTo(actions, id); got != c.want {
-			t.Errorf("list marks a primary %v: first write went to %q, want %q", c.marked, got, c.want)
+			t.Errorf("primary marked in the list: %v; first write went to %q, want %q", c.marked, got, c.want)
 		}
 	}
 }
 
-// Where no primary was ever confirmed, the search is timed from the first request that waits. Timed from
-// zero, the backoff would be an eighth of the clock's value, and the write would wait until it expires.
+// If no primary was ever confirmed, the duration of the search counts from the first request that waits. If
+// it counted from time zero, the wait between checks would be an eighth of the clock's value, and the write
+// would expire first.
 func TestSearchForANeverConfirmedPrimaryContinues(t *testing.T) {
 	rig := newRig(t, testSettings(), threeHosts()...)
 	searchTime := 2 * rig.router.searchInterval()
@@ -52,7 +53,7 @@
 		t.Fatal("no health check after the round")
 	}
 	for _, host := range []string{"a", "b", "c"} {
-		rig.report(host, false, rig.now) // from before the new primary was promoted
+		rig.report(host, false, rig.now) // as of a time before the new primary was promoted
 	}
 	if !hasCheck(rig.advance(searchTime)) {
 		t.Fatal("the search ended after one health check")
@@ -71,18 +72,18 @@
 	rig.now += 1000 * ms
 	id, _ := rig.request(unsafeWrite)
 	rig.answer(id, "a", Succeeded, Primary, rig.now)
-	rig.report("a", false, rig.now-200*ms) // made before the answer, delivered after it
+	rig.report("a", false, rig.now-200*ms) // from before the answer, but delivered after it
 	if !isPrimary("a") {
 		t.Fatal("an old report demoted the primary")
 	}
 	rig.report("b", true, rig.now-100*ms)
 	if !isPrimary("a") {
-		t.Fatal("an older claim won over a newer one")
+		t.Fatal("a report with an older position replaced a newer primary")
 	}
 	rig.now += 100 * ms
 	rig.report("b", true, rig.now)
 	if !isPrimary("b") {
-		t.Fatal("the later claim did not win")
+		t.Fatal("the later report did not make b the primary")
 	}
 }
 
--- a/balance/queue_test.go
+++ b/balance/queue_test.go
@@ -8,7 +8,7 @@
 	rig.answer(first, "a", ConnectionReset, RoleUnknown, 0)
 	id, actions := rig.request(unsafeWrite)
 	if sentTo(actions, id) != "" {
-		t.Fatal("sent without a healthy primary")
+		t.Fatal("the write was sent without a healthy primary")
 	}
 	deadline := rig.now + rig.class(unsafeWrite).Deadline
 	for rig.now < deadline {
@@ -17,7 +17,7 @@
 			continue
 		}
 		if rejection.RetryAfter <= 0 {
-			t.Fatal("no retry-after")
+			t.Fatal("rejected without a retry-after")
 		}
 		return
 	}
@@ -31,7 +31,7 @@
 			Kind: RequestEvent, Request: 77, Class: unsafeWrite, Deadline: rig.now + left,
 		})
 		if !hasAction(actions, RejectAction, 77) || hasAction(actions, SendAction, 77) {
-			t.Fatalf("%d us left: %v", left, actions)
+			t.Fatalf("%d us left: want a rejection only, got %v", left, actions)
 		}
 	}
 }
@@ -69,8 +69,8 @@
 	}
 }
 
-// No endpoint list has named the group, so no host can answer, and a thousand such groups must not use
-// memory.
+// No endpoint list has named the group, so no host can answer. Requests for a thousand such groups must not
+// use memory either.
 func TestRequestOfAnUnknownGroupIsRejectedAtOnce(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	groups := len(rig.router.groups)
@@ -89,7 +89,7 @@
 	}
 }
 
-// A read that no host has received by half of its time is rejected; a write, or a read that a host
+// A read that no host has received is rejected after half of its time. A write, or a read that a host has
 // rejected, stays queued.
 func TestUnservedReadIsRejectedAtHalfItsTime(t *testing.T) {
 	for _, c := range []struct {
@@ -121,7 +121,8 @@
 			t.Errorf("class %d: rejected before half of its time", c.class)
 		}
 		if rejected := hasAction(rig.advance(2*interval), RejectAction, id); rejected != c.rejected {
-			t.Errorf("class %d, received %v: rejected at half of its time: %v", c.class, c.received, rejected)
+			t.Errorf("class %d, received by a host %v: rejected at half of its time %v",
+				c.class, c.received, rejected)
 		}
 	}
 }
--- a/balance/replicas_test.go
+++ b/balance/replicas_test.go
@@ -52,12 +52,12 @@
 	rig.now += 1500 * ms
 	id, actions := rig.request(boundedRead)
 	if host := sentTo(actions, id); host != "b" && host != "c" {
-		t.Fatalf("no replica was tried, but %q", host)
+		t.Fatalf("the read went to %q, want a replica", host)
 	}
 }
 
-// A host that answers with errors is quick, and therefore looks idle. Reads go to the other hosts until the
-// error share has decayed and it is tried again.
+// A host that answers with errors answers quickly, and therefore seems to have little load. Reads must go
+// to the other hosts until its error share has decayed, and it is then tried again.
 func TestFailingHostAttractsNoReads(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	failedOf100 := func() int {
@@ -78,12 +78,12 @@
 	}
 	first, second := failedOf100(), failedOf100()
 	if first == 0 || second > first/2 || second > 10 {
-		t.Errorf("got %d reads of 100, then %d", first, second)
+		t.Errorf("the failing host got %d of 100 reads, then %d; want fewer", first, second)
 	}
 	rig.advance(20000 * ms)
 	rig.reportAll(rig.now)
 	if failedOf100() == 0 {
-		t.Error("never tried again")
+		t.Error("the host was not tried again after its error share had decayed")
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 }
 
-// New connections of all gateways together are expensive for hosts, so reads prefer connected hosts.
+// The new connections of all gateways together are expensive for a host, so reads prefer connected hosts.
 func TestReadsPreferConnectedHosts(t *testing.T) {
 	fleet := newFleet(t, fleetSettings(1), hostList(3)...)
 	fleet.run(300*ms, boundedRead, 5*ms)
@@ -144,8 +144,8 @@
 	}
 }
 
-// A long read may delay the replication of its host: all gateways send long reads to the same replica, and
-// the others stay fresh. If that one drains, the next one replaces it.
+// A long read may delay the replication of its host. All gateways therefore send long reads to the same
+// replica, so that the others stay fresh. If that replica drains, the next one replaces it.
 func TestLongReadsGoToOneReplica(t *testing.T) {
 	for seed := range uint64(8) {
 		rig := readyRig(t, longReadSettings())
@@ -179,8 +179,8 @@
 	}
 }
 
-// Where hosts check staleness, a replica that lagged at its last report is tried again once it may have
-// caught up: otherwise it would never report again. The wait is longer for one that lagged more.
+// If hosts check staleness, a replica that lagged at its last report is tried again once it may have caught
+// up; otherwise it would never report again. The wait is longer for a replica that lagged more.
 func TestReplicaThatLaggedIsTriedAgain(t *testing.T) {
 	rig := newRig(t, longReadSettings(), threeHosts()...)
 	rig.reportAll(rig.now - 5000*ms)
@@ -195,7 +195,7 @@
 		rig.now += c.wait
 		id, actions := rig.request(boundedRead)
 		if host := sentTo(actions, id); host == "" || (host == "a") != c.toPrimary {
-			t.Fatalf("%v ms later a read went to %q", c.wait/ms, host)
+			t.Fatalf("%d ms later a read went to %q", c.wait/ms, host)
 		}
 		rig.disconnect(id)
 	}
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -29,10 +29,10 @@
 				id, actions := rig.request(class)
 				host := sentTo(actions, id)
 				if host == "" {
-					t.Fatal("not sent")
+					t.Fatal("the request was not sent")
 				}
 				actions = rig.answer(id, host, result, RoleUnknown, 0)
-				actions = append(actions, rig.report("a", true, rig.now)...) // a suspect host becomes healthy
+				actions = append(actions, rig.report("a", true, rig.now)...) // makes a suspect host healthy
 				got := retried
 				if hasAction(actions, RejectAction, id) {
 					got = rejected
@@ -65,7 +65,7 @@
 		id, actions := rig.request(c.class)
 		actions = rig.answer(id, sentTo(actions, id), Failed, RoleUnknown, 0)
 		if !hasAction(actions, c.want, id) {
-			t.Errorf("class %d: wrong final answer in %v", c.class, actions)
+			t.Errorf("class %d: not the expected final answer: %v", c.class, actions)
 		}
 	}
 }
@@ -75,14 +75,15 @@
 	id, _ := rig.request(keyedWrite)
 	rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)
 	if !hasAction(rig.advance(2000*ms), FailAction, id) {
-		t.Fatal("a keyed write past its window was not failed")
+		t.Fatal("a write with an idempotency key was not failed after its deduplication window")
 	}
 	if sentTo(rig.report("b", true, rig.now), id) != "" {
-		t.Fatal("retried past the window")
+		t.Fatal("retried after the deduplication window")
 	}
 }
 
-// A retry within the window may wait for its connection. After the window it must not be written.
+// A retry that was sent within the window may still wait for its connection. After the window it must not be
+// written.
 func TestKeyedRetryIsNotWrittenAfterItsWindow(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(keyedWrite)
@@ -90,12 +91,12 @@
 	rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)
 	rig.advance(1000 * ms)
 	if sentTo(rig.report("a", true, rig.now), id) == "" && sentTo(rig.report("b", true, rig.now), id) == "" {
-		t.Fatal("not retried")
+		t.Fatal("the write was not retried")
 	}
 	window := rig.class(keyedWrite).DeduplicationWindow
 	end := firstSentAt + window - rig.router.maintenanceInterval()
 	if !rig.router.AttemptStillValid(end-1, id) || rig.router.AttemptStillValid(end, id) {
-		t.Error("the window does not end, to the microsecond, a maintenance interval early")
+		t.Error("want the attempt valid until exactly one maintenance interval before the end of the window")
 	}
 }
 
@@ -112,7 +113,7 @@
 	}
 }
 
-// While a connection is opened, a decision may become outdated. The attempt must then not be written.
+// A decision may become outdated while the connection is opened. The attempt must then not be written.
 func TestAttemptBecomesInvalidWhileItsConnectionOpens(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[boundedRead].Deadline *= 2
@@ -122,15 +123,15 @@
 	read, actions := rig.request(boundedRead)
 	staleAt := rig.now + rig.class(boundedRead).MaxStaleness
 	if !valid(staleAt, read) || valid(staleAt+1, read) {
-		t.Error("valid with a position that is too old, or not with one that is fresh enough")
+		t.Error("want the attempt valid while the known position is fresh enough, and invalid after")
 	}
 	rig.list(Endpoint{Host: sentTo(actions, read), State: Draining})
 	if valid(rig.now, read) {
-		t.Error("valid at a draining host")
+		t.Error("the attempt is valid at a draining host")
 	}
 	write, _ := rig.request(unsafeWrite)
 	if valid(rig.now+rig.class(unsafeWrite).Deadline, write) || !valid(rig.now, write) {
-		t.Error("a write is valid after its deadline, or not in time")
+		t.Error("want the write valid now, and invalid at its deadline")
 	}
 	if valid(rig.now, 99) {
 		t.Error("an unknown request is valid")
--- a/balance/rig_test.go
+++ b/balance/rig_test.go
@@ -4,7 +4,7 @@
 
 const ms = int64(1000) // µs
 
-// testStart is the time at which every test starts: far enough from zero for earlier positions to be positive.
+// testStart is the time at which every test starts: late enough for earlier log positions to be positive.
 const testStart = 1000 * 1000 * ms
 
 // The classes of testSettings.
@@ -70,7 +70,7 @@
 	}
 }
 
-// longReadSettings is a deployment whose eventual reads take fifteen times the work of other requests.
+// longReadSettings describe a deployment whose eventual reads take fifteen times the work of other requests.
 func longReadSettings() Settings {
 	settings := testSettings()
 	settings.HostsCheckStaleness = true
@@ -80,7 +80,7 @@
 	return settings
 }
 
-// threeHosts is one group: a is its primary, b and c are its replicas.
+// threeHosts is the endpoint list of one group: a is the primary, b and c are its replicas.
 func threeHosts() []Endpoint {
 	return []Endpoint{
 		{Host: "a", State: Ready, Weight: 1, Primary: true},
@@ -89,20 +89,20 @@
 	}
 }
 
-// threeUnmarkedHosts are threeHosts without a primary in the endpoint list.
+// threeUnmarkedHosts is the list threeHosts with no host marked as primary.
 func threeUnmarkedHosts() []Endpoint {
 	endpoints := threeHosts()
 	endpoints[0].Primary = false
 	return endpoints
 }
 
-// routerRig drives a router and holds its last actions.
+// routerRig passes events to a router, and holds the clock and the actions of the last event.
 type routerRig struct {
 	router      *Router
 	now         int64
 	actions     []Action
 	lastRequest int64
-	attempts    map[int64]int // ended attempts of each request
+	attempts    map[int64]int // number of ended attempts of each request
 }
 
 func newRig(t *testing.T, settings Settings, endpoints ...Endpoint) *routerRig {
@@ -121,7 +121,7 @@
 	return rig
 }
 
-// readyRig is a rig of threeHosts, all of which have just reported a current position.
+// readyRig returns a rig of threeHosts, all of which have just reported a current position.
 func readyRig(t *testing.T, settings Settings) *routerRig {
 	t.Helper()
 	rig := newRig(t, settings, threeHosts()...)
@@ -138,7 +138,7 @@
 	return rig.actions
 }
 
-// listAll passes a complete endpoint list; list passes a partial one.
+// listAll passes a complete endpoint list, and list passes a partial one.
 func (rig *routerRig) listAll(endpoints ...Endpoint) {
 	rig.handle(Event{Kind: EndpointsEvent, Complete: true, Endpoints: endpoints})
 }
@@ -147,7 +147,7 @@
 	return rig.handle(Event{Kind: EndpointsEvent, Endpoints: endpoints})
 }
 
-// advance moves the clock with maintenance at each interval and returns all actions of that time.
+// advance moves the clock by a duration, runs maintenance at each interval, and returns all actions.
 func (rig *routerRig) advance(duration int64) []Action {
 	var all []Action
 	for end := rig.now + duration; rig.now < end; {
@@ -174,7 +174,7 @@
 	})
 }
 
-// answer ends the attempt in flight of a request. Succeeded is the final answer.
+// answer ends the attempt in flight of a request. The result Succeeded also finishes the request.
 func (rig *routerRig) answer(id int64, host string, result Result, role Role, position int64) []Action {
 	attempt := rig.attempts[id]
 	rig.attempts[id]++
@@ -212,17 +212,18 @@
 	})
 }
 
-// reportAll reports for threeHosts: a is the primary, b and c have applied their log up to a position.
+// reportAll passes reports of threeHosts: a is the primary, and b and c have applied their logs up to
+// position.
 func (rig *routerRig) reportAll(position int64) {
 	rig.report("a", true, rig.now)
 	rig.report("b", false, position)
 	rig.report("c", false, position)
 }
 
-const anyRequest = -1 // for findAction
+const anyRequest = -1 // matches any request in findAction
 
-// sendReads passes reads of a class, one after another at an interval, answers each at once, and returns how
-// many each host got.
+// sendReads passes n reads of a class at an interval, answers each at once, and returns the number that each
+// host got.
 func (rig *routerRig) sendReads(class, n int, interval int64) map[string]int {
 	sent := map[string]int{}
 	for range n {
--- a/balance/router_test.go
+++ b/balance/router_test.go
@@ -15,12 +15,12 @@
 		_, err := New(settings, 1)
 		var settingsError *SettingsError
 		if !errors.As(err, &settingsError) || settingsError.Setting != want {
-			t.Errorf("got %v, want an error on %s", err, want)
+			t.Errorf("got error %v, want a *SettingsError for %s", err, want)
 		}
 	}
 }
 
-// badEvents are invalid events, by description.
+// badEvents returns invalid events by description.
 func badEvents() map[string]Event {
 	twice := append(threeHosts(), threeHosts()...)
 	contradictory := threeHosts()
@@ -71,7 +71,7 @@
 		id, actions := rig.request(unsafeWrite)
 		actions = append(actions, rig.advance(200*ms)...)
 		if sentTo(actions, id) != "a" {
-			t.Errorf("%s: a write does not reach the primary again: %+v", name, actions)
+			t.Errorf("%s: a write does not reach the primary afterwards: %+v", name, actions)
 		}
 	}
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -8,9 +8,10 @@
 	"cloverrock/internal/random"
 )
 
-// This file passes random events to a router and checks the invariants on every action: no attempt at an
-// excluded host, one attempt at a time, no unsafe retry, no read from a host whose known position does not
-// satisfy it, one final answer in time, and a rejection only where trying again is harmless.
+// This file passes random events to a router and checks these rules on every action: no attempt goes to an
+// excluded host, a request has one attempt at a time, no unsafe retry is made, no read goes to a host whose
+// known position does not satisfy it, every request gets one final answer in time, and a request is rejected
+// only if trying again is harmless.
 
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
@@ -41,11 +42,11 @@
 	first := playRandomEvents(t, testSettings(), 11)
 	second := playRandomEvents(t, testSettings(), 11)
 	if !reflect.DeepEqual(first, second) {
-		t.Fatal("the same events gave other actions")
+		t.Fatal("the same events gave different actions")
 	}
 }
 
-// ruleChecker passes random events and holds the actual state that the router's actions are checked against.
+// ruleChecker passes random events, and keeps the state against which the router's actions are checked.
 type ruleChecker struct {
 	t    *testing.T
 	rig  *routerRig
@@ -58,11 +59,11 @@
 	checks   []string // hosts whose health checks are pending
 
 	primary    string
-	applied    map[string]int64 // true log positions
-	known      map[string]int64 // by host: the highest position that the router may have received
-	wasPrimary map[string]bool  // by host: the router may have received this role
+	applied    map[string]int64 // actual log positions, by host
+	known      map[string]int64 // by host: the highest position that the router can have received
+	wasPrimary map[string]bool  // by host: the router can have received that it was the primary
 	drainedAt  map[string]int64
-	commits    map[int64]int64 // by session
+	commits    map[int64]int64 // position of the last commit, by session
 }
 
 // checkedRequest is a request without a final answer, or with an attempt in flight.
@@ -88,7 +89,7 @@
 // checkedHosts are the ids of threeHosts.
 var checkedHosts = []string{"a", "b", "c"}
 
-// playRandomEvents checks the rules on the actions of a router and returns all of them.
+// playRandomEvents passes random events to a router, checks the rules, and returns all actions.
 func playRandomEvents(t *testing.T, settings Settings, seed uint64) []Action {
 	t.Helper()
 	checker := &ruleChecker{
@@ -237,7 +238,7 @@
 	c.check(c.rig.handle(event))
 }
 
-// fillAnswer sets the role and position of the host, and records that the router has received them.
+// fillAnswer sets the role and position of the host in its answer, and records that the router received them.
 func (c *ruleChecker) fillAnswer(event *Event, request *checkedRequest) {
 	event.Role = Replica
 	if event.Host == c.primary {
@@ -288,7 +289,7 @@
 	c.check(c.rig.list(Endpoint{Host: host, State: state, Weight: 1}))
 }
 
-// endOverdueAttempts ends the attempts that are in flight at their deadline.
+// endOverdueAttempts ends the attempts in flight whose deadline has passed.
 func (c *ruleChecker) endOverdueAttempts() {
 	overdue := func(attempt checkedAttempt) bool {
 		return c.requests[attempt.request].deadline <= c.rig.now
@@ -302,7 +303,7 @@
 	}
 }
 
-// check checks the rules on actions and carries them out.
+// check checks the rules on the actions, and records the attempts and health checks that they start.
 func (c *ruleChecker) check(actions []Action) {
 	for i := range actions {
 		action := &actions[i]
@@ -348,12 +349,12 @@
 		c.failf("non-idempotent request sent twice")
 	case IdempotencyKey:
 		if c.rig.now > request.executedAt+request.class.DeduplicationWindow {
-			c.failf("keyed request sent past its window")
+			c.failf("request with an idempotency key sent after its deduplication window")
 		}
 	}
 }
 
-// checkFreshness checks that the known position of a read's host satisfied the read, unless hosts check that.
+// checkFreshness checks that the known position of a host satisfies a read, unless hosts check staleness.
 func (c *ruleChecker) checkFreshness(request *checkedRequest, host string) {
 	needed := request.minPosition
 	switch request.class.Consistency {
@@ -363,7 +364,8 @@
 		needed = c.rig.now - request.class.MaxStaleness
 	}
 	if !c.settings().HostsCheckStaleness && !c.wasPrimary[host] && c.known[host] < needed {
-		c.failf("class %d read from %s at %d, needs %d", request.classIndex, host, c.known[host], needed)
+		c.failf("class %d read from host %s with known position %d, want at least %d",
+			request.classIndex, host, c.known[host], needed)
 	}
 }
 
@@ -378,11 +380,11 @@
 		safety == IdempotencyKey && request.class.DeduplicationScope == ScopeGlobal
 	mayHaveRun := request.mayHaveExecuted || request.inFlight > 0
 	if action.Kind == RejectAction && mayHaveRun && !harmless {
-		c.failf("rejected what may have been executed")
+		c.failf("rejected a request that may have been executed and is unsafe to repeat")
 	}
 }
 
-// checkFinalAnswers checks that each request got its final answer in time, and removes those that ended.
+// checkFinalAnswers checks that each request got its final answer in time, and removes the finished requests.
 func (c *ruleChecker) checkFinalAnswers() {
 	for id := int64(1); id <= c.rig.lastRequest; id++ {
 		request := c.requests[id]
@@ -390,7 +392,7 @@
 			continue
 		}
 		if !request.final && c.rig.now > request.deadline+20*ms && request.inFlight == 0 {
-			// The router acts only on its own timer, which may be due.
+			// The router acts only when events arrive, and its timer may be due.
 			c.check(c.rig.handle(Event{Kind: TimerEvent}))
 			if !request.final {
 				c.failf("request %d got no final answer", id)
--- a/balance/sessions_test.go
+++ b/balance/sessions_test.go
@@ -25,11 +25,11 @@
 	}
 }
 
-// A commit that was rounded up to whole milliseconds may lie ahead of the clock.
+// The position of a commit may be rounded up to whole milliseconds, and then lies ahead of the clock.
 func TestReadWaitsForACommitAheadOfTheClock(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, actions := rig.requestAs(sessionRead, 5, -ms/2)
 	if host := sentTo(actions, id); host == "b" || host == "c" {
-		t.Error("sent to a replica that has not applied the commit")
+		t.Error("the read was sent to a replica that has not applied the commit")
 	}
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -27,7 +27,7 @@
 	warm := float64(sent["c"])
 	most := warm * settings.SlowStartInitialShare * settings.SlowStartOverloadFactor
 	if float64(sent["b"]) > most || sent["b"] == 0 {
-		t.Fatalf("a cold host took %d while a warm one took %v", sent["b"], warm)
+		t.Fatalf("the cold host got %d requests, too many or none; the warm one %v", sent["b"], warm)
 	}
 }
 
@@ -59,10 +59,10 @@
 	}
 	serve(500)
 	rig.listAllAsStarted()
-	// Warm members served about 33 requests per second each: a cold one may get a fifth of that, and more as
-	// it warms up.
+	// Each warm member served about 33 requests per second. A cold member may get a fifth of that, and more
+	// as it warms up.
 	if sent := serve(300); sent < 30 || sent > 150 {
-		t.Fatalf("%d of 300 requests sent to a group of cold hosts only", sent)
+		t.Fatalf("%d of 300 requests sent to a group of cold hosts, want 30 to 150", sent)
 	}
 }
 
@@ -73,7 +73,7 @@
 	for seed := range uint64(gateways) {
 		rig := newSeededRig(t, settings, seed, threeHosts()...)
 		rig.reportAll(rig.now)
-		sendRead := func() int { // one read of any member, answered at once
+		sendRead := func() int { // sends a read, answers it at once; returns 1 if c got it
 			id, actions := rig.request(eventualRead)
 			host := sentTo(actions, id)
 			rig.answer(id, host, Succeeded, RoleUnknown, rig.now)
@@ -82,7 +82,7 @@
 			}
 			return 0
 		}
-		for range 20 { // sparse traffic: a request in two seconds
+		for range 20 { // sparse traffic: one request every two seconds
 			rig.advance(2000 * ms)
 			sentWarm += sendRead()
 		}
@@ -92,18 +92,19 @@
 		rig.advance(1000 * ms)
 		sentCold += sendRead()
 	}
-	// In these 40 s the warm host got about 10 attempts of each gateway. A cold one may get, in two seconds,
-	// at most the overload factor times a cold host's share of that.
+	// In these 40 s the warm host got about 10 attempts from each gateway. In two seconds, a cold host may
+	// get at most the overload factor times its capacity share of that rate.
 	coldShare := settings.SlowStartInitialShare + 0.1
 	most := float64(sentWarm) / 40 * 2 * settings.SlowStartOverloadFactor * coldShare
 	if float64(sentCold) > most || sentCold == 0 {
-		t.Errorf("%d gateways sent a cold host %d, want some and at most %.0f", gateways, sentCold, most)
+		t.Errorf("%d gateways sent a cold host %d requests, want some and at most %.0f",
+			gateways, sentCold, most)
 	}
 }
 
-// serveMixedReads sends 200 requests per second, answers them at once, and adds their service time, in µs, to the
-// work of their hosts. One in longEvery requests is an eventual read, which takes 15 times as long as the
-// others.
+// serveMixedReads sends 200 requests per second, answers them at once, and adds their service time, in µs,
+// to the work of their hosts. One in longEvery requests is an eventual read, which takes 15 times as long
+// as the others.
 func (rig *routerRig) serveMixedReads(duration, longEvery int64, work map[string]float64) {
 	for end := rig.now + duration; rig.now < end; {
 		rig.now += 5 * ms
@@ -142,7 +143,7 @@
 	})
 }
 
-// The budget of a cold host is measured in work. Measured in requests, long reads would overload it.
+// The token bucket of a cold host counts work. If it counted requests, long reads would overload the host.
 func TestColdHostIsPacedByWork(t *testing.T) {
 	rig := readyRig(t, longReadSettings())
 	work := map[string]float64{}
@@ -160,11 +161,11 @@
 	}
 	rig.serveMixedReads(1000*ms, 10, work)
 	if work["b"]+work["c"] == 0 {
-		t.Error("cold hosts get no short reads either")
+		t.Error("cold hosts got no short reads")
 	}
 }
 
-// coldStart is a deployment's slow start, with the capacity of a warm host in requests per second.
+// coldStart describes the slow start of a deployment, and the capacity of a warm host in requests per second.
 type coldStart struct {
 	initialShare   float64
 	duration       int64 // µs
@@ -182,9 +183,9 @@
 	return settings
 }
 
-// worstLoad is the highest load of a host that started at a time, as a part of what overloads it: n + 2
-// sqrt(n) + 2 attempts in a window, where n is the overload factor times its capacity at the start of the
-// window.
+// worstLoad returns the highest load of a host that started at startedAt, as a multiple of the load that
+// overloads it. That load is n + 2 sqrt(n) + 2 attempts in a window, where n is the overload factor times
+// the capacity of the host at the start of the window.
 func (c *coldStart) worstLoad(sentAt []int64, startedAt int64) float64 {
 	worst, first := 0.0, 0
 	for i, at := range sentAt {
@@ -199,9 +200,10 @@
 	return worst
 }
 
-// simulate starts one of five hosts under a load of 1.2 times the capacity of warm hosts. A third of the gateways
-// receive the start two seconds late, another third restarts at that time. It returns the times of attempts
-// sent to the host by gateways that had received the start, and the time of the start.
+// simulate starts one of five hosts under a load of 1.2 times the capacity of the warm hosts. A third of
+// the gateways receive the start two seconds late, and another third restart at that time. It returns the
+// times of the attempts at the host, without those of gateways that had not received the start, and the time
+// of the start.
 func (c *coldStart) simulate(t *testing.T, gateways int) (sentAt []int64, startedAt int64) {
 	t.Helper()
 	const hosts = 5
@@ -253,9 +255,10 @@
 				t.Parallel()
 				sentAt, startedAt := start.simulate(t, gateways)
 				worst := start.worstLoad(sentAt, startedAt)
-				t.Logf("%d sent, at most %.2f of what it bears", len(sentAt), worst)
+				t.Logf("%d requests sent, at most %.2f of the load that overloads the host",
+					len(sentAt), worst)
 				if worst > 0.9 || len(sentAt) == 0 {
-					t.Error("overloaded, or nothing was sent")
+					t.Error("want some requests, and at most 0.9 of the load that overloads the host")
 				}
 			})
 		}
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A new router sends writes to the primary in the snapshot, without a search.
+// A new router sends writes to the primary in the snapshot without a search. A host that answers as a
+// replica gets no more writes, and no reads that need the primary.
 func TestRestoredPrimaryIsAFirstGuess(t *testing.T) {
 	old := readyRig(t, testSettings())
 	old.report("a", false, old.now)
@@ -12,11 +13,11 @@
 	if len(snapshot.Groups) != 1 || snapshot.Groups[0].Primary != "c" {
 		t.Fatalf("%+v", snapshot)
 	}
-	fresh := newRig(t, testSettings(), threeHosts()...) // its endpoint list marks a
+	fresh := newRig(t, testSettings(), threeHosts()...) // its endpoint list marks a as the primary
 	fresh.router.Restore(fresh.now, snapshot, nil)
 	id, actions := fresh.request(unsafeWrite)
 	if host := sentTo(actions, id); host != "c" {
-		t.Fatalf("the write goes to %q", host)
+		t.Fatalf("the write goes to %q, want the primary in the snapshot, c", host)
 	}
 	if actions = fresh.answer(id, "c", NotPrimary, RoleUnknown, 0); sentTo(actions, id) == "c" {
 		t.Error("a wrong guess is tried again")
@@ -45,12 +46,12 @@
 		t.Errorf("%+v", actions)
 	}
 	if id, actions := rig.request(unsafeWrite); sentTo(actions, id) != "a" {
-		t.Error("the primary that answered gets no writes")
+		t.Error("the confirmed primary gets no writes")
 	}
 }
 
-// A host restored as unhealthy gets no requests until a health check is answered, and a cold one stays in
-// slow start.
+// A host that was restored as unhealthy gets no requests until a health check is answered. A host that was
+// restored in slow start stays in it.
 func TestRestoredHostsStayUnhealthyOrInSlowStart(t *testing.T) {
 	rig := newRig(t, testSettings(), threeHosts()...)
 	rig.router.Restore(rig.now, Snapshot{Hosts: []HostSnapshot{
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -7,7 +7,7 @@
 
 func (z zoneShareMap) ReadShare(zone int) float64 { return z[zone] }
 
-// threeZones are threeHosts, each in its own zone.
+// threeZones is the list threeHosts with each host in its own zone.
 func threeZones() []Endpoint {
 	endpoints := threeHosts()
 	endpoints[1].Zone = 1
@@ -22,13 +22,14 @@
 		rig.router.SetZoneShares(zoneShareMap{0: 1, 1: share, 2: 1})
 		sent := rig.sendReads(eventualRead, 400, 20*ms)
 		if got := float64(sent["b"]) / 400; got > share/2+0.06 || got < share/2-0.06 {
-			t.Errorf("share %.1f: %v", share, sent)
+			t.Errorf("share %.1f: b must get half of it; reads by host: %v", share, sent)
 		}
 	}
 }
 
-// A group without a host in another zone still gets reads, writes go to the primary in any zone, and no read
-// goes to a replica whose position is too old.
+// If all zones of a group are evacuated, the group still gets reads. Writes go to the primary in any zone.
+// No read goes to a replica whose position is too old, even if the only other replica is in an evacuated
+// zone.
 func TestReadsAvoidEvacuatedZonesOnlyWhereOthersServe(t *testing.T) {
 	rig := newRig(t, testSettings(), threeZones()...)
 	rig.reportAll(rig.now)
@@ -43,11 +44,11 @@
 	rig.now += 5000 * ms
 	rig.report("b", false, rig.now)
 	if id, actions := rig.request(boundedRead); sentTo(actions, id) == "c" {
-		t.Error("a read went to a replica that is too old")
+		t.Error("a read went to a replica whose position is too old")
 	}
 }
 
-// The cost of zone shares for a read.
+// BenchmarkRead measures what zone shares add to the cost of a read.
 func BenchmarkRead(b *testing.B) {
 	for name, shares := range map[string]ZoneShares{"off": nil, "on": zoneShareMap{0: 1, 1: 1, 2: 1}} {
 		b.Run(name, func(b *testing.B) {
@@ -56,7 +57,9 @@
 				b.Fatal(err)
 			}
 			router.SetZoneShares(shares)
-			router.Handle(testStart, Event{Kind: EndpointsEvent, Complete: true, Endpoints: threeHosts()}, nil)
+			router.Handle(testStart, Event{
+				Kind: EndpointsEvent, Complete: true, Endpoints: threeHosts(),
+			}, nil)
 			var actions []Action
 			id := int64(0)
 			b.ReportAllocs()
