--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -22,7 +22,7 @@
 	balance.PollEndpointsAction: "reload",
 }
 
-// AppendAction appends an instance's action as a line.
+// AppendAction appends the line that encodes an action of an instance.
 func AppendAction(b []byte, instance int, a *balance.Action) []byte {
 	b = append(b, actionWords[a.Kind]...)
 	b = appendInt(b, " who=", int64(instance))
@@ -71,14 +71,14 @@
 	return hex.AppendEncode(b, a.Data)
 }
 
-// AppendException appends the message that an instance's decision code has failed.
+// AppendException appends the line that reports to the simulator that an instance has failed, with the reason.
 func AppendException(b []byte, instance int, text string) []byte {
 	b = appendInt(b, "exception who=", int64(instance))
 	b = appendText(b, " reasonText=", oneLine(text))
 	return append(b, '\n')
 }
 
-// oneLine replaces control characters by blanks, so that the text cannot end the line.
+// oneLine replaces control characters with spaces, so that the text cannot end the line.
 func oneLine(s string) string {
 	out := []byte(s)
 	for i, ch := range out {
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -11,25 +11,25 @@
 	"cloverrock/balance"
 )
 
-// maxLists is how many numbered endpoint lists the simulator uses.
+// maxLists is the number of numbered endpoint lists that the simulator uses.
 const maxLists = 16
 
-// noList is Codec.filling while no list is being read.
+// noList is the value of Codec.filling while no list is being read.
 const noList = -1
 
-// Codec decodes events. It holds the state that spans lines: numbered endpoint lists and interned host names. It is not
-// safe for concurrent use.
+// Codec decodes events. It holds the state that spans several lines: numbered endpoint lists and interned host names.
+// It is not safe for concurrent use.
 type Codec struct {
 	hostNames map[string]string
 	lists     [maxLists][]balance.Endpoint
 	filling   int // number of the list that receives the next endpoints, or noList
-	missing   int // number of endpoints that are still to come
+	missing   int // number of endpoints of that list that have not been read yet
 }
 
 // NewCodec returns a codec without lists.
 func NewCodec() *Codec { return &Codec{hostNames: map[string]string{}, filling: noList} }
 
-// intern returns the one copy of a host's name.
+// intern returns a host's name as a string that all events for the host share.
 func (c *Codec) intern(b []byte) string {
 	if name, ok := c.hostNames[string(b)]; ok {
 		return name
@@ -39,7 +39,7 @@
 	return name
 }
 
-// results maps the protocol's names for the results of attempts.
+// results maps the protocol's names for the results of attempts and health checks to those of package balance.
 var results = map[string]balance.Result{
 	"done":         balance.Succeeded,
 	"err":          balance.Failed,
@@ -60,22 +60,22 @@
 	b := l.Get("who")
 	n, err := strconv.Atoi(string(b))
 	if err != nil {
-		return 0, l.errorf("no instance in %q", b)
+		return 0, l.errorf("who is %q, want the number of an instance", b)
 	}
 	return n, nil
 }
 
-// ParseClock returns the time of a batch in microseconds.
+// ParseClock returns the time of a batch of events, in microseconds.
 func ParseClock(l Line) (int64, error) {
 	b := l.Get("wallMs")
 	us, ok := parseMilliseconds(b)
 	if !ok {
-		return 0, l.errorf("bad clock %q", b)
+		return 0, l.errorf("wallMs is %q, want a number of milliseconds", b)
 	}
 	return us, nil
 }
 
-// BeginList begins a numbered endpoint list, whose endpoints follow line by line.
+// BeginList begins a numbered endpoint list. The following lines have one endpoint each.
 func (c *Codec) BeginList(l Line) error {
 	r := valueReader{line: l}
 	number := r.int("buffer")
@@ -85,18 +85,19 @@
 		return r.err
 	}
 	if number < 0 || number >= maxLists || count < 0 {
-		return l.errorf("no list %d with %d entries", number, count)
+		return l.errorf("invalid list number %d or number of entries %d", number, count)
 	}
 	c.filling = int(number)
 	c.missing = int(count)
-	c.lists[number] = nil // its memory may still be in use by events
+	c.lists[number] = nil // not truncated, since events may still share its memory
 	return nil
 }
 
-// AddEndpoint appends an endpoint to the list that was begun last. The protocol numbers states as package balance does.
+// AddEndpoint appends an endpoint to the list that was begun last. The protocol and package balance number the states
+// of endpoints the same.
 func (c *Codec) AddEndpoint(l Line) error {
 	if c.filling == noList || c.missing == 0 {
-		return l.errorf("an entry outside a list")
+		return l.errorf("entry outside a list, or beyond its number of records")
 	}
 	c.missing--
 	r := valueReader{line: l}
@@ -120,15 +121,15 @@
 		return r.err
 	}
 	if endpoint.Host == "" || endpoint.State > balance.Draining {
-		return l.errorf("entry without a host or with phase %d", endpoint.State)
+		return l.errorf("entry without a host, or with the unknown phase %d", endpoint.State)
 	}
 	c.lists[c.filling] = append(c.lists[c.filling], endpoint)
 	return nil
 }
 
-// ParseEvent decodes a message into ev. positionOrigin is the instance's, as returned by ParseStart. The error is
-// ErrUnknownMessage or a *LineError; the contents of ev are then undefined. The event may share the memory of the codec's
-// endpoint lists, but not that of the line.
+// ParseEvent decodes a message into ev. positionOrigin is that of the instance, as returned by ParseStart. The error
+// is ErrUnknownMessage or a *LineError; the contents of ev are then undefined. The event may share the memory of the
+// codec's endpoint lists, but not that of the line.
 func (c *Codec) ParseEvent(l Line, positionOrigin int64, ev *balance.Event) error {
 	*ev = balance.Event{}
 	r := valueReader{line: l}
@@ -162,7 +163,7 @@
 	return r.err
 }
 
-// Scopes of an endpoint list. Any other is a list of changes.
+// Scopes of an endpoint list. A list with any other scope contains changes only.
 const (
 	scopePolled     = 1
 	scopeSubscribed = 2
@@ -179,7 +180,7 @@
 		return nil
 	}
 	if number < 0 || number >= maxLists {
-		return r.line.errorf("no list %d", number)
+		return r.line.errorf("list number %d is out of range", number)
 	}
 	ev.Endpoints = c.lists[number]
 	return nil
@@ -197,7 +198,8 @@
 	ev.WorkHint = r.milliseconds("weightHintMs")
 }
 
-// The note of an answer: the host's role in its lowest bits, above them the log position of the answer in milliseconds.
+// Layout of the note of an answer: its lowest bits are the host's role, and the bits above them are the log position of
+// the answer in milliseconds.
 const (
 	noteRoleBits = 2
 	noteRoleMask = 1<<noteRoleBits - 1
@@ -229,10 +231,11 @@
 	return parseReport(l.Get("feedback"), positionOrigin, &ev.Report)
 }
 
-// primaryThreshold is the least value of x1 that means primary.
+// primaryThreshold is the lowest value of x1 that means primary.
 const primaryThreshold = 0.5
 
-// parseReport decodes a host's report: name:value pairs separated by commas. Unknown names are skipped.
+// parseReport decodes a host's report, which consists of name:value pairs separated by commas. Unknown names are
+// skipped.
 func parseReport(b []byte, positionOrigin int64, report *balance.HostReport) error {
 	for len(b) > 0 {
 		var pair []byte
@@ -243,7 +246,7 @@
 		}
 		value, ok := parseFloat(text)
 		if !ok {
-			return &LineError{"feedback", fmt.Errorf("bad value %q", pair)}
+			return &LineError{"feedback", fmt.Errorf("value of %q is not a number", pair)}
 		}
 		switch string(name) {
 		case "x0": // position in seconds
@@ -257,7 +260,7 @@
 	return nil
 }
 
-// noContents is the value of contents in a message without any.
+// noContents is the value of the part contents in a message without data.
 const noContents = "-"
 
 func parseGossip(r *valueReader, ev *balance.Event) error {
@@ -269,7 +272,7 @@
 	}
 	ev.Data = make([]byte, len(b)/2)
 	if _, err := hex.Decode(ev.Data, b[:2*len(ev.Data)]); err != nil {
-		return r.line.errorf("bad bytes %q", b)
+		return r.line.errorf("contents %q are not hexadecimal bytes", b)
 	}
 	return nil
 }
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -9,7 +9,7 @@
 	"cloverrock/internal/golden"
 )
 
-// Each kind of action is encoded as the same line as by earlier versions.
+// Each kind of action must be encoded as the same line as in earlier versions.
 func TestActionsAreEncodedAsBefore(t *testing.T) {
 	actions := []struct {
 		name   string
@@ -38,7 +38,8 @@
 	golden.Check(t, "actions.golden", cases)
 }
 
-// Each kind of line is decoded to the same event as by earlier versions: each named part sets its field and no other.
+// Each kind of line must be decoded to the same event as in earlier versions: each named part sets its field
+// and no other.
 func TestEventsAreDecodedAsBefore(t *testing.T) {
 	entries := []balance.Endpoint{{Host: "h", Zone: 1, Group: 2, Kind: 3, State: balance.Draining, Primary: true, Weight: 2.5, StartedAt: 1500}}
 	report := balance.HostReport{HasPosition: true, Position: 1_500_007, HasRole: true, Primary: true}
@@ -78,12 +79,12 @@
 	for _, test := range tests {
 		var read balance.Event
 		if err := c.ParseEvent(ParseLine([]byte(test.line)), 7, &read); err != nil || !reflect.DeepEqual(read, test.want) {
-			t.Errorf("%s is read as %v, %v", test.line, read, err)
+			t.Errorf("%s was read as %v with error %v", test.line, read, err)
 		}
 	}
 }
 
-// Each option of a start line has the same effect as in earlier versions. The keys are the protocol's.
+// Each option of a start line must have the same effect as in earlier versions. The keys are those of the protocol.
 func TestStartOptionsAreDecodedAsBefore(t *testing.T) {
 	line := `start who=1 entropy=18446744073709551615 options={"zone":1,"zones":["a","b"],"hostTypes":["x"],"tickMs":5,"discovery":"subscribe",` +
 		`"classes":[{"name":"n","aimMs":1,"deadlineMs":2,"windowMs":3,"worth":4,"lateWorth":0.5,"aimStretch":6,"repeat":"idempotency_key","group":"cell"},` +
@@ -98,12 +99,12 @@
 			{RetrySafety: balance.NonIdempotent, DeduplicationScope: balance.ScopeZone, Consistency: balance.ReadYourWrites}, {Consistency: balance.Linearizable}, {Consistency: balance.Write}, {}}}
 	read, seed, origin, err := ParseStart(ParseLine([]byte(line)))
 	if err != nil || seed != 1<<64-1 || origin != 9000 || !reflect.DeepEqual(read, want) {
-		t.Errorf("read as %v, %d, %d, %v\nwant %v", read, seed, origin, err, want)
+		t.Errorf("read as %v, seed %d, origin %d, error %v\nwant %v", read, seed, origin, err, want)
 	}
 	if clock, err := ParseClock(ParseLine([]byte("turn wallMs=1.0005"))); err != nil || clock != 1001 {
-		t.Errorf("the clock is read as %d, %v", clock, err)
+		t.Errorf("the clock was read as %d with error %v", clock, err)
 	}
 	if who, err := ParseInstance(ParseLine([]byte("left who=3"))); err != nil || who != 3 {
-		t.Errorf("the instance is read as %d, %v", who, err)
+		t.Errorf("the instance was read as %d with error %v", who, err)
 	}
 }
--- a/internal/simprotocol/line.go
+++ b/internal/simprotocol/line.go
@@ -63,7 +63,7 @@
 	return &LineError{string(l.Word), fmt.Errorf(format, args...)}
 }
 
-// valueReader converts the values of a line's parts and records the first error. Absent parts are 0.
+// valueReader converts the values of a line's parts and records the first error. An absent part is converted to 0.
 type valueReader struct {
 	line Line
 	err  error
@@ -71,12 +71,13 @@
 
 func (r *valueReader) fail(name string, value []byte) {
 	if r.err == nil {
-		r.err = r.line.errorf("bad value %q for %s", value, name)
+		r.err = r.line.errorf("invalid value %q for %s", value, name)
 	}
 }
 
 const (
-	// maxFastDigits is the largest number of digits that is converted without strconv: any such number fits into 63 bits.
+	// maxFastDigits is the largest number of digits that is converted without strconv: any such number fits into 63
+	// bits.
 	maxFastDigits = 18
 	// fractionLimit bounds integers that are written as fractions: beyond it a float64 may not fit into an int64.
 	fractionLimit = 1 << 62
@@ -100,7 +101,8 @@
 	return n
 }
 
-// parseInt converts what the fast path does not: signs, long numbers, and integers written as fractions ("7.0").
+// parseInt converts what int does not convert itself: signed numbers, long numbers, and integers written as fractions
+// ("7.0").
 func (r *valueReader) parseInt(name string, b []byte) int64 {
 	n, err := strconv.ParseInt(string(b), 10, 64)
 	if err == nil {
@@ -128,7 +130,7 @@
 	return us
 }
 
-// maxMilliseconds bounds times, so that their microseconds fit into an int64.
+// maxMilliseconds limits times, so that their microseconds fit into an int64.
 const maxMilliseconds = 9e15
 
 // parseMilliseconds converts decimal milliseconds to microseconds, rounded to the nearest integer.
--- a/internal/simprotocol/line_test.go
+++ b/internal/simprotocol/line_test.go
@@ -20,7 +20,7 @@
 		var ev balance.Event
 		err := NewCodec().ParseEvent(ParseLine([]byte(line)), 0, &ev)
 		if faulty, ok := errors.AsType[*LineError](err); !ok || faulty.Word != word {
-			t.Errorf("%s: %v", line, err)
+			t.Errorf("%s: got error %v, want a *LineError with the word", line, err)
 		}
 	}
 }
@@ -32,14 +32,14 @@
 	}
 }
 
-// A number beyond 63 bits is an error: it came out as another number, silently.
+// A number that does not fit into 63 bits must be an error. Converted without a check, it would become another number.
 func TestNumbersBeyond63BitsAreErrors(t *testing.T) {
 	for _, text := range []string{
 		"9223372036854775808", "9999999999999999999", "-9223372036854775809", "99999999999999999999", "1e19", "-1e300",
 	} {
 		r := valueReader{line: ParseLine([]byte("call ticket=" + text))}
 		if got := r.int("ticket"); r.err == nil {
-			t.Errorf("%s: %d without an error", text, got)
+			t.Errorf("%s was read as %d without an error", text, got)
 		}
 	}
 }
@@ -57,13 +57,13 @@
 	} {
 		r := valueReader{line: ParseLine([]byte("call ticket=" + text))}
 		if got := r.int("ticket"); got != want || r.err != nil {
-			t.Errorf("%s: %d, %v", text, got, r.err)
+			t.Errorf("%s was read as %d with error %v", text, got, r.err)
 		}
 	}
 	for _, text := range []string{"", "x", "1.5", "0x5"} {
 		r := valueReader{line: ParseLine([]byte("call ticket=" + text))}
 		if got := r.int("ticket"); r.err == nil {
-			t.Errorf("%q: %d without an error", text, got)
+			t.Errorf("%q was read as %d without an error", text, got)
 		}
 	}
 }
--- a/internal/simprotocol/options.go
+++ b/internal/simprotocol/options.go
@@ -9,8 +9,8 @@
 	"cloverrock/balance"
 )
 
-// Options is the settings object of a start message; the key settings of the gateway's configuration has the same form.
-// Keys that are not listed are ignored. Fields ending in Ms are milliseconds.
+// Options is the settings object of a start message. The key settings of the gateway's configuration has the same form.
+// Keys that are not listed here are ignored. Fields that end in Ms are milliseconds.
 type Options struct {
 	Zone        int          `json:"zone"`
 	Zones       []string     `json:"zones"`
@@ -26,7 +26,8 @@
 	Obligations HostOptions  `json:"obligations"`
 }
 
-// ClassEntry describes a class of requests. The lists of ExtraOptions have further properties of it at the same index.
+// ClassEntry describes a class of requests. Lists in ExtraOptions have further properties of the class at the same
+// index.
 type ClassEntry struct {
 	Name                  string  `json:"name"`
 	LatencyObjectiveMs    float64 `json:"aimMs"`
@@ -45,7 +46,7 @@
 	Gossip    float64 `json:"peer"`      // of gossip; see gossipBytesPerRequest
 }
 
-// ExtraOptions concern positions and sessions.
+// ExtraOptions are the settings for consistency, log positions and sessions.
 type ExtraOptions struct {
 	PositionOriginMs    float64   `json:"baseTimeMs"`       // origin of log positions on the simulator's clock
 	Consistency         []string  `json:"classRead"`        // by class
@@ -54,7 +55,7 @@
 	SessionPositions    string    `json:"tokens"`
 }
 
-// LimitOptions are the features that a gateway may use and its limits.
+// LimitOptions are the features that a gateway may use, and its limits.
 type LimitOptions struct {
 	Cancellation    bool    `json:"cancel"`
 	HealthChecks    bool    `json:"probes"`
@@ -65,7 +66,7 @@
 	MaxAttempts     int     `json:"maxAttempts"`
 }
 
-// HostOptions are the rules for draining hosts and for those that warm up.
+// HostOptions are the rules for draining hosts and for hosts in slow start.
 type HostOptions struct {
 	SlowStartInitialShare     float64 `json:"coldFrom"`
 	SlowStartMs               float64 `json:"coldMs"`
@@ -74,14 +75,14 @@
 	OnlyDrainingExcludes      bool    `json:"drainBindsAlone"`
 }
 
-// enum maps the texts that a key may have to their values, in the order in which errors list them.
+// enum maps the texts that are valid for a key to their values. Errors list the texts in the same order.
 type enum[T any] []struct {
 	text  string
 	value T
 }
 
-// value returns the value of a text. An unknown text has the zero value: a later simulator may use texts that this version
-// does not have.
+// value returns the value of a text. An unknown text is converted to the zero value, since a later simulator may use
+// texts that this version does not have.
 func (e enum[T]) value(text string) T {
 	for _, entry := range e {
 		if entry.text == text {
@@ -92,14 +93,14 @@
 	return zero
 }
 
-// check returns an *OptionError unless a key's text is one of the enum's.
+// check returns an *OptionError if the enum does not have the text of a key.
 func (e enum[T]) check(key, text string) error {
 	var valid []string
 	for _, entry := range e {
 		if entry.text == text {
 			return nil
 		}
-		if entry.text != "" { // the empty text is that of an absent key
+		if entry.text != "" { // the empty text stands for an absent key
 			valid = append(valid, entry.text)
 		}
 	}
@@ -142,9 +143,9 @@
 // Unwrap returns the cause.
 func (e *OptionError) Unwrap() error { return e.Err }
 
-// Validate checks the enumerated keys, and that each class with bounded staleness has a bound. A misspelt text must not be
-// taken for the zero value, as Settings does: a write that must never run twice would be retried, or a read answered from
-// data of any age. The error is an *OptionError.
+// Validate checks the enumerated keys, and that each class with bounded staleness has a bound. Settings converts a
+// misspelled text to the zero value: a write that must not be executed twice would be retried, or a read would be
+// answered from data of any age. The error is an *OptionError.
 func (o *Options) Validate() error {
 	if n := len(o.Extra.Consistency); n != len(o.Classes) {
 		err := fmt.Errorf("names %d classes, but settings.classes has %d", n, len(o.Classes))
@@ -152,7 +153,7 @@
 	}
 	for i := range o.Classes {
 		if consistencies.value(o.Extra.Consistency[i]) == balance.BoundedStaleness && !o.hasMaxStaleness(i) {
-			err := errors.New("must be there, and not below 0, where classRead is recent")
+			err := errors.New("must be given, and not below 0, if classRead is recent")
 			return &OptionError{fmt.Sprintf("extra.stalenessBoundMs[%d]", i), err}
 		}
 	}
@@ -188,14 +189,15 @@
 	return consistencies.check(fmt.Sprintf("extra.classRead[%d]", i), o.Extra.Consistency[i])
 }
 
-// unknownOrdinal is balance.Settings.Ordinal of a gateway that does not know its place in the fleet.
+// unknownOrdinal is balance.Settings.Ordinal of a gateway whose index in the fleet is unknown.
 const unknownOrdinal = -1
 
 // microseconds converts milliseconds to microseconds, rounded to the nearest integer.
 func microseconds(ms float64) int64 { return int64(math.Round(ms * 1000)) }
 
-// gossipBytesPerRequest returns the budget of gossip for each request in bytes, counted once for each gateway that receives
-// them. At fullPriceBytes for each request gossip costs the price; it may cost up to maxGossipShare of the score.
+// gossipBytesPerRequest returns the gossip budget of each request in bytes, counted once for each receiving gateway.
+// fullPriceBytes of gossip per request cost the price, as a part of the score, and the budget may cost up to
+// maxGossipShare of the score.
 func gossipBytesPerRequest(price float64) float64 {
 	const (
 		fullPriceBytes = 256
@@ -205,8 +207,9 @@
 	return fullPriceBytes * maxGossipShare / max(price, minPrice)
 }
 
-// Settings converts the options into the settings of package balance. positionOrigin is the origin of log positions on the
-// simulator's clock, in microseconds. Unknown texts of enumerated keys have the zero value; Validate reports them.
+// Settings converts the options to the settings of package balance. positionOrigin is the origin of log positions on
+// the simulator's clock, in microseconds. Unknown texts of enumerated keys are converted to the zero value; Validate
+// reports them.
 func (o *Options) Settings() (settings balance.Settings, positionOrigin int64) {
 	settings = balance.Settings{
 		Zone:                    o.Zone,
--- a/internal/simprotocol/start.go
+++ b/internal/simprotocol/start.go
@@ -1,6 +1,6 @@
-// Package simprotocol encodes and decodes the simulator's line protocol: it translates between the protocol's names and the
-// types of package balance, and takes no decisions. ParseLine splits a line, ParseStart and Codec decode messages to an
-// instance, and AppendAction encodes what an instance does. The names of the protocol appear in this package only.
+// Package simprotocol translates between the simulator's line protocol and the types of package balance. ParseLine splits
+// a line, ParseStart and Codec decode messages to an instance, and AppendAction encodes an action of an instance. The
+// protocol's names are defined here; cmd/simadapter repeats only the words that begin lines.
 package simprotocol
 
 import (
@@ -19,7 +19,7 @@
 	}
 	var options Options
 	if err := json.Unmarshal(l.Rest("options"), &options); err != nil {
-		return balance.Settings{}, 0, 0, l.errorf("bad options: %w", err)
+		return balance.Settings{}, 0, 0, l.errorf("invalid options: %w", err)
 	}
 	settings, positionOrigin = options.Settings()
 	return settings, seed, positionOrigin, nil
@@ -37,7 +37,7 @@
 	}
 	signed, err := strconv.ParseInt(string(b), 10, 64)
 	if err != nil {
-		return 0, l.errorf("bad seed %q", b)
+		return 0, l.errorf("entropy is %q, want an integer of 64 bits", b)
 	}
 	return uint64(signed), nil
 }
