--- a/internal/random/random_test.go
+++ b/internal/random/random_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Decisions and their golden files depend on the numbers for a seed. These are the published first ones of splitmix64
-// for the seed 1234567.
+// Decisions and their golden files depend on the sequence of numbers for each seed. The expected numbers are the
+// published first outputs of splitmix64 for seed 1234567.
 func TestSequenceForASeedIsFixed(t *testing.T) {
 	source := Source(1234567)
 	for i, want := range []uint64{6457827717110365317, 3203168211198807973, 9817491932198370423, 4593380528125082431} {
@@ -18,15 +18,15 @@
 	source := Source(1)
 	for _, n := range []int64{1, 0, -5} {
 		if got := source.Below(n); got != 0 {
-			t.Errorf("below %d: %d", n, got)
+			t.Errorf("Below(%d) returned %d, want 0", n, got)
 		}
 	}
 	if source != Source(1)+3*0x9e3779b97f4a7c15&(1<<64-1) {
-		t.Error("a draw without a range did not advance the source")
+		t.Error("a call of Below without a range did not advance the source")
 	}
 }
 
-// A fraction is one draw below 2^30, divided by 2^30.
+// A fraction must be one number below 2^30, divided by 2^30.
 func TestFractionIsOneDrawBelowOne(t *testing.T) {
 	fractions, draws := Source(7), Source(7)
 	for range 1000 {
@@ -36,6 +36,6 @@
 		}
 	}
 	if fractions != draws {
-		t.Error("a fraction takes more than one draw")
+		t.Error("Fraction did not advance the source exactly once per call")
 	}
 }
