--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter serves the simulator's line protocol with instances of package balance's router: it reads batches of
-// events from standard input and answers each batch with the actions of its instances on standard output.
+// Command simadapter connects routers of package balance to the simulator's line protocol. It reads batches of events
+// from standard input, and answers each batch with the actions of its instances on standard output.
 package main
 
 import (
@@ -19,7 +19,7 @@
 
 const bufferSize = 1 << 20 // bytes of each buffer
 
-// run answers batches until the input ends. Invalid lines are reported to diagnostics and skipped.
+// run answers batches until the input ends. It reports invalid lines to diagnostics and skips them.
 func run(in io.Reader, out, diagnostics io.Writer) error {
 	lines := &lineReader{in: bufio.NewReaderSize(in, bufferSize)}
 	replies := bufio.NewWriterSize(out, bufferSize)
@@ -43,7 +43,7 @@
 // lineReader reads lines of any length, without copying those that fit into its buffer.
 type lineReader struct {
 	in   *bufio.Reader
-	long []byte // the beginning of a line that does not fit
+	long []byte // the first part of a line that does not fit into the buffer
 }
 
 // next returns the next line without its line break. The line is valid until the next call. It may be returned together
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// linesOf returns the lines that name an instance.
+// linesOf returns the lines of an output that name an instance.
 func linesOf(output string, instance int) []string {
 	var found []string
 	for line := range strings.SplitSeq(output, "\n") {
@@ -50,7 +50,7 @@
 	return found
 }
 
-// Instances that share a process decide as each does alone.
+// An instance must act the same whether or not it shares its process with another one.
 func TestInstancesOfOneProcessAreIndependent(t *testing.T) {
 	session := func(whos ...int) string {
 		var b strings.Builder
@@ -77,10 +77,10 @@
 		got := strings.Join(linesOf(both, who), "\n")
 		want := strings.Join(linesOf(alone, who), "\n")
 		if got != want {
-			t.Errorf("instance %d acts otherwise in company:\n%s\n%s", who, got, want)
+			t.Errorf("instance %d acts differently beside another one:\n%s\nalone:\n%s", who, got, want)
 		}
 		if !strings.Contains(alone, fmt.Sprintf("issue who=%d ticket=%d host=h-a\n", who, 10+who)) {
-			t.Errorf("the write was not sent to the listed primary:\n%s", alone)
+			t.Errorf("the write was not sent to the primary of the list:\n%s", alone)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		}
 	}
 	if _, diag := runAdapter(t, "turn wallMs=8000\n"+start(1)+"whatever who=1 a=b\nend\n"); diag != "" {
-		t.Errorf("an unknown message is to be skipped, got %q", diag)
+		t.Errorf("an unknown message must be skipped without diagnostics, got %q", diag)
 	}
 }
 
--- a/cmd/simadapter/simulation.go
+++ b/cmd/simadapter/simulation.go
@@ -16,7 +16,7 @@
 	positionOrigin int64 // µs on the simulator's clock
 }
 
-// simulation holds the instances, and the state that spans the lines of a batch.
+// simulation holds the instances and the state that spans the lines of a batch.
 type simulation struct {
 	codec       *simprotocol.Codec
 	instances   map[int]*instance
@@ -24,7 +24,7 @@
 	now         int64            // µs on the simulator's clock, for all events of the batch
 	event       balance.Event    // reused between messages
 	actions     []balance.Action // reused between messages
-	reply       []byte           // to the batch, so far
+	reply       []byte           // lines of the reply to the batch so far
 }
 
 func newSimulation(diagnostics io.Writer) *simulation {
@@ -34,11 +34,11 @@
 // report writes an error to the diagnostics, unless it is nil.
 func (s *simulation) report(err error) {
 	if err != nil {
-		_, _ = fmt.Fprintln(s.diagnostics, "simadapter:", err) // there is no other place to report to
+		_, _ = fmt.Fprintln(s.diagnostics, "simadapter:", err) // a failed write cannot be reported anywhere else
 	}
 }
 
-// writeReply ends the reply to a batch and sends it.
+// writeReply completes the reply to a batch and writes it.
 func (s *simulation) writeReply(out *bufio.Writer) error {
 	s.reply = append(s.reply, "end\n"...)
 	if _, err := out.Write(s.reply); err != nil {
@@ -90,7 +90,7 @@
 	}
 	inst := s.instances[number]
 	if inst == nil {
-		return fmt.Errorf("%s: no instance %d", line.Word, number)
+		return fmt.Errorf("%s: instance %d does not exist", line.Word, number)
 	}
 	err = s.codec.ParseEvent(line, inst.positionOrigin, &s.event)
 	if errors.Is(err, simprotocol.ErrUnknownMessage) {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// start replaces an instance by a new one. If that fails, there is none.
+// start replaces an instance with a new one. The old instance is removed even if the new one cannot be started.
 func (s *simulation) start(number int, line simprotocol.Line) error {
 	delete(s.instances, number)
 	settings, seed, positionOrigin, err := simprotocol.ParseStart(line)
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// decide has the instance handle the event and appends its actions to the reply. A panic ends only that instance; it is
-// reported to the simulator as an exception.
+// decide passes the event to the router of an instance and appends the resulting actions to the reply. A panic
+// of the router removes only its instance; it is reported to the simulator as an exception.
 func (s *simulation) decide(number int, inst *instance) {
 	defer func() {
 		if p := recover(); p != nil {
