--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy emulates what a gateway needs around it, to try one by hand: the discovery service and a group of three
-// database hosts, which share small objects in memory. It is a toy: nothing is stored on disk and replicas never lag.
+// Command toy is for trying out a gateway by hand. It emulates a discovery service and a group of three database hosts,
+// which share small objects in memory. Nothing is stored on disk, and replicas never lag.
 package main
 
 import (
@@ -20,7 +20,7 @@
 const (
 	discoveryAddress = "127.0.0.1:8500"
 	hostCount        = 3
-	// heartbeat is the longest time between two lines of a watch.
+	// heartbeat is the longest time between two lines of a stream of endpoint lists.
 	heartbeat = 2 * time.Second
 )
 
@@ -30,13 +30,13 @@
 	lookupStatement = regexp.MustCompile(`(?i)WHERE oid = '([^']*)'`)
 )
 
-// group is the three hosts with the objects that they share.
+// group is the three hosts and the objects that they share.
 type group struct {
 	mu         sync.Mutex
-	changed    *sync.Cond        // signaled at each new generation, and at heartbeats
+	changed    *sync.Cond        // signaled at each new generation and at heartbeats
 	generation int               // of the endpoint list
 	primary    string            // id of the primary
-	addresses  map[string]string // by id; constant once discovery is served
+	addresses  map[string]string // by id; not changed once discovery is served
 	objects    map[string]string // values by key
 }
 
@@ -59,7 +59,7 @@
 	log.Fatal(http.ListenAndServe(discoveryAddress, nil))
 }
 
-// promote makes another host the primary.
+// promote makes the host in the path the primary.
 func (g *group) promote(w http.ResponseWriter, r *http.Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -71,10 +71,10 @@
 	g.primary = id
 	g.generation++
 	g.changed.Broadcast()
-	_, _ = fmt.Fprintln(w, id, "is the primary now") // the client may be gone
+	_, _ = fmt.Fprintln(w, id, "is the primary now") // an error means that the client has disconnected
 }
 
-// list returns the endpoint list in discovery's JSON form. The caller holds g.mu.
+// list returns the endpoint list in the JSON form of the discovery service. The caller holds g.mu.
 func (g *group) list() []byte {
 	type instance struct {
 		ID        string  `json:"instanceId"`
@@ -92,11 +92,12 @@
 		}
 		all = append(all, instance{id, address, 1, "SERVING", 1, rank})
 	}
-	b, _ := json.Marshal(map[string]any{"generation": g.generation, "reset": true, "instances": all}) // never fails
+	b, _ := json.Marshal(map[string]any{"generation": g.generation, "reset": true, "instances": all}) // cannot fail
 	return append(b, '\n')
 }
 
-// targets answers with the list. With stream=1 it then sends the list at each change, and an empty line at heartbeats.
+// targets answers with the endpoint list. With stream=1, it then sends the list at each change, and an empty line at
+// heartbeats.
 func (g *group) targets(w http.ResponseWriter, r *http.Request) {
 	stream := r.FormValue("stream") == "1"
 	sentGeneration := 0
@@ -121,7 +122,7 @@
 	}
 }
 
-// listen serves the connections to a host.
+// listen accepts and serves the connections to a host.
 func (g *group) listen(id string, listener net.Listener) {
 	for {
 		accepted, err := listener.Accept()
@@ -135,10 +136,10 @@
 // connection is a connection from the gateway.
 type connection struct {
 	net.Conn
-	unparsed []byte // bytes that were read and do not yet form a message
+	unparsed []byte // bytes that were read and do not form a whole message yet
 }
 
-// readMore reads more bytes; it returns false at the end of the connection.
+// readMore reads more bytes. It returns false at the end of the connection.
 func (c *connection) readMore() bool {
 	chunk := make([]byte, 4096)
 	n, err := c.Read(chunk)
@@ -146,10 +147,10 @@
 	return err == nil
 }
 
-// serve serves one connection to a host, with the part of PostgreSQL's protocol that the gateway uses.
+// serve serves one connection to a host. It supports the part of the PostgreSQL protocol that the gateway uses.
 func (g *group) serve(id string, accepted net.Conn) {
 	c := &connection{Conn: accepted}
-	defer func() { _ = c.Close() }() // the connection is over either way
+	defer func() { _ = c.Close() }() // nothing depends on the error of Close
 	if !c.start() {
 		return
 	}
@@ -175,8 +176,8 @@
 	}
 }
 
-// start answers startup messages, declining TLS, until one requests version 3 of the protocol. It returns false if the
-// connection ends first.
+// start answers startup messages until one requests version 3 of the protocol, and declines TLS. It returns false if
+// the connection ends first.
 func (c *connection) start() bool {
 	for {
 		startup, rest, complete, err := pgwire.NextStartup(c.unparsed)
@@ -200,7 +201,7 @@
 	}
 }
 
-// query executes a statement at a host and returns the messages of the answer, with the host's role and position.
+// query executes a statement at a host and returns the messages of its answer, with the role and position of the host.
 func (g *group) query(id, statement string) []byte {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -224,7 +225,7 @@
 	return pgwire.AppendReadyForQuery(b)
 }
 
-// execute executes an INSERT or a SELECT of one object. The caller holds g.mu.
+// execute executes an INSERT or SELECT of one object. The caller holds g.mu.
 func (g *group) execute(id, statement string) []byte {
 	insert := insertStatement.FindStringSubmatch(statement)
 	lookup := lookupStatement.FindStringSubmatch(statement)
