--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -52,28 +52,28 @@
 
 // An instance must act the same whether or not it shares its process with another one.
 func TestInstancesOfOneProcessAreIndependent(t *testing.T) {
-	session := func(whos ...int) string {
+	input := func(instances ...int) string {
 		var b strings.Builder
 		b.WriteString("turn wallMs=8000\n")
-		for _, w := range whos {
+		for _, w := range instances {
 			b.WriteString(start(w))
 		}
 		b.WriteString("end\n")
 		for i := range events(0) {
 			fmt.Fprintf(&b, "turn wallMs=%d\n", 8020+20*i)
-			for _, w := range whos {
+			for _, w := range instances {
 				b.WriteString(events(w)[i])
 			}
 			b.WriteString("end\n")
 		}
 		return b.String()
 	}
-	both, diag := runAdapter(t, session(1, 2))
+	both, diag := runAdapter(t, input(1, 2))
 	if diag != "" {
 		t.Fatal(diag)
 	}
 	for _, who := range []int{1, 2} {
-		alone, _ := runAdapter(t, session(who))
+		alone, _ := runAdapter(t, input(who))
 		got := strings.Join(linesOf(both, who), "\n")
 		want := strings.Join(linesOf(alone, who), "\n")
 		if got != want {
--- a/cmd/simadapter/simulation.go
+++ b/cmd/simadapter/simulation.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	s.decide(number, inst)
+	s.handleEvent(number, inst)
 	return nil
 }
 
@@ -118,9 +118,9 @@
 	return nil
 }
 
-// decide passes the event to the router of an instance and appends the resulting actions to the reply. A panic
+// handleEvent passes the event to the router of an instance and appends the resulting actions to the reply. A panic
 // of the router removes only its instance; it is reported to the simulator as an exception.
-func (s *simulation) decide(number int, inst *instance) {
+func (s *simulation) handleEvent(number int, inst *instance) {
 	defer func() {
 		if p := recover(); p != nil {
 			delete(s.instances, number)
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -101,8 +101,8 @@
 func (g *group) targets(w http.ResponseWriter, r *http.Request) {
 	stream := r.FormValue("stream") == "1"
 	sentGeneration := 0
-	beat := time.AfterFunc(heartbeat, g.changed.Broadcast)
-	defer beat.Stop()
+	heartbeatTimer := time.AfterFunc(heartbeat, g.changed.Broadcast)
+	defer heartbeatTimer.Stop()
 	for r.Context().Err() == nil {
 		g.mu.Lock()
 		line := []byte("\n")
@@ -115,7 +115,7 @@
 			return
 		}
 		w.(http.Flusher).Flush()
-		beat.Reset(heartbeat)
+		heartbeatTimer.Reset(heartbeat)
 		g.mu.Lock()
 		g.changed.Wait()
 		g.mu.Unlock()
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -14,20 +14,20 @@
 // maxLists is the number of numbered endpoint lists that the simulator uses.
 const maxLists = 16
 
-// noList is the value of Codec.filling while no list is being read.
+// noList is the value of Codec.currentList while no list is being read.
 const noList = -1
 
 // Codec decodes events. It holds the state that spans several lines: numbered endpoint lists and interned host names.
 // It is not safe for concurrent use.
 type Codec struct {
-	hostNames map[string]string
-	lists     [maxLists][]balance.Endpoint
-	filling   int // number of the list that receives the next endpoints, or noList
-	missing   int // number of endpoints of that list that have not been read yet
+	hostNames   map[string]string
+	lists       [maxLists][]balance.Endpoint
+	currentList int // number of the list that receives the next endpoints, or noList
+	remaining   int // number of endpoints of that list that have not been read yet
 }
 
 // NewCodec returns a codec without lists.
-func NewCodec() *Codec { return &Codec{hostNames: map[string]string{}, filling: noList} }
+func NewCodec() *Codec { return &Codec{hostNames: map[string]string{}, currentList: noList} }
 
 // intern returns a host's name as a string that all events for the host share.
 func (c *Codec) intern(b []byte) string {
@@ -80,15 +80,15 @@
 	r := valueReader{line: l}
 	number := r.int("buffer")
 	count := r.int("records")
-	c.filling = noList
+	c.currentList = noList
 	if r.err != nil {
 		return r.err
 	}
 	if number < 0 || number >= maxLists || count < 0 {
 		return l.errorf("invalid list number %d or number of entries %d", number, count)
 	}
-	c.filling = int(number)
-	c.missing = int(count)
+	c.currentList = int(number)
+	c.remaining = int(count)
 	c.lists[number] = nil // not truncated, since events may still share its memory
 	return nil
 }
@@ -96,10 +96,10 @@
 // AddEndpoint appends an endpoint to the list that was begun last. The protocol and package balance number the states
 // of endpoints the same.
 func (c *Codec) AddEndpoint(l Line) error {
-	if c.filling == noList || c.missing == 0 {
+	if c.currentList == noList || c.remaining == 0 {
 		return l.errorf("entry outside a list, or beyond its number of records")
 	}
-	c.missing--
+	c.remaining--
 	r := valueReader{line: l}
 	endpoint := balance.Endpoint{
 		Host:      c.intern(l.Get("host")),
@@ -123,7 +123,7 @@
 	if endpoint.Host == "" || endpoint.State > balance.Draining {
 		return l.errorf("entry without a host, or with the unknown phase %d", endpoint.State)
 	}
-	c.lists[c.filling] = append(c.lists[c.filling], endpoint)
+	c.lists[c.currentList] = append(c.lists[c.currentList], endpoint)
 	return nil
 }
 
