--- a/internal/simprotocol/line.go
+++ b/internal/simprotocol/line.go
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// Rest returns the value of a part that runs to the end of the line, or nil if it is absent.
-func (l Line) Rest(name string) []byte {
+// GetToEnd returns the value of a part that contains all of the line after its name, or nil if it is absent.
+func (l Line) GetToEnd(name string) []byte {
 	rest := l.parts
 	for len(rest) > 0 {
 		if value, ok := valueOf(rest, name); ok {
--- a/internal/simprotocol/start.go
+++ b/internal/simprotocol/start.go
@@ -18,7 +18,7 @@
 		return balance.Settings{}, 0, 0, err
 	}
 	var options Options
-	if err := json.Unmarshal(l.Rest("options"), &options); err != nil {
+	if err := json.Unmarshal(l.GetToEnd("options"), &options); err != nil {
 		return balance.Settings{}, 0, 0, l.errorf("invalid options: %w", err)
 	}
 	settings, positionOrigin = options.Settings()
