--- a/balance/average.go
+++ b/balance/average.go
@@ -8,7 +8,7 @@
 
 	deviationFactor     = 4 // deviations above the mean that latencies rarely exceed
 	minDeviationDivisor = 4 // a deviation counts as at least the mean divided by this
-	maxSilenceDivisor   = 4 // upper limit of the number of attempts that silenceTimeout is divided by
+	maxSilenceDivisor   = 4 // upper limit of the divisor in silenceTimeout
 )
 
 // movingAverage is an exponentially weighted moving average; 0 means that there is no value yet.
--- a/balance/primary.go
+++ b/balance/primary.go
@@ -23,7 +23,7 @@
 type groupPrimary struct {
 	primary        *hostState // the member that writes go to; nil while writes wait
 	confirmed      bool       // an answer or report showed it to be the primary; otherwise it is a guess
-	round          int        // number of the round of guesses; in a round, writes try each member once
+	round          int        // round of guesses (0: none yet), in which writes try each member once
 	searchingSince int64      // when the latest search began; 0 if none has begun
 }
 
