--- a/balance/router_test.go
+++ b/balance/router_test.go
@@ -13,14 +13,14 @@
 		"Deadline":         {TickInterval: 1, MaxAttempts: 1, Classes: []Class{{LatencyObjective: 1}}},
 	} {
 		_, err := New(settings, 1)
-		var unusable *SettingsError
-		if !errors.As(err, &unusable) || unusable.Setting != want {
-			t.Errorf("got %v, want an error on %s", err, want)
+		var settingsError *SettingsError
+		if !errors.As(err, &settingsError) || settingsError.Setting != want {
+			t.Errorf("got error %v, want a *SettingsError for %s", err, want)
 		}
 	}
 }
 
-// badEvents are invalid events, by description.
+// badEvents returns invalid events by description.
 func badEvents() map[string]Event {
 	twice := append(threeHosts(), threeHosts()...)
 	contradictory := threeHosts()
@@ -28,7 +28,7 @@
 	contradictory[2].State = 99
 	future := threeHosts()
 	future[0].Weight = -1
-	future[0].StartedAt = base * 10
+	future[0].StartedAt = testStart * 10
 	return map[string]Event{
 		"empty list":                  {Kind: EndpointsEvent, Complete: true},
 		"list with every host twice":  {Kind: EndpointsEvent, Complete: true, Endpoints: twice},
@@ -71,7 +71,7 @@
 		id, actions := rig.request(unsafeWrite)
 		actions = append(actions, rig.advance(200*ms)...)
 		if sentTo(actions, id) != "a" {
-			t.Errorf("%s: a write does not reach the primary again: %+v", name, actions)
+			t.Errorf("%s: a write does not reach the primary afterwards: %+v", name, actions)
 		}
 	}
 }
