--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,6 +1,6 @@
 // Package app assembles the gateway's parts into a program: command line, start, signals, reload and graceful shutdown.
-// Everything in a running gateway happens on the goroutine of one event loop. A larger build adds commands and components
-// by an Extension.
+// A running gateway does all its work on the goroutine of one event loop. A larger build adds commands and an optional
+// component by an Extension.
 package app
 
 import (
@@ -37,7 +37,7 @@
 // Usage returns a UsageError, with the format of fmt.Errorf.
 func Usage(format string, a ...any) error { return UsageError{fmt.Errorf(format, a...)} }
 
-// Extension is what a larger build adds to the gateway: commands, and the component that a settings file turns on.
+// Extension is what a larger build adds to the gateway: commands, and the component that a settings file enables.
 type Extension interface {
 	// Commands returns the commands to add to the root command.
 	Commands(getenv func(string) string) []*cobra.Command
@@ -49,7 +49,7 @@
 	ExitCode(error) int
 }
 
-// Component runs in the gateway's process. Requests never wait for it.
+// Component is an optional part of the program that runs in the gateway's process. Requests never wait for it.
 type Component interface {
 	// OverlayConfig returns the configuration with the overrides that the component has stored. It is called before the
 	// gateway starts.
@@ -62,30 +62,30 @@
 	Close()
 }
 
-// Gateway is a running gateway as a component sees it. Its methods may be called from any goroutine, but Reload and
-// Snapshot wait for the event loop and must not be called on its goroutine.
+// Gateway is the interface of a running gateway to a component. Its methods may be called from any goroutine, but Reload
+// and Snapshot wait for the event loop and must not be called on its goroutine.
 type Gateway interface {
 	// Reload applies a configuration and returns the keys that need a restart. err is the error of reading the
 	// configuration: if it is not nil, it is logged and nothing changes. ok is false if the gateway has ended.
 	Reload(conf *config.Config, err error) (restart []string, ok bool)
 	// Snapshot returns the router's state and the endpoint list; false if the gateway has ended.
 	Snapshot() (balance.Snapshot, discovery.EndpointList, bool)
-	// Restore loads another router's state, and an endpoint list if it is newer than the gateway's; nil: no list. It does
-	// not wait for that.
+	// Restore loads the state of another router. It also loads endpoints if that list is newer than the gateway's; nil
+	// means that there is no list. Restore returns before this is done.
 	Restore(balance.Snapshot, *discovery.EndpointList)
 	// ObserveOutcomes registers f to be called with the outcome of each attempt and health check, on the event loop's
 	// goroutine: f must not block.
 	ObserveOutcomes(f func(host string, class int, o gateway.Outcome))
-	// SetZoneShares sets the shares of zones that a fleet has agreed on.
+	// SetZoneShares sets the zone shares that the fleet has agreed on.
 	SetZoneShares(balance.ZoneShares)
 }
 
-// logFlushTimeout limits the wait for the reader of the log when the program ends.
+// logFlushTimeout limits how long the end of the program waits until the last log lines are written.
 const logFlushTimeout = 30 * time.Millisecond
 
-// Logger returns a logger that writes lines of a level and above as JSON, with the gateway's name in each. Whoever logs does
-// not wait for the reader of the log. flush must be called after the last line; it takes at most logFlushTimeout. An unknown
-// level is a UsageError.
+// Logger returns a logger that writes lines of a level and above as JSON, each with the gateway's name. Logging never
+// blocks, even if the reader of the log does not keep up. flush must be called after the last line; it takes at most
+// logFlushTimeout. An unknown level is a UsageError.
 func Logger(out io.Writer, level, name string) (log zerolog.Logger, flush func(), err error) {
 	minLevel, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return zerolog.New(writer).Level(minLevel).With().Timestamp().Str("gateway", name).Logger(), flush, nil
 }
 
-// Version returns the module's version as the build has recorded it.
+// Version returns the module's version as recorded by the build, or "unknown".
 func Version() string {
 	if info, ok := debug.ReadBuildInfo(); ok && info.Main.Version != "" {
 		return info.Main.Version
--- a/internal/app/clients_test.go
+++ b/internal/app/clients_test.go
@@ -9,7 +9,8 @@
 	"cloverrock/internal/pgwire"
 )
 
-// When its client disconnects, an attempt's connection is closed: its late answer must not reach anybody else.
+// When a client disconnects, the connection to the host that its attempt uses is closed: otherwise the late answer could
+// reach another client.
 func TestAttemptOfADisconnectedClientIsClosed(t *testing.T) {
 	gw := startGateway(t, 0)
 	client := gw.connect()
@@ -22,14 +23,15 @@
 	gw.exchange(client, 2, "own")
 }
 
-// Faulty input gets a plain error; the connection ends only where framing is lost, and the gateway serves on.
+// Invalid input is answered by an error response. The connection is closed only where message boundaries are lost, and
+// the gateway keeps serving other clients.
 func TestFaultyInputGetsAPlainError(t *testing.T) {
 	gw := startGateway(t, 0)
 	message := func(kind byte, body string) []byte {
 		return append([]byte{kind, 0, 0, 0, byte(4 + len(body))}, body...)
 	}
 	for name, c := range map[string]struct {
-		raw  []byte // in place of a startup
+		raw  []byte // sent instead of a startup message
 		in   []byte
 		want []string
 	}{
@@ -77,7 +79,7 @@
 	}
 	client := gw.connect()
 	client.query(queryText(readForm, 99))
-	for { // queries that the clients above left in flight come first
+	for { // queries that the clients above left in flight arrive first
 		query := gw.hosts[0].nextQuery()
 		query.answer("v")
 		if strings.Contains(query.text, "id=99,") {
@@ -87,14 +89,14 @@
 	client.want("value v")
 }
 
-// A connection beyond the limit takes the place of an idle one; if there is none, it is rejected.
+// Beyond the limit of connections, a new connection replaces an idle one. If none is idle, the new one is rejected.
 func TestIdleConnectionMakesRoomBeyondTheLimit(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 4 }) // 2 clients
 	first := gw.connect()
 	second := gw.connect()
 	first.query(queryText(writeForm, 1))
 	held := gw.hosts[0].nextQuery()
-	third := gw.connect() // in place of second, which is idle
+	third := gw.connect() // replaces second, which is idle
 	second.want("closed")
 	third.query(queryText(writeForm, 2))
 	also := gw.hosts[0].nextQuery()
@@ -107,13 +109,13 @@
 	third.want("value w")
 }
 
-// Clients that send nothing, or stop in their startup or in a message, are closed, and so is one that is idle too long. A
-// request in flight is finished.
+// The gateway closes clients that send nothing, that stop within their startup or within a message, and that are idle
+// for too long. A request in flight is answered first.
 func TestSilentClientsAreClosed(t *testing.T) {
 	gw := newHarness(t, 0)
 	gw.timeouts = timeouts{message: 50e3, idle: 100e3}
 	gw.start()
-	busy := gw.dial() // its query comes with the startup: a later one might find the time over
+	busy := gw.dial() // the query is sent with the startup: if sent later, the message timeout might expire before it
 	busy.write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "user", "worker"), queryText(writeForm, 1)))
 	busy.want("")
 	held := gw.hosts[0].nextQuery()
@@ -131,7 +133,7 @@
 	busy.want("closed")
 }
 
-// Any number of silent connections displaces no client that sends requests.
+// Connections that send nothing never displace a client that sends requests, however many there are.
 func TestSilentClientsDisplaceNoActiveOnes(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 8 }) // 4 clients
 	var usual []*pgClient
@@ -150,7 +152,8 @@
 	}
 }
 
-// Clients that sent one request and stay make room for new ones, however slowly those come to their first query.
+// Clients that have sent one request and are idle since are closed to make room for new clients, even if those are slow
+// to send their first query.
 func TestIdleClientsMakeRoomForNewOnes(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 8 }) // 4 clients
 	var stay []*pgClient
@@ -166,8 +169,9 @@
 	}
 }
 
-// Clients that sent a request and stay are closed beyond a quarter of the descriptors, the longest idle first, though there
-// is capacity here: the number of connections of the load balancer in front is limited.
+// Clients that have sent a request and are idle since are closed once they use more than a quarter of the descriptors,
+// the longest idle first. This holds although the gateway has descriptors left, since the load balancer in front of the
+// gateway can open only a limited number of connections.
 func TestIdleClientsAreLimitedToAQuarterOfTheDescriptors(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 64 }) // 35 clients, 26 of them active
 	var stay []*pgClient
@@ -180,14 +184,15 @@
 	stay[1].want("empty")
 }
 
-// unfinishedMessage is the first 160 KiB of a query of 256 KiB.
+// unfinishedMessage returns the first 160 KiB of a query message of 256 KiB.
 func unfinishedMessage() []byte {
 	return append([]byte("Q\x00\x03\xff\x00"), bytes.Repeat([]byte("x"), 160<<10)...)
 }
 
-// The bytes of unfinished messages are bounded over all clients: the one that has sent most is closed, not the newest.
+// The bytes of unfinished messages of all clients together are limited. At the limit, the client that has sent the most
+// is closed, not the newest.
 func TestBytesOfUnfinishedMessagesAreBounded(t *testing.T) {
-	gw := startGateway(t, 0, func(c *config.Config) { c.MemoryMB = 1 }) // 128 KiB
+	gw := startGateway(t, 0, func(c *config.Config) { c.MemoryMB = 1 }) // limits unfinished messages to 128 KiB
 	usual := gw.connect()
 	large := gw.connect()
 	usual.query(queryText(writeForm, 1))
@@ -198,22 +203,23 @@
 	usual.want("value v")
 }
 
-// A client may disconnect while its request waits for a host's connection, with the event after many others in the queue.
-// Its socket is checked last: nothing is sent for it.
+// A client may disconnect while its request waits for a connection to the host, and the event of this may be queued
+// behind many others. The gateway checks the client's socket immediately before it sends the request, and does not send
+// it.
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	gw := newHarness(t, 0)
 	gw.hosts[0].startupGate = make(chan struct{})
-	gw.start(func(c *config.Config) { c.MemoryMB = 1 }) // 64 KiB that are not handled make the engine wait
+	gw.start(func(c *config.Config) { c.MemoryMB = 1 }) // the event loop stops reading at 64 KiB of unhandled input
 	client := gw.connect()
 	flood := gw.connect()
 	client.query(queryText(writeForm, 1))
 	if query := gw.hosts[0].nextQuery(); query != nil {
-		t.Fatal("a query before the host was ready")
+		t.Fatal("a query was sent before the host was ready")
 	}
 	gw.onLoop(func() {
 		close(gw.hosts[0].startupGate)
 		<-gw.hosts[0].startedUp
-		// The event loop reads nothing more after this.
+		// This fills the event loop's input: it reads nothing more afterwards, so it does not notice the disconnect.
 		flood.write(unfinishedMessage())
 		client.close()
 	})
@@ -221,13 +227,13 @@
 	next.query(queryText(writeForm, 2))
 	query := gw.hosts[0].nextQueryAfterStartups()
 	if !strings.Contains(query.text, "id=2,") {
-		t.Fatalf("sent for a disconnected client: %s", query.text)
+		t.Fatalf("the request of a disconnected client was sent: %s", query.text)
 	}
 	query.answer("w")
 	next.want("value w")
 }
 
-// cancel sends a cancel request.
+// cancel sends a cancel request on a connection of its own.
 func (gw *harness) cancel(key []byte) {
 	gw.t.Helper()
 	client := gw.dial()
@@ -235,8 +241,8 @@
 	client.want("closed")
 }
 
-// A request is canceled from another connection by number and secret: it ends at once and is not forwarded. Nothing else
-// cancels it.
+// A cancel request on another connection must state the number and the secret from the startup. It ends the request at
+// once, and the request is not forwarded. A wrong key cancels nothing.
 func TestCancelRequestNeedsTheKeyAndEndsTheQuery(t *testing.T) {
 	gw := newHarness(t, 0)
 	gw.hosts[0].startupGate = make(chan struct{})
@@ -246,7 +252,7 @@
 	key := client.cancelKey()
 	client.query(queryText(writeForm, 1))
 	if query := gw.hosts[0].nextQuery(); query != nil {
-		t.Fatal("a query before the host was ready")
+		t.Fatal("a query was sent before the host was ready")
 	}
 	for i := range key {
 		wrong := bytes.Clone(key)
@@ -254,7 +260,7 @@
 		gw.cancel(wrong)
 	}
 	if !gw.hasInFlight() {
-		t.Fatal("canceled by a wrong key")
+		t.Fatal("a wrong key canceled the request")
 	}
 	gw.cancel(key)
 	client.want("error 57014")
@@ -262,7 +268,7 @@
 	client.query(queryText(writeForm, 2))
 	query := gw.hosts[0].nextQueryAfterStartups()
 	if !strings.Contains(query.text, "id=2,") {
-		t.Fatalf("sent although canceled: %s", query.text)
+		t.Fatalf("a canceled request was sent: %s", query.text)
 	}
 	query.answer("w")
 	client.want("value w")
--- a/internal/app/commands.go
+++ b/internal/app/commands.go
@@ -10,13 +10,15 @@
 	"cloverrock/internal/config"
 )
 
-// settingsVariable is the environment variable for the path of the settings file; --settings overrides it.
+// settingsVariable is the environment variable with the path of the settings file; --settings overrides it.
 const settingsVariable = "CLOVERROCK_SETTINGS"
 
-const longHelp = `cloverrock stands between clients and groups of database hosts. Without a command it serves.
+const longHelp = `cloverrock is a gateway between PostgreSQL clients and groups of database hosts.
+Without a command it runs serve.
 
 The configuration is the JSON file that EDGE_CONFIG names; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override it.
-SIGHUP has serve read the file again and follow its discovery; SIGTERM and SIGINT end it in order.`
+On SIGHUP, serve reads the file again and follows the endpoint list at the discovery address stated there. On SIGTERM and
+SIGINT, it shuts down gracefully.`
 
 // Main runs a command and returns the exit code. args are the arguments after the program's name.
 func Main(args []string, getenv func(string) string, out, diagnostics io.Writer, ext Extension) int {
@@ -29,7 +31,8 @@
 	if err == nil {
 		return 0
 	}
-	_, _ = fmt.Fprintf(diagnostics, "%s: %v\n", cmd.CommandPath(), err) // there is no other place to report to
+	// An error of the write is ignored: there is no other place to report it.
+	_, _ = fmt.Fprintf(diagnostics, "%s: %v\n", cmd.CommandPath(), err)
 	if _, ok := errors.AsType[UsageError](err); ok {
 		_, _ = io.WriteString(diagnostics, cmd.UsageString())
 		return ExitUsage
@@ -37,7 +40,7 @@
 	return ext.ExitCode(err)
 }
 
-// commandLine holds what the commands share: environment, extension and the values of flags.
+// commandLine holds what the commands share: the environment, the extension and the values of flags.
 type commandLine struct {
 	getenv       func(string) string
 	ext          Extension
@@ -54,7 +57,7 @@
 		SilenceUsage:  true,
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
-				return Usage("no command %q", args[0])
+				return Usage("unknown command %q", args[0])
 			}
 			return nil
 		},
@@ -69,7 +72,7 @@
 
 func (c *commandLine) addServeFlags(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&c.logLevel, "log", "info", "minimum level of log lines: trace, debug, info, warn or error")
-	c.addSettingsFlag(cmd, "operators' file that turns on further parts (CLOVERROCK_SETTINGS)")
+	c.addSettingsFlag(cmd, "settings file that enables optional components (CLOVERROCK_SETTINGS)")
 }
 
 func (c *commandLine) addSettingsFlag(cmd *cobra.Command, usage string) {
@@ -94,7 +97,7 @@
 		Args:  NoArgs,
 		RunE:  c.check,
 	}
-	c.addSettingsFlag(cmd, "operators' file to check as well")
+	c.addSettingsFlag(cmd, "settings file to check as well")
 	return cmd
 }
 
@@ -108,8 +111,8 @@
 			return err
 		}
 	}
-	// A failed write changes nothing: the exit code states the result as well.
-	_, _ = fmt.Fprintf(cmd.OutOrStdout(), "configuration of %s is good: listen %s, discovery %s, %d classes\n",
+	// An error of the write is ignored: the exit code states the result as well.
+	_, _ = fmt.Fprintf(cmd.OutOrStdout(), "configuration of %s is valid: listen %s, discovery %s, %d classes\n",
 		conf.Name, conf.Listen, conf.Discovery, len(conf.Classes))
 	return nil
 }
@@ -120,7 +123,8 @@
 		Short: "Print the version",
 		Args:  NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			_, _ = fmt.Fprintln(cmd.OutOrStdout(), "cloverrock", Version()) // nobody reads it if this fails
+			// An error of the write is ignored: there is no other place to report it.
+			_, _ = fmt.Fprintln(cmd.OutOrStdout(), "cloverrock", Version())
 		},
 	}
 }
--- a/internal/app/commands_test.go
+++ b/internal/app/commands_test.go
@@ -44,7 +44,7 @@
 		var out bytes.Buffer
 		code := Main(strings.Fields(c.args), env, &out, &out, noExtension{})
 		if code != c.code || !strings.Contains(out.String(), c.want) {
-			t.Errorf("%q: %d, %q", c.args, code, out.String())
+			t.Errorf("%q: exit code %d, output %q", c.args, code, out.String())
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	return len(b), nil
 }
 
-// until waits for a line that holds a text.
+// until waits for a line that contains a text and returns it.
 func (l logLines) until(t *testing.T, text string) string {
 	t.Helper()
 	for {
@@ -67,7 +67,7 @@
 				return line
 			}
 		case <-time.After(testTimeout):
-			t.Fatalf("no line with %q", text)
+			t.Fatalf("no log line contains %q", text)
 		}
 	}
 }
@@ -80,7 +80,8 @@
 	}
 }
 
-// runMain runs the program within this process, with a configuration file, and returns its log and its exit code to come.
+// runMain runs the program within this process with a configuration file. It returns the program's log and a channel
+// that receives its exit code.
 func (gw *harness) runMain(t *testing.T, path string) (log logLines, code <-chan int) {
 	t.Helper()
 	variables := map[string]string{"EDGE_CONFIG": path, "EDGE_DISCOVERY": gw.discoveryListener.Addr().String()}
@@ -93,8 +94,9 @@
 	return log, ended
 }
 
-// On SIGHUP the file is read again: a faulty one changes nothing and its key is logged; a good one moves the watch to the
-// new address from the current generation on, with a request in flight. SIGTERM beside a SIGHUP still drains.
+// On SIGHUP the configuration file is read again. A faulty file changes nothing and its faulty key is logged. A valid
+// file moves the watch to the new address of discovery, from the current generation on, also while a request is in
+// flight. A SIGTERM that arrives together with a SIGHUP still drains the gateway.
 func TestSignalsReloadAndDrain(t *testing.T) {
 	gw := newHarness(t, 0)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -135,9 +137,9 @@
 	select {
 	case c := <-code:
 		if c != 0 {
-			t.Errorf("ended with %d", c)
+			t.Errorf("exit code %d, want 0", c)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("does not end")
+		t.Fatal("the program does not end")
 	}
 }
--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -7,7 +7,7 @@
 	"cloverrock/internal/gateway"
 )
 
-// call runs f on the loop's goroutine and waits for it; it returns false if the loop has ended first.
+// call runs f on the loop's goroutine and waits until it has returned. It returns false if the loop ends first.
 func (s *server) call(f func()) bool {
 	done := make(chan struct{})
 	s.loop.Post(func() {
@@ -46,8 +46,9 @@
 	})
 }
 
-// restoreEndpoints applies a list if it is newer than the current one. While the gateway waits for discovery's first
-// answer, the list replaces an older known list instead, which is used if none comes.
+// restoreEndpoints applies a list if it is newer than the current one. While the gateway still waits for discovery's
+// first list, a newer list only replaces the known list of the configuration, which is used if discovery does not
+// answer.
 func (s *server) restoreEndpoints(endpoints *discovery.EndpointList) {
 	known := s.conf.KnownEndpoints
 	waitsForDiscovery := known != nil && !s.gateway.Ready()
--- a/internal/app/counts.go
+++ b/internal/app/counts.go
@@ -10,11 +10,12 @@
 // countsInterval is the time between lines of counts, in microseconds.
 const countsInterval = 1_000_000
 
-// CountsMessage marks the lines of counts, which `cloverrock-lab fleet` adds up over many gateways by their fields.
+// CountsMessage is the message of the log lines with counts. `cloverrock-lab fleet` finds them by it, and adds up their
+// fields over many gateways.
 const CountsMessage = "counts"
 
-// resultFields names the fields for the results of attempts, by balance.Result. Other programs read the line, so the names
-// of its fields do not follow those in the code.
+// resultFields names the log field of each balance.Result. Other programs read these fields, so their names stay as they
+// are even where the code uses other terms.
 var resultFields = [...]string{
 	balance.Succeeded:         "served",
 	balance.Failed:            "errored",
@@ -27,16 +28,16 @@
 	balance.NotPrimary:        "missed",
 }
 
-// countsLogger logs the counts since its last line.
+// countsLogger logs how far the gateway's counts have increased since the previous line.
 type countsLogger struct {
 	server          *server
-	hosts           map[string]*hostOutcomes // since the last line
+	hosts           map[string]*hostOutcomes // since the previous line
 	lastCounts      gateway.Counts
 	lastDials       int
 	lastFailedDials int
 }
 
-// logCounts logs counts once a second, if lines of debug level are logged at all.
+// logCounts logs counts once a second if lines of level debug are logged.
 func (s *server) logCounts() {
 	if s.log.GetLevel() > zerolog.DebugLevel {
 		return
--- a/internal/app/counts_test.go
+++ b/internal/app/counts_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// The line of counts is read by other programs: its message and fields stay.
+// Other programs read the line of counts, so its message and its fields must not change.
 func TestCountsLineKeepsItsFields(t *testing.T) {
 	log := make(logLines, 1024)
 	gw := newHarness(t, 0)
--- a/internal/app/endpoints_test.go
+++ b/internal/app/endpoints_test.go
@@ -8,7 +8,7 @@
 	"cloverrock/internal/pgwire"
 )
 
-// An empty query is answered as such only once there is an endpoint list.
+// The gateway answers an empty query by an error until it has an endpoint list.
 func TestReadyOnlyWithAnEndpointList(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.KnownEndpoints = nil })
 	client := gw.connect()
@@ -20,7 +20,7 @@
 	client.want("empty")
 }
 
-// After a faulty list the watch reconnects from the last generation, and the last list holds.
+// After a faulty list the watch reconnects from the last generation, and the last valid list stays in use.
 func TestLastListHoldsAfterAFaultyOne(t *testing.T) {
 	gw := startGateway(t, 0)
 	for _, bad := range []string{`{"generation":9,"instances":[{"lifecycle":"?"}]}`, `{"generation":`, "\x00"} {
--- a/internal/app/fakehost_test.go
+++ b/internal/app/fakehost_test.go
@@ -14,7 +14,7 @@
 	"cloverrock/internal/pgwire"
 )
 
-// readMessage reads one message off a connection.
+// readMessage reads one message from a connection.
 func readMessage(rd *bufio.Reader) (pgwire.Message, error) {
 	head, err := rd.Peek(5)
 	if err != nil {
@@ -29,28 +29,28 @@
 	return m, err
 }
 
-// fakeHost is a database host played by a test: it answers startups and health checks, and hands each query to the test.
+// fakeHost simulates a database host. It answers startups and health checks, and passes each query to the test.
 type fakeHost struct {
 	t           *testing.T
 	listener    net.Listener
-	queries     chan *hostQuery // nil: a startup that is held at the gate
-	startupGate chan struct{}   // if not nil, no connection is ready before it is closed
-	closed      chan struct{}   // a token for each connection that the gateway has closed
-	startedUp   chan struct{}   // a token for each connection that was held at the gate and is ready
+	queries     chan *hostQuery // nil: a startup that waits at startupGate
+	startupGate chan struct{}   // if not nil, startups are answered only after it is closed
+	closed      chan struct{}   // receives a value for each connection that has been closed
+	startedUp   chan struct{}   // receives a value for each startup that has been answered after waiting at startupGate
 
 	mu       sync.Mutex
 	primary  bool
-	position int64 // ms; 0: now
+	position int64 // log position in ms; 0: the current time
 }
 
-// hostQuery is a query that came to a host.
+// hostQuery is a query that a host has received.
 type hostQuery struct {
 	host *fakeHost
 	conn net.Conn
 	text string
 }
 
-// serveConnections accepts connections until the test ends and hands each to serve, one after the other.
+// serveConnections accepts connections until the test ends and calls serve for each, one after the other.
 func serveConnections(t *testing.T, serve func(net.Conn)) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -64,7 +64,7 @@
 			if err != nil {
 				return
 			}
-			// At the end of the test: the gateway's loop leaves open sockets to its process.
+			// Closed at the end of the test, since the gateway's loop does not close its sockets when it ends.
 			t.Cleanup(func() { _ = conn.Close() })
 			serve(conn)
 		}
@@ -85,7 +85,7 @@
 	return h
 }
 
-// stopListening has connections to the host refused.
+// stopListening closes the host's listener, so that new connections are refused.
 func (h *fakeHost) stopListening() {
 	h.t.Helper()
 	if err := h.listener.Close(); err != nil {
@@ -108,7 +108,7 @@
 		h.queries <- nil
 		<-h.startupGate
 	}
-	_, _ = conn.Write(pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil))) // the gateway may have left
+	_, _ = conn.Write(pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil))) // the gateway may have disconnected
 	if h.startupGate != nil {
 		h.startedUp <- struct{}{}
 	}
@@ -141,7 +141,7 @@
 	return role, position
 }
 
-// setPosition fixes the host's position.
+// setPosition sets the host's log position to a fixed time.
 func (h *fakeHost) setPosition(at time.Time) {
 	h.mu.Lock()
 	h.position = at.UnixMilli()
@@ -154,19 +154,19 @@
 	h.mu.Unlock()
 }
 
-// nextQuery waits for the next query, or for the next startup that is held at the gate, which is nil.
+// nextQuery waits for the next query. It returns nil for a startup that waits at startupGate.
 func (h *fakeHost) nextQuery() *hostQuery {
 	h.t.Helper()
 	select {
 	case query := <-h.queries:
 		return query
 	case <-time.After(testTimeout):
-		h.t.Fatal("no query came")
+		h.t.Fatal("the host received no query")
 		return nil
 	}
 }
 
-// nextQueryAfterStartups waits for the next query, past startups that were held at the gate.
+// nextQueryAfterStartups waits for the next query and skips startups that wait at startupGate.
 func (h *fakeHost) nextQueryAfterStartups() (query *hostQuery) {
 	h.t.Helper()
 	for query == nil {
@@ -181,7 +181,7 @@
 	select {
 	case <-h.closed:
 	case <-time.After(testTimeout):
-		h.t.Fatal("the connection stays open")
+		h.t.Fatal("the gateway did not close the connection")
 	}
 }
 
@@ -193,7 +193,7 @@
 	_, _ = q.conn.Write(pgwire.AppendReadyForQuery(b)) // the gateway may have closed the connection
 }
 
-// rowMessages are the messages of an answer with one value, up to its completion.
+// rowMessages returns the messages of an answer with one value, up to CommandComplete.
 func rowMessages(value string) []byte {
 	return pgwire.AppendCommandComplete(pgwire.AppendRow(nil, "body", value), "SELECT 1")
 }
--- a/internal/app/harness_test.go
+++ b/internal/app/harness_test.go
@@ -16,13 +16,13 @@
 	"cloverrock/internal/pgwire"
 )
 
-// testTimeout ends a test that hangs; no result depends on how soon anything happens.
+// testTimeout ends a test that hangs. No test's result depends on the speed of the machine.
 const testTimeout = 30 * time.Second
 
 // noTimeout is a timeout (µs) that no test reaches.
 const noTimeout = 3600e6
 
-// harness is a gateway with hosts and a discovery service that the test plays.
+// harness runs a gateway together with simulated hosts and a discovery service whose answers the test writes.
 type harness struct {
 	t                 *testing.T
 	server            *server // nil where a test runs the whole program
@@ -45,12 +45,13 @@
 	request string
 }
 
-// writeChunk sends one line as one chunk. The gateway may have left: what it then misses, the test sees.
+// writeChunk sends one line as one chunk. Write errors are ignored: the gateway may have disconnected, and the test
+// fails then where it checks for the effect of the line.
 func (c *discoveryCall) writeChunk(text string) {
 	_, _ = fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(text)+1, text)
 }
 
-// newHarness sets up one primary, s-0, some replicas, and discovery, without a gateway.
+// newHarness starts one primary, s-0, the given number of replicas, and a discovery service, but no gateway.
 func newHarness(t *testing.T, replicas int) *harness {
 	t.Helper()
 	gw := &harness{
@@ -67,16 +68,16 @@
 	return gw
 }
 
-// listenDiscovery listens for calls to discovery.
+// listenDiscovery listens for calls to the discovery service.
 func (gw *harness) listenDiscovery() net.Listener {
 	gw.t.Helper()
 	return serveConnections(gw.t, func(conn net.Conn) {
-		request, _ := bufio.NewReader(conn).ReadString('\n') // a call that breaks off is one, too
+		request, _ := bufio.NewReader(conn).ReadString('\n') // a call that ends within its first line is counted as well
 		gw.discoveryCalls <- &discoveryCall{conn, strings.TrimSpace(request)}
 	})
 }
 
-// configFile returns the configuration of a gateway with discovery at an address.
+// configFile returns the configuration of a gateway that calls discovery at the given address.
 func (gw *harness) configFile(discovery net.Addr) []byte {
 	return fmt.Appendf(nil, `{"listen":"127.0.0.1:0","discovery":%q,"known":{"generation":7,"instances":%s},
 		"settings":{"tickMs":5,"limits":{"maxAttempts":10,"cancel":true,"probes":true,"dialTimeoutMs":20000,"maxRetryAfterMs":1000},
@@ -89,7 +90,7 @@
 		discovery, gw.instances())
 }
 
-// instances returns the list of all hosts, with the states given for the first few.
+// instances returns the list of all hosts. states gives the states of the first hosts; the others are SERVING.
 func (gw *harness) instances(states ...string) string {
 	var all []string
 	for i, h := range gw.hosts {
@@ -107,7 +108,7 @@
 	return "[" + strings.Join(all, ",") + "]"
 }
 
-// startGateway runs a gateway before one primary, s-0, and some replicas.
+// startGateway starts a gateway with one primary, s-0, and the given number of replicas.
 func startGateway(t *testing.T, replicas int, change ...func(*config.Config)) *harness {
 	t.Helper()
 	return newHarness(t, replicas).start(change...)
@@ -134,7 +135,7 @@
 	return gw
 }
 
-// onLoop runs f on the gateway's goroutine and waits for it.
+// onLoop runs f on the event loop's goroutine and waits until it has returned.
 func (gw *harness) onLoop(f func()) {
 	done := make(chan struct{})
 	gw.server.loop.Post(func() {
@@ -151,13 +152,14 @@
 	}
 }
 
-// hasInFlight reports whether a request is owed an answer.
+// hasInFlight reports whether a request is in flight.
 func (gw *harness) hasInFlight() (inFlight bool) {
 	gw.onLoop(func() { inFlight = gw.server.gateway.InFlight() > 0 })
 	return inFlight
 }
 
-// hasUnsentBytes reports whether clients have left so many bytes unread that the gateway stops reading their commands.
+// hasUnsentBytes reports whether the clients have left so many bytes unread that the gateway stops reading their
+// requests.
 func (gw *harness) hasUnsentBytes() (unsent bool) {
 	gw.onLoop(func() { unsent = gw.server.frontend.UnsentBytes() > 64<<10 })
 	return unsent
@@ -169,31 +171,31 @@
 	select {
 	case <-gw.ended:
 	case <-time.After(testTimeout):
-		gw.t.Fatal("does not end")
+		gw.t.Fatal("the gateway does not end")
 	}
 }
 
-// nextCall waits for the next call to discovery, which is not answered yet.
+// nextCall waits for the next call to discovery. The call is not answered yet.
 func (gw *harness) nextCall() *discoveryCall {
 	gw.t.Helper()
 	select {
 	case call := <-gw.discoveryCalls:
 		return call
 	case <-time.After(testTimeout):
-		gw.t.Fatal("no call to discovery came")
+		gw.t.Fatal("discovery received no call")
 		return nil
 	}
 }
 
-// nextWatch waits for the next call to discovery and begins its answer.
+// nextWatch waits for the next call to discovery and begins a chunked response to it.
 func (gw *harness) nextWatch() *discoveryCall {
 	gw.t.Helper()
 	call := gw.nextCall()
-	_, _ = io.WriteString(call, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // like writeChunk
+	_, _ = io.WriteString(call, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // errors: as in writeChunk
 	return call
 }
 
-// dial opens a client's connection and sends nothing on it.
+// dial opens a client connection and sends nothing on it.
 func (gw *harness) dial() *pgClient {
 	gw.t.Helper()
 	if gw.server != nil {
@@ -210,7 +212,7 @@
 	return &pgClient{gw.t, conn, bufio.NewReader(conn)}
 }
 
-// connect dials and goes through the startup.
+// connect opens a client connection and completes the startup.
 func (gw *harness) connect() *pgClient {
 	gw.t.Helper()
 	client := gw.dial()
@@ -221,7 +223,7 @@
 	return client
 }
 
-// exchange has a client send a write, which the primary answers by a value.
+// exchange sends a write from a client and has the primary answer it with a value.
 func (gw *harness) exchange(client *pgClient, id int, value string) {
 	client.t.Helper()
 	client.query(queryText(writeForm, id))
--- a/internal/app/hosts_test.go
+++ b/internal/app/hosts_test.go
@@ -9,7 +9,8 @@
 	"cloverrock/internal/pgwire"
 )
 
-// A write must not meet a connection that the host is just closing as idle: the gateway closes idle ones sooner.
+// The gateway closes an idle connection before the host does: otherwise a write could be sent on a connection that the
+// host is closing, and it would be unknown whether the write was executed.
 func TestIdleConnectionsCloseBeforeTheHostsDo(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.IdleClose = 40_000 })
 	client := gw.connect()
@@ -17,8 +18,9 @@
 	gw.hosts[0].wantClosed()
 }
 
-// If a host sends anything besides an answer, its connection is not used again. A good answer before it counts; a faulty one
-// is a failure that may have run. The next request gets its own answer.
+// If a host sends anything that is not part of an answer, its connection is not used again. A valid answer before those
+// bytes is still delivered; a faulty answer fails the request, since it may have been executed. The next request gets
+// its own answer.
 func TestFaultyAnswersFailAndEndTheirConnection(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Settings.DialTimeout = 200e3 })
 	ready := string(pgwire.AppendReadyForQuery(nil))
@@ -64,7 +66,7 @@
 	}
 }
 
-// What a host sends on an idle connection is nobody's answer.
+// Bytes that a host sends on an idle connection are discarded. The answer to the next request does not contain them.
 func TestBytesOnAnIdleConnectionAreNobodysAnswer(t *testing.T) {
 	gw := startGateway(t, 0)
 	client := gw.connect()
@@ -79,14 +81,15 @@
 	gw.exchange(client, 2, "own")
 }
 
-// A host moves while a connection to its old address opens: an attempt that waits for it goes to the new address.
+// A host gets a new address while a connection to its old address is being opened. An attempt that waits for that
+// connection is sent to the new address.
 func TestAttemptFollowsAHostThatMovesWhileItDials(t *testing.T) {
 	gw := newHarness(t, 0)
 	gw.hosts[0].startupGate = make(chan struct{})
 	gw.start()
 	client := gw.connect()
 	client.query(queryText(writeForm, 1))
-	gw.hosts[0].nextQuery() // its startup is here
+	gw.hosts[0].nextQuery() // the host has received the startup
 	moved := newFakeHost(t, true)
 	list := `{"generation":8,"instances":[{"instanceId":"s-0","hostPort":%q,"cell":1,"lifecycle":"SERVING"}]}`
 	gw.nextWatch().writeChunk(fmt.Sprintf(list, moved.listener.Addr()))
@@ -96,8 +99,8 @@
 	client.want("value v")
 }
 
-// A host whose connections are always ready too late is dialed ever less often. No attempt waits for a dial that was given
-// up, and once the host is ready in time it is found.
+// A host whose connections always become ready after the dial timeout is dialed less and less often. No attempt waits
+// for a dial that has timed out. Once the host is ready in time again, it is used.
 func TestHostThatConnectsTooLateIsDialedLessOften(t *testing.T) {
 	const deadline = 1500 // ms
 	gw := newHarness(t, 0)
@@ -111,14 +114,14 @@
 	}
 	for _, client := range clients {
 		if got := client.answer(); !strings.HasPrefix(got, "error 53300") {
-			t.Errorf("answered %q", got)
+			t.Errorf("answered %q, want a rejection (53300)", got)
 		}
 	}
 	var begun int
 	gw.onLoop(func() { begun, _ = gw.server.pool.Dials() })
 	t.Logf("%d dials in %d ms", begun, deadline)
-	if begun > 10 { // four at once, and then health checks with backoff
-		t.Errorf("%d dials, want 10 at most", begun)
+	if begun > 10 { // four at once, then health checks with backoff
+		t.Errorf("%d dials, want at most 10", begun)
 	}
 	close(gw.hosts[0].startupGate)
 	client := gw.connect()
@@ -127,7 +130,7 @@
 	client.want("value v")
 }
 
-// Hosts that the list has removed are forgotten with their connections.
+// When the list removes hosts, the gateway closes their connections and drops its state of them.
 func TestRemovedHostsAreForgotten(t *testing.T) {
 	gw := startGateway(t, 1)
 	client := gw.connect()
--- a/internal/app/lifecycle.go
+++ b/internal/app/lifecycle.go
@@ -11,28 +11,30 @@
 
 // Times in microseconds.
 const (
-	// drainDelay is how long connections and requests are still accepted after SIGTERM: the load balancer in front sends
-	// new connections for another 0.4 s, and clients use open ones for up to 0.7 s.
+	// drainDelay is how long connections and requests are still accepted after SIGTERM. The load balancer in front of the
+	// gateway sends new connections for another 0.4 s, and clients use open connections for up to 0.7 s.
 	drainDelay = 700_000
-	// maxCountedDeadline limits the deadline of requests that the platform waits for after drainDelay before it kills the
-	// program.
+	// maxCountedDeadline limits how long the platform waits for requests in flight after drainDelay before it kills the
+	// program: longer deadlines of requests do not delay the kill further.
 	maxCountedDeadline = 3_000_000
-	// answerMargin is the time before the earliest kill by which every request has its final answer. It must cover that the
-	// program gets its part of a core in slices, and the way of the answer to the client.
+	// answerMargin is the time before the earliest kill by which every request has its final answer. It covers the
+	// intervals in which the program is not scheduled because its share of a core is used up, and the time in which the
+	// answer reaches the client.
 	answerMargin = 200_000
-	// exitMargin is the time before the earliest kill at which the program ends, whoever is still connected.
+	// exitMargin is the time before the earliest kill at which the program ends even if clients are still connected.
 	exitMargin = 100_000
 )
 
-// signals receives the process's signals. Each channel holds one: those that come meanwhile ask for the same again. They are
-// apart, since a reload may wait for the disk while the gateway is told to end.
+// signals receives the process's signals. Each channel buffers one signal; further ones of the same kind are dropped,
+// since they would request the same again. Shutdown and reload have separate channels because a reload may wait for the
+// disk while a SIGTERM arrives.
 type signals struct {
 	terminate chan os.Signal // SIGTERM and SIGINT
 	reload    chan os.Signal // SIGHUP
 }
 
-// notifySignals begins to receive signals. It goes on until the process has ended: a SIGHUP that comes meanwhile must not be
-// what ends it.
+// notifySignals starts receiving signals and never stops: a SIGHUP that arrives during the shutdown must not terminate
+// the process by the signal's default action.
 func notifySignals() signals {
 	s := signals{terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
@@ -40,15 +42,15 @@
 	return s
 }
 
-// drainAt drains the gateway at each signal of a channel. It blocks until the channel is closed.
+// drainAt drains the gateway at each signal of a channel. It returns once the channel is closed.
 func (s *server) drainAt(terminate <-chan os.Signal) {
 	for range terminate {
 		s.loop.Post(s.drain)
 	}
 }
 
-// reloadAt reloads the configuration at each signal of a channel. It blocks until the channel is closed. readConfig runs on
-// the calling goroutine, so that no request waits for the file.
+// reloadAt reloads the configuration at each signal of a channel. It returns once the channel is closed. readConfig
+// runs on the calling goroutine, so that no request waits while the file is read.
 func (s *server) reloadAt(reload <-chan os.Signal, readConfig func() (*config.Config, error)) {
 	for range reload {
 		conf, err := readConfig()
@@ -56,8 +58,8 @@
 	}
 }
 
-// reload applies the changes that a running gateway can make and returns the keys that need a restart. err is the error of
-// reading the configuration: if it is not nil, it is logged and nothing changes.
+// reload applies the changes that can be made while the gateway runs and returns the keys whose changes need a restart.
+// err is the error of reading the configuration: if it is not nil, it is logged and nothing changes.
 func (s *server) reload(conf *config.Config, err error) (restart []string) {
 	if err != nil {
 		s.log.Error().Err(err).Msg("app: reload failed, configuration unchanged")
@@ -72,9 +74,10 @@
 	return restart
 }
 
-// drain begins the graceful shutdown: requests are accepted for drainDelay, those in flight are finished, and the loop
-// ends once no connection is left, or shortly before the platform may kill the program. Clients that send ahead keep their
-// connections busy beyond drainDelay, so every request is answered by a time before that kill.
+// drain begins the graceful shutdown. Requests are accepted for drainDelay, and those in flight are finished. The loop
+// ends once no connection is left, at the latest exitMargin before the platform may kill the program. Clients that
+// pipeline requests keep their connections busy beyond drainDelay, so every request gets its final answer by
+// answerMargin before that kill.
 func (s *server) drain() {
 	if s.draining {
 		return
@@ -90,8 +93,9 @@
 	s.killAt = killAt
 }
 
-// closeInTime closes the component once the loop has ended, and reports whether that was done by half of exitMargin before the
-// earliest kill. The component's data outlives a process that ends meanwhile, as it does one that is killed.
+// closeInTime closes the component after the loop has ended. It reports whether the component was closed by half of
+// exitMargin before the earliest kill. If not, the process may end meanwhile: the component's stored data survives this
+// as it survives a kill.
 func (s *server) closeInTime(component Component) bool {
 	closed := make(chan struct{})
 	go func() {
--- a/internal/app/log_test.go
+++ b/internal/app/log_test.go
@@ -8,7 +8,7 @@
 	"cloverrock/internal/lab/fullpipe"
 )
 
-// openFullPipe returns the ends of a pipe whose buffer is full, until the test ends.
+// openFullPipe returns both ends of a pipe whose buffer is full. They are closed when the test ends.
 func openFullPipe(t *testing.T) (reader, writer *os.File) {
 	t.Helper()
 	reader, writer, err := fullpipe.Open()
@@ -22,7 +22,8 @@
 	return reader, writer
 }
 
-// testWithLog has a process serve a request, reload its configuration, and end in order, with a given log.
+// testWithLog starts a process that writes its log to a file, and checks that the process serves a request, reloads its
+// configuration, and shuts down gracefully.
 func testWithLog(t *testing.T, log *os.File) {
 	t.Helper()
 	gw := newHarness(t, 0)
@@ -38,13 +39,13 @@
 	gw.wantProcessEnded(buffer)
 }
 
-// A log that nobody reads stalls neither requests nor the shutdown.
+// A log whose reader does not read delays neither requests nor the shutdown.
 func TestStalledLogStopsNoRequest(t *testing.T) {
 	_, writer := openFullPipe(t)
 	testWithLog(t, writer)
 }
 
-// A log whose reader has gone away does not end the process.
+// A log whose reader has closed its end does not terminate the process.
 func TestBrokenLogDoesNotEndTheProcess(t *testing.T) {
 	reader, writer := openFullPipe(t)
 	if err := reader.Close(); err != nil {
--- a/internal/app/pgclient_test.go
+++ b/internal/app/pgclient_test.go
@@ -13,7 +13,7 @@
 	"cloverrock/internal/pgwire"
 )
 
-// pgClient is a client of the gateway.
+// pgClient is a PostgreSQL client that is connected to the gateway.
 type pgClient struct {
 	t      *testing.T
 	conn   net.Conn
@@ -32,7 +32,7 @@
 	c.write(pgwire.AppendQuery(nil, text))
 }
 
-// answer reads until the gateway is ready or closes the connection, and returns a summary of the messages.
+// answer reads messages until ReadyForQuery or until the gateway closes the connection, and returns a summary of them.
 func (c *pgClient) answer() string {
 	c.t.Helper()
 	var got []string
@@ -46,12 +46,12 @@
 		}
 		switch m.Type {
 		case 'D':
-			value, _ := pgwire.OnlyColumn(m.Body) // a faulty row is no value, which the test sees
+			value, _ := pgwire.OnlyColumn(m.Body) // a faulty row yields no value, which fails the test's comparison
 			got = append(got, "value", string(value))
 		case 'I':
 			got = append(got, "empty")
 		case 'E':
-			e, _ := pgwire.ParseError(m.Body) // a faulty error has no code, which the test sees
+			e, _ := pgwire.ParseError(m.Body) // a faulty error yields no code, which fails the test's comparison
 			got = append(got, "error", e.Code)
 			if e.Detail != "" {
 				got = append(got, "after", e.Detail)
@@ -62,7 +62,7 @@
 	}
 }
 
-// cancelKey reads the answer to the startup and returns the number and secret by which requests are canceled.
+// cancelKey reads the answer to the startup and returns the process number and the secret for cancel requests.
 func (c *pgClient) cancelKey() (key []byte) {
 	c.t.Helper()
 	for {
@@ -79,16 +79,16 @@
 	}
 }
 
-// wantEnd waits for the end of the connection. A client that is still sending may see a reset, which discards the last
-// messages of the gateway.
+// wantEnd waits until the gateway has closed the connection. A client that is still sending may receive a reset, which
+// discards the gateway's last messages, so the messages are not checked.
 func (c *pgClient) wantEnd() {
 	c.t.Helper()
 	if _, err := io.Copy(io.Discard, c.reader); errors.Is(err, os.ErrDeadlineExceeded) {
-		c.t.Fatal("the connection stays open")
+		c.t.Fatal("the gateway did not close the connection")
 	}
 }
 
-// close closes the connection at once.
+// close closes the connection without a Terminate message.
 func (c *pgClient) close() {
 	c.t.Helper()
 	if err := c.conn.Close(); err != nil {
--- a/internal/app/process_test.go
+++ b/internal/app/process_test.go
@@ -46,8 +46,9 @@
 	return l.buf.String()
 }
 
-// reserveAddress returns an address at which nobody listens, and which no connection of this machine takes meanwhile: a
-// free port of 127.0.0.1 may become the source of one before the process listens there.
+// reserveAddress returns an address for the process to listen at. No other program listens there, and it is not used as
+// the source address of a connection meanwhile, as may happen to a free port of 127.0.0.1 before the process listens
+// there.
 func reserveAddress(t *testing.T) string {
 	t.Helper()
 	addresses, err := loopback.Reserve(1)
@@ -57,10 +58,11 @@
 	return addresses[0]
 }
 
-// processMemoryMB is the memory limit in the configuration of processes.
+// processMemoryMB is the memory limit in the configuration of the processes, in MiB.
 const processMemoryMB = 64
 
-// startProcess runs the gateway as a process with a number of descriptors, with or without a known list.
+// startProcess runs the gateway as a process that may open the given number of descriptors. known tells whether its
+// configuration has a known endpoint list.
 func (gw *harness) startProcess(sockets int, known bool) (*exec.Cmd, *logBuffer) {
 	t := gw.t
 	t.Helper()
@@ -108,7 +110,7 @@
 	}
 }
 
-// wantProcessEnded waits until the process has ended in order.
+// wantProcessEnded waits until the process has ended, and fails the test unless its exit code is 0.
 func (gw *harness) wantProcessEnded(log *logBuffer) {
 	gw.t.Helper()
 	select {
@@ -117,7 +119,7 @@
 			gw.t.Errorf("%v:\n%s", gw.processError, log)
 		}
 	case <-time.After(testTimeout):
-		gw.t.Fatalf("does not end:\n%s", log)
+		gw.t.Fatalf("the process does not end:\n%s", log)
 	}
 }
 
@@ -131,7 +133,8 @@
 	client.close()
 }
 
-// A process that gets SIGTERM before it has a list, and again, with SIGHUP in between, drains: requests are answered.
+// A process that receives SIGTERM before it has an endpoint list drains: it answers requests. Further SIGTERM and SIGHUP
+// signals do not change this.
 func TestProcessDrainsBeforeItIsReady(t *testing.T) {
 	gw := newHarness(t, 0)
 	cmd, log := gw.startProcess(1024, false)
@@ -146,11 +149,11 @@
 	client.close()
 	gw.wantProcessEnded(log)
 	if n := strings.Count(log.String(), "app: draining"); n != 1 {
-		t.Errorf("%d lines say that it drains:\n%s", n, log)
+		t.Errorf("%d log lines with \"app: draining\", want 1:\n%s", n, log)
 	}
 }
 
-// SIGHUP never ends the process, also while it is ending in order: that would count as a crash.
+// SIGHUP never terminates the process, also not during its graceful shutdown: that would count as a crash.
 func TestReloadSignalsWhileEndingDoNotKill(t *testing.T) {
 	gw := newHarness(t, 0)
 	cmd, log := gw.startProcess(1024, true)
@@ -168,7 +171,7 @@
 	gw.wantProcessEnded(log)
 }
 
-// A reload that waits for its file, on a disk that stalls, does not hold up a SIGTERM.
+// A reload that waits for a stalled disk does not delay the handling of a SIGTERM.
 func TestStalledReloadDoesNotDelayTheShutdown(t *testing.T) {
 	gw := newHarness(t, 0)
 	cmd, log := gw.startProcess(1024, true)
@@ -177,11 +180,11 @@
 	if err := os.Remove(gw.configPath); err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Mkfifo(gw.configPath, 0o600); err != nil { // to read it waits for a writer
+	if err := syscall.Mkfifo(gw.configPath, 0o600); err != nil { // opening it for reading waits for a writer
 		t.Fatal(err)
 	}
 	sendSignals(t, cmd, syscall.SIGHUP)
-	file, err := os.OpenFile(gw.configPath, os.O_WRONLY, 0) // waits until the process has it open
+	file, err := os.OpenFile(gw.configPath, os.O_WRONLY, 0) // waits until the process has opened it for reading
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,8 +193,9 @@
 	gw.wantProcessEnded(log)
 }
 
-// A process that may have 128 descriptors open, with a silent discovery and many more clients than that, which send nothing or
-// stop in their startup, still calls discovery, dials hosts, and serves the clients that send requests.
+// A process may have 128 descriptors open. Its discovery service does not answer, and many more than 128 clients
+// connect and send nothing or stop within their startup. The process still calls discovery, dials hosts, and serves
+// clients that send requests.
 func TestIdleClientsLeaveDescriptorsForHostsAndDiscovery(t *testing.T) {
 	const idle = 1000
 	gw := newHarness(t, 0)
@@ -206,11 +210,11 @@
 	}
 	gw.exchange(gw.connect(), 1, "v")
 	if s := log.String(); strings.Contains(s, "too many open files") {
-		t.Errorf("out of descriptors:\n%s", s)
+		t.Errorf("the process ran out of descriptors:\n%s", s)
 	}
 }
 
-// A faulty configuration ends the program at its start, with the faulty key named and ExitFailed.
+// A faulty configuration ends the program at its start. The error names the faulty key and the exit code is ExitFailed.
 func TestFaultyConfigurationEndsTheStart(t *testing.T) {
 	gw := newHarness(t, 0)
 	program := buildProgram(t)
@@ -225,7 +229,7 @@
 	} {
 		text := strings.Replace(good, c.old, c.new, 1)
 		if text == good {
-			t.Fatalf("no %s in the file", c.old)
+			t.Fatalf("the configuration does not contain %s", c.old)
 		}
 		file := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -238,12 +242,12 @@
 		cancel()
 		exit, ok := errors.AsType[*exec.ExitError](err)
 		if !ok || exit.ExitCode() != ExitFailed || !strings.Contains(string(output), c.key) {
-			t.Errorf("%s: %v, %s", c.new, err, output)
+			t.Errorf("%s: %v, output %s", c.new, err, output)
 		}
 	}
 }
 
-// peakMemoryMB returns the most memory that a process has held, in MiB.
+// peakMemoryMB returns the peak resident memory of a process in MiB.
 func peakMemoryMB(t *testing.T, pid int) int {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -258,7 +262,8 @@
 	return kib >> 10
 }
 
-// flood has clients send complete requests, endless ones and noise. done is closed once they have disconnected.
+// flood has clients send complete requests, messages that never end, and random bytes. done is closed once all clients
+// have disconnected.
 func (gw *harness) flood(clients int) (done <-chan struct{}) {
 	gw.t.Helper()
 	startup := pgwire.AppendStartup(nil, "user", "worker")
@@ -273,7 +278,7 @@
 		client := gw.dial()
 		sending.Go(func() {
 			sent := append(bytes.Clone(startup), floods[i%len(floods)]...)
-			_, _ = client.conn.Write(sent) // until it is cut off, or all was taken
+			_, _ = client.conn.Write(sent) // fails when the gateway closes the connection
 			_ = client.conn.Close()
 		})
 	}
@@ -285,10 +290,10 @@
 	return ended
 }
 
-// Clients that send much and go take no more memory than there is, and one that sends proper requests is answered
-// meanwhile, each time within the request's own time.
+// Clients that send large amounts of data and disconnect do not make the gateway exceed its memory limit. Meanwhile a
+// client that sends valid requests gets each answer within the request's deadline.
 func TestFloodsStayWithinTheMemoryLimit(t *testing.T) {
-	const deadline = 3 * time.Second // of a request: later it would be rejected
+	const deadline = 3 * time.Second // of each request; it would be rejected later
 	gw := newHarness(t, 0)
 	cmd, log := gw.startProcess(1024, true)
 	gw.nextCall()
@@ -317,7 +322,7 @@
 	}
 	mb := peakMemoryMB(t, cmd.Process.Pid)
 	if mb > processMemoryMB {
-		t.Errorf("%d MB of %d after %d requests:\n%s", mb, processMemoryMB, sent, log)
+		t.Errorf("peak memory of %d MiB exceeds the limit of %d MiB after %d requests:\n%s", mb, processMemoryMB, sent, log)
 	}
-	t.Logf("%d MB of %d, %d requests answered meanwhile, the slowest in %v", mb, processMemoryMB, sent, longest)
+	t.Logf("peak memory of %d MiB with a limit of %d MiB; %d requests were answered meanwhile, the slowest in %v", mb, processMemoryMB, sent, longest)
 }
--- a/internal/app/requests_test.go
+++ b/internal/app/requests_test.go
@@ -10,16 +10,17 @@
 	"cloverrock/internal/pgwire"
 )
 
-// Queries with an id and the milliseconds for which their client waits.
+// The forms of queries, with an id and the time in milliseconds for which the client waits.
 const (
 	readForm  = "/* id=%d,c=lookup,d=%d,cluster=1 */ SELECT body FROM objects WHERE oid = 'k'"
 	writeForm = "/* id=%d,c=change,d=%d,cluster=1 */ INSERT INTO objects VALUES ('k')"
 )
 
-// queryText is a query whose client waits for a minute.
+// queryText returns a query whose client waits for a minute.
 func queryText(form string, id int) string { return fmt.Sprintf(form, id, 60000) }
 
-// The value comes back as the host gave it; statement and id go out unchanged, d as the time that is left.
+// The client receives the value as the host sent it. The host receives the statement and the id unchanged, and in d the
+// remaining time in milliseconds.
 func TestValueAndStatementAreForwardedUnchanged(t *testing.T) {
 	gw := startGateway(t, 0)
 	client := gw.connect()
@@ -29,17 +30,18 @@
 	left, rest, _ := strings.Cut(rest, ",")
 	wait, err := strconv.Atoi(left)
 	if err != nil || wait > 60000 || wait < 1 {
-		t.Errorf("d is %q", left)
+		t.Errorf("the host received d=%q, want 1 to 60000", left)
 	}
 	if got := head + ",d=60000," + rest; got != queryText(writeForm, 41) {
-		t.Errorf("the host got %q", query.text)
+		t.Errorf("the host received %q", query.text)
 	}
-	value := strings.Repeat("\x00\xff'v", 120<<10) // 480 KiB: more than a socket gives at once
+	value := strings.Repeat("\x00\xff'v", 120<<10) // 480 KiB: more than one read of a socket returns
 	query.answer(value)
 	client.want("value " + value)
 }
 
-// A client may send ahead, its first query with the startup; answers keep the order and no request is lost.
+// A client may pipeline queries, the first one together with its startup. The answers keep the order of the queries,
+// and no request is lost.
 func TestAnswersKeepTheOrderOfPipelinedQueries(t *testing.T) {
 	gw := startGateway(t, 0)
 	client := gw.dial()
@@ -47,7 +49,7 @@
 	for id := 1; id <= 3; id++ {
 		b = pgwire.AppendQuery(pgwire.AppendQuery(b, queryText(writeForm, id)), "")
 	}
-	for _, ch := range b { // byte by byte: no cut may matter
+	for _, ch := range b { // byte by byte, so that messages are cut at every position
 		client.write([]byte{ch})
 	}
 	client.want("")
@@ -60,7 +62,8 @@
 	}
 }
 
-// A write that was sent completely may have run: it fails and is sent to no other host. Its connection is not used again.
+// A write that was sent completely may have been executed, so it fails and is sent to no other host. The connection on
+// which it failed is not used again.
 func TestWriteThatMayHaveRunIsNotRetried(t *testing.T) {
 	for name, end := range map[string]func(*hostQuery){
 		"reset": func(query *hostQuery) { query.reset() },
@@ -74,15 +77,15 @@
 			client.want("error " + pgwire.CodeSystemError)
 			for i, h := range gw.hosts {
 				if len(h.queries) != 0 {
-					t.Errorf("s-%d got the write again", i)
+					t.Errorf("the write was also sent to s-%d", i)
 				}
 			}
 		})
 	}
 }
 
-// A refused connection proves that nothing ran, and so does the error of a host that is no primary: the write is retried at
-// the next member of the list.
+// A refused connection, or the error of a host that is not the primary, shows that the write was not executed. The
+// write is retried at the next host of the group.
 func TestWriteTriesTheNextMemberWhenNothingRan(t *testing.T) {
 	gw := startGateway(t, 2)
 	gw.hosts[0].stopListening()
@@ -98,14 +101,14 @@
 		case query := <-gw.hosts[2].queries:
 			query.answer("done")
 		case <-time.After(testTimeout):
-			t.Fatal("the write went nowhere")
+			t.Fatal("no host received the write")
 		}
 		break
 	}
 	client.want("value done")
 }
 
-// While no host reports that it is primary a write waits unsent; it is sent once one does.
+// While no host reports that it is the primary, a write waits and is not sent. It is sent once a host reports it.
 func TestWriteWaitsForAPrimary(t *testing.T) {
 	gw := startGateway(t, 1)
 	gw.hosts[0].setPrimary(false)
@@ -135,7 +138,7 @@
 	client.want("error 53300 after 1000")
 }
 
-// A draining host gets no new requests, and what it has in flight is finished.
+// A draining host gets no new requests, and its requests in flight are finished.
 func TestDrainingHostGetsNoNewRequests(t *testing.T) {
 	gw := startGateway(t, 2)
 	client := gw.connect()
@@ -152,14 +155,15 @@
 	held.answer("done")
 	client.want("value done")
 	if n := len(gw.hosts[0].queries) + len(gw.hosts[1].queries); n != 0 {
-		t.Errorf("%d sent to draining hosts", n)
+		t.Errorf("%d requests were sent to draining hosts", n)
 	}
 }
 
-// No read is answered from data older than its class allows: the primary takes it if the replica lags too much.
+// No read is answered from data older than its class allows. If the replica lags too far behind, the primary gets the
+// read.
 func TestStaleReplicaGetsNoRead(t *testing.T) {
 	gw := startGateway(t, 1)
-	gw.hosts[1].setPosition(time.Now().Add(-2 * time.Minute)) // the bound is 1 min
+	gw.hosts[1].setPosition(time.Now().Add(-2 * time.Minute)) // the class allows 1 min
 	client := gw.connect()
 	for id := 1; id <= 5; id++ {
 		client.query(queryText(readForm, id))
@@ -167,16 +171,16 @@
 		client.want("value fresh")
 	}
 	gw.hosts[1].setPosition(time.Now())
-	after := time.Now().UnixMilli() + 1000 // no replica has reached it
+	after := time.Now().UnixMilli() + 1000 // a log position that no replica has reached
 	client.query(fmt.Sprintf("/* id=9,c=own,d=60000,cluster=1,after=%d */ SELECT body FROM objects WHERE oid = 'k'", after))
 	gw.hosts[0].nextQuery().answer("own")
 	client.want("value own")
 	if len(gw.hosts[1].queries) != 0 {
-		t.Error("the replica got a read")
+		t.Error("the replica received a read")
 	}
 }
 
-// The id of a request in flight is taken: another request with that id gets an error and goes to no host.
+// A request whose id equals that of a request in flight is answered by an error and sent to no host.
 func TestSecondRequestWithAnIDInFlightIsRejected(t *testing.T) {
 	gw := startGateway(t, 0)
 	client := gw.connect()
@@ -187,7 +191,7 @@
 	other.want("error 42601")
 	held.answer("v")
 	client.want("value v")
-	other.query(queryText(writeForm, 1)) // it is free again
+	other.query(queryText(writeForm, 1)) // the id may be used again
 	gw.hosts[0].nextQuery().answer("w")
 	other.want("value w")
 }
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -6,7 +6,8 @@
 	"cloverrock/internal/config"
 )
 
-// serve runs the gateway until it has drained, with a component if a settings file is named.
+// serve runs the gateway until its graceful shutdown has ended. If a settings file is given, it also runs the component
+// that the file enables.
 func (c *commandLine) serve(cmd *cobra.Command, _ []string) error {
 	signals := notifySignals()
 	conf, err := config.Load(c.getenv)
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -18,40 +18,43 @@
 )
 
 const (
-	// reservedDescriptors are left for standard streams, event loop, listener, discovery, peers, and connections that are
-	// being accepted or closed.
+	// reservedDescriptors is the number of descriptors left for the standard streams, the event loop, the listener,
+	// discovery, peers, and connections that are being accepted or closed.
 	reservedDescriptors = 40
-	// clientDescriptorPercent is the part of the other descriptors that clients may use; connections to hosts have the rest.
+	// clientDescriptorPercent is the part of the other descriptors for client connections; the rest is for connections to
+	// hosts.
 	clientDescriptorPercent = 55
-	// activeClientsDivisor divides all descriptors: with more clients than that which have sent a request, idle ones are
-	// closed.
+	// activeClientsDivisor divides the number of all descriptors. The quotient limits the clients that have sent a
+	// request: if there are more of them, idle ones are closed.
 	activeClientsDivisor = 4
-	// maxBackendLogLines limits the log lines about hosts per second: a host that fails all the time must not fill the log.
+	// maxBackendLogLines limits the log lines about hosts per second, so that a host that always fails does not fill the
+	// log.
 	maxBackendLogLines = 20
 )
 
 // Parts of the memory limit.
 const (
 	heapPercent           = 60 // the Go runtime's soft limit
-	queuedBytesDivisor    = 16 // bytes that the event loop has read and nobody has handled
+	queuedBytesDivisor    = 16 // bytes that the event loop has read and that are not handled yet
 	clientBytesDivisor    = 8  // requests and incomplete messages of clients
 	backendAnswersDivisor = 8  // incomplete answers of hosts
 )
 
 // Times in microseconds.
 const (
-	// messageTimeout limits the time that a client takes to complete a message, and its first one after it connects. The
-	// protocol promises a close within 3 s.
+	// messageTimeout limits the time in which a client has to complete a message, and the time from its connection to its
+	// first message. The protocol promises that such a client is closed within 3 s.
 	messageTimeout = 2_000_000
-	// idleTimeout limits the time between requests: the protocol allows to close a client after 2 s.
+	// idleTimeout limits the time between two requests of a client. The protocol allows the gateway to close a client
+	// after 2 s.
 	idleTimeout = 2_000_000
-	// firstListTimeout limits the wait for the first list of a discovery agent on this machine, which answers at once
-	// unless the service is down.
+	// firstListTimeout limits the wait for the first list from a discovery agent on this machine. The agent answers
+	// immediately unless the discovery service is down.
 	firstListTimeout = 500_000
 )
 
-// server is a gateway with all its parts. Its methods must be called on the loop's goroutine, except drainAt,
-// reloadAt and those that implement Gateway, which may be called from any.
+// server is a gateway with all its parts. Its methods must be called on the loop's goroutine, except drainAt, reloadAt
+// and the methods of Gateway, which may be called from any goroutine.
 type server struct {
 	conf       *config.Config
 	log        zerolog.Logger
@@ -62,7 +65,7 @@
 	watch      *discovery.Watch
 	drainDelay int64 // µs
 	draining   bool
-	killAt     int64                  // µs; the earliest kill, once it drains
+	killAt     int64                  // µs; the earliest time at which the platform may kill the program, once draining
 	endpoints  discovery.EndpointList // the current list
 }
 
@@ -74,12 +77,12 @@
 
 // timeouts holds the timeouts that tests replace, in microseconds.
 type timeouts struct {
-	message   int64 // as messageTimeout
-	idle      int64 // as idleTimeout
-	firstList int64 // as firstListTimeout; 0: the known list is used at once
+	message   int64 // messageTimeout, unless a test replaces it
+	idle      int64 // idleTimeout, unless a test replaces it
+	firstList int64 // firstListTimeout, unless a test replaces it; 0: the known list is used at once
 }
 
-// newServer starts to listen and to follow the endpoint list; the caller runs the loop. withComponent is true if a
+// newServer starts listening and following the endpoint list; the caller runs the loop. withComponent is true if a
 // component runs in the same process.
 func newServer(conf *config.Config, t timeouts, withComponent bool, log zerolog.Logger) (*server, error) {
 	limitRuntime(conf, withComponent)
@@ -123,7 +126,7 @@
 	return s, nil
 }
 
-// limitRuntime sets the Go runtime's limits: most of the memory, and one thread unless a component needs another.
+// limitRuntime limits the Go runtime's memory, and limits it to one thread unless a component runs in the process.
 func limitRuntime(conf *config.Config, withComponent bool) {
 	if !withComponent {
 		runtime.GOMAXPROCS(1) // a gateway has one core; a second thread costs more than it gains
@@ -134,15 +137,16 @@
 // memoryBytes returns the memory limit in bytes.
 func memoryBytes(conf *config.Config) int { return conf.MemoryMB << 20 }
 
-// connectionLimits divides the descriptors between connections of clients and connections to hosts.
+// connectionLimits divides the descriptors between client connections and connections to hosts.
 func connectionLimits(sockets int) (maxClients, maxHosts int) {
 	free := sockets - reservedDescriptors
 	maxClients = free * clientDescriptorPercent / 100
 	return maxClients, free - maxClients
 }
 
-// pollsBeforeKnownList reports whether the complete list is requested from discovery before the known one is used. An
-// agent on this machine has the current list, which counts as delivered from the start, while the known one may be older.
+// pollsBeforeKnownList reports whether the gateway requests the complete list from discovery before it uses the known
+// list of its configuration. A discovery agent on this machine has the current list, and by the protocol that list
+// counts as delivered to the gateway from its start. The known list may be older.
 func (s *server) pollsBeforeKnownList(t timeouts) bool {
 	return s.conf.KnownEndpoints != nil && !s.conf.Settings.MustSubscribe && t.firstList > 0
 }
@@ -167,8 +171,8 @@
 	})
 }
 
-// useKnownList applies the known list, if there is one: at once, or with pollsFirst after a timeout (µs) within which
-// discovery has not answered.
+// useKnownList applies the known list, if there is one. Without pollsFirst it is applied at once; with pollsFirst it is
+// applied if discovery does not answer within the timeout (µs).
 func (s *server) useKnownList(pollsFirst bool, timeout int64) {
 	if s.conf.KnownEndpoints == nil {
 		return
@@ -187,7 +191,7 @@
 	})
 }
 
-// endpointsUpdated applies a list. The pool receives it first: the gateway may use its hosts at once.
+// endpointsUpdated applies a list. The pool receives it first, since the gateway may send requests to its hosts at once.
 func (s *server) endpointsUpdated(l discovery.EndpointList) {
 	var removed []string
 	for _, endpoint := range l.Endpoints {
--- a/internal/app/shutdown_test.go
+++ b/internal/app/shutdown_test.go
@@ -9,7 +9,7 @@
 	"cloverrock/internal/pgwire"
 )
 
-// A draining gateway accepts requests for a while, answers all that are in flight and then ends.
+// A draining gateway still accepts requests for drainDelay, answers all requests in flight, and then ends.
 func TestDrainAnswersWhatIsInFlight(t *testing.T) {
 	gw := startGateway(t, 0)
 	client := gw.connect()
@@ -17,10 +17,10 @@
 	client.query(queryText(writeForm, 1))
 	held := gw.hosts[0].nextQuery()
 	gw.onLoop(func() {
-		if gw.server.drainDelay != 700e3 { // µs; later requests count as lost
-			t.Errorf("accepts requests for %d us", gw.server.drainDelay)
+		if gw.server.drainDelay != 700e3 { // µs; requests that arrive later count as lost
+			t.Errorf("drain delay of %d us, want 700000", gw.server.drainDelay)
 		}
-		gw.server.drainDelay = testTimeout.Microseconds() // the test ends it, when the late request has come
+		gw.server.drainDelay = testTimeout.Microseconds() // the test ends the delay after the late request
 		gw.server.drain()
 	})
 	late := gw.connect()
@@ -34,7 +34,7 @@
 	gw.wantEnded()
 }
 
-// closingComponent is a component that closes when the test lets it.
+// closingComponent is a component whose Close returns once the test closes mayClose.
 type closingComponent struct {
 	Component
 	mayClose chan struct{}
@@ -42,34 +42,34 @@
 
 func (c closingComponent) Close() { <-c.mayClose }
 
-// A component that takes long to close does not hold the process beyond the kill.
+// A component that is slow to close does not keep the process running until the platform kills it.
 func TestEndDoesNotWaitForASlowComponent(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.LongestDeadline = 0 })
 	gw.onLoop(gw.server.drain)
 	gw.wantEnded()
 	component := closingComponent{mayClose: make(chan struct{})}
 	if gw.server.closeInTime(component) {
-		t.Error("closed, although the component is not")
+		t.Error("reported as closed although Close has not returned")
 	}
 	if now := gw.server.loop.Now(); now > gw.server.killAt {
-		t.Errorf("%d us after the kill", now-gw.server.killAt)
+		t.Errorf("closeInTime returned %d us after the kill", now-gw.server.killAt)
 	}
 	close(component.mayClose)
 	gw.server.killAt = gw.server.loop.Now() + testTimeout.Microseconds()
 	if !gw.server.closeInTime(component) {
-		t.Error("not closed, although there was time")
+		t.Error("reported as not closed although Close returned in time")
 	}
 }
 
-// shutdownCase is what a client sends around the moment at which its connection ends.
+// shutdownCase describes what a client sends before and after the gateway begins to close connections.
 type shutdownCase struct {
-	silent bool // the connection has sent nothing before
+	silent bool // the client sends nothing before that moment, not even a startup
 	sent   []byte
-	before int // bytes of it that are in the socket at that moment
+	before int // how many bytes of sent are in the gateway's socket at that moment
 	want   []string
 }
 
-// run ends a gateway while a client sends.
+// run shuts a gateway down while a client sends.
 func (c *shutdownCase) run(t *testing.T, startup []byte) {
 	t.Helper()
 	gw := startGateway(t, 0)
@@ -78,7 +78,7 @@
 		client.write(startup)
 		client.want("")
 	}
-	gw.connect() // its round trip shows that the loop has the first connection, too
+	gw.connect() // this round trip shows that the loop has accepted the first connection, too
 	gw.onLoop(func() {
 		if c.before > 0 {
 			client.write(c.sent[:c.before])
@@ -97,13 +97,13 @@
 	gw.wantEnded()
 }
 
-// waitForInput waits on the loop's goroutine until a client's bytes are in a socket.
+// waitForInput waits on the loop's goroutine until bytes of a client have arrived in a socket.
 func (gw *harness) waitForInput() {
 	for began := time.Now(); gw.server.frontend.InputDrained() && time.Since(began) < testTimeout; {
 	}
 }
 
-// answerQueries has the primary answer a number of queries at most.
+// answerQueries has the primary answer at most n queries.
 func (gw *harness) answerQueries(n int) {
 	for range n {
 		select {
@@ -115,8 +115,9 @@
 	}
 }
 
-// Clients still send after SIGTERM. What is in a connection's socket when it ends is read and answered: a request, half
-// of one, the first half of several, a startup followed by its query.
+// Clients still send after SIGTERM. Bytes that are in a connection's socket when the gateway begins to close
+// connections are read and answered: a request, half a request, the first of several requests, or a startup followed by
+// its query.
 func TestShutdownAnswersWhatIsInTheSocket(t *testing.T) {
 	startup := pgwire.AppendStartup(nil, "user", "worker")
 	query := func(ids ...int) (b []byte) {
@@ -139,7 +140,8 @@
 	}
 }
 
-// A client that reads slowly is idle with its answer half written: neither a new client nor the shutdown cuts it off.
+// A client that reads slowly counts as idle while its answer is written only in part. Neither a new client nor the
+// shutdown closes its connection before the answer is complete.
 func TestSlowReaderGetsItsCompleteAnswer(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 4 }) // 2 clients
 	slow := gw.connect()
@@ -148,14 +150,14 @@
 	id := 0
 	for ; !gw.hasUnsentBytes(); id++ {
 		if id == 1000 {
-			t.Fatal("64 MB were written to a client that reads nothing")
+			t.Fatal("64 MB were written to a client that does not read")
 		}
 		slow.query(queryText(writeForm, id))
 		gw.hosts[0].nextQuery().answer(value)
 		for gw.hasInFlight() {
 		}
 	}
-	other.query("") // so that slow has been idle longer
+	other.query("") // so that slow has been idle for longer than other
 	other.want("empty")
 	gw.connect().close()
 	other.want("closed")
@@ -170,8 +172,8 @@
 	slow.want("closed")
 }
 
-// An idle connection is ended by a lingering close: what its client is just sending is never forwarded, and causes no reset.
-// A client that does not end its side delays the shutdown for a moment only.
+// An idle connection is ended by a lingering close: requests that its client is just sending are not forwarded and do
+// not cause a reset. A client that does not close its side delays the shutdown only briefly.
 func TestIdleClientIsClosedWithoutAReset(t *testing.T) {
 	for name, ends := range map[string]bool{"ends its side": true, "stays": false} {
 		t.Run(name, func(t *testing.T) {
@@ -179,7 +181,7 @@
 			client := gw.connect()
 			gw.exchange(client, 1, "v")
 			gw.onLoop(func() { gw.server.frontend.Shutdown(gw.server.loop.Stop) })
-			for id := range 50 { // a reset would fail one of these
+			for id := range 50 { // after a reset, one of these writes would fail
 				client.query(queryText(writeForm, 10+id))
 			}
 			client.want("closed")
@@ -188,14 +190,15 @@
 			}
 			gw.wantEnded()
 			if n := len(gw.hosts[0].queries); n > 0 {
-				t.Errorf("%d requests were forwarded after the end", n)
+				t.Errorf("%d requests were forwarded after the connection was ended", n)
 			}
 		})
 	}
 }
 
-// A client that sends ahead keeps its connection busy until the kill: each of its requests is answered before that. In
-// front of it is a write that hangs at its host; the one behind it was read after the drain delay, and is never forwarded.
+// A client that pipelines requests keeps its connection busy until the kill, and each of its requests is answered
+// before that. The first request is a write that hangs at its host. The one behind it was read after the drain delay
+// and is never forwarded.
 func TestPipelinedRequestsAreAnsweredBeforeTheKill(t *testing.T) {
 	const longestDeadline = 400 * time.Millisecond
 	gw := startGateway(t, 0, func(c *config.Config) { c.LongestDeadline = longestDeadline.Microseconds() })
