--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -11,7 +11,7 @@
 //
 // Backoff does no I/O and reads no clock. All times are microseconds. It is not safe for concurrent use.
 type Backoff struct {
-	firstCallWindow  int64 // the first call is made at a random time within it; 0: at once
+	firstCallWindow  int64 // the first call is made at a random time within it; 0: immediately
 	minWait, maxWait int64
 	nextWait         int64 // mean wait after the next failure
 	initialTimeout   int64
@@ -19,24 +19,25 @@
 	rand             random.Source
 }
 
-// All in microseconds.
+// Times in microseconds.
 const (
-	// minRetryWait and maxRetryWait bound the mean wait of a gateway that does not share the service.
+	// minRetryWait and maxRetryWait limit the mean wait of a gateway that does not share the service.
 	minRetryWait = 5e4
 	maxRetryWait = 5e5
-	// An answer has to begin within minResponseTimeout at first; the time doubles after each failure.
+	// minResponseTimeout limits the time until an answer begins. It doubles after each failure, up to maxResponseTimeout.
 	minResponseTimeout = 4e5
 	maxResponseTimeout = 2e6
-	// maxMeanWait keeps the next call within updateDeadline of the moment at which the service is reachable again: the
-	// call before may just have begun to wait for its answer, and a wait is up to half as long again as its mean.
+	// maxMeanWait limits the mean wait so that the next call begins within updateDeadline after the service becomes
+	// reachable again. At that moment the previous call may just have begun to wait for its answer, and a wait may be
+	// longer than its mean by half.
 	maxMeanWait = (updateDeadline - maxResponseTimeout - minResponseTimeout) * 2 / 3
 	// callCost is a conservative estimate of the service's time for one call.
 	callCost = 6e4
 )
 
-// NewBackoff returns the backoff of one gateway in a fleet of the given number. shared is true if all of them call one
-// service, false if each calls an agent of its own. The seed decides the random parts of the waits; it should differ
-// between gateways.
+// NewBackoff returns the backoff of one gateway in a fleet of the given number of gateways. shared is true if all of
+// them call one service, and false if each calls an agent of its own. The seed determines the random parts of the
+// waits; it should differ between gateways.
 func NewBackoff(gateways int, shared bool, seed uint64) *Backoff {
 	b := &Backoff{
 		minWait:        minRetryWait,
@@ -51,21 +52,21 @@
 	return b
 }
 
-// spread adapts the times to a service that needs allCalls for one call of each gateway.
+// spread adapts the times to a service that needs the time allCalls to answer one call of each gateway.
 func (b *Backoff) spread(allCalls int64) {
 	b.firstCallWindow = allCalls
 	b.minWait = max(minRetryWait, allCalls/4)
 	b.maxWait = max(maxRetryWait, 2*allCalls)
 	b.initialTimeout = min(max(minResponseTimeout, allCalls), maxResponseTimeout)
 	if allCalls > updateDeadline {
-		return // too many for all to be updated in time: shorter waits would only overload the service
+		return // too many gateways to update all in time; shorter waits would only overload the service
 	}
 	b.firstCallWindow = min(b.firstCallWindow, updateDeadline/2)
 	b.minWait = min(b.minWait, maxMeanWait)
 	b.maxWait = min(b.maxWait, maxMeanWait)
 }
 
-// BeforeFirstCall returns the wait before the first call: none for a gateway that has no list to work with.
+// BeforeFirstCall returns the wait before the first call. It is 0 for a gateway that has no list to use meanwhile.
 func (b *Backoff) BeforeFirstCall(hasList bool) int64 {
 	if !hasList || b.firstCallWindow == 0 {
 		return 0
@@ -73,14 +74,14 @@
 	return b.rand.Below(b.firstCallWindow)
 }
 
-// ResponseTimeout returns the time within which the answer to the next call has to begin.
+// ResponseTimeout returns the time within which the answer to the next call must begin.
 func (b *Backoff) ResponseTimeout() int64 { return b.responseTimeout }
 
-// AfterWatchEnded returns the wait after the end of a watch that had given a sign of life. It is short: usually only that
-// one connection is at fault, and changes from now on have to arrive within updateDeadline.
+// AfterWatchEnded returns the wait after the end of a watch that had received a sign of life. The wait is short: usually
+// only that one connection has failed, and changes from now on must arrive within updateDeadline.
 func (b *Backoff) AfterWatchEnded() int64 { return b.rand.Below(min(b.minWait, maxRetryWait)) }
 
-// AfterFailure returns the wait after a call that brought no sign of life, and lengthens the next wait and timeout.
+// AfterFailure returns the wait after a call that received no sign of life, and lengthens the next wait and timeout.
 func (b *Backoff) AfterFailure() int64 {
 	wait := b.nextWait/2 + b.rand.Below(b.nextWait)
 	b.nextWait = min(2*b.nextWait, b.maxWait)
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -5,28 +5,28 @@
 	"testing"
 )
 
-// callTimeout (µs) is how long a call of these tests waits for its answer.
+// callTimeout is the time in microseconds after which a call in these tests fails for want of an answer.
 const callTimeout = 2e6
 
-// overloadedService answers calls in turn. A call that has timed out is worked on all the same when its turn comes.
+// overloadedService answers calls one after the other. It also spends its time on calls that have timed out.
 type overloadedService struct {
 	costPerCall, freeAt int64
 	callers             []caller
 }
 
-// caller is a gateway without the list, and when it calls next.
+// caller is a gateway without a list, and the time of its next call.
 type caller struct {
 	callsAt int64
 	backoff *Backoff
 }
 
-// serve has all of them call until they have the list, and returns when the last has it.
+// serve lets all gateways call until each has the list. It returns the time at which the last one receives it.
 func (s *overloadedService) serve(t *testing.T) (last int64) {
 	t.Helper()
 	waiting := s.callers
 	for calls, gateways := 0, len(waiting); len(waiting) > 0; calls++ {
 		if calls > 20*gateways {
-			t.Fatalf("%d gateways: %d still have no list after %d calls", gateways, len(waiting), calls)
+			t.Fatalf("%d gateways: %d of them have no list after %d calls", gateways, len(waiting), calls)
 		}
 		slices.SortFunc(waiting, func(a, b caller) int { return int(a.callsAt - b.callsAt) })
 		next := &waiting[0]
@@ -41,8 +41,9 @@
 	return last
 }
 
-// Of 80 gateways that start at once all have the list soon, though the service can answer 17 calls a second. With retries
-// at fixed times from 50 ms to 1 s few would ever get it: the calls that have failed take all of its time.
+// If 80 gateways start at the same time, all of them soon have the list, although the service can answer only 17 calls
+// a second. With retries at fixed intervals from 50 ms to 1 s few would ever receive it, since calls that have timed
+// out take up all of the service's time.
 func TestAllGatewaysOfAFleetGetTheList(t *testing.T) {
 	for _, gateways := range []int{1, 2, 80, 300} {
 		s := &overloadedService{costPerCall: callCost}
@@ -52,13 +53,13 @@
 		}
 		limit := 3*int64(gateways)*callCost + 1e6
 		if last := s.serve(t); last > limit {
-			t.Errorf("%d gateways: the last has the list after %d ms, want %d at most", gateways, last/1000, limit/1000)
+			t.Errorf("%d gateways: the last one has the list after %d ms, want at most %d ms", gateways, last/1000, limit/1000)
 		}
 	}
 }
 
-// A gateway that is alone, has an agent of its own or no list at all makes its first call at once, and one with an agent
-// of its own retries after a short wait.
+// A gateway that is alone, has an agent of its own, or has no list makes its first call immediately. One with an agent
+// of its own also retries after a short wait.
 func TestWaitsAreShortUnlessGatewaysShareTheService(t *testing.T) {
 	for name, wait := range map[string]int64{
 		"alone":          NewBackoff(1, true, 1).BeforeFirstCall(true),
@@ -66,7 +67,7 @@
 		"without a list": NewBackoff(80, true, 1).BeforeFirstCall(false),
 	} {
 		if wait != 0 {
-			t.Errorf("%s: waits %d us", name, wait)
+			t.Errorf("%s: waits %d us before the first call, want 0", name, wait)
 		}
 	}
 	backoff := NewBackoff(80, false, 1)
@@ -81,8 +82,8 @@
 	}
 }
 
-// While the calls of all gateways fit into updateDeadline, each begins its next call early enough, whatever it was waiting
-// for when the service came back.
+// While the service can answer a call of every gateway within updateDeadline, each gateway begins its next call early
+// enough, whether it was waiting for an answer or for a retry when the service came back.
 func TestNextCallBeginsWithinTheUpdateDeadline(t *testing.T) {
 	for _, gateways := range []int{1, 2, 20, 50, 100} {
 		for _, shared := range []bool{true, false} {
@@ -99,7 +100,7 @@
 	}
 }
 
-// With the service back after an outage, all gateways have the list within updateDeadline.
+// After an outage of the service, all gateways have the list within updateDeadline.
 func TestAllGatewaysGetTheListInTimeAfterAnOutage(t *testing.T) {
 	for _, gateways := range []int{1, 2, 20, 50, 80} {
 		for outage := int64(0); outage <= 20e6; outage += 5e5 {
@@ -107,14 +108,14 @@
 			for i := range gateways {
 				backoff := NewBackoff(gateways, true, uint64(i)+1)
 				callsAt := backoff.BeforeFirstCall(true)
-				for callsAt < outage { // no call is answered
+				for callsAt < outage { // calls during the outage fail
 					callsAt += backoff.ResponseTimeout()
 					callsAt += backoff.AfterFailure()
 				}
 				s.callers = append(s.callers, caller{callsAt, backoff})
 			}
 			if last := s.serve(t); last > outage+updateDeadline {
-				t.Errorf("%d gateways, an outage of %d ms: the last has the list %d ms after it",
+				t.Errorf("%d gateways, outage of %d ms: the last gateway has the list %d ms after the outage",
 					gateways, outage/1000, (last-outage)/1000)
 			}
 		}
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -9,10 +9,10 @@
 	"cloverrock/balance"
 )
 
-// defaultWeight is the weight of a host for which the list states none.
+// defaultWeight is the weight of a host whose weight is missing in the list.
 const defaultWeight = 1
 
-// lifecycles maps the service's names for the states of a host.
+// lifecycles maps the service's names of host states.
 var lifecycles = map[string]balance.EndpointState{
 	"SERVING":  balance.Ready,
 	"DRAINING": balance.Draining,
@@ -22,7 +22,7 @@
 // primaryRank is the rank of a group's primary; any other rank is that of a replica.
 const primaryRank = "source"
 
-// listDocument is the service's form of a list or of a change to one.
+// listDocument is the service's JSON form of a list or of the changes to one.
 type listDocument struct {
 	Generation int64              `json:"generation"`
 	Reset      bool               `json:"reset"`
@@ -41,8 +41,8 @@
 	Rank        string   `json:"rank"`
 }
 
-// ListError reports a list that can't be used. Key is the path of the faulty key; it is empty where the text is not
-// JSON. Err is the cause.
+// ListError reports a list that can't be used. Key is the path of the invalid key; it is empty if the text is not JSON.
+// Err is the cause.
 type ListError struct {
 	Key string
 	Err error
@@ -64,7 +64,8 @@
 	return &ListError{fmt.Sprintf("instances[%d].%s", i, key), err}
 }
 
-// decodeError turns errors of encoding/json into a ListError. Others, such as those of the connection, pass unchanged.
+// decodeError converts errors of encoding/json to a *ListError. Other errors, such as those of the connection, are
+// returned unchanged.
 func decodeError(err error) error {
 	if wrongType, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
 		return &ListError{wrongType.Field, fmt.Errorf("is a %s", wrongType.Value)}
@@ -75,7 +76,7 @@
 	return err
 }
 
-// Decode decodes a list from JSON. A list with a fault in any part is rejected entirely: the error is a *ListError.
+// Decode decodes a list from JSON. A list with any invalid part is rejected as a whole: the error is a *ListError.
 func Decode(b []byte, names Names) (EndpointList, error) {
 	var document listDocument
 	if err := json.Unmarshal(b, &document); err != nil {
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -14,7 +14,7 @@
 	for name, c := range map[string]struct {
 		document string
 		want     EndpointList
-		err      string // part of it
+		err      string // a part of the error
 	}{
 		"change": {
 			document: `{"generation":41,"reset":false,"instances":[
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -1,5 +1,5 @@
-// Package discovery follows the endpoint list: which database hosts exist, where they are and in what state. It decodes
-// the discovery service's form of the list and watches it by one long HTTP call at a time, reconnecting with backoff.
+// Package discovery follows the endpoint list: the database hosts, their addresses and their states. It decodes the
+// list that the discovery service sends, and watches the list by one long HTTP call at a time, reconnecting with backoff.
 package discovery
 
 import (
@@ -16,13 +16,13 @@
 // EndpointList is a list of endpoints, or the changes since an earlier generation of one.
 type EndpointList struct {
 	Generation int64 // the service's version of the list
-	Complete   bool  // the complete list; otherwise only its changes
+	Complete   bool  // whether this is the complete list; otherwise only changes
 	Endpoints  []balance.Endpoint
 	Addresses  map[string]string // host:port by the host's id
 }
 
-// Merge applies a complete list, or the changes to one, to this list, which is complete afterwards. Removed hosts are
-// dropped.
+// Merge applies a complete list, or the changes to one, to l. Afterwards l is complete and does not contain removed
+// hosts.
 func (l *EndpointList) Merge(update EndpointList) {
 	if update.Complete || l.Addresses == nil {
 		l.Endpoints = nil
--- a/internal/discovery/liveness.go
+++ b/internal/discovery/liveness.go
@@ -5,14 +5,14 @@
 	"unicode"
 )
 
-// livenessReader reads the body of a response and reports signs of life in it: the end of a line between lists, the
-// first byte of a list, and its end. No byte within a list counts, so that a list which arrives byte by byte or stops
-// half way ends the watch in time.
+// livenessReader reads the body of a response and reports signs of life in it: the end of a line between two lists, the
+// first byte of a list, and the end of a list. Other bytes of a list do not count, so that a list that arrives byte by
+// byte, or stops in the middle, does not keep the watch alive.
 type livenessReader struct {
 	body       io.Reader
 	onAlive    func() // called at each sign of life
 	insideList bool
-	size       int // bytes of the current list that were read, blanks before it not counted
+	size       int // bytes of the current list read so far, without blanks before it
 }
 
 // Read implements io.Reader. It fails with a *SizeError at a list that is too large.
@@ -42,7 +42,7 @@
 	}
 }
 
-// listEnded records that a list is complete; rest holds the bytes that were read after it.
+// listEnded records that a list is complete. rest holds the bytes that were read after it.
 func (r *livenessReader) listEnded(rest io.Reader) error {
 	b, err := io.ReadAll(rest)
 	if err != nil {
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -18,8 +18,9 @@
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// newTransport returns the HTTP client's transport; nil dials by TCP. Each call has a connection of its own. Its socket
-// is bound before it connects: not every platform names one that is still connecting.
+// newTransport returns the transport of the HTTP client. It uses dial, or TCP if dial is nil. Each call has a
+// connection of its own. A TCP socket is bound before it connects, because not every platform shows the local address
+// of a socket that is still connecting.
 func newTransport(dial dialFunc) *http.Transport {
 	if dial == nil {
 		dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4zero}, KeepAlive: -1}
@@ -33,22 +34,22 @@
 	}
 }
 
-// stream is one call to the service. Its response is read on a goroutine of its own, on which the callbacks are called.
+// stream is one call to the service. Its response is read on a goroutine of its own, which also calls the callbacks.
 type stream struct {
 	names           Names
 	responseTimeout time.Duration // until the response begins
 	silenceTimeout  time.Duration // between signs of life in the response
 	onList          func(EndpointList)
 	onAlive         func()      // called at most once, at the first sign of life in the response
-	onEnd           func(error) // called once, last
+	onEnd           func(error) // called once, after all other callbacks
 }
 
-// run makes the call and reports its end. The context cancels it.
+// run makes the call and reports its end. Canceling the context cancels the call.
 func (s *stream) run(ctx context.Context, transport http.RoundTripper, url string) {
 	s.onEnd(s.follow(ctx, transport, url))
 }
 
-// follow reads the response to its end and reports each list in it. A list may take any number of lines. The error is
+// follow reads the response to its end and reports each list in it. A list may span any number of lines. The error is
 // never nil.
 func (s *stream) follow(ctx context.Context, transport http.RoundTripper, url string) error {
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -65,7 +66,7 @@
 	if err != nil {
 		return causeOr(ctx, err)
 	}
-	defer func() { _ = res.Body.Close() }() // the connection is of no further use
+	defer func() { _ = res.Body.Close() }() // the connection is not used again
 	if res.StatusCode != http.StatusOK {
 		return &StatusError{res.Status}
 	}
@@ -78,7 +79,7 @@
 	return s.readLists(ctx, body)
 }
 
-// readLists reports the lists of a body until its end, which is an error too (ErrWatchEnded).
+// readLists reports the lists of a body until the body ends. Its end is reported as ErrWatchEnded.
 func (s *stream) readLists(ctx context.Context, body *livenessReader) error {
 	decoder := json.NewDecoder(body)
 	for {
@@ -101,7 +102,7 @@
 	}
 }
 
-// causeOr returns the reason for which this side canceled the call, or else err.
+// causeOr returns the reason for which the watch itself canceled the call, or err if it did not.
 func causeOr(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// chunked is an answer in chunks, without the last one.
+// chunked returns a chunked response without the chunk that would end it.
 func chunked(parts ...string) string {
 	var b strings.Builder
 	b.WriteString(responseHead + "Transfer-Encoding: chunked\r\n\r\n")
@@ -35,10 +35,11 @@
 type streamCase struct {
 	answer      string
 	generations []int64
-	err         string // part of why it ended; empty: it is still open
+	err         string // a part of the error that ended the call; empty: the call is still open
 }
 
-// check has the answer written in steps of some bytes.
+// check writes the answer in steps of the given number of bytes and compares the lists and the error with those
+// expected.
 func (c *streamCase) check(t *testing.T, step int) {
 	t.Helper()
 	runWatch(t, NewBackoff(1, false, 1), 0, func(s *testWatch) {
@@ -52,19 +53,20 @@
 			got = append(got, (<-s.lists).Generation)
 		}
 		if d := cmp.Diff(c.generations, got); d != "" {
-			t.Errorf("by %d: %s", step, d)
+			t.Errorf("in steps of %d bytes: lists differ: %s", step, d)
 		}
 		err := s.endReason()
 		if c.err == "" && err != nil {
-			t.Errorf("by %d: ended with %v", step, err)
+			t.Errorf("in steps of %d bytes: the call ended with %v", step, err)
 		}
 		if c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)) {
-			t.Errorf("by %d: ended with %v, want %s", step, err, c.err)
+			t.Errorf("in steps of %d bytes: the call ended with %v, want %s", step, err, c.err)
 		}
 	})
 }
 
-// Lists come in one line or over many, in chunks that cut them anywhere, or in none.
+// Lists are read if they take one line or several, and if chunks cut them at any position or the response is not
+// chunked.
 func TestListsAreReadInAnyLayout(t *testing.T) {
 	both := []int64{41, 42}
 	plain := func(n int, body string) string {
@@ -104,7 +106,7 @@
 	}
 }
 
-// However a list is cut and padded it is the same list; whatever else comes, nothing but a list is reported.
+// A body yields the same lists and the same error however it is cut into reads.
 func FuzzListsAreReadInAnyLayout(f *testing.F) {
 	for _, seed := range []string{
 		indentedList, oneLineChange, indentedList + "\n" + oneLineChange, "\n\n", `{"generation":1}{`, "[]", "\x00", `{"generation":`,
@@ -127,12 +129,12 @@
 			parts, partsErr = read(&chunkReader{b, int(size)})
 		}
 		if d := cmp.Diff(atOnce, parts); d != "" || fmt.Sprint(atOnceErr) != fmt.Sprint(partsErr) {
-			t.Errorf("cut by %d: %s, %v and %v", size, d, atOnceErr, partsErr)
+			t.Errorf("read in pieces of %d bytes: lists differ: %s, errors %v and %v", size, d, atOnceErr, partsErr)
 		}
 	})
 }
 
-// fixedResponse answers each call with a body.
+// fixedResponse answers each call with the given body.
 type fixedResponse struct{ body io.Reader }
 
 func (r fixedResponse) RoundTrip(*http.Request) (*http.Response, error) {
--- a/internal/discovery/testwatch_test.go
+++ b/internal/discovery/testwatch_test.go
@@ -33,7 +33,7 @@
 	oneLineChange = `{"generation":42,"instances":[{"instanceId":"s-1","cell":3,"lifecycle":"DELETED"}]}`
 )
 
-// listOfGeneration is indentedList with another generation.
+// listOfGeneration returns indentedList with another generation.
 func listOfGeneration(generation int) string {
 	return strings.Replace(indentedList, `"generation": 41`, fmt.Sprintf(`"generation": %d`, generation), 1)
 }
@@ -44,7 +44,7 @@
 	request string
 }
 
-// write reports whether the call is still open.
+// write writes text and reports whether the call is still open.
 func (c *serverCall) write(text string) bool {
 	_, err := io.WriteString(c, text)
 	return err == nil
@@ -55,10 +55,11 @@
 	c.write(fmt.Sprintf("%x\r\n%s\n\r\n", len(text)+1, text))
 }
 
-// beginChunked begins an answer of chunks.
+// beginChunked begins a chunked response.
 func (c *serverCall) beginChunked() { c.write(responseHead + "Transfer-Encoding: chunked\r\n\r\n") }
 
-// writeSlowly sends a part each second; a single part byte by byte, over and over for 40 bytes at least.
+// writeSlowly sends one part per second. A single part is sent byte by byte, and repeated until at least 40 bytes are
+// sent.
 func (c *serverCall) writeSlowly(parts ...string) {
 	if len(parts) == 1 {
 		parts = strings.Split(strings.Repeat(parts[0], 1+40/len(parts[0])), "")
@@ -67,11 +68,12 @@
 		if !c.write(fmt.Sprintf("%x\r\n%s\r\n", len(part), part)) {
 			return
 		}
-		time.Sleep(time.Second) // of the bubble's time
+		time.Sleep(time.Second) // in the time of the synctest bubble
 	}
 }
 
-// testWatch is a watch in a bubble whose time moves only while all wait: no result depends on the machine's speed.
+// testWatch is a watch in a synctest bubble. Time in the bubble advances only while all its goroutines wait, so no
+// result depends on the machine's speed.
 type testWatch struct {
 	watch      *Watch
 	calls      chan *serverCall
@@ -83,7 +85,7 @@
 	serverEnds []net.Conn
 }
 
-// endReason returns why the last call ended; nil if none has.
+// endReason returns the error that ended the last call, or nil if no call has ended.
 func (s *testWatch) endReason() error {
 	synctest.Wait()
 	c := make(chan error)
@@ -91,7 +93,7 @@
 	return <-c
 }
 
-// dial returns a pipe whose other end reports the request that comes.
+// dial returns one end of a pipe. The request that is sent on it is reported in calls, together with the other end.
 func (s *testWatch) dial(context.Context, string, string) (net.Conn, error) {
 	client, server := net.Pipe()
 	s.serverEnds = append(s.serverEnds, server)
@@ -99,13 +101,13 @@
 		rd := bufio.NewReader(server)
 		if req, err := http.ReadRequest(rd); err == nil {
 			s.calls <- &serverCall{server, req.URL.RequestURI()}
-			_, _ = io.Copy(io.Discard, rd) // until the call ends, however it does
+			_, _ = io.Copy(io.Discard, rd) // until the call ends for any reason
 		}
 	}()
 	return client, nil
 }
 
-// runWatch runs f while a watch follows the list from a generation on.
+// runWatch runs f while a watch follows the list from the given generation on.
 func runWatch(t *testing.T, backoff *Backoff, generation int64, f func(*testWatch), change ...func(*Watch)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -11,12 +11,13 @@
 	"cloverrock/internal/eventloop"
 )
 
-// updateDeadline (µs) is the protocol's limit for silence: a change that a silent watch misses counts as delivered this
-// long after the silence began, whether or not it arrived.
+// updateDeadline is the protocol's limit for silence in microseconds. A change that a silent watch has not received
+// counts as delivered this long after the silence began, even if it has not arrived.
 const updateDeadline = 6e6
 
-// silenceTimeout (µs) ends a watch: the service sends an empty line every 2 s while nothing changes, so two are missing.
-// The rest of updateDeadline is for the next watch: two calls may stay unanswered, and the third still begins in time.
+// silenceTimeout is the time in microseconds without a sign of life after which a watch is ended. The service sends an
+// empty line every 2 s while nothing changes, so two lines are missing by then. The rest of updateDeadline is left for
+// the next watch: two calls may stay unanswered, and the third still begins in time.
 const silenceTimeout = 4.2e6
 
 // Config configures a Watch.
@@ -24,9 +25,9 @@
 	Address      string // host:port of the service or its agent
 	Names        Names
 	Generation   int64 // of the list that the caller has; 0: none
-	HasEndpoints bool  // the caller has a list to use while the first call waits
-	// PollFirst requests the complete list by a call of its own before the watch. A watch begins with the changes since
-	// Generation, and a new process may not have the list to which they apply.
+	HasEndpoints bool  // whether the caller has a list to use while the first call waits
+	// PollFirst requests the complete list by a separate call before the watch. A watch begins with the changes since
+	// Generation, and a new process may not have the list to which these changes apply.
 	PollFirst bool
 	Backoff   *Backoff
 	Updated   func(EndpointList) // called on the loop's goroutine with each list
@@ -43,8 +44,8 @@
 	transport  *http.Transport
 	subscribed bool
 	cancelCall context.CancelCauseFunc // of the current call; nil before the first
-	callNumber int                     // of the current call; events of earlier calls are dropped
-	alive      bool                    // the current call has given a sign of life
+	callNumber int                     // of the current call; events of earlier calls are ignored
+	alive      bool                    // whether the current call has received a sign of life
 }
 
 // New returns a watch that makes no call before Subscribe.
@@ -52,8 +53,8 @@
 	return &Watch{config: c, loop: l, transport: newTransport(c.Dial)}
 }
 
-// Subscribe makes the first call; further calls of Subscribe do nothing. It waits before that call where many gateways may
-// start at once and Config.HasEndpoints is set.
+// Subscribe makes the first call; calling Subscribe again does nothing. If Config.HasEndpoints is set and many gateways
+// may start at the same time, it waits before the call.
 func (w *Watch) Subscribe() {
 	if w.subscribed {
 		return
@@ -68,14 +69,14 @@
 	w.connect()
 }
 
-// Close ends the watch; nothing more is reported.
+// Close ends the watch. Nothing is reported afterwards.
 func (w *Watch) Close() {
 	w.callNumber++
 	w.cancelCurrent()
 }
 
-// SetAddress follows the list at another address, from the last reported generation on. The current call is canceled at
-// once: it may end without its last changes.
+// SetAddress follows the list at another address, from the last reported generation on. The current call is canceled
+// immediately, so changes that have not been read completely are not reported.
 func (w *Watch) SetAddress(address string) {
 	if address == w.config.Address {
 		return
@@ -88,7 +89,7 @@
 	}
 }
 
-// connectAfter makes a call after a wait in microseconds, unless another call is made before.
+// connectAfter makes a call after a wait in microseconds, unless another call is made in the meantime.
 func (w *Watch) connectAfter(wait int64) {
 	if wait == 0 {
 		w.connect()
@@ -139,7 +140,7 @@
 	return fmt.Sprintf("%s?stream=1&index=%d", url, w.config.Generation)
 }
 
-// callAlive records the first sign of life of a call.
+// callAlive records the first sign of life in the response to a call.
 func (w *Watch) callAlive(number int) {
 	if number != w.callNumber {
 		return
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// protocolLimit is the protocol's limit for silence. It is stated here independently of updateDeadline.
+// protocolLimit is the protocol's limit for silence. The tests state it independently of updateDeadline.
 const protocolLimit = 6 * time.Second
 
-// A watch that has fallen silent is replaced in time for the list to arrive within updateDeadline of the beginning of the
-// silence, even if the next two calls stay unanswered. One that sends an empty line every 2 s is left alone.
+// A watch that becomes silent is replaced early enough: even if the next two calls stay unanswered, the list arrives
+// within updateDeadline after the silence began. A watch that receives an empty line every 2 s is not ended.
 func TestSilentWatchIsReplacedInTime(t *testing.T) {
 	runWatch(t, NewBackoff(300, false, 1), 7, func(s *testWatch) {
 		first := <-s.calls
@@ -24,11 +24,11 @@
 		first.writeChunk(oneLineChange)
 		<-s.lists
 		for range 20 {
-			time.Sleep(2 * time.Second) // of the bubble's time
+			time.Sleep(2 * time.Second) // in the time of the synctest bubble
 			first.writeChunk("")
 		}
 		if len(s.calls) > 0 || s.endReason() != nil {
-			t.Fatalf("a watch that sends empty lines was ended: %v", s.endReason())
+			t.Fatalf("a watch that receives empty lines was ended: %v", s.endReason())
 		}
 		began := time.Since(s.start)
 		<-s.calls // not answered
@@ -41,12 +41,12 @@
 		third.writeChunk(indentedList)
 		<-s.lists
 		if took := time.Since(s.start) - began; took > updateDeadline*time.Microsecond {
-			t.Errorf("updated %v after the silence began", took)
+			t.Errorf("the list arrived %v after the silence began", took)
 		}
 	})
 }
 
-// A first call that falls silent, wherever it does, is replaced in time.
+// A first call that becomes silent is replaced in time, wherever in the response it stops.
 func TestSilentFirstCallIsReplacedInTime(t *testing.T) {
 	for name, fallSilent := range map[string]func(c *serverCall){
 		"at once":             func(*serverCall) {},
@@ -66,17 +66,17 @@
 				second.writeChunk(indentedList)
 				<-s.lists
 				if took := time.Since(s.start); took > updateDeadline*time.Microsecond {
-					t.Errorf("updated after %v", took)
+					t.Errorf("the list arrived after %v", took)
 				}
 				if err := s.endReason(); !errors.Is(err, ErrWatchSilent) {
-					t.Errorf("ended with %v", err)
+					t.Errorf("the call ended with %v", err)
 				}
 			})
 		})
 	}
 }
 
-// Each watch sends one list and falls silent; the list of the next one arrives within protocolLimit.
+// Each watch sends one list and then becomes silent. The list of the next watch arrives within protocolLimit.
 func TestListArrivesInTimeAfterEachSilence(t *testing.T) {
 	runWatch(t, NewBackoff(300, false, 1), 7, func(s *testWatch) {
 		last := s.start
@@ -86,15 +86,15 @@
 			call.writeChunk(listOfGeneration(generation))
 			list := <-s.lists
 			if took := time.Since(last); list.Generation != int64(generation) || took > protocolLimit {
-				t.Errorf("updated to %d after %v", list.Generation, took)
+				t.Errorf("the list of generation %d arrived after %v", list.Generation, took)
 			}
 			last = time.Now()
 		}
 	})
 }
 
-// Each watch is reset in the middle of a list whose length was not stated; the list is neither reported nor used as the
-// generation of the next watch.
+// Each watch is closed in the middle of a list whose length was not stated. The incomplete list is not reported, and its
+// generation is not used for the next watch.
 func TestIncompleteListIsNotReported(t *testing.T) {
 	runWatch(t, NewBackoff(300, false, 1), 7, func(s *testWatch) {
 		for generation := 42; generation < 50; generation++ {
@@ -115,12 +115,12 @@
 		call.write(responseHead + "\r\n" + listOfGeneration(50))
 		list := <-s.lists
 		if took := time.Since(s.start); list.Generation != 50 || took > protocolLimit {
-			t.Errorf("updated to %d after %v", list.Generation, took)
+			t.Errorf("the list of generation %d arrived after %v", list.Generation, took)
 		}
 	})
 }
 
-// unansweredFor receives calls without an answer for a while, and returns the last.
+// unansweredFor receives calls for the given time without answering them, and returns the last call.
 func (s *testWatch) unansweredFor(outage time.Duration) (last *serverCall) {
 	end := time.After(outage)
 	for {
@@ -132,7 +132,7 @@
 	}
 }
 
-// answerUntilListed answers the open call, if there is one, and the following ones until a list has arrived.
+// answerUntilListed answers the open call, if there is one, and further calls until a list has been reported.
 func (s *testWatch) answerUntilListed(call *serverCall) {
 	for {
 		if call != nil {
@@ -147,7 +147,7 @@
 	}
 }
 
-// However long the service was down, the changes that it then reports arrive within protocolLimit of its return.
+// After an outage of the service of any length, the list arrives within protocolLimit of the service's return.
 func TestListArrivesInTimeAfterAnOutage(t *testing.T) {
 	runWatch(t, NewBackoff(300, false, 1), 7, func(s *testWatch) {
 		for outage := time.Second; outage < 100*time.Second; outage += outage/6 + 700*time.Millisecond {
@@ -155,14 +155,14 @@
 			back := time.Now()
 			s.answerUntilListed(open)
 			if took := time.Since(back); took > protocolLimit {
-				t.Errorf("down for %v: updated %v after it", outage, took)
+				t.Errorf("outage of %v: the list arrived %v after it", outage, took)
 			}
 		}
 	})
 }
 
-// With PollFirst the complete list is requested by itself, and then watched from its generation on; so, too, after a call
-// for it that failed.
+// With PollFirst the complete list is requested by a separate call and then watched from its generation on. If that call
+// fails, it is repeated first.
 func TestPollFirstRequestsTheCompleteList(t *testing.T) {
 	runWatch(t, NewBackoff(1, false, 1), 7, func(s *testWatch) {
 		(<-s.calls).write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
@@ -178,7 +178,7 @@
 	}, func(w *Watch) { w.config.PollFirst = true })
 }
 
-// What comes on a call that was given up for one to another address is not reported.
+// After a change of the address, a list that arrives on the call to the former address is not reported.
 func TestListsFromAFormerAddressAreDropped(t *testing.T) {
 	runWatch(t, NewBackoff(1, false, 1), 7, func(s *testWatch) {
 		former := <-s.calls
@@ -191,11 +191,11 @@
 		current.beginChunked()
 		current.writeChunk(oneLineChange)
 		if list := <-s.lists; list.Generation != 42 || current.request != "/api/targets?stream=1&index=41" {
-			t.Errorf("updated to %d after %s", list.Generation, current.request)
+			t.Errorf("got the list of generation %d after the request %s", list.Generation, current.request)
 		}
 		synctest.Wait()
 		if len(s.lists) > 0 || s.endReason() != nil {
-			t.Errorf("%d more lists, ended with %v", len(s.lists), s.endReason())
+			t.Errorf("%d further lists; the call ended with %v", len(s.lists), s.endReason())
 		}
 	})
 }
