--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the gateway's configuration: a JSON file, which environment variables and a document of the store
-// may override. It checks the values and fills in defaults. No other package reads the file. Every error is an *Error that
-// names the faulty key.
+// Package config reads the gateway's configuration: a JSON file, which environment variables and a document of the
+// store may override. It checks the values and fills in defaults. No other package reads the file. Every error is an
+// *Error that names the invalid key.
 package config
 
 import (
@@ -33,11 +33,11 @@
 	Classes         map[string]frontend.Class
 	LongestDeadline int64 // the longest deadline of all classes
 	IdleClose       int64 // idle time after which hosts close connections
-	Gateways        int   // of the fleet, this one included
+	Gateways        int   // number of gateways in the fleet, including this one
 	Settings        balance.Settings
 }
 
-// Error reports a fault of the configuration. Key is the faulty key or environment variable, Err the cause.
+// Error reports an invalid configuration. Key is the invalid key or environment variable, and Err is the cause.
 type Error struct {
 	Key string
 	Err error
@@ -58,8 +58,8 @@
 	envDiscovery = "EDGE_DISCOVERY"
 )
 
-// Load reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override its keys. The error is an
-// *Error.
+// Load reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override its keys. The error is
+// an *Error.
 func Load(getenv func(string) string) (*Config, error) {
 	file, err := readFile(getenv)
 	if err != nil {
@@ -68,9 +68,9 @@
 	return parse(file, getenv, overrideAll)
 }
 
-// LoadWithOverlay reads the file with a document of the store on top: the document's keys for all instances override the file's,
-// and its keys for this instance override both. As in Reload, the resulting discovery address overrides EDGE_DISCOVERY. A
-// nil document overrides nothing. The error is an *Error.
+// LoadWithOverlay reads the file and applies a document of the store to it. The document's keys for all instances
+// override the keys of the file, and its keys for this instance override both. As in Reload, the resulting discovery
+// address overrides EDGE_DISCOVERY. A nil document overrides nothing. The error is an *Error.
 func LoadWithOverlay(getenv func(string) string, document []byte) (*Config, error) {
 	file, err := readFile(getenv)
 	if err != nil {
@@ -84,8 +84,9 @@
 	return parse(file, getenv, keepDiscovery)
 }
 
-// Reload reads the file again while the program runs. The environment is still that of the start, so the file's
-// discovery address overrides EDGE_DISCOVERY: otherwise a changed address would never be used. The error is an *Error.
+// Reload reads the file again while the program runs. The environment is still the one with which the program was
+// started, so the file's discovery address overrides EDGE_DISCOVERY: otherwise a changed address would never be used.
+// The error is an *Error.
 func Reload(getenv func(string) string) (*Config, error) { return LoadWithOverlay(getenv, nil) }
 
 // Parse parses the text of a configuration file and applies the environment as Load does. The error is an *Error.
@@ -105,7 +106,7 @@
 	return file, nil
 }
 
-// RestartOnlyChanges returns the keys in which other differs from c and which take effect only at a restart.
+// RestartOnlyChanges returns the keys that differ between c and other and that take effect only at a restart.
 func (c *Config) RestartOnlyChanges(other *Config) (keys []string) {
 	samePeers := reflect.DeepEqual(c.Peer, other.Peer)
 	sameLimits := c.MemoryMB == other.MemoryMB && c.Sockets == other.Sockets
@@ -185,7 +186,7 @@
 
 const (
 	overrideAll   overrideMode = iota
-	keepDiscovery              // all but the file's discovery address, if it has one
+	keepDiscovery              // every key except discovery, if the file has that key
 )
 
 // applyEnvironment overrides keys by environment variables and checks the results.
@@ -205,8 +206,8 @@
 	return overrideAddress(&c.Discovery, "discovery", envDiscovery, getenv)
 }
 
-// overrideAddress replaces an address by a variable's value, if that is set, and checks the result. An error names the
-// variable if its value was used, else the key.
+// overrideAddress replaces an address by the value of an environment variable, if it is set, and checks the result. An
+// error names the variable if its value was used, and the key otherwise.
 func overrideAddress(address *string, key, variable string, getenv func(string) string) error {
 	if value := getenv(variable); value != "" {
 		*address = value
@@ -268,7 +269,7 @@
 	return nil
 }
 
-// setKnownEndpoints reads the known endpoint list, if there is one. It always counts as complete.
+// setKnownEndpoints reads the known endpoint list, if there is one. The list is always treated as complete.
 func (c *Config) setKnownEndpoints(document json.RawMessage) error {
 	if len(document) == 0 || string(document) == "null" {
 		return nil
@@ -282,8 +283,8 @@
 	return nil
 }
 
-// decodeError returns an *Error that names the key that encoding/json could not decode. parent is the key of the object
-// that was being decoded; it is empty for the document itself, and EDGE_CONFIG is named if the document is not JSON.
+// decodeError returns an *Error that names the key at which encoding/json failed. parent is the key of the object that
+// was being decoded; it is empty for the whole document. If the document is not JSON, the error names EDGE_CONFIG.
 func decodeError(parent string, err error) error {
 	if wrongType, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
 		return errorf(joinKey(parent, wrongType.Field), "is a %s", wrongType.Value)
@@ -301,7 +302,7 @@
 	return parent + "." + key
 }
 
-// parseSeed reads a number or a string of hexadecimal digits; any other text is hashed.
+// parseSeed reads a seed: a number, or a string of hexadecimal digits. Any other text is hashed.
 func parseSeed(raw json.RawMessage) uint64 {
 	text := string(raw)
 	base := 10
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -86,7 +86,8 @@
 	}
 }
 
-// At the start EDGE_DISCOVERY overrides the file. A reload uses the file's address: the environment can't have changed.
+// At the start, EDGE_DISCOVERY overrides the file. A reload uses the file's address, because the environment of a
+// running process does not change.
 func TestReloadUsesDiscoveryOfTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	getenv := environment(map[string]string{"EDGE_CONFIG": path, "EDGE_DISCOVERY": "127.9.0.1:1", "EDGE_NAME": "n9"})
@@ -106,7 +107,7 @@
 			t.Fatalf("%q: reloaded as %+v, %v", c.new, reloaded, err)
 		}
 		if keys := loaded.RestartOnlyChanges(reloaded); len(keys) > 0 {
-			t.Errorf("%q: %v differ", c.new, keys)
+			t.Errorf("%q: keys %v differ", c.new, keys)
 		}
 	}
 }
@@ -123,11 +124,11 @@
 	}
 	keys := strings.Join(before.RestartOnlyChanges(after), "; ")
 	if keys != "listen; limits; peer_listen, peers or peers_all; settings" {
-		t.Errorf("named: %s", keys)
+		t.Errorf("keys %s", keys)
 	}
 }
 
-// The number of gateways may be left out, but must not contradict the list of peers.
+// The number of gateways may be omitted, but if it is stated it must equal the number of peers.
 func TestNumberOfGatewaysFitsThePeers(t *testing.T) {
 	const invalid = 0
 	const form = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","peer_listen":"127.0.0.1:3","peers_all":"127.0.0.1:4",
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -14,7 +14,7 @@
 	"cloverrock/internal/golden"
 )
 
-// everyKey has every key of the configuration, each with a value that is not its default.
+// everyKey has every key of the configuration, each with a value other than its default.
 const everyKey = `{"name":"n3","listen":"127.0.0.4:6543","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964","limits":{"memory_mb":64,"sockets":512},
 "peer_listen":"127.0.0.4:7946","peers":["127.0.0.4:7946","127.0.0.5:7946"],"peers_all":"127.3.255.1:7946",
 "known":{"generation":41,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.1.0.1:1","zone":"z2","cell":1,"lifecycle":"SERVING"}]},
@@ -25,8 +25,8 @@
 "limits":{"cancel":true,"probes":true,"mayTell":true,"dialTimeoutMs":251,"maxRetryAfterMs":13,"idleCloseMs":20000,"maxAttempts":10},
 "obligations":{"coldFrom":0.125,"coldMs":17,"fallMultiple":3.5,"overloadForMs":19,"drainBindsAlone":true}}}`
 
-// valuesOf returns what a configuration becomes, each value under a word of this test: no identifier is in the golden
-// file. A fault is the only value, under the word error.
+// valuesOf returns the configuration that a document yields. Each value has a name that is defined here, so that the
+// golden file contains no Go identifiers. For an invalid document the only value is the error, under the name error.
 func valuesOf(document string, environment map[string]string) map[string]string {
 	c, err := Parse([]byte(document), func(key string) string { return environment[key] })
 	if faulty, ok := errors.AsType[*Error](err); ok {
@@ -86,7 +86,7 @@
 	return values
 }
 
-// forEachKeyLeftOut calls f with the document as it is without each of its keys in turn.
+// forEachKeyLeftOut calls f with everyKey repeatedly, each time without another one of its keys.
 func forEachKeyLeftOut(t *testing.T, f func(key, document string)) {
 	t.Helper()
 	var root any
@@ -117,8 +117,8 @@
 	walk("", root)
 }
 
-// TestEachKeyKeepsItsValue compares the configuration of a file with every key, the changes or the error where one key
-// is left out, what each variable of the environment puts over the file, and the errors' keys and messages.
+// TestEachKeyKeepsItsValue compares with the golden file: the configuration of a file that has every key, what changes
+// or which error occurs without each key, the effect of each environment variable, and the keys and messages of errors.
 func TestEachKeyKeepsItsValue(t *testing.T) {
 	every := valuesOf(everyKey, nil)
 	var lines []string
--- a/internal/config/overlay.go
+++ b/internal/config/overlay.go
@@ -8,8 +8,9 @@
 type keyValues map[string]json.RawMessage
 
 // Overlay merges a document of the store into a configuration file and returns the result as JSON. The document's
-// top-level keys replace the file's; those under "instances" apply only to the instance of that name. name is this
-// instance's name; if it is empty, the file's is used. The error is an *Error.
+// top-level keys replace those of the file. The keys below "instances" and an instance's name apply only to that
+// instance, and replace both. name is the name of this instance; if it is empty, the file's key name is used. The error
+// is an *Error.
 func Overlay(file, document []byte, name string) ([]byte, error) {
 	var keys, forAll keyValues
 	if err := json.Unmarshal(file, &keys); err != nil {
@@ -19,7 +20,7 @@
 		return nil, &Error{"document", err}
 	}
 	if name == "" {
-		_ = json.Unmarshal(keys["name"], &name) // a faulty name is reported when the result is parsed
+		_ = json.Unmarshal(keys["name"], &name) // an invalid name is reported when the result is parsed
 	}
 	var byInstance map[string]keyValues
 	if raw, ok := forAll[instancesKey]; ok {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -19,7 +19,7 @@
 	defaultIdleCloseMs   = 30_000
 )
 
-// setSettings reads the key settings, which has the form of the simulator's options.
+// setSettings reads the key settings, which has the same form as the simulator's options.
 func (c *Config) setSettings(document json.RawMessage) error {
 	if len(document) == 0 {
 		return errorf("settings", "missing")
@@ -40,9 +40,9 @@
 		}
 		return &Error{"settings", err}
 	}
-	c.Settings, _ = options.Settings() // real hosts report positions as Unix times, so the origin is not needed
+	c.Settings, _ = options.Settings() // the time origin is not needed, since real hosts report log positions as Unix times
 	if c.Peer.Listen == "" || !c.Peer.All.IsValid() {
-		c.Settings.Gateways = 0 // nobody would receive gossip
+		c.Settings.Gateways = 0 // without these addresses there is no gossip
 		c.Settings.GossipBytesPerRequest = 0
 	}
 	c.Names = discovery.Names{Zones: options.Zones, Kinds: options.HostTypes}
@@ -50,7 +50,7 @@
 	return c.setClasses(options.Classes)
 }
 
-// checkLimits fills in the defaults of limits and checks the values that must be positive.
+// checkLimits fills in the defaults of settings.limits and checks the values that must be positive.
 func checkLimits(options *simprotocol.Options) error {
 	limits := &options.Limits
 	if limits.DialTimeoutMs == 0 {
@@ -74,9 +74,9 @@
 	return nil
 }
 
-// setFleet determines the number of gateways and this gateway's ordinal. Both default to what the list of peers shows.
-// Numbers that contradict each other are an error: the gateway would send gossip to fewer gateways than it budgets for, or
-// wait for more than there are.
+// setFleet determines the number of gateways and this gateway's ordinal. By default both are derived from the list of
+// peers. A number that contradicts the list is an error: the gateway would send gossip to fewer gateways than it
+// budgets for, or wait for gossip from gateways that do not exist.
 func (c *Config) setFleet(options *simprotocol.Options) error {
 	peers := c.Peer.Peers
 	if options.Gateways == 0 {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// ordinalAmongPeers returns this gateway's index in the list of peers. It is nil if the list lacks this gateway, as where
-// gateways do not send from the address at which they listen.
+// ordinalAmongPeers returns this gateway's index in the list of peers. It returns nil if the list does not contain the
+// address at which this gateway listens, as happens where gateways send from another address.
 func (c *Config) ordinalAmongPeers() *int {
 	i := slices.IndexFunc(c.Peer.Peers, func(a netip.AddrPort) bool { return a.String() == c.Peer.Listen })
 	if i < 0 {
@@ -109,8 +109,8 @@
 	return &i
 }
 
-// setClasses checks the classes, indexes them by name and determines the longest deadline. c.Settings has the classes in
-// the same order.
+// setClasses checks the classes, stores them by name and determines the longest deadline. c.Settings must already
+// contain the classes, in the same order.
 func (c *Config) setClasses(entries []simprotocol.ClassEntry) error {
 	c.Classes = map[string]frontend.Class{}
 	for i, entry := range entries {
