--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -20,7 +20,7 @@
 const fewKeys = `{"store":{"name":"a","data":"/data","listen":"127.0.0.1:1","certificate":"/a.pem","key":"/a-key.pem","authority":"/ca.pem"},
 "fleet":{"listen":"127.0.0.1:6","zones":{}},"learned":{}}`
 
-// valueLines shows each value under the key that it is read from.
+// valueLines returns a line for each value of a settings file, with the key from which it was read.
 func valueLines(t *testing.T, name, text string) (lines []string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -62,7 +62,7 @@
 	return lines
 }
 
-// What each key of the settings file becomes stays, and what its default is.
+// The value that is read from each key of a settings file, and the default of each key, must not change.
 func TestEachKeyKeepsItsValue(t *testing.T) {
 	golden.CheckLines(t, "settings.txt", slices.Concat(valueLines(t, "every", everyKey), valueLines(t, "few", fewKeys)))
 }
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -13,10 +13,10 @@
 )
 
 // errInvalidSchema is the error for a schema that is not valid itself.
-var errInvalidSchema = errors.New("the schema cannot be used")
+var errInvalidSchema = errors.New("the schema is invalid")
 
 // Validate validates a JSON document against a JSON schema. With an error it returns the path of the invalid key,
-// separated by dots, if the library reports it.
+// separated by dots, if the library reports that path.
 func Validate(schema, document []byte) (key string, err error) {
 	var parsed jsonschema.Schema
 	if err := json.Unmarshal(schema, &parsed); err != nil {
@@ -52,7 +52,7 @@
 	return strings.Join(names, "."), strings.Join(parts, ": ")
 }
 
-// propertyPath returns the names of the properties on a path through a schema; "*" is any.
+// propertyPath returns the names of the properties on a path through a schema. "*" stands for any property.
 func propertyPath(path []string) (names []string) {
 	for i := 1; i+1 < len(path); i++ {
 		switch path[i] {
@@ -66,8 +66,9 @@
 	return names
 }
 
-// ValidateDocument validates a document of the store: "gateway" by the program's own schema, any other by the given one;
-// nil: there is none. A document that is itself a schema must be a valid one. It is a node.Validator.
+// ValidateDocument validates a document of the store. The document "gateway" is validated against the program's own
+// schema, and any other document against the given schema; nil means that there is no schema. A document that is itself
+// a schema must be a valid schema. ValidateDocument is a node.Validator.
 func ValidateDocument(name string, body, schema []byte) error {
 	if strings.HasSuffix(name, documents.SchemaSuffix) {
 		if _, err := Validate(body, []byte("null")); errors.Is(err, errInvalidSchema) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the operators' settings file, which configures the optional components beside the gateway, and
-// validates JSON against the schemas of package deploy.
+// Package settings reads the settings file of the operators, which configures the optional components of the gateway. It
+// also validates JSON documents against the schemas of package deploy.
 package settings
 
 import (
@@ -25,7 +25,7 @@
 	defaultMaxAgeMS        = 60000
 )
 
-// Settings is the content of a settings file. A component whose field is nil is off.
+// Settings is the content of a settings file. A component is off if its field is nil.
 type Settings struct {
 	Fleet     *Fleet     `json:"fleet,omitempty"`
 	Store     *Store     `json:"store,omitempty"`
@@ -38,22 +38,22 @@
 	Data            string            `json:"data"`   // directory
 	Listen          string            `json:"listen"` // HOST:PORT
 	Advertise       string            `json:"advertise,omitempty"`
-	Certificate     string            `json:"certificate"` // file, as the next two
+	Certificate     string            `json:"certificate"` // file, like the next two
 	Key             string            `json:"key"`
 	Authority       string            `json:"authority"`
 	Join            []string          `json:"join,omitempty"`   // HOST:PORT of members through which an instance without data joins
-	Routes          map[string]string `json:"routes,omitempty"` // by name: where to dial a member instead of its address
+	Routes          map[string]string `json:"routes,omitempty"` // by name: the HOST:PORT to dial instead of the member's address
 	TickMS          int               `json:"tick_ms,omitempty"`
 	ElectionTicks   int               `json:"election_ticks,omitempty"`
 	SnapshotEntries uint64            `json:"snapshot_entries,omitempty"`          // entries between snapshots
-	SnapshotRate    int               `json:"snapshot_bytes_per_second,omitempty"` // for sending snapshots to other instances
+	SnapshotRate    int               `json:"snapshot_bytes_per_second,omitempty"` // bytes per second for sending snapshots to other instances
 	StartWaitMS     *int              `json:"start_wait_ms,omitempty"`             // see StartWait; nil: the default
 }
 
-// WarmStart configures how routing state is kept in the store for a restart.
+// WarmStart configures how routing state is kept in the store so that a restarted gateway can use it.
 type WarmStart struct {
 	WriteIntervalMS int64 `json:"write_ms,omitempty"`   // minimum time between two writes
-	MaxAgeMS        int64 `json:"believe_ms,omitempty"` // up to which a stored record that may have become wrong is used
+	MaxAgeMS        int64 `json:"believe_ms,omitempty"` // maximum age of a stored record that may have become wrong
 }
 
 // Fleet configures how gateways coordinate their decisions.
@@ -72,7 +72,7 @@
 	StepMS  int               `json:"step_ms,omitempty"` // minimum duration of one step of the return; 0: derived from the slow start of hosts
 	AwayMS  int               `json:"away_ms,omitempty"` // minimum duration of an evacuation
 	Pin     map[string]string `json:"pin,omitempty"`     // by zone or region: "kept" or "left", regardless of observations
-	Without []string          `json:"without,omitempty"` // safeguards that are off; only for fault-injection tests
+	Without []string          `json:"without,omitempty"` // safeguards that are switched off; only for fault-injection tests
 }
 
 // Error is an error in a settings file.
@@ -92,7 +92,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Load reads and validates a settings file, and fills in defaults. An invalid file gives an *Error.
+// Load reads and validates a settings file, and fills in defaults. For an invalid file the error is an *Error.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -160,7 +160,7 @@
 // Address returns the HOST:PORT at which other instances reach this one.
 func (s *Store) Address() string { return cmp.Or(s.Advertise, s.Listen) }
 
-// StartWait returns how long the start of a gateway may wait for the store instance to open.
+// StartWait returns how long the start of a gateway may wait until the store instance is open.
 func (s *Store) StartWait() time.Duration {
 	if s.StartWaitMS == nil {
 		return defaultStartWait
