--- a/internal/warmstart/golden_test.go
+++ b/internal/warmstart/golden_test.go
@@ -48,16 +48,16 @@
 		fresh.Update(&machine.KV{NS: NS, Key: key, Value: value}, false)
 	}
 	restored := fresh.Restore(start, 0)
-	known.Hosts[0], known.Hosts[1] = known.Hosts[1], known.Hosts[0] // in the order of their ids
+	known.Hosts[0], known.Hosts[1] = known.Hosts[1], known.Hosts[0] // restored hosts are ordered by id
 	snapshot := restored.Snapshot
 	for i := range snapshot.Hosts {
-		snapshot.Hosts[i].Primary = known.Hosts[i].Primary // the primary is restored by group
+		snapshot.Hosts[i].Primary = known.Hosts[i].Primary // Restore reports the primary of each group, but not of each host
 	}
 	if fresh.Unreadable() != 0 || len(restored.Discarded) != 0 || !reflect.DeepEqual(snapshot, known) || !reflect.DeepEqual(*restored.List, list) {
-		t.Errorf("%v is restored (%d unreadable)\nof %v", restored, fresh.Unreadable(), known)
+		t.Errorf("restored %v (%d unreadable)\nwant     %v", restored, fresh.Unreadable(), known)
 	}
 	if host := fresh.hosts["p"]; !host.Primary || host.By != "a" || host.At != start {
-		t.Errorf("the host is read as %v", host)
+		t.Errorf("host p is read as %v, want the primary as written by a", host)
 	}
 }
 
@@ -72,7 +72,7 @@
 		cases = append(cases, golden.Case{Name: []string{"primary", "host", "floor"}[i], Form: string(b)})
 		read := reflect.New(reflect.TypeOf(shown).Elem()).Interface()
 		if err := json.Unmarshal(b, read); err != nil || !reflect.DeepEqual(read, shown) {
-			t.Errorf("%s is read as %v, %v", b, read, err)
+			t.Errorf("%s is decoded as %v, %v", b, read, err)
 		}
 	}
 	golden.Check(t, "json.golden", cases)
--- a/internal/warmstart/plan.go
+++ b/internal/warmstart/plan.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	positionStep    = 2_000_000  // microseconds by which a position must have advanced to be written
+	positionStep    = 2_000_000  // microseconds by which a log position must have advanced to be written again
 	refreshInterval = 10_000_000 // microseconds after which an unchanged record is written again
-	limitChange     = 0.25       // relative change of a concurrency limit from which it is written
-	maxOps          = 64         // operations of one transaction
-	maxHosts        = 4096       // endpoints of a list that is stored
+	limitChange     = 0.25       // minimum relative change of a concurrency limit to be written
+	maxOps          = 64         // maximum number of operations in one transaction
+	maxHosts        = 4096       // maximum number of endpoints in a stored list
 )
 
-// Plan returns the transactions that bring the store up to date with the router's snapshot and endpoint list: at most one
-// for primaries, which has no effect if another gateway wrote one of them in the meantime, and one for the rest. It
-// returns none within Config.MinInterval of the last plan. now is in microseconds.
+// Plan returns the transactions that bring the store up to date with the router's snapshot and endpoint list. There are
+// at most two: one for primaries, which has no effect if another gateway has written one of them in the meantime, and
+// one for the rest. Plan returns none within Config.MinInterval of the last plan that wrote something. now is in
+// microseconds.
 func (c *Cache) Plan(now int64, snapshot balance.Snapshot, list EndpointList) []machine.Command {
 	if now-c.plannedAt < c.conf.MinInterval {
 		return nil
@@ -45,8 +46,8 @@
 	command.Then = append(command.Then, machine.Op{Kind: machine.Put, NS: NS, Key: key, Value: encoded})
 }
 
-// planPrimaries returns the transaction for groups whose primary this router observed more recently than the store
-// records.
+// planPrimaries returns the transaction for the groups whose primary this router has observed more recently than the
+// stored record says.
 func (c *Cache) planPrimaries(now int64, snapshot balance.Snapshot) *machine.Command {
 	command := &machine.Command{Kind: machine.TransactionKind}
 	for _, group := range snapshot.Groups {
@@ -62,7 +63,7 @@
 	return command
 }
 
-// nextPrimary returns the record of a group's primary, and whether it must be written.
+// nextPrimary returns the new record of a group's primary, and whether it must be written.
 func (c *Cache) nextPrimary(now int64, group balance.GroupSnapshot) (next Primary, changed bool) {
 	stored, known := c.groups[group.Group]
 	next = Primary{Host: group.Primary, Term: stored.Term, At: min(group.ObservedAt, now), By: c.conf.Name}
@@ -87,9 +88,9 @@
 	urgent bool
 }
 
-// planRest returns the transaction for hosts, the endpoint list and the session floor. It is unconditional: if two
-// gateways write the same host concurrently, either position is a valid lower bound, and the other fields are written
-// again when they change.
+// planRest returns the transaction for hosts, the endpoint list and the session floor. It has no condition: if two
+// gateways write the same host concurrently, the position of either is a valid lower bound, and the other fields are
+// written again when they change.
 func (c *Cache) planRest(now int64, snapshot balance.Snapshot, list EndpointList) *machine.Command {
 	command := &machine.Command{Kind: machine.TransactionKind}
 	storable := len(list.Endpoints) > 0 && len(list.Endpoints) <= maxHosts
@@ -175,8 +176,8 @@
 	return observed > stored*(1+limitChange) || observed < stored*(1-limitChange)
 }
 
-// obsoleteHosts returns, in order, the ids of stored hosts that are not present, were last written by this gateway and
-// are older than Config.MaxAge.
+// obsoleteHosts returns, in order, the ids of stored hosts that are not in present, that this gateway has written last,
+// and that are older than Config.MaxAge.
 func (c *Cache) obsoleteHosts(now int64, present []balance.HostSnapshot) []string {
 	named := map[string]bool{}
 	for i := range present {
--- a/internal/warmstart/restore.go
+++ b/internal/warmstart/restore.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	maxFuture    = 5_000_000     // microseconds by which a stored time may be in the future without being treated as invalid
-	maxSlowStart = 3_600_000_000 // microseconds; a slow start that ends later is treated as invalid
+	maxFuture    = 5_000_000     // microseconds by which a stored time may be in the future and still be valid
+	maxSlowStart = 3_600_000_000 // microseconds; a slow start that ends later than this is invalid
 )
 
 // Restored is the stored routing state that a restarted gateway may use.
 type Restored struct {
 	Snapshot  balance.Snapshot
-	List      *EndpointList // nil: none, or not newer than the gateway's
-	Discarded []string      // the parts that are not used, and why, for the log
+	List      *EndpointList // nil if there is none, or if it is not newer than the gateway's list
+	Discarded []string      // for the log: which parts are not used, and why
 }
 
-// Restore returns the part of the cached state that may be used at the time now, in microseconds. generation is that of
-// the endpoint list that the gateway already has.
+// Restore returns the part of the cached state that may be used at the time now, in microseconds. generation is the
+// generation of the endpoint list that the gateway already has.
 //
-// A position is a lower bound and remains valid, except that one observed at a former primary may be ahead of every other
-// host: it is used only while the host is the stored primary. The primary of a group, and whether a host is down, and
-// its concurrency limit, are used up to Config.MaxAge; a slow start until its end. Times in the future are invalid.
+// A log position is a lower bound and stays valid. The exception is a position that was observed while its host was the
+// primary: if the host is not the stored primary any more, its position may be ahead of every other host and is not
+// used. The primary of a group, and whether a host is down, and its concurrency limit, are used up to Config.MaxAge. A
+// slow start is used until its end. Times in the future are invalid.
 func (c *Cache) Restore(now, generation int64) Restored {
 	restored := Restored{Snapshot: balance.Snapshot{SessionFloor: c.sessionFloor}}
 	if c.list.Generation > generation {
@@ -56,7 +57,7 @@
 	return at <= now+maxFuture && now-at <= c.conf.MaxAge
 }
 
-// restoreHost returns the usable part of a host's record, and adds the other parts to restored.Discarded.
+// restoreHost returns the usable part of a host's record. It reports a position that is not used in restored.Discarded.
 func (c *Cache) restoreHost(now int64, id string, restored *Restored) balance.HostSnapshot {
 	stored := c.hosts[id]
 	host := balance.HostSnapshot{
@@ -69,7 +70,7 @@
 	if stored.Position > now+maxFuture || formerPrimary {
 		host.Position = 0
 		host.PositionAt = 0
-		restored.discard("host %s: its position is from a former primary, or from the future", id)
+		restored.discard("host %s: its position was observed while it was the primary, or is in the future", id)
 	}
 	if c.recent(now, stored.At) {
 		host.Down = stored.Down
--- a/internal/warmstart/stored.go
+++ b/internal/warmstart/stored.go
@@ -40,8 +40,8 @@
 	By         string  `msgpack:"b" json:"by"` // the gateway that wrote it
 }
 
-// StoredEndpoint is a balance.Endpoint with tags for the field names of the stored format, which must not change. The two
-// types can be converted into each other.
+// StoredEndpoint is a balance.Endpoint whose tags hold the field names of the stored format, which must not change. The
+// two types can be converted into each other.
 type StoredEndpoint struct {
 	Host      string                `msgpack:"Host"`
 	Zone      int                   `msgpack:"Zone"`
@@ -53,7 +53,7 @@
 	StartedAt int64                 `msgpack:"Born"`
 }
 
-// Endpoint is an entry of the stored list, with its address.
+// Endpoint is an entry of the stored list: an endpoint and its address.
 type Endpoint struct {
 	StoredEndpoint `msgpack:"e"`
 	Address        string `msgpack:"a"`
@@ -65,7 +65,7 @@
 	Endpoints  []Endpoint `msgpack:"e"`
 }
 
-// SessionFloor is the stored lower bound of the positions that sessions require.
+// SessionFloor is the stored lower bound of the log positions that sessions require.
 type SessionFloor struct {
 	Position int64 `msgpack:"p" json:"position"`
 }
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -1,7 +1,7 @@
-// Package warmstart keeps the routing state of the gateways in the store, so that a restarted gateway does not start
+// Package warmstart keeps the routing state of the gateways in the store, so that a restarted gateway does not begin
 // without any. It decides which changes of a router's state are written, and which part of the stored state a restarted
-// gateway may use. It does no I/O and reads no clock. Times are in microseconds of the gateways' clocks, which must agree
-// to within MaxClockSkew.
+// gateway may use. It does no I/O and reads no clock. Times are in microseconds of the gateways' clocks, whose
+// difference must not exceed MaxClockSkew.
 package warmstart
 
 import (
@@ -13,15 +13,15 @@
 	"cloverrock/internal/store/machine"
 )
 
-// MaxClockSkew is the maximum difference between the clocks of two gateways, in microseconds. An observation must be newer
-// by more than that to replace another gateway's.
+// MaxClockSkew is the maximum difference between the clocks of two gateways, in microseconds. An observation replaces
+// one by another gateway only if it is newer by more than this.
 const MaxClockSkew = 50_000
 
-// Config of a cache. Times are in microseconds.
+// Config configures a cache. Times are in microseconds.
 type Config struct {
-	Name        string // of the gateway
-	MinInterval int64  // between two plans that write something
-	MaxAge      int64  // up to which a record that may have become wrong is used
+	Name        string // name of the gateway
+	MinInterval int64  // minimum time between two plans that write something
+	MaxAge      int64  // maximum age of a record that may have become wrong
 }
 
 // Cache is a gateway's copy of the stored routing state, kept up to date by Update. It is not safe for concurrent use.
@@ -46,10 +46,10 @@
 	}
 }
 
-// Unreadable returns the number of updates that could not be decoded: of a newer format, or damaged. They are ignored.
+// Unreadable returns the number of updates that were ignored because their value is damaged or has a newer format.
 func (c *Cache) Unreadable() int { return c.unreadable }
 
-// Update applies a change of a key to the cache: its new value, or with deleted set its last one.
+// Update applies a change of a stored key to the cache. kv holds the new value, or the last value if deleted is set.
 func (c *Cache) Update(kv *machine.KV, deleted bool) {
 	if kv.NS != NS {
 		return
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -13,7 +13,7 @@
 	start  = 1_000_000 * second // time at which the tests begin, in microseconds
 )
 
-// harness is a store of one machine, shared by the caches of gateways.
+// harness is a store consisting of one state machine, with a cache for each gateway that uses it.
 type harness struct {
 	t      *testing.T
 	state  *machine.Machine
@@ -29,7 +29,7 @@
 	return h
 }
 
-// apply commits commands and updates all caches, and counts the operations that took effect.
+// apply commits commands, updates all caches, and returns the number of operations that took effect.
 func (h *harness) apply(commands []machine.Command) (ops int) {
 	h.t.Helper()
 	for _, command := range commands {
@@ -55,7 +55,7 @@
 	return ops
 }
 
-// snapshotOf returns a router's snapshot of group 1 with a primary that was observed at a time.
+// snapshotOf returns the snapshot of a router that observed the primary of group 1 at the given time.
 func snapshotOf(primary string, at int64, hosts ...balance.HostSnapshot) balance.Snapshot {
 	return balance.Snapshot{Groups: []balance.GroupSnapshot{{Group: 1, Primary: primary, ObservedAt: at}}, Hosts: hosts}
 }
@@ -74,14 +74,15 @@
 	if p := h.primary(); p.Host != "q" || p.Term != 2 || p.By != "b" {
 		t.Errorf("%+v", p)
 	}
-	// a was partitioned and still reports p as primary: its observations are older, or not newer by more than the skew.
+	// a was partitioned and still reports p as the primary. Its observations are older, or newer by no more than
+	// MaxClockSkew.
 	for i, at := range []int64{start + second, start + 2*second + MaxClockSkew} {
 		h.apply(a.Plan(start+int64(4+i)*second, snapshotOf("p", at), EndpointList{}))
 		if p := h.primary(); p.Host != "q" {
-			t.Errorf("an observation at %d restored %s", at-start, p.Host)
+			t.Errorf("an observation at %d us replaced the primary by %s", at-start, p.Host)
 		}
 	}
-	// Both observe another change concurrently: one of them writes it, and the term increases once.
+	// Both observe another change concurrently. Only one of them writes it, and the term increases once.
 	first := a.Plan(start+10*second, snapshotOf("r", start+9*second), EndpointList{})
 	second := b.Plan(start+10*second, snapshotOf("r", start+9*second), EndpointList{})
 	if n := h.apply(first) + h.apply(second); n != 1 || h.primary().Term != 3 {
@@ -102,24 +103,24 @@
 		commands := cache.Plan(now, snapshot, EndpointList{Generation: 1, Endpoints: []Endpoint{{Address: "x"}}})
 		for _, c := range commands {
 			if len(c.Then) > maxOps {
-				t.Fatalf("%d operations", len(c.Then))
+				t.Fatalf("%d operations in one transaction", len(c.Then))
 			}
 		}
 		writes += len(commands)
 		h.apply(commands)
 	}
-	if writes > 2*2*60 { // at most two transactions each half second
-		t.Errorf("%d transactions in a minute", writes)
+	if writes > 2*2*60 { // at most two transactions in each half second
+		t.Errorf("%d transactions in a minute, want at most 240", writes)
 	}
 	if n := len(h.state.List(NS, "host/", 0)); n != 100 {
-		t.Errorf("%d hosts are kept", n)
+		t.Errorf("%d hosts are stored, want 100", n)
 	}
 	behind := int64(0)
 	for _, h := range cache.hosts {
 		behind = max(behind, start+60*second-h.Position)
 	}
 	if behind > 8*second {
-		t.Errorf("a stored position is %d ms behind", behind/1000)
+		t.Errorf("a stored position is %d ms behind, want at most 8000 ms", behind/1000)
 	}
 }
 
@@ -137,7 +138,7 @@
 	}
 }
 
-// restarted returns a cache of a new incarnation that has read the store.
+// restarted returns the cache of a restarted gateway that has read the store.
 func (h *harness) restarted() *Cache {
 	fresh := New(Config{Name: "a", MaxAge: 60 * second})
 	for _, kv := range h.state.List(NS, "", 0) {
@@ -181,7 +182,7 @@
 		t.Errorf("hosts after 100 s: %+v", hosts)
 	}
 
-	// Times in the future, written under a clock that was ahead by minutes, are not used.
+	// Times in the future, which a gateway wrote whose clock was minutes ahead, are not used.
 	future := fresh.Restore(start-100*second, 0)
 	if len(future.Snapshot.Groups) != 0 || hostsByID(future)["d"].Position != 0 {
 		t.Errorf("from the future: %+v", future)
@@ -212,6 +213,6 @@
 		cache.Update(&machine.KV{NS: NS, Key: key, Value: []byte("\xc1noise")}, false)
 	}
 	if cache.Unreadable() != 5 || len(cache.hosts)+len(cache.groups) != 0 {
-		t.Errorf("%d unread, %d hosts, %d groups", cache.Unreadable(), len(cache.hosts), len(cache.groups))
+		t.Errorf("%d unreadable, %d hosts, %d groups; want 5, 0 and 0", cache.Unreadable(), len(cache.hosts), len(cache.groups))
 	}
 }
