--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 )
 
-// keyedBroadcast is a broadcast that replaces a queued one with the same key.
+// keyedBroadcast is a broadcast that replaces a queued broadcast with the same key.
 type keyedBroadcast struct {
 	key  string
 	data []byte
@@ -30,7 +30,8 @@
 
 func (d *delegate) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg removes the sender's name from a message and passes both on. A truncated message is ignored.
+// NotifyMsg splits a message into the sender's name and its content, and passes both to Config.OnMessage. A truncated
+// message is ignored.
 func (d *delegate) NotifyMsg(b []byte) {
 	if len(b) == 0 || len(b) < 1+int(b[0]) {
 		return
@@ -53,7 +54,8 @@
 func (d *delegate) LocalState(bool) []byte        { return nil }
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
-// events implements memberlist.EventDelegate: it records when members failed. A member that left gracefully is removed.
+// events implements memberlist.EventDelegate. It records when members failed. A member that left gracefully is not
+// recorded.
 type events Members
 
 func (e *events) NotifyJoin(node *memberlist.Node) {
@@ -74,7 +76,7 @@
 
 func (e *events) NotifyUpdate(*memberlist.Node) {}
 
-// conflicts implements memberlist.ConflictDelegate: it logs two processes under one name.
+// conflicts implements memberlist.ConflictDelegate. It logs when two processes use the same name.
 type conflicts Members
 
 func (c *conflicts) NotifyConflict(_, other *memberlist.Node) {
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -9,7 +9,7 @@
 	"cloverrock/internal/golden"
 )
 
-// The encoding of a message with its sender does not change, and decodes to both.
+// The encoding of a message with its sender must not change, and must decode to the same sender and content.
 func TestGoldenMessages(t *testing.T) {
 	tests := []struct{ name, from, content string }{
 		{"nothing", "a", ""},
@@ -33,7 +33,7 @@
 		}}}
 		(*delegate)(m).NotifyMsg(b)
 		if !received {
-			t.Errorf("%s is not received as it was sent", test.name)
+			t.Errorf("%s: the received sender or content differs from what was sent", test.name)
 		}
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,8 +1,8 @@
 // Package membership keeps track of which gateways of a fleet are alive, and carries messages between them.
 //
 // Failure detection and broadcasts are those of hashicorp/memberlist (the SWIM protocol with the Lifeguard extensions).
-// This package adds a transport that can go through a relay, and remembers members that have failed, since a quorum is
-// counted over all members.
+// This package adds a transport that can send everything through a relay. It also keeps members that have failed,
+// because a quorum is counted over all members, including failed ones.
 package membership
 
 import (
@@ -29,9 +29,10 @@
 	gossipInterval = 100 * time.Millisecond
 	probeInterval  = 500 * time.Millisecond
 	probeTimeout   = 250 * time.Millisecond
-	// pushPullInterval is for the member list only; package crdt synchronizes entries in its own rounds.
+	// pushPullInterval is the interval at which the library synchronizes the member list with another member. The entries
+	// of package crdt are synchronized separately, in rounds of that package.
 	pushPullInterval = 30 * time.Second
-	// deadNodeReclaimTime is how soon a restarted gateway may use its name at another address.
+	// deadNodeReclaimTime is the time after which a restarted gateway may use its name at another address.
 	deadNodeReclaimTime = time.Second
 )
 
@@ -39,14 +40,14 @@
 type Config struct {
 	Name          string
 	Listen        string                            // address and port, for TCP and UDP
-	Join          []string                          // addresses of other members; retried while none answers
+	Join          []string                          // addresses of other members; retried until one answers
 	Relay         string                            // address that all traffic is sent through, for experiments; empty: none
-	DeadRetention time.Duration                     // how long a failed member counts as a member; 0: an hour
-	OnMessage     func(from string, message []byte) // is called on the library's goroutines and must not block
+	DeadRetention time.Duration                     // how long a failed gateway counts as a member; 0: one hour
+	OnMessage     func(from string, message []byte) // called on the library's goroutines; must not block
 	Log           zerolog.Logger
 }
 
-// DuplicateNameError reports a second process under a name that is in use.
+// DuplicateNameError reports that another process uses this gateway's name.
 type DuplicateNameError struct{ Name, Address string }
 
 func (e *DuplicateNameError) Error() string {
@@ -58,7 +59,7 @@
 	return "give each gateway a name of its own (the key name, or EDGE_NAME), or end the process at that address"
 }
 
-// ListenError reports an address that can't be listened on.
+// ListenError reports that the gateway can't listen on an address.
 type ListenError struct {
 	Address string
 	Err     error
@@ -71,10 +72,10 @@
 
 // Remedy returns what an operator can do.
 func (e *ListenError) Remedy() string {
-	return "name an address of this machine whose TCP and UDP ports are both free"
+	return "set fleet.listen to an address of this machine whose TCP and UDP ports are both free"
 }
 
-// UnknownMemberError reports a member that is not alive or does not exist.
+// UnknownMemberError reports a name that no live member has.
 type UnknownMemberError struct{ Name string }
 
 func (e *UnknownMemberError) Error() string {
@@ -85,7 +86,7 @@
 type Members struct {
 	conf  Config
 	list  *memberlist.Memberlist
-	made  atomic.Pointer[memberlist.Memberlist] // the list, for goroutines of the library that run before there is one
+	made  atomic.Pointer[memberlist.Memberlist] // same as list; for the library's goroutines that run before list is set
 	queue *memberlist.TransmitLimitedQueue
 
 	mu       sync.Mutex           // guards failedAt
@@ -95,7 +96,8 @@
 	wg   sync.WaitGroup
 }
 
-// Open joins the fleet. It does not wait for other members. An address that can't be listened on gives a *ListenError.
+// Open joins the fleet. It does not wait for other members. If the gateway can't listen on Config.Listen, the error is a
+// *ListenError.
 func Open(conf Config) (*Members, error) {
 	address, err := netip.ParseAddrPort(conf.Listen)
 	if err != nil {
@@ -118,7 +120,7 @@
 	m.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: library.RetransmitMult, NumNodes: m.count}
 	list, err := memberlist.Create(library)
 	if err != nil {
-		_ = inner.Shutdown() // the returned error is the cause
+		_ = inner.Shutdown() // the error of Create is returned
 		return nil, fmt.Errorf("membership: start: %w", err)
 	}
 	m.setList(list)
@@ -154,7 +156,7 @@
 	m.made.Store(list)
 }
 
-// count is how many members are alive; the library asks for it while it starts, too.
+// count returns the number of live members. The library also calls it before Create has returned the list.
 func (m *Members) count() int {
 	list := m.made.Load()
 	if list == nil {
@@ -163,7 +165,7 @@
 	return list.NumMembers()
 }
 
-// join contacts the configured addresses, with exponential backoff, whenever this gateway has no other member.
+// join contacts the configured addresses with exponential backoff while this gateway knows no other live member.
 func (m *Members) join(ctx context.Context) {
 	for backoff := minJoinBackoff; ; backoff = min(2*backoff, maxJoinBackoff) {
 		if m.list.NumMembers() < 2 && len(m.conf.Join) > 0 {
@@ -179,7 +181,7 @@
 	}
 }
 
-// Close leaves the fleet gracefully, so that the others no longer count this gateway as a member.
+// Close leaves the fleet gracefully, so that other gateways stop counting this one as a member.
 func (m *Members) Close() {
 	m.stop()
 	m.wg.Wait()
@@ -191,7 +193,8 @@
 	}
 }
 
-// Snapshot returns the members. Failed ones count as members, not alive, until DeadRetention has passed.
+// Snapshot returns the members, and whether each is alive. A failed gateway still counts as a member until
+// DeadRetention has passed.
 func (m *Members) Snapshot() agreement.Members {
 	members := agreement.Members{}
 	for _, node := range m.list.Members() {
@@ -209,13 +212,13 @@
 	return members
 }
 
-// Broadcast queues a message to all members. It replaces an earlier message with the same key that is still queued.
+// Broadcast queues a message to all members. It replaces a message with the same key that is still queued.
 func (m *Members) Broadcast(key string, message []byte) {
 	m.queue.QueueBroadcast(&keyedBroadcast{key, message})
 }
 
-// Send sends a message to one member over TCP, and waits for the connection. A member that is not alive gives an
-// *UnknownMemberError.
+// Send sends a message to one member over TCP. It blocks until the connection is open and the message is written. For a
+// name that no live member has, the error is an *UnknownMemberError.
 func (m *Members) Send(name string, message []byte) error {
 	for _, node := range m.list.Members() {
 		if node.Name != name {
@@ -229,7 +232,7 @@
 	return &UnknownMemberError{name}
 }
 
-// withSender prepends this gateway's name, with its length in one byte, to a message.
+// withSender prepends the length of this gateway's name in one byte, and the name, to a message.
 func (m *Members) withSender(message []byte) []byte {
 	b := append([]byte{byte(len(m.conf.Name))}, m.conf.Name...)
 	return append(b, message...)
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is the library's transport. With a relay, it sends all traffic there, each datagram and stream headed by
-// the receiver's address.
+// transport is the library's transport. If a relay is set, it sends all traffic to the relay, and each datagram and each
+// stream begins with the receiver's address.
 type transport struct {
 	*memberlist.NetTransport
 	relay string // address; empty: none
@@ -33,21 +33,21 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = conn.SetDeadline(time.Now().Add(timeout)) // fails only on a connection on which the write fails too
+	_ = conn.SetDeadline(time.Now().Add(timeout)) // if this fails, the write fails too
 	if _, err := io.WriteString(conn, address+"\n"); err != nil {
-		_ = conn.Close() // the write error is the cause
-		return nil, err  // not wrapped, since the library checks network errors by type
+		_ = conn.Close() // the write error is returned
+		return nil, err  // not wrapped, because the library checks network errors by type
 	}
-	_ = conn.SetDeadline(time.Time{}) // as above; the library sets its own
+	_ = conn.SetDeadline(time.Time{}) // as above; the library sets its own deadlines
 	return conn, nil
 }
 
-// WriteToAddress replaces the library's own, which would bypass the relay.
+// WriteToAddress replaces the library's method, which would bypass the relay.
 func (t *transport) WriteToAddress(b []byte, address memberlist.Address) (time.Time, error) {
 	return t.WriteTo(b, address.Addr)
 }
 
-// DialAddressTimeout replaces the library's own, which would bypass the relay.
+// DialAddressTimeout replaces the library's method, which would bypass the relay.
 func (t *transport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(address.Addr, timeout)
 }
--- a/internal/membership/transport_test.go
+++ b/internal/membership/transport_test.go
@@ -11,7 +11,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// A stream through a relay keeps no deadline of its dial: a member that takes longer to answer was cut off.
+// A stream through a relay must not keep the deadline of its dial: otherwise the stream fails if the member takes
+// longer to answer than the dial timeout.
 func TestRelayedStreamHasNoDeadlineOfItsDial(t *testing.T) {
 	const dialTimeout, answerAfter = 50 * time.Millisecond, 200 * time.Millisecond
 	relay, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -24,7 +25,7 @@
 		if err != nil {
 			return
 		}
-		defer func() { _ = conn.Close() }() // the test has all it needs
+		defer func() { _ = conn.Close() }() // its error does not affect the result
 		reader := bufio.NewReader(conn)
 		_, _ = reader.ReadString('\n')
 		_ = conn.SetReadDeadline(time.Now().Add(answerAfter))
@@ -38,11 +39,12 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	if _, err := conn.Read(make([]byte, 1)); err != nil {
-		t.Errorf("an answer after the dial's timeout: %v", err)
+		t.Errorf("reading an answer that is sent after the dial timeout: %v", err)
 	}
 }
 
-// The library counts members on goroutines that it starts before its list is returned: found by the race detector only.
+// The library calls count on goroutines that it starts before Create returns the list. A data race of count and setList
+// is reported only by the race detector.
 func TestMembersAreCountedWhileTheListIsMade(t *testing.T) {
 	m := &Members{}
 	counted := make(chan int)
