--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -1,6 +1,6 @@
-// Package launcher replaces the store in the gateway's program, which does not contain it. When a command or a settings
-// file needs the store, the process executes (execve) a larger program that contains it, with the same process id and
-// arguments. A gateway without the store thus needs no memory for it.
+// Package launcher stands in for the store in the gateway's program, which does not contain the store. When a command
+// or a settings file needs the store, the process executes (execve) a larger program that contains it, with the same
+// process id and arguments. A gateway that does not use the store thus needs no memory for it.
 package launcher
 
 import (
@@ -16,14 +16,14 @@
 	"cloverrock/internal/app"
 )
 
-// Launcher is an app.Extension whose methods execute the larger program. They return only if that fails.
+// Launcher is an app.Extension whose methods execute the larger program. They return only if this fails.
 type Launcher struct{ program string }
 
-// New returns a launcher of a program in the directory of the running one.
+// New returns a launcher of the named program, which must be in the same directory as the running program.
 func New(program string) Launcher { return Launcher{program} }
 
-// HandleCompletion executes the larger program if args, the arguments of the command line, ask for shell completion or for
-// help on the store: only that program has all commands. It returns nil if args ask for neither.
+// HandleCompletion executes the larger program if args, the arguments of the command line, request shell completion or
+// help on the store, because only that program has all commands. Otherwise it returns nil.
 func (l Launcher) HandleCompletion(args []string) error {
 	if isCompletion(args) || isStoreHelp(args) {
 		return l.exec()
@@ -39,16 +39,16 @@
 	return len(args) > 1 && args[0] == "help" && args[1] == "store"
 }
 
-// exec replaces the process by the larger program. It returns only if that fails.
+// exec replaces the running program by the larger program. It returns only if this fails.
 func (l Launcher) exec() error {
 	self, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("find %s: %w", l.program, err)
+		return fmt.Errorf("find the directory of %s: %w", l.program, err)
 	}
 	path := filepath.Join(filepath.Dir(self), l.program)
 	args := append([]string{l.program}, os.Args[1:]...)
 	err = syscall.Exec(path, args, os.Environ())
-	return fmt.Errorf("this needs %s, which is built with the gateway: %w", path, err)
+	return fmt.Errorf("the command or the settings file needs the program %s, which is built together with the gateway: %w", path, err)
 }
 
 // Commands implements app.Extension.
--- a/internal/launcher/launcher_test.go
+++ b/internal/launcher/launcher_test.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 )
 
-// missing is the name of a program that does not exist: to execute it fails with an error that names it.
+// missing is the name of a program that does not exist. Executing it fails with an error that contains the name.
 const missing = "no-such-program"
 
 func TestCompletionAndStoreHelpNeedTheLargerProgram(t *testing.T) {
