--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,6 +1,6 @@
-// Package asynclog writes log lines on a goroutine of its own, so that nobody who logs waits for the reader of the log. If
-// the reader stalls, the oldest lines are dropped and counted; if it goes away, so are those that it misses. The count is
-// written once there is a reader again.
+// Package asynclog writes log lines on a goroutine of its own, so that logging never waits for the reader of the log.
+// If the reader stalls, the oldest lines are dropped. If the reader has closed its end, the lines written meanwhile are
+// lost. Both are counted, and the count is written as soon as a line can be written again.
 package asynclog
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/rs/zerolog/diode"
 )
 
-// maxLines bounds the lines that wait for the reader. Most have 100 to 300 bytes.
+// maxLines limits the number of lines that wait to be written. Most lines have 100 to 300 bytes.
 const maxLines = 1024
 
 // DroppedMessage is the message of the line that reports dropped lines, in its field "lines".
@@ -28,9 +28,11 @@
 	sink *sink
 }
 
-// New returns a Writer to out; its reports bear the gateway's name. For the whole process it ignores SIGPIPE, so that a write
-// fails where the reader of the log is gone instead of ending the program, and silences the standard logger: the ring and the
-// HTTP client write to it, and it would write to standard error on their callers' goroutines.
+// New returns a Writer to out. Its reports of dropped lines contain the gateway's name.
+//
+// New changes two settings of the whole process. It ignores SIGPIPE, so that a write to a log whose reader is gone fails
+// instead of ending the program. It discards the output of the standard logger: the ring and the HTTP client use that
+// logger, and it would write to standard error on the goroutines of their callers.
 func New(out io.Writer, gateway string) *Writer {
 	signal.Ignore(syscall.SIGPIPE)
 	log.SetOutput(io.Discard)
@@ -42,12 +44,12 @@
 // Write queues a copy of one line. It never fails.
 func (w *Writer) Write(line []byte) (int, error) { return w.ring.Write(line) }
 
-// Close writes the lines that are queued, for as long as the timeout, and reports whether all were written. Nothing must be
-// written to w any more.
+// Close writes the queued lines, but returns after the timeout if that takes longer. It reports whether all lines were
+// written. Write must not be called any more once Close has been called.
 func (w *Writer) Close(timeout time.Duration) bool {
 	flushed := make(chan struct{})
 	go func() {
-		_ = w.ring.Close() // sink has nothing to close
+		_ = w.ring.Close() // never fails: the sink has no Close method
 		close(flushed)
 	}()
 	select {
@@ -58,14 +60,15 @@
 	}
 }
 
-// sink writes lines to the log itself. Write belongs to the goroutine of the ring.
+// sink writes lines to the log. Write is called only on the goroutine of the ring.
 type sink struct {
 	out     io.Writer
 	gateway string
-	dropped atomic.Int64 // lines since the last report of dropped lines
+	dropped atomic.Int64 // number of lines dropped since the last report of dropped lines
 }
 
-// Write writes the report of dropped lines, if there are any, and a line. A line that can't be written is dropped.
+// Write writes the report of dropped lines, if any were dropped, and then a line. A line that can't be written is
+// counted as dropped.
 func (s *sink) Write(line []byte) (int, error) {
 	if !s.reportDropped() {
 		s.dropped.Add(1)
@@ -77,7 +80,7 @@
 	return len(line), nil
 }
 
-// reportDropped writes the report, and returns false if that has failed.
+// reportDropped writes the report of dropped lines, if any were dropped. It returns false if the write failed.
 func (s *sink) reportDropped() bool {
 	lines := s.dropped.Swap(0)
 	if lines == 0 {
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// testTimeout ends a test that hangs; no verdict depends on how soon anything happens.
+// testTimeout ends a test that hangs. No test's result depends on the speed of the machine.
 const testTimeout = 30 * time.Second
 
-// stallingLog is a log whose reader stalls until the test lets it go on.
+// stallingLog is a log whose reader stalls until the test closes resume.
 type stallingLog struct {
 	started chan struct{} // closed at the first write
 	resume  chan struct{}
@@ -35,7 +35,8 @@
 	return s.lines.Write(b)
 }
 
-// A reader of the log that stalls holds up nobody who logs: lines are dropped and counted, and the rest come in order.
+// If the reader of the log stalls, logging does not block: lines are dropped and counted, and the other lines are
+// written in order.
 func TestStalledReaderCostsLinesAndNoTime(t *testing.T) {
 	const lines = 3 * maxLines
 	stalled := newStallingLog()
@@ -67,23 +68,23 @@
 		count++
 	}
 	if dropped == 0 || dropped+count != lines || last != lines-1 {
-		t.Errorf("%d lines written up to %d, %d reported as dropped, of %d", count, last, dropped, lines)
+		t.Errorf("%d lines written, the last is line %d; %d reported as dropped; %d logged", count, last, dropped, lines)
 	}
 }
 
-// A stalled reader holds up the end of the program no longer than the timeout.
+// If the reader of the log stalls, Close returns after its timeout.
 func TestCloseDoesNotWaitForAStalledReader(t *testing.T) {
 	stalled := newStallingLog()
 	w := New(stalled, "g")
 	_, _ = w.Write([]byte("line\n"))
 	<-stalled.started
 	if w.Close(time.Millisecond) {
-		t.Error("a line that was not written counts as written")
+		t.Error("Close reported that all lines were written, want false")
 	}
 	close(stalled.resume)
 }
 
-// brokenLog fails until it has a reader again.
+// brokenLog is a log whose first writes fail, as if it had no reader.
 type brokenLog struct {
 	failures int
 	lines    bytes.Buffer
@@ -97,24 +98,25 @@
 	return b.lines.Write(line)
 }
 
-// Lines that a log without a reader could not take are counted, and reported to the next reader.
+// Lines that could not be written because the log had no reader are counted, and the count is written once writes
+// succeed.
 func TestLinesLostWithTheReaderAreReported(t *testing.T) {
-	broken := &brokenLog{failures: 2} // a line, and the report at the next line
+	broken := &brokenLog{failures: 2} // the first line, and the report before the second
 	w := New(broken, "g")
 	for _, line := range []string{"a\n", "b\n", "c\n", "d\n"} {
 		_, _ = w.Write([]byte(line))
 	}
 	if !w.Close(testTimeout) {
-		t.Error("not flushed")
+		t.Error("Close reported that lines were not written, want true")
 	}
 	got := broken.lines.String()
 	if !strings.HasSuffix(got, "c\nd\n") || !strings.Contains(got, `"gateway":"g","lines":2`) || !strings.Contains(got, DroppedMessage) {
-		t.Errorf("the log has %s", got)
+		t.Errorf("the log contains %s", got)
 	}
 }
 
-// The ring reports collisions of its writer and its reader by the standard logger, which writes to standard error on the
-// caller's goroutine: a reader that stalls would stop the caller after all.
+// The ring reports collisions between its writer and its reader to the standard logger, which writes to standard error
+// on the caller's goroutine. Unless this output is discarded, a stalled reader of standard error blocks the caller.
 func TestRingDoesNotWriteToStandardError(t *testing.T) {
 	var written bytes.Buffer
 	log.SetOutput(&written)
@@ -131,11 +133,11 @@
 	writers.Wait()
 	w.Close(testTimeout)
 	if written.Len() > 0 {
-		t.Errorf("standard error got %q...", written.String()[:60])
+		t.Errorf("the standard logger wrote %q...", written.String()[:60])
 	}
 }
 
-// BenchmarkWrite measures a line as the caller sees it, beside a write of the same line without the ring.
+// BenchmarkWrite measures how long the caller takes to log a line, and for comparison a direct write of the same line.
 func BenchmarkWrite(b *testing.B) {
 	line := []byte(strings.Repeat("x", 200) + "\n")
 	file, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
