--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -1,5 +1,5 @@
 // Package discovery follows the endpoint list: the database hosts, their addresses and their states. It decodes the
-// list that the discovery service sends, and watches the list by one long HTTP call at a time, reconnecting with backoff.
+// service's form of the list, and watches the list by one long HTTP call at a time, reconnecting with backoff.
 package discovery
 
 import (
