--- a/internal/app/clients_test.go
+++ b/internal/app/clients_test.go
@@ -14,7 +14,7 @@
 func TestAttemptOfADisconnectedClientIsClosed(t *testing.T) {
 	gw := startGateway(t, 0)
 	client := gw.connect()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	query := gw.hosts[0].nextQuery()
 	client.close()
 	gw.hosts[0].wantClosed()
@@ -54,7 +54,7 @@
 		"old protocol":      {raw: []byte("\x00\x00\x00\x08\x00\x02\x00\x00"), want: []string{"error 0A000 closed"}},
 		"cancel":            {raw: []byte("\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x00\x00\x00\x00\x00"), want: []string{"closed"}},
 		"newer minor":       {raw: []byte("\x00\x00\x00\x09\x00\x03\x00\x02\x00"), want: []string{""}},
-		"too many at once":  {in: bytes.Repeat(pgwire.AppendQuery(nil, queryText(writeForm, 1)), 400), want: []string{"ends"}},
+		"too many at once":  {in: bytes.Repeat(pgwire.AppendQuery(nil, queryText(writeFormat, 1)), 400), want: []string{"ends"}},
 		"leaves in silence": {in: pgwire.AppendTerminate(nil), want: []string{"closed"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 			client.t = t
 			for _, want := range c.want {
 				if want == "ends" {
-					client.wantEnd()
+					client.wantDisconnected()
 				} else {
 					client.want(want)
 				}
@@ -78,7 +78,7 @@
 		})
 	}
 	client := gw.connect()
-	client.query(queryText(readForm, 99))
+	client.query(queryText(readFormat, 99))
 	for { // queries that the clients above left in flight arrive first
 		query := gw.hosts[0].nextQuery()
 		query.answer("v")
@@ -94,17 +94,17 @@
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 4 }) // 2 clients
 	first := gw.connect()
 	second := gw.connect()
-	first.query(queryText(writeForm, 1))
+	first.query(queryText(writeFormat, 1))
 	held := gw.hosts[0].nextQuery()
 	third := gw.connect() // replaces second, which is idle
 	second.want("closed")
-	third.query(queryText(writeForm, 2))
-	also := gw.hosts[0].nextQuery()
+	third.query(queryText(writeFormat, 2))
+	heldThird := gw.hosts[0].nextQuery()
 	fourth := gw.connect()
-	fourth.query(queryText(writeForm, 3))
+	fourth.query(queryText(writeFormat, 3))
 	fourth.want("error 53300 closed")
 	held.answer("v")
-	also.answer("w")
+	heldThird.answer("w")
 	first.want("value v")
 	third.want("value w")
 }
@@ -116,7 +116,7 @@
 	gw.timeouts = timeouts{message: 50e3, idle: 100e3}
 	gw.start()
 	busy := gw.dial() // the query is sent with the startup: if sent later, the message timeout might expire before it
-	busy.write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "user", "worker"), queryText(writeForm, 1)))
+	busy.write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "user", "worker"), queryText(writeFormat, 1)))
 	busy.want("")
 	held := gw.hosts[0].nextQuery()
 	startup := pgwire.AppendStartup(nil, "user", "worker")
@@ -136,10 +136,10 @@
 // Connections that send nothing never displace a client that sends requests, however many there are.
 func TestSilentClientsDisplaceNoActiveOnes(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 8 }) // 4 clients
-	var usual []*pgClient
+	var active []*pgClient
 	for id := range 2 {
-		usual = append(usual, gw.connect())
-		gw.exchange(usual[id], id, "v")
+		active = append(active, gw.connect())
+		gw.exchange(active[id], id, "v")
 	}
 	silent := []*pgClient{gw.connect(), gw.connect()}
 	for range 10 {
@@ -147,7 +147,7 @@
 		silent[0].want("closed")
 		silent = silent[1:]
 	}
-	for id, client := range usual {
+	for id, client := range active {
 		gw.exchange(client, 10+id, "w")
 	}
 }
@@ -156,14 +156,14 @@
 // to send their first query.
 func TestIdleClientsMakeRoomForNewOnes(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 8 }) // 4 clients
-	var stay []*pgClient
+	var idle []*pgClient
 	for id := range 4 {
-		stay = append(stay, gw.connect())
-		gw.exchange(stay[id], id, "v")
+		idle = append(idle, gw.connect())
+		gw.exchange(idle[id], id, "v")
 	}
 	slow := []*pgClient{gw.connect(), gw.connect()}
-	stay[0].want("closed")
-	stay[1].want("closed")
+	idle[0].want("closed")
+	idle[1].want("closed")
 	for id, client := range slow {
 		gw.exchange(client, 10+id, "w")
 	}
@@ -174,14 +174,14 @@
 // gateway can open only a limited number of connections.
 func TestIdleClientsAreLimitedToAQuarterOfTheDescriptors(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 64 }) // 35 clients, 26 of them active
-	var stay []*pgClient
+	var idle []*pgClient
 	for id := range 27 {
-		stay = append(stay, gw.connect())
-		gw.exchange(stay[id], id, "v")
+		idle = append(idle, gw.connect())
+		gw.exchange(idle[id], id, "v")
 	}
-	stay[0].want("closed")
-	stay[1].query("")
-	stay[1].want("empty")
+	idle[0].want("closed")
+	idle[1].query("")
+	idle[1].want("empty")
 }
 
 // unfinishedMessage returns the first 160 KiB of a query message of 256 KiB.
@@ -193,26 +193,25 @@
 // is closed, not the newest.
 func TestBytesOfUnfinishedMessagesAreBounded(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.MemoryMB = 1 }) // limits unfinished messages to 128 KiB
-	usual := gw.connect()
+	active := gw.connect()
 	large := gw.connect()
-	usual.query(queryText(writeForm, 1))
+	active.query(queryText(writeFormat, 1))
 	held := gw.hosts[0].nextQuery()
 	large.write(unfinishedMessage())
-	large.wantEnd()
+	large.wantDisconnected()
 	held.answer("v")
-	usual.want("value v")
+	active.want("value v")
 }
 
 // A client may disconnect while its request waits for a connection to the host, and the event of this may be queued
-// behind many others. The gateway checks the client's socket immediately before it sends the request, and does not send
-// it.
+// behind many others. The gateway therefore checks the client's socket immediately before it would send the request.
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	gw := newHarness(t, 0)
 	gw.hosts[0].startupGate = make(chan struct{})
 	gw.start(func(c *config.Config) { c.MemoryMB = 1 }) // the event loop stops reading at 64 KiB of unhandled input
 	client := gw.connect()
 	flood := gw.connect()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	if query := gw.hosts[0].nextQuery(); query != nil {
 		t.Fatal("a query was sent before the host was ready")
 	}
@@ -224,7 +223,7 @@
 		client.close()
 	})
 	next := gw.connect()
-	next.query(queryText(writeForm, 2))
+	next.query(queryText(writeFormat, 2))
 	query := gw.hosts[0].nextQueryAfterStartups()
 	if !strings.Contains(query.text, "id=2,") {
 		t.Fatalf("the request of a disconnected client was sent: %s", query.text)
@@ -250,7 +249,7 @@
 	client := gw.dial()
 	client.write(pgwire.AppendStartup(nil, "user", "worker"))
 	key := client.cancelKey()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	if query := gw.hosts[0].nextQuery(); query != nil {
 		t.Fatal("a query was sent before the host was ready")
 	}
@@ -265,7 +264,7 @@
 	gw.cancel(key)
 	client.want("error 57014")
 	close(gw.hosts[0].startupGate)
-	client.query(queryText(writeForm, 2))
+	client.query(queryText(writeFormat, 2))
 	query := gw.hosts[0].nextQueryAfterStartups()
 	if !strings.Contains(query.text, "id=2,") {
 		t.Fatalf("a canceled request was sent: %s", query.text)
--- a/internal/app/commands_test.go
+++ b/internal/app/commands_test.go
@@ -57,8 +57,8 @@
 	return len(b), nil
 }
 
-// until waits for a line that contains a text and returns it.
-func (l logLines) until(t *testing.T, text string) string {
+// waitFor waits for a line that contains a text and returns it.
+func (l logLines) waitFor(t *testing.T, text string) string {
 	t.Helper()
 	for {
 		select {
@@ -89,7 +89,7 @@
 	log = make(logLines, 1024)
 	ended := make(chan int, 1)
 	go func() { ended <- Main(nil, getenv, io.Discard, log, noExtension{}) }()
-	_, rest, _ := strings.Cut(log.until(t, `"app: serving"`), `"listen":"`)
+	_, rest, _ := strings.Cut(log.waitFor(t, `"app: serving"`), `"listen":"`)
 	gw.address, _, _ = strings.Cut(rest, `"`)
 	return log, ended
 }
@@ -110,12 +110,12 @@
 	log, code := gw.runMain(t, path)
 	gw.nextWatch().writeChunk(`{"generation":8,"instances":` + gw.instances() + `}`)
 	client := gw.connect()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	held := gw.hosts[0].nextQuery()
 
 	write([]byte(`{"listen":7}`))
 	signalSelf(t, syscall.SIGHUP)
-	log.until(t, "listen: is a number")
+	log.waitFor(t, "listen: is a number")
 	if err := gw.discoveryListener.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -127,11 +127,11 @@
 	}
 	held.answer("v")
 	client.want("value v")
-	client.query(queryText(writeForm, 2))
+	client.query(queryText(writeFormat, 2))
 	held = gw.hosts[0].nextQuery()
 	signalSelf(t, syscall.SIGHUP)
 	signalSelf(t, syscall.SIGTERM)
-	log.until(t, "app: draining")
+	log.waitFor(t, "app: draining")
 	held.answer("w")
 	client.want("value w")
 	select {
--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -47,8 +47,7 @@
 }
 
 // restoreEndpoints applies a list if it is newer than the current one. While the gateway still waits for discovery's
-// first list, a newer list only replaces the known list of the configuration, which is used if discovery does not
-// answer.
+// first list, a newer list replaces the known list of the configuration, which is used if discovery does not answer.
 func (s *server) restoreEndpoints(endpoints *discovery.EndpointList) {
 	known := s.conf.KnownEndpoints
 	waitsForDiscovery := known != nil && !s.gateway.Ready()
--- a/internal/app/counts_test.go
+++ b/internal/app/counts_test.go
@@ -18,7 +18,7 @@
 	gw.start()
 	gw.exchange(gw.connect(), 1, "v")
 	var line map[string]json.RawMessage
-	if err := json.Unmarshal([]byte(log.until(t, `"served":1`)), &line); err != nil {
+	if err := json.Unmarshal([]byte(log.waitFor(t, `"served":1`)), &line); err != nil {
 		t.Fatal(err)
 	}
 	fields := strings.Join(slices.Sorted(maps.Keys(line)), " ")
--- a/internal/app/harness_test.go
+++ b/internal/app/harness_test.go
@@ -158,8 +158,7 @@
 	return inFlight
 }
 
-// hasUnsentBytes reports whether the clients have left so many bytes unread that the gateway stops reading their
-// requests.
+// hasUnsentBytes reports whether clients have left so many bytes unread that the gateway stops reading their requests.
 func (gw *harness) hasUnsentBytes() (unsent bool) {
 	gw.onLoop(func() { unsent = gw.server.frontend.UnsentBytes() > 64<<10 })
 	return unsent
@@ -226,7 +225,7 @@
 // exchange sends a write from a client and has the primary answer it with a value.
 func (gw *harness) exchange(client *pgClient, id int, value string) {
 	client.t.Helper()
-	client.query(queryText(writeForm, id))
+	client.query(queryText(writeFormat, id))
 	gw.hosts[0].nextQuery().answer(value)
 	client.want("value " + value)
 }
--- a/internal/app/hosts_test.go
+++ b/internal/app/hosts_test.go
@@ -24,17 +24,17 @@
 func TestFaultyAnswersFailAndEndTheirConnection(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Settings.DialTimeout = 200e3 })
 	ready := string(pgwire.AppendReadyForQuery(nil))
-	const good = "value v"
+	const answered = "value v"
 	const failed = "error " + pgwire.CodeSystemError
 	row := string(rowMessages("v"))
 	refusal := string(pgwire.AppendError(nil, pgwire.ErrorResponse{Severity: "ERROR", Code: pgwire.CodeTooManyConnections, Message: "no"}))
 	status := func(name, value string) string { return string(pgwire.AppendParameterStatus(nil, name, value)) }
 	for name, c := range map[string]struct{ sent, want string }{
-		"a second copy":            {row + ready + row + ready, good},
-		"noise after it":           {row + ready + "\xff\x00noise", good},
-		"one byte after it":        {row + ready + "T", good},
-		"a refusal after it":       {row + ready + refusal + ready, good},
-		"a malformed report":       {status("vitals", "x0=?,x1=1") + status("as_of", "-1e9") + "S\x00\x00\x00\x08open" + row + ready, good},
+		"a second copy":            {row + ready + row + ready, answered},
+		"noise after it":           {row + ready + "\xff\x00noise", answered},
+		"one byte after it":        {row + ready + "T", answered},
+		"a refusal after it":       {row + ready + refusal + ready, answered},
+		"a malformed report":       {status("vitals", "x0=?,x1=1") + status("as_of", "-1e9") + "S\x00\x00\x00\x08open" + row + ready, answered},
 		"noise":                    {"\xde\xad\xbe\xef", failed},
 		"a line":                   {"HTTP/1.1 200 OK\r\n", failed},
 		"noise before the row":     {"!" + row + ready, failed},
@@ -52,7 +52,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := gw.connect()
-			client.query(queryText(writeForm, 1))
+			client.query(queryText(writeFormat, 1))
 			if _, err := gw.hosts[0].nextQuery().conn.Write([]byte(c.sent)); err != nil {
 				t.Fatal(err)
 			}
@@ -70,7 +70,7 @@
 func TestBytesOnAnIdleConnectionAreNobodysAnswer(t *testing.T) {
 	gw := startGateway(t, 0)
 	client := gw.connect()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	query := gw.hosts[0].nextQuery()
 	query.answer("v")
 	client.want("value v")
@@ -88,7 +88,7 @@
 	gw.hosts[0].startupGate = make(chan struct{})
 	gw.start()
 	client := gw.connect()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	gw.hosts[0].nextQuery() // the host has received the startup
 	moved := newFakeHost(t, true)
 	list := `{"generation":8,"instances":[{"instanceId":"s-0","hostPort":%q,"cell":1,"lifecycle":"SERVING"}]}`
@@ -109,7 +109,7 @@
 	var clients []*pgClient
 	for id := range 8 {
 		client := gw.connect()
-		client.query(fmt.Sprintf(writeForm, id, deadline))
+		client.query(fmt.Sprintf(writeFormat, id, deadline))
 		clients = append(clients, client)
 	}
 	for _, client := range clients {
@@ -125,7 +125,7 @@
 	}
 	close(gw.hosts[0].startupGate)
 	client := gw.connect()
-	client.query(queryText(writeForm, 100))
+	client.query(queryText(writeFormat, 100))
 	gw.hosts[0].nextQueryAfterStartups().answer("v")
 	client.want("value v")
 }
--- a/internal/app/lifecycle.go
+++ b/internal/app/lifecycle.go
@@ -42,16 +42,16 @@
 	return s
 }
 
-// drainAt drains the gateway at each signal of a channel. It returns once the channel is closed.
-func (s *server) drainAt(terminate <-chan os.Signal) {
+// drainOnSignal drains the gateway at each signal of a channel. It returns once the channel is closed.
+func (s *server) drainOnSignal(terminate <-chan os.Signal) {
 	for range terminate {
 		s.loop.Post(s.drain)
 	}
 }
 
-// reloadAt reloads the configuration at each signal of a channel. It returns once the channel is closed. readConfig
-// runs on the calling goroutine, so that no request waits while the file is read.
-func (s *server) reloadAt(reload <-chan os.Signal, readConfig func() (*config.Config, error)) {
+// reloadOnSignal reloads the configuration at each signal of a channel. It returns once the channel is closed.
+// readConfig runs on the calling goroutine, so that no request waits while the file is read.
+func (s *server) reloadOnSignal(reload <-chan os.Signal, readConfig func() (*config.Config, error)) {
 	for range reload {
 		conf, err := readConfig()
 		s.loop.Post(func() { s.reload(conf, err) })
--- a/internal/app/pgclient_test.go
+++ b/internal/app/pgclient_test.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// wantEnd waits until the gateway has closed the connection. A client that is still sending may receive a reset, which
-// discards the gateway's last messages, so the messages are not checked.
-func (c *pgClient) wantEnd() {
+// wantDisconnected waits until the gateway has closed the connection. A client that is still sending may receive a
+// reset, which discards the gateway's last messages, so the messages are not checked.
+func (c *pgClient) wantDisconnected() {
 	c.t.Helper()
 	if _, err := io.Copy(io.Discard, c.reader); errors.Is(err, os.ErrDeadlineExceeded) {
 		c.t.Fatal("the gateway did not close the connection")
--- a/internal/app/process_test.go
+++ b/internal/app/process_test.go
@@ -46,9 +46,8 @@
 	return l.buf.String()
 }
 
-// reserveAddress returns an address for the process to listen at. No other program listens there, and it is not used as
-// the source address of a connection meanwhile, as may happen to a free port of 127.0.0.1 before the process listens
-// there.
+// reserveAddress returns an address for the process to listen at. No other program listens there. The address also does
+// not become the source of a connection before the process listens, as may happen to a free port of 127.0.0.1.
 func reserveAddress(t *testing.T) string {
 	t.Helper()
 	addresses, err := loopback.Reserve(1)
@@ -143,7 +142,7 @@
 	sendSignals(t, cmd, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP)
 	client.query("")
 	client.want("error 57P03")
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	client.want("error 53300 after 1000")
 	client.want("closed")
 	client.close()
@@ -218,7 +217,7 @@
 func TestFaultyConfigurationEndsTheStart(t *testing.T) {
 	gw := newHarness(t, 0)
 	program := buildProgram(t)
-	good := string(gw.configFile(gw.discoveryListener.Addr()))
+	valid := string(gw.configFile(gw.discoveryListener.Addr()))
 	for _, c := range []struct{ old, new, key string }{
 		{`"listen":"127.0.0.1:0"`, `"lisen":"127.0.0.1:0"`, "listen: missing"},
 		{`"tickMs":5`, `"tickMs":"soon"`, "settings.tickMs"},
@@ -227,8 +226,8 @@
 		{`"lifecycle":"SERVING"`, `"lifecycle":"AWAY"`, "known: list of hosts: instances[0].lifecycle"},
 		{`"settings":{`, `"settings":`, "EDGE_CONFIG"},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
-		if text == good {
+		text := strings.Replace(valid, c.old, c.new, 1)
+		if text == valid {
 			t.Fatalf("the configuration does not contain %s", c.old)
 		}
 		file := filepath.Join(t.TempDir(), "config.json")
@@ -262,12 +261,12 @@
 	return kib >> 10
 }
 
-// flood has clients send complete requests, messages that never end, and random bytes. done is closed once all clients
-// have disconnected.
+// flood has clients send complete requests, messages that never end, and noise. done is closed once all have
+// disconnected.
 func (gw *harness) flood(clients int) (done <-chan struct{}) {
 	gw.t.Helper()
 	startup := pgwire.AppendStartup(nil, "user", "worker")
-	large := strings.Replace(queryText(writeForm, 7), "VALUES", strings.Repeat(" ", 256<<10)+"VALUES", 1)
+	large := strings.Replace(queryText(writeFormat, 7), "VALUES", strings.Repeat(" ", 256<<10)+"VALUES", 1)
 	floods := [][]byte{
 		bytes.Repeat(pgwire.AppendQuery(nil, large), 32),
 		append([]byte("Q\x00\x0f\xff\xff"), bytes.Repeat([]byte("x"), 8<<20)...),
@@ -309,7 +308,7 @@
 	longest := time.Duration(0)
 	for flooding := true; flooding || sent < 20; sent++ {
 		began := time.Now()
-		client.query(fmt.Sprintf(writeForm, 100+sent, deadline.Milliseconds()))
+		client.query(fmt.Sprintf(writeFormat, 100+sent, deadline.Milliseconds()))
 		if got := client.answer(); got != "value v" {
 			t.Fatalf("request %d was answered %q:\n%s", sent, got, log)
 		}
--- a/internal/app/requests_test.go
+++ b/internal/app/requests_test.go
@@ -12,19 +12,19 @@
 
 // The forms of queries, with an id and the time in milliseconds for which the client waits.
 const (
-	readForm  = "/* id=%d,c=lookup,d=%d,cluster=1 */ SELECT body FROM objects WHERE oid = 'k'"
-	writeForm = "/* id=%d,c=change,d=%d,cluster=1 */ INSERT INTO objects VALUES ('k')"
+	readFormat  = "/* id=%d,c=lookup,d=%d,cluster=1 */ SELECT body FROM objects WHERE oid = 'k'"
+	writeFormat = "/* id=%d,c=change,d=%d,cluster=1 */ INSERT INTO objects VALUES ('k')"
 )
 
 // queryText returns a query whose client waits for a minute.
-func queryText(form string, id int) string { return fmt.Sprintf(form, id, 60000) }
+func queryText(format string, id int) string { return fmt.Sprintf(format, id, 60000) }
 
 // The client receives the value as the host sent it. The host receives the statement and the id unchanged, and in d the
 // remaining time in milliseconds.
 func TestValueAndStatementAreForwardedUnchanged(t *testing.T) {
 	gw := startGateway(t, 0)
 	client := gw.connect()
-	client.query(queryText(writeForm, 41))
+	client.query(queryText(writeFormat, 41))
 	query := gw.hosts[0].nextQuery()
 	head, rest, _ := strings.Cut(query.text, ",d=")
 	left, rest, _ := strings.Cut(rest, ",")
@@ -32,7 +32,7 @@
 	if err != nil || wait > 60000 || wait < 1 {
 		t.Errorf("the host received d=%q, want 1 to 60000", left)
 	}
-	if got := head + ",d=60000," + rest; got != queryText(writeForm, 41) {
+	if got := head + ",d=60000," + rest; got != queryText(writeFormat, 41) {
 		t.Errorf("the host received %q", query.text)
 	}
 	value := strings.Repeat("\x00\xff'v", 120<<10) // 480 KiB: more than one read of a socket returns
@@ -47,7 +47,7 @@
 	client := gw.dial()
 	b := pgwire.AppendStartup(nil, "user", "worker")
 	for id := 1; id <= 3; id++ {
-		b = pgwire.AppendQuery(pgwire.AppendQuery(b, queryText(writeForm, id)), "")
+		b = pgwire.AppendQuery(pgwire.AppendQuery(b, queryText(writeFormat, id)), "")
 	}
 	for _, ch := range b { // byte by byte, so that messages are cut at every position
 		client.write([]byte{ch})
@@ -72,7 +72,7 @@
 		t.Run(name, func(t *testing.T) {
 			gw := startGateway(t, 2)
 			client := gw.connect()
-			client.query(queryText(writeForm, 1))
+			client.query(queryText(writeFormat, 1))
 			end(gw.hosts[0].nextQuery())
 			client.want("error " + pgwire.CodeSystemError)
 			for i, h := range gw.hosts {
@@ -92,7 +92,7 @@
 	gw.hosts[1].setPrimary(false)
 	gw.hosts[2].setPrimary(true)
 	client := gw.connect()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	for {
 		select {
 		case query := <-gw.hosts[1].queries:
@@ -113,7 +113,7 @@
 	gw := startGateway(t, 1)
 	gw.hosts[0].setPrimary(false)
 	client := gw.connect()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	for range 2 {
 		select {
 		case query := <-gw.hosts[0].queries:
@@ -134,7 +134,7 @@
 	gw := startGateway(t, 0)
 	gw.hosts[0].stopListening()
 	client := gw.connect()
-	client.query(fmt.Sprintf(readForm, 1, 30))
+	client.query(fmt.Sprintf(readFormat, 1, 30))
 	client.want("error 53300 after 1000")
 }
 
@@ -142,13 +142,13 @@
 func TestDrainingHostGetsNoNewRequests(t *testing.T) {
 	gw := startGateway(t, 2)
 	client := gw.connect()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	held := gw.hosts[0].nextQuery()
 	gw.nextWatch().writeChunk(`{"generation":8,"instances":` + gw.instances("DRAINING", "DRAINING") + `}`)
 	other := gw.connect()
 	gw.waitForGeneration(8)
 	for id := 2; id < 12; id++ {
-		other.query(queryText(readForm, id))
+		other.query(queryText(readFormat, id))
 		gw.hosts[2].nextQuery().answer("v")
 		other.want("value v")
 	}
@@ -159,14 +159,13 @@
 	}
 }
 
-// No read is answered from data older than its class allows. If the replica lags too far behind, the primary gets the
-// read.
+// No read is answered from data older than its class allows. If the replica lags too far, the primary gets the read.
 func TestStaleReplicaGetsNoRead(t *testing.T) {
 	gw := startGateway(t, 1)
 	gw.hosts[1].setPosition(time.Now().Add(-2 * time.Minute)) // the class allows 1 min
 	client := gw.connect()
 	for id := 1; id <= 5; id++ {
-		client.query(queryText(readForm, id))
+		client.query(queryText(readFormat, id))
 		gw.hosts[0].nextQuery().answer("fresh")
 		client.want("value fresh")
 	}
@@ -185,13 +184,13 @@
 	gw := startGateway(t, 0)
 	client := gw.connect()
 	other := gw.connect()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	held := gw.hosts[0].nextQuery()
-	other.query(queryText(writeForm, 1))
+	other.query(queryText(writeFormat, 1))
 	other.want("error 42601")
 	held.answer("v")
 	client.want("value v")
-	other.query(queryText(writeForm, 1)) // the id may be used again
+	other.query(queryText(writeFormat, 1)) // the id may be used again
 	gw.hosts[0].nextQuery().answer("w")
 	other.want("value w")
 }
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -41,8 +41,8 @@
 		component.Attach(s)
 		readConfig = component.ReloadConfig
 	}
-	go s.drainAt(signals.terminate)
-	go s.reloadAt(signals.reload, readConfig)
+	go s.drainOnSignal(signals.terminate)
+	go s.reloadOnSignal(signals.reload, readConfig)
 	log.Info().Str("version", Version()).Str("listen", s.loop.Address()).Msg("app: serving")
 	s.loop.Run()
 	if component != nil && !s.closeInTime(component) {
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -21,14 +21,12 @@
 	// reservedDescriptors is the number of descriptors left for the standard streams, the event loop, the listener,
 	// discovery, peers, and connections that are being accepted or closed.
 	reservedDescriptors = 40
-	// clientDescriptorPercent is the part of the other descriptors for client connections; the rest is for connections to
-	// hosts.
+	// clientDescriptorPercent is the part of the other descriptors for client connections; hosts have the rest.
 	clientDescriptorPercent = 55
 	// activeClientsDivisor divides the number of all descriptors. The quotient limits the clients that have sent a
 	// request: if there are more of them, idle ones are closed.
 	activeClientsDivisor = 4
-	// maxBackendLogLines limits the log lines about hosts per second, so that a host that always fails does not fill the
-	// log.
+	// maxBackendLogLines limits the log lines about hosts per second, so that a failing host does not fill the log.
 	maxBackendLogLines = 20
 )
 
@@ -53,8 +51,8 @@
 	firstListTimeout = 500_000
 )
 
-// server is a gateway with all its parts. Its methods must be called on the loop's goroutine, except drainAt, reloadAt
-// and the methods of Gateway, which may be called from any goroutine.
+// server is a gateway with all its parts. Its methods must be called on the loop's goroutine, except drainOnSignal,
+// reloadOnSignal and the methods of Gateway, which may be called from any goroutine.
 type server struct {
 	conf       *config.Config
 	log        zerolog.Logger
--- a/internal/app/shutdown_test.go
+++ b/internal/app/shutdown_test.go
@@ -14,7 +14,7 @@
 	gw := startGateway(t, 0)
 	client := gw.connect()
 	idle := gw.connect()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	held := gw.hosts[0].nextQuery()
 	gw.onLoop(func() {
 		if gw.server.drainDelay != 700e3 { // µs; requests that arrive later count as lost
@@ -63,10 +63,10 @@
 
 // shutdownCase describes what a client sends before and after the gateway begins to close connections.
 type shutdownCase struct {
-	silent bool // the client sends nothing before that moment, not even a startup
-	sent   []byte
-	before int // how many bytes of sent are in the gateway's socket at that moment
-	want   []string
+	silent      bool // no startup has been exchanged before; sent begins with it
+	sent        []byte
+	bytesBefore int // how many bytes of sent are in the gateway's socket at that moment
+	want        []string
 }
 
 // run shuts a gateway down while a client sends.
@@ -80,15 +80,15 @@
 	}
 	gw.connect() // this round trip shows that the loop has accepted the first connection, too
 	gw.onLoop(func() {
-		if c.before > 0 {
-			client.write(c.sent[:c.before])
+		if c.bytesBefore > 0 {
+			client.write(c.sent[:c.bytesBefore])
 			gw.waitForInput()
 		}
 		gw.server.stopAccepting()
 	})
 	go gw.answerQueries(len(c.want))
-	if c.before < len(c.sent) {
-		client.write(c.sent[c.before:])
+	if c.bytesBefore < len(c.sent) {
+		client.write(c.sent[c.bytesBefore:])
 	}
 	for _, want := range c.want {
 		client.want(want)
@@ -116,23 +116,22 @@
 }
 
 // Clients still send after SIGTERM. Bytes that are in a connection's socket when the gateway begins to close
-// connections are read and answered: a request, half a request, the first of several requests, or a startup followed by
-// its query.
+// connections are read and answered: a request, half of one, the first of several, or a startup followed by its query.
 func TestShutdownAnswersWhatIsInTheSocket(t *testing.T) {
 	startup := pgwire.AppendStartup(nil, "user", "worker")
 	query := func(ids ...int) (b []byte) {
 		for _, id := range ids {
-			b = pgwire.AppendQuery(b, queryText(writeForm, id))
+			b = pgwire.AppendQuery(b, queryText(writeFormat, id))
 		}
 		return b
 	}
 	three := []string{"value v", "value v", "value v"}
 	for name, c := range map[string]shutdownCase{
-		"a request":             {sent: query(1), before: len(query(1)), want: []string{"value v"}},
-		"half a request":        {sent: query(1), before: 9, want: []string{"value v"}},
-		"several, cut":          {sent: query(1, 2, 3), before: len(query(1)) + 7, want: three},
-		"a startup and query":   {silent: true, sent: append(startup, query(1)...), before: len(startup), want: []string{"", "value v"}},
-		"half a startup":        {silent: true, sent: append(startup, query(1)...), before: 3, want: []string{"", "value v"}},
+		"a request":             {sent: query(1), bytesBefore: len(query(1)), want: []string{"value v"}},
+		"half a request":        {sent: query(1), bytesBefore: 9, want: []string{"value v"}},
+		"several, cut":          {sent: query(1, 2, 3), bytesBefore: len(query(1)) + 7, want: three},
+		"a startup and query":   {silent: true, sent: append(startup, query(1)...), bytesBefore: len(startup), want: []string{"", "value v"}},
+		"half a startup":        {silent: true, sent: append(startup, query(1)...), bytesBefore: 3, want: []string{"", "value v"}},
 		"nothing":               {want: nil},
 		"nothing since it came": {silent: true, want: nil},
 	} {
@@ -152,7 +151,7 @@
 		if id == 1000 {
 			t.Fatal("64 MB were written to a client that does not read")
 		}
-		slow.query(queryText(writeForm, id))
+		slow.query(queryText(writeFormat, id))
 		gw.hosts[0].nextQuery().answer(value)
 		for gw.hasInFlight() {
 		}
@@ -182,7 +181,7 @@
 			gw.exchange(client, 1, "v")
 			gw.onLoop(func() { gw.server.frontend.Shutdown(gw.server.loop.Stop) })
 			for id := range 50 { // after a reset, one of these writes would fail
-				client.query(queryText(writeForm, 10+id))
+				client.query(queryText(writeFormat, 10+id))
 			}
 			client.want("closed")
 			if ends {
@@ -204,7 +203,7 @@
 	gw := startGateway(t, 0, func(c *config.Config) { c.LongestDeadline = longestDeadline.Microseconds() })
 	client := gw.connect()
 	idle := gw.connect()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	gw.hosts[0].nextQuery()
 	var signaled time.Time
 	gw.onLoop(func() {
@@ -212,8 +211,8 @@
 		gw.server.drain()
 	})
 	idle.want("closed") // the drain delay is over
-	client.query(queryText(writeForm, 2))
-	client.write(pgwire.AppendQuery(nil, queryText(writeForm, 3))[:20])
+	client.query(queryText(writeFormat, 2))
+	client.write(pgwire.AppendQuery(nil, queryText(writeFormat, 3))[:20])
 	client.want("error " + pgwire.CodeSystemError)
 	client.want("error 53300 after 1000")
 	client.want("error 53300 closed")
