--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -46,14 +46,14 @@
 		rand:           random.Source(seed),
 	}
 	if shared && gateways > 1 {
-		b.spread(int64(gateways) * callCost)
+		b.spreadCalls(int64(gateways) * callCost)
 	}
 	b.RecordSuccess()
 	return b
 }
 
-// spread adapts the times to a service that needs the time allCalls to answer one call of each gateway.
-func (b *Backoff) spread(allCalls int64) {
+// spreadCalls adapts the times to a service that needs the time allCalls to answer one call of each gateway.
+func (b *Backoff) spreadCalls(allCalls int64) {
 	b.firstCallWindow = allCalls
 	b.minWait = max(minRetryWait, allCalls/4)
 	b.maxWait = max(maxRetryWait, 2*allCalls)
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -10,8 +10,8 @@
 
 // overloadedService answers calls one after the other. It also spends its time on calls that have timed out.
 type overloadedService struct {
-	costPerCall, freeAt int64
-	callers             []caller
+	costPerCall, busyUntil int64
+	callers                []caller
 }
 
 // caller is a gateway without a list, and the time of its next call.
@@ -30,9 +30,9 @@
 		}
 		slices.SortFunc(waiting, func(a, b caller) int { return int(a.callsAt - b.callsAt) })
 		next := &waiting[0]
-		s.freeAt = max(s.freeAt, next.callsAt) + s.costPerCall
-		if s.freeAt-next.callsAt <= callTimeout {
-			last = max(last, s.freeAt)
+		s.busyUntil = max(s.busyUntil, next.callsAt) + s.costPerCall
+		if s.busyUntil-next.callsAt <= callTimeout {
+			last = max(last, s.busyUntil)
 			waiting = waiting[1:]
 			continue
 		}
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -64,8 +64,8 @@
 	return &ListError{fmt.Sprintf("instances[%d].%s", i, key), err}
 }
 
-// decodeError converts errors of encoding/json to a *ListError. Other errors, such as those of the connection, are
-// returned unchanged.
+// decodeError converts errors of encoding/json to a *ListError. Other errors, such as those of the
+// connection, are returned unchanged.
 func decodeError(err error) error {
 	if wrongType, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
 		return &ListError{wrongType.Field, fmt.Errorf("is a %s", wrongType.Value)}
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -21,8 +21,7 @@
 	Addresses  map[string]string // host:port by the host's id
 }
 
-// Merge applies a complete list, or the changes to one, to l. Afterwards l is complete and does not contain removed
-// hosts.
+// Merge applies a complete list, or the changes to one, to l. Afterwards l is complete, without removed hosts.
 func (l *EndpointList) Merge(update EndpointList) {
 	if update.Complete || l.Addresses == nil {
 		l.Endpoints = nil
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -38,8 +38,7 @@
 	err         string // a part of the error that ended the call; empty: the call is still open
 }
 
-// check writes the answer in steps of the given number of bytes and compares the lists and the error with those
-// expected.
+// check writes the answer in steps of the given number of bytes and compares lists and error with those expected.
 func (c *streamCase) check(t *testing.T, step int) {
 	t.Helper()
 	runWatch(t, NewBackoff(1, false, 1), 0, func(s *testWatch) {
@@ -65,8 +64,7 @@
 	})
 }
 
-// Lists are read if they take one line or several, and if chunks cut them at any position or the response is not
-// chunked.
+// Lists are read if they take one line or several, whether chunks cut them anywhere or the response is not chunked.
 func TestListsAreReadInAnyLayout(t *testing.T) {
 	both := []int64{41, 42}
 	plain := func(n int, body string) string {
--- a/internal/discovery/testwatch_test.go
+++ b/internal/discovery/testwatch_test.go
@@ -58,8 +58,7 @@
 // beginChunked begins a chunked response.
 func (c *serverCall) beginChunked() { c.write(responseHead + "Transfer-Encoding: chunked\r\n\r\n") }
 
-// writeSlowly sends one part per second. A single part is sent byte by byte, and repeated until at least 40 bytes are
-// sent.
+// writeSlowly sends one part per second. A single part is sent byte by byte, repeatedly, for at least 40 bytes.
 func (c *serverCall) writeSlowly(parts ...string) {
 	if len(parts) == 1 {
 		parts = strings.Split(strings.Repeat(parts[0], 1+40/len(parts[0])), "")
