--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -58,8 +58,8 @@
 	envDiscovery = "EDGE_DISCOVERY"
 )
 
-// Load reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override its keys. The error is
-// an *Error.
+// Load reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override its keys.
+// The error is an *Error.
 func Load(getenv func(string) string) (*Config, error) {
 	file, err := readFile(getenv)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.4:6543","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validFile = `{"name":"n3","listen":"127.0.0.4:6543","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "peer_listen":"127.0.0.4:7946","peers":["127.3.0.1:7946"],"peers_all":"127.3.255.1:7946",
  "known":{"generation":41,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.1.0.1:1","zone":"z2","cell":1,"lifecycle":"SERVING"}]},
@@ -25,7 +25,7 @@
 }
 
 func TestParseReadsFileAndEnvironment(t *testing.T) {
-	c, err := Parse([]byte(good), environment(map[string]string{"EDGE_NAME": "n4"}))
+	c, err := Parse([]byte(validFile), environment(map[string]string{"EDGE_NAME": "n4"}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,12 +72,12 @@
 		{`"extra":{`, `"extra":{"serverChecks":"maybe",`, "settings.extra.serverChecks"},
 		{`"extra":{`, `"extra":{"tokens":"gateway",`, "settings.extra.tokens"},
 		{`"tickMs":5`, `"tickMs":5,"discovery":"push"`, "settings.discovery"},
-		{good, `{`, "EDGE_CONFIG"},
+		{validFile, `{`, "EDGE_CONFIG"},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
+		text := strings.Replace(validFile, c.old, c.new, 1)
 		_, err := Parse([]byte(text), noEnvironment)
 		var e *Error
-		if text == good || !errors.As(err, &e) || e.Key != c.key {
+		if text == validFile || !errors.As(err, &e) || e.Key != c.key {
 			t.Errorf("%s: got %v, want a fault of %s", c.new, err, c.key)
 		}
 	}
@@ -95,7 +95,7 @@
 		{"", "", "127.9.0.1:1", "127.0.0.1:8500"},
 		{`"discovery":"127.0.0.1:8500",`, ``, "127.9.0.1:1", "127.9.0.1:1"},
 	} {
-		if err := os.WriteFile(path, []byte(strings.Replace(good, c.old, c.new, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(validFile, c.old, c.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		loaded, err := Load(getenv)
@@ -113,12 +113,12 @@
 }
 
 func TestRestartOnlyChangesNamesTheKeys(t *testing.T) {
-	before, err := Parse([]byte(good), noEnvironment)
+	before, err := Parse([]byte(validFile), noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	changes := strings.NewReplacer("127.0.0.4:6543", "127.0.0.5:6543", `"aimMs":500`, `"aimMs":501`, "127.3.0.1", "127.3.0.2", "1024", "512")
-	after, err := Parse([]byte(changes.Replace(good)), noEnvironment)
+	after, err := Parse([]byte(changes.Replace(validFile)), noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
