--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-const good = `"name":"a","data":"d","listen":"127.0.0.1:1","certificate":"a.pem","key":"k.pem","authority":"ca.pem"`
+const validStore = `"name":"a","data":"d","listen":"127.0.0.1:1","certificate":"a.pem","key":"k.pem","authority":"ca.pem"`
 
 func TestLoadErrorsNameFileAndKey(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "settings.json")
 	for text, want := range map[string]string{
-		`{"store":{` + good + `}}`: "",
-		`{}`:                       "",
-		`{"store":{` + good + `},"learned":{"write_ms":1}}`:            "learned.write_ms",
-		`{"store":{"name":"a"}}`:                                       "store",
-		`{"store":{` + strings.Replace(good, `"a"`, `"a b"`, 1) + `}}`: "store.name",
-		`{"store":{` + good + `,"tick_ms":"fast"}}`:                    "store.tick_ms",
-		`{"store":{` + good + `,"routes":{"b":"nowhere"}}}`:            "store.routes",
+		`{"store":{` + validStore + `}}`: "",
+		`{}`:                             "",
+		`{"store":{` + validStore + `},"learned":{"write_ms":1}}`:            "learned.write_ms",
+		`{"store":{"name":"a"}}`:                                             "store",
+		`{"store":{` + strings.Replace(validStore, `"a"`, `"a b"`, 1) + `}}`: "store.name",
+		`{"store":{` + validStore + `,"tick_ms":"fast"}}`:                    "store.tick_ms",
+		`{"store":{` + validStore + `,"routes":{"b":"nowhere"}}}`:            "store.routes",
 		`{"learned":{}}`: "store",
 		`{"fleet":{"listen":"10.0.0.1:7947","join":["10.0.0.2:7947"],"zones":{"pin":{"a":"left"}}}}`: "",
 		`{"fleet":{"zones":{}}}`:      "fleet",
