--- a/internal/warmstart/plan.go
+++ b/internal/warmstart/plan.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	positionStep    = 2_000_000  // microseconds by which a log position must have advanced to be written again
-	refreshInterval = 10_000_000 // microseconds after which an unchanged record is written again
-	limitChange     = 0.25       // minimum relative change of a concurrency limit to be written
-	maxOps          = 64         // maximum number of operations in one transaction
-	maxHosts        = 4096       // maximum number of endpoints in a stored list
+	minPositionAdvance = 2_000_000  // microseconds by which a log position must have advanced to be written again
+	refreshInterval    = 10_000_000 // microseconds after which an unchanged record is written again
+	minLimitChange     = 0.25       // minimum relative change of a concurrency limit to be written
+	maxOps             = 64         // maximum number of operations in one transaction
+	maxHosts           = 4096       // maximum number of endpoints in a stored list
 )
 
 // Plan returns the transactions that bring the store up to date with the router's snapshot and endpoint list. There are
 // at most two: one for primaries, which has no effect if another gateway has written one of them in the meantime, and
-// one for the rest. Plan returns none within Config.MinInterval of the last plan that wrote something. now is in
-// microseconds.
+// one for the rest. Plan returns none within Config.MinInterval of the last plan that wrote something.
+// now is in microseconds.
 func (c *Cache) Plan(now int64, snapshot balance.Snapshot, list EndpointList) []machine.Command {
 	if now-c.plannedAt < c.conf.MinInterval {
 		return nil
@@ -97,7 +97,7 @@
 	if list.Generation > c.list.Generation && storable {
 		put(command, listKey, &list)
 	}
-	if snapshot.SessionFloor > c.sessionFloor+positionStep {
+	if snapshot.SessionFloor > c.sessionFloor+minPositionAdvance {
 		put(command, floorKey, &SessionFloor{snapshot.SessionFloor})
 	}
 	for _, write := range c.hostWrites(now, snapshot.Hosts) {
@@ -134,58 +134,58 @@
 func (c *Cache) hostChange(now int64, observed *balance.HostSnapshot) (write hostWrite, needed bool) {
 	stored, known := c.hosts[observed.Host]
 	next := Host{
-		Group:      observed.Group,
-		Position:   observed.Position,
-		PositionAt: observed.PositionAt,
-		Primary:    observed.Primary,
-		Down:       observed.Down,
-		ColdUntil:  observed.SlowStartUntil,
-		Limit:      observed.ConcurrencyLimit,
-		At:         now,
-		By:         c.conf.Name,
+		Group:            observed.Group,
+		Position:         observed.Position,
+		PositionAt:       observed.PositionAt,
+		Primary:          observed.Primary,
+		Down:             observed.Down,
+		SlowStartUntil:   observed.SlowStartUntil,
+		ConcurrencyLimit: observed.ConcurrencyLimit,
+		At:               now,
+		By:               c.conf.Name,
 	}
 	if observed.Position < stored.Position && observed.Primary == stored.Primary {
 		next.Position = stored.Position // a position never decreases
 		next.PositionAt = stored.PositionAt
 	}
 	roleChanged := observed.Down != stored.Down || observed.Primary != stored.Primary
-	slowStartChanged := (observed.SlowStartUntil > now) != (stored.ColdUntil > now)
+	slowStartChanged := (observed.SlowStartUntil > now) != (stored.SlowStartUntil > now)
 	write = hostWrite{observed.Host, next, roleChanged || slowStartChanged}
 	writtenByAnother := stored.At > now-MaxClockSkew && stored.By != c.conf.Name
-	if nothingKnown(observed) || writtenByAnother {
+	if isUnobserved(observed) || writtenByAnother {
 		return write, false
 	}
 	age := now - stored.At
 	needed = !known || write.urgent ||
-		next.Position-stored.Position > positionStep ||
+		next.Position-stored.Position > minPositionAdvance ||
 		age > refreshInterval ||
-		limitMoved(stored.Limit, observed.ConcurrencyLimit) && age > positionStep
+		limitChanged(stored.ConcurrencyLimit, observed.ConcurrencyLimit) && age > minPositionAdvance
 	return write, needed
 }
 
-// nothingKnown reports whether the router has no information about a host yet.
-func nothingKnown(host *balance.HostSnapshot) bool {
+// isUnobserved reports whether the router has no information about a host yet.
+func isUnobserved(host *balance.HostSnapshot) bool {
 	return host.Position == 0 && !host.Down && host.SlowStartUntil == 0 && host.ConcurrencyLimit == 0
 }
 
-// limitMoved reports whether a concurrency limit differs from the stored one by more than limitChange.
-func limitMoved(stored, observed float64) bool {
+// limitChanged reports whether a concurrency limit differs from the stored one by more than minLimitChange.
+func limitChanged(stored, observed float64) bool {
 	if stored <= 0 || observed <= 0 {
 		return false
 	}
-	return observed > stored*(1+limitChange) || observed < stored*(1-limitChange)
+	return observed > stored*(1+minLimitChange) || observed < stored*(1-minLimitChange)
 }
 
 // obsoleteHosts returns, in order, the ids of stored hosts that are not in present, that this gateway has written last,
 // and that are older than Config.MaxAge.
 func (c *Cache) obsoleteHosts(now int64, present []balance.HostSnapshot) []string {
-	named := map[string]bool{}
+	isPresent := map[string]bool{}
 	for i := range present {
-		named[present[i].Host] = true
+		isPresent[present[i].Host] = true
 	}
 	var obsolete []string
 	for id, host := range c.hosts {
-		if !named[id] && host.By == c.conf.Name && now-host.At > c.conf.MaxAge {
+		if !isPresent[id] && host.By == c.conf.Name && now-host.At > c.conf.MaxAge {
 			obsolete = append(obsolete, id)
 		}
 	}
--- a/internal/warmstart/restore.go
+++ b/internal/warmstart/restore.go
@@ -70,14 +70,14 @@
 	if stored.Position > now+maxFuture || formerPrimary {
 		host.Position = 0
 		host.PositionAt = 0
-		restored.discard("host %s: its position was observed while it was the primary, or is in the future", id)
+		restored.discard("host %s: its position was observed when it was still the primary, or is in the future", id)
 	}
 	if c.recent(now, stored.At) {
 		host.Down = stored.Down
-		host.ConcurrencyLimit = stored.Limit
+		host.ConcurrencyLimit = stored.ConcurrencyLimit
 	}
-	if stored.ColdUntil > now && stored.ColdUntil < now+maxSlowStart {
-		host.SlowStartUntil = stored.ColdUntil
+	if stored.SlowStartUntil > now && stored.SlowStartUntil < now+maxSlowStart {
+		host.SlowStartUntil = stored.SlowStartUntil
 	}
 	return host
 }
--- a/internal/warmstart/stored.go
+++ b/internal/warmstart/stored.go
@@ -29,15 +29,15 @@
 
 // Host is the stored record of a host. Times are in microseconds.
 type Host struct {
-	Group      int64   `msgpack:"g" json:"group"`
-	Position   int64   `msgpack:"p" json:"position"` // a lower bound
-	PositionAt int64   `msgpack:"q" json:"position_at"`
-	Primary    bool    `msgpack:"r" json:"primary"` // whether it was the primary when the position was observed
-	Down       bool    `msgpack:"d" json:"down"`
-	ColdUntil  int64   `msgpack:"c" json:"cold_until"` // end of the slow start
-	Limit      float64 `msgpack:"l" json:"limit"`      // concurrent requests
-	At         int64   `msgpack:"a" json:"at"`
-	By         string  `msgpack:"b" json:"by"` // the gateway that wrote it
+	Group            int64   `msgpack:"g" json:"group"`
+	Position         int64   `msgpack:"p" json:"position"` // a lower bound
+	PositionAt       int64   `msgpack:"q" json:"position_at"`
+	Primary          bool    `msgpack:"r" json:"primary"` // whether it was the primary when the position was observed
+	Down             bool    `msgpack:"d" json:"down"`
+	SlowStartUntil   int64   `msgpack:"c" json:"cold_until"` // end of the slow start
+	ConcurrencyLimit float64 `msgpack:"l" json:"limit"`      // concurrent requests
+	At               int64   `msgpack:"a" json:"at"`
+	By               string  `msgpack:"b" json:"by"` // the gateway that wrote it
 }
 
 // StoredEndpoint is a balance.Endpoint whose tags hold the field names of the stored format, which must not change. The
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -74,8 +74,8 @@
 	if p := h.primary(); p.Host != "q" || p.Term != 2 || p.By != "b" {
 		t.Errorf("%+v", p)
 	}
-	// a was partitioned and still reports p as the primary. Its observations are older, or newer by no more than
-	// MaxClockSkew.
+	// a was partitioned and still reports p as the primary. Its observations are older, or newer
+	// by no more than MaxClockSkew.
 	for i, at := range []int64{start + second, start + 2*second + MaxClockSkew} {
 		h.apply(a.Plan(start+int64(4+i)*second, snapshotOf("p", at), EndpointList{}))
 		if p := h.primary(); p.Host != "q" {
@@ -164,11 +164,11 @@
 	h.apply(h.caches[0].Plan(start, known, EndpointList{Generation: 9, Endpoints: []Endpoint{{Address: "1:1"}}}))
 	fresh := h.restarted()
 
-	soon := fresh.Restore(start+5*second, 7)
-	if len(soon.Snapshot.Groups) != 1 || soon.List == nil {
-		t.Errorf("after 5 s: %+v", soon)
+	recent := fresh.Restore(start+5*second, 7)
+	if len(recent.Snapshot.Groups) != 1 || recent.List == nil {
+		t.Errorf("after 5 s: %+v", recent)
 	}
-	hosts := hostsByID(soon)
+	hosts := hostsByID(recent)
 	if !hosts["d"].Down || hosts["d"].ConcurrencyLimit != 9 || hosts["c"].SlowStartUntil == 0 || hosts["p"].Position != start {
 		t.Errorf("hosts after 5 s: %+v", hosts)
 	}
