--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -54,8 +54,7 @@
 func (d *delegate) LocalState(bool) []byte        { return nil }
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
-// events implements memberlist.EventDelegate. It records when members failed. A member that left gracefully is not
-// recorded.
+// events implements memberlist.EventDelegate. It records when members failed, except those that left gracefully.
 type events Members
 
 func (e *events) NotifyJoin(node *memberlist.Node) {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -84,10 +84,10 @@
 
 // Members is the member list and message transport of this gateway. Its methods may be called from any goroutine.
 type Members struct {
-	conf  Config
-	list  *memberlist.Memberlist
-	made  atomic.Pointer[memberlist.Memberlist] // same as list; for the library's goroutines that run before list is set
-	queue *memberlist.TransmitLimitedQueue
+	conf        Config
+	list        *memberlist.Memberlist
+	createdList atomic.Pointer[memberlist.Memberlist] // same as list, for library goroutines that run before list is set
+	queue       *memberlist.TransmitLimitedQueue
 
 	mu       sync.Mutex           // guards failedAt
 	failedAt map[string]time.Time // when members failed, by name
@@ -96,7 +96,7 @@
 	wg   sync.WaitGroup
 }
 
-// Open joins the fleet. It does not wait for other members. If the gateway can't listen on Config.Listen, the error is a
+// Open joins the fleet. It does not wait for other members. If it can't listen on Config.Listen, the error is a
 // *ListenError.
 func Open(conf Config) (*Members, error) {
 	address, err := netip.ParseAddrPort(conf.Listen)
@@ -153,12 +153,12 @@
 
 func (m *Members) setList(list *memberlist.Memberlist) {
 	m.list = list
-	m.made.Store(list)
+	m.createdList.Store(list)
 }
 
 // count returns the number of live members. The library also calls it before Create has returned the list.
 func (m *Members) count() int {
-	list := m.made.Load()
+	list := m.createdList.Load()
 	if list == nil {
 		return 1
 	}
