--- a/internal/launcher/launcher_test.go
+++ b/internal/launcher/launcher_test.go
@@ -10,7 +10,7 @@
 )
 
 // missing is the name of a program that does not exist. Executing it fails with an error that contains the name.
-const missing = "no-such-program"
+const missingProgram = "no-such-program"
 
 func TestCompletionAndStoreHelpNeedTheLargerProgram(t *testing.T) {
 	for args, needed := range map[string]bool{
@@ -24,7 +24,7 @@
 		"help store":       true,
 		"help store init":  true,
 	} {
-		err := New(missing).HandleCompletion(strings.Fields(args))
+		err := New(missingProgram).HandleCompletion(strings.Fields(args))
 		if (err != nil) != needed {
 			t.Errorf("%q: %v", args, err)
 		}
@@ -32,8 +32,8 @@
 }
 
 func TestErrorNamesTheProgramAndItsCause(t *testing.T) {
-	_, err := New(missing).Open("", nil, zerolog.Nop())
-	if err == nil || !strings.Contains(err.Error(), missing) || !errors.Is(err, syscall.ENOENT) {
+	_, err := New(missingProgram).Open("", nil, zerolog.Nop())
+	if err == nil || !strings.Contains(err.Error(), missingProgram) || !errors.Is(err, syscall.ENOENT) {
 		t.Error(err)
 	}
 }
