--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -98,8 +98,7 @@
 	return b.lines.Write(line)
 }
 
-// Lines that could not be written because the log had no reader are counted, and the count is written once writes
-// succeed.
+// Lines that a log without a reader did not accept are counted, and the count is written once writes succeed.
 func TestLinesLostWithTheReaderAreReported(t *testing.T) {
 	broken := &brokenLog{failures: 2} // the first line, and the report before the second
 	w := New(broken, "g")
