--- a/internal/app/clients_test.go
+++ b/internal/app/clients_test.go
@@ -9,11 +9,12 @@
 	"cloverrock/internal/pgwire"
 )
 
-// When its client disconnects, an attempt's connection is closed: its late answer must not reach anybody else.
+// When a client disconnects, the connection to the host that its attempt uses is closed: otherwise the late answer could
+// reach another client.
 func TestAttemptOfADisconnectedClientIsClosed(t *testing.T) {
 	gw := startGateway(t, 0)
 	client := gw.connect()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	query := gw.hosts[0].nextQuery()
 	client.close()
 	gw.hosts[0].wantClosed()
@@ -22,14 +23,15 @@
 	gw.exchange(client, 2, "own")
 }
 
-// Faulty input gets a plain error; the connection ends only where framing is lost, and the gateway serves on.
+// Invalid input is answered by an error response. The connection is closed only where message boundaries are lost, and
+// the gateway keeps serving other clients.
 func TestFaultyInputGetsAPlainError(t *testing.T) {
 	gw := startGateway(t, 0)
 	message := func(kind byte, body string) []byte {
 		return append([]byte{kind, 0, 0, 0, byte(4 + len(body))}, body...)
 	}
 	for name, c := range map[string]struct {
-		raw  []byte // in place of a startup
+		raw  []byte // sent instead of a startup message
 		in   []byte
 		want []string
 	}{
@@ -52,7 +54,7 @@
 		"old protocol":      {raw: []byte("\x00\x00\x00\x08\x00\x02\x00\x00"), want: []string{"error 0A000 closed"}},
 		"cancel":            {raw: []byte("\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x00\x00\x00\x00\x00"), want: []string{"closed"}},
 		"newer minor":       {raw: []byte("\x00\x00\x00\x09\x00\x03\x00\x02\x00"), want: []string{""}},
-		"too many at once":  {in: bytes.Repeat(pgwire.AppendQuery(nil, queryText(writeForm, 1)), 400), want: []string{"ends"}},
+		"too many at once":  {in: bytes.Repeat(pgwire.AppendQuery(nil, queryText(writeFormat, 1)), 400), want: []string{"ends"}},
 		"leaves in silence": {in: pgwire.AppendTerminate(nil), want: []string{"closed"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -67,7 +69,7 @@
 			client.t = t
 			for _, want := range c.want {
 				if want == "ends" {
-					client.wantEnd()
+					client.wantDisconnected()
 				} else {
 					client.want(want)
 				}
@@ -76,8 +78,8 @@
 		})
 	}
 	client := gw.connect()
-	client.query(queryText(readForm, 99))
-	for { // queries that the clients above left in flight come first
+	client.query(queryText(readFormat, 99))
+	for { // queries that the clients above left in flight arrive first
 		query := gw.hosts[0].nextQuery()
 		query.answer("v")
 		if strings.Contains(query.text, "id=99,") {
@@ -87,34 +89,34 @@
 	client.want("value v")
 }
 
-// A connection beyond the limit takes the place of an idle one; if there is none, it is rejected.
+// Beyond the limit of connections, a new connection replaces an idle one. If none is idle, the new one is rejected.
 func TestIdleConnectionMakesRoomBeyondTheLimit(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 4 }) // 2 clients
 	first := gw.connect()
 	second := gw.connect()
-	first.query(queryText(writeForm, 1))
+	first.query(queryText(writeFormat, 1))
 	held := gw.hosts[0].nextQuery()
-	third := gw.connect() // in place of second, which is idle
+	third := gw.connect() // replaces second, which is idle
 	second.want("closed")
-	third.query(queryText(writeForm, 2))
-	also := gw.hosts[0].nextQuery()
+	third.query(queryText(writeFormat, 2))
+	heldThird := gw.hosts[0].nextQuery()
 	fourth := gw.connect()
-	fourth.query(queryText(writeForm, 3))
+	fourth.query(queryText(writeFormat, 3))
 	fourth.want("error 53300 closed")
 	held.answer("v")
-	also.answer("w")
+	heldThird.answer("w")
 	first.want("value v")
 	third.want("value w")
 }
 
-// Clients that send nothing, or stop in their startup or in a message, are closed, and so is one that is idle too long. A
-// request in flight is finished.
+// The gateway closes clients that send nothing, that stop within their startup or within a message, and that are idle
+// for too long. A request in flight is answered first.
 func TestSilentClientsAreClosed(t *testing.T) {
 	gw := newHarness(t, 0)
 	gw.timeouts = timeouts{message: 50e3, idle: 100e3}
 	gw.start()
-	busy := gw.dial() // its query comes with the startup: a later one might find the time over
-	busy.write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "user", "worker"), queryText(writeForm, 1)))
+	busy := gw.dial() // the query is sent with the startup: if sent later, the message timeout might expire before it
+	busy.write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "user", "worker"), queryText(writeFormat, 1)))
 	busy.want("")
 	held := gw.hosts[0].nextQuery()
 	startup := pgwire.AppendStartup(nil, "user", "worker")
@@ -131,13 +133,13 @@
 	busy.want("closed")
 }
 
-// Any number of silent connections displaces no client that sends requests.
+// Connections that send nothing never displace a client that sends requests, however many there are.
 func TestSilentClientsDisplaceNoActiveOnes(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 8 }) // 4 clients
-	var usual []*pgClient
+	var active []*pgClient
 	for id := range 2 {
-		usual = append(usual, gw.connect())
-		gw.exchange(usual[id], id, "v")
+		active = append(active, gw.connect())
+		gw.exchange(active[id], id, "v")
 	}
 	silent := []*pgClient{gw.connect(), gw.connect()}
 	for range 10 {
@@ -145,89 +147,92 @@
 		silent[0].want("closed")
 		silent = silent[1:]
 	}
-	for id, client := range usual {
+	for id, client := range active {
 		gw.exchange(client, 10+id, "w")
 	}
 }
 
-// Clients that sent one request and stay make room for new ones, however slowly those come to their first query.
+// Clients that have sent one request and are idle since are closed to make room for new clients, even if those are slow
+// to send their first query.
 func TestIdleClientsMakeRoomForNewOnes(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 8 }) // 4 clients
-	var stay []*pgClient
+	var idle []*pgClient
 	for id := range 4 {
-		stay = append(stay, gw.connect())
-		gw.exchange(stay[id], id, "v")
+		idle = append(idle, gw.connect())
+		gw.exchange(idle[id], id, "v")
 	}
 	slow := []*pgClient{gw.connect(), gw.connect()}
-	stay[0].want("closed")
-	stay[1].want("closed")
+	idle[0].want("closed")
+	idle[1].want("closed")
 	for id, client := range slow {
 		gw.exchange(client, 10+id, "w")
 	}
 }
 
-// Clients that sent a request and stay are closed beyond a quarter of the descriptors, the longest idle first, though there
-// is capacity here: the number of connections of the load balancer in front is limited.
+// Clients that have sent a request and are idle since are closed once they use more than a quarter of the descriptors,
+// the longest idle first. This holds although the gateway has descriptors left, since the load balancer in front of the
+// gateway can open only a limited number of connections.
 func TestIdleClientsAreLimitedToAQuarterOfTheDescriptors(t *testing.T) {
 	gw := startGateway(t, 0, func(c *config.Config) { c.Sockets = reservedDescriptors + 64 }) // 35 clients, 26 of them active
-	var stay []*pgClient
+	var idle []*pgClient
 	for id := range 27 {
-		stay = append(stay, gw.connect())
-		gw.exchange(stay[id], id, "v")
+		idle = append(idle, gw.connect())
+		gw.exchange(idle[id], id, "v")
 	}
-	stay[0].want("closed")
-	stay[1].query("")
-	stay[1].want("empty")
+	idle[0].want("closed")
+	idle[1].query("")
+	idle[1].want("empty")
 }
 
-// unfinishedMessage is the first 160 KiB of a query of 256 KiB.
+// unfinishedMessage returns the first 160 KiB of a query message of 256 KiB.
 func unfinishedMessage() []byte {
 	return append([]byte("Q\x00\x03\xff\x00"), bytes.Repeat([]byte("x"), 160<<10)...)
 }
 
-// The bytes of unfinished messages are bounded over all clients: the one that has sent most is closed, not the newest.
+// The bytes of unfinished messages of all clients together are limited. At the limit, the client that has sent the most
+// is closed, not the newest.
 func TestBytesOfUnfinishedMessagesAreBounded(t *testing.T) {
-	gw := startGateway(t, 0, func(c *config.Config) { c.MemoryMB = 1 }) // 128 KiB
-	usual := gw.connect()
+	gw := startGateway(t, 0, func(c *config.Config) { c.MemoryMB = 1 }) // limits unfinished messages to 128 KiB
+	active := gw.connect()
 	large := gw.connect()
-	usual.query(queryText(writeForm, 1))
+	active.query(queryText(writeFormat, 1))
 	held := gw.hosts[0].nextQuery()
 	large.write(unfinishedMessage())
-	large.wantEnd()
+	large.wantDisconnected()
 	held.answer("v")
-	usual.want("value v")
+	active.want("value v")
 }
 
-// A client may disconnect while its request waits for a host's connection, with the event after many others in the queue.
-// Its socket is checked last: nothing is sent for it.
+// A client may disconnect while its request waits for a connection to the host, and the event of this may be queued
+// behind many others. The gateway therefore checks the client's socket immediately before it would send the request.
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	gw := newHarness(t, 0)
 	gw.hosts[0].startupGate = make(chan struct{})
-	gw.start(func(c *config.Config) { c.MemoryMB = 1 }) // 64 KiB that are not handled make the engine wait
+	gw.start(func(c *config.Config) { c.MemoryMB = 1 }) // the event loop stops reading at 64 KiB of unhandled input
 	client := gw.connect()
 	flood := gw.connect()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	if query := gw.hosts[0].nextQuery(); query != nil {
-		t.Fatal("a query before the host was ready")
+		t.Fatal("a query was sent before the host was ready")
 	}
 	gw.onLoop(func() {
 		close(gw.hosts[0].startupGate)
 		<-gw.hosts[0].startedUp
-		// The event loop reads nothing more after this.
+		// This fills the event loop's input: it reads nothing more afterwards, so it does not notice the disconnect.
 		flood.write(unfinishedMessage())
 		client.close()
 	})
 	next := gw.connect()
-	next.query(queryText(writeForm, 2))
+	next.query(queryText(writeFormat, 2))
 	query := gw.hosts[0].nextQueryAfterStartups()
 	if !strings.Contains(query.text, "id=2,") {
-		t.Fatalf("sent for a disconnected client: %s", query.text)
+		t.Fatalf("the request of a disconnected client was sent: %s", query.text)
 	}
 	query.answer("w")
 	next.want("value w")
 }
 
-// cancel sends a cancel request.
+// cancel sends a cancel request on a connection of its own.
 func (gw *harness) cancel(key []byte) {
 	gw.t.Helper()
 	client := gw.dial()
@@ -235,8 +240,8 @@
 	client.want("closed")
 }
 
-// A request is canceled from another connection by number and secret: it ends at once and is not forwarded. Nothing else
-// cancels it.
+// A cancel request on another connection must state the number and the secret from the startup. It ends the request at
+// once, and the request is not forwarded. A wrong key cancels nothing.
 func TestCancelRequestNeedsTheKeyAndEndsTheQuery(t *testing.T) {
 	gw := newHarness(t, 0)
 	gw.hosts[0].startupGate = make(chan struct{})
@@ -244,9 +249,9 @@
 	client := gw.dial()
 	client.write(pgwire.AppendStartup(nil, "user", "worker"))
 	key := client.cancelKey()
-	client.query(queryText(writeForm, 1))
+	client.query(queryText(writeFormat, 1))
 	if query := gw.hosts[0].nextQuery(); query != nil {
-		t.Fatal("a query before the host was ready")
+		t.Fatal("a query was sent before the host was ready")
 	}
 	for i := range key {
 		wrong := bytes.Clone(key)
@@ -254,15 +259,15 @@
 		gw.cancel(wrong)
 	}
 	if !gw.hasInFlight() {
-		t.Fatal("canceled by a wrong key")
+		t.Fatal("a wrong key canceled the request")
 	}
 	gw.cancel(key)
 	client.want("error 57014")
 	close(gw.hosts[0].startupGate)
-	client.query(queryText(writeForm, 2))
+	client.query(queryText(writeFormat, 2))
 	query := gw.hosts[0].nextQueryAfterStartups()
 	if !strings.Contains(query.text, "id=2,") {
-		t.Fatalf("sent although canceled: %s", query.text)
+		t.Fatalf("a canceled request was sent: %s", query.text)
 	}
 	query.answer("w")
 	client.want("value w")
--- a/internal/app/counts_test.go
+++ b/internal/app/counts_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// The line of counts is read by other programs: its message and fields stay.
+// Other programs read the line of counts, so its message and its fields must not change.
 func TestCountsLineKeepsItsFields(t *testing.T) {
 	log := make(logLines, 1024)
 	gw := newHarness(t, 0)
@@ -18,7 +18,7 @@
 	gw.start()
 	gw.exchange(gw.connect(), 1, "v")
 	var line map[string]json.RawMessage
-	if err := json.Unmarshal([]byte(log.until(t, `"served":1`)), &line); err != nil {
+	if err := json.Unmarshal([]byte(log.waitFor(t, `"served":1`)), &line); err != nil {
 		t.Fatal(err)
 	}
 	fields := strings.Join(slices.Sorted(maps.Keys(line)), " ")
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -6,7 +6,8 @@
 	"cloverrock/internal/config"
 )
 
-// serve runs the gateway until it has drained, with a component if a settings file is named.
+// serve runs the gateway until its graceful shutdown has ended. If a settings file is given, it also runs the component
+// that the file enables.
 func (c *commandLine) serve(cmd *cobra.Command, _ []string) error {
 	signals := notifySignals()
 	conf, err := config.Load(c.getenv)
@@ -40,8 +41,8 @@
 		component.Attach(s)
 		readConfig = component.ReloadConfig
 	}
-	go s.drainAt(signals.terminate)
-	go s.reloadAt(signals.reload, readConfig)
+	go s.drainOnSignal(signals.terminate)
+	go s.reloadOnSignal(signals.reload, readConfig)
 	log.Info().Str("version", Version()).Str("listen", s.loop.Address()).Msg("app: serving")
 	s.loop.Run()
 	if component != nil && !s.closeInTime(component) {
--- a/internal/warmstart/plan.go
+++ b/internal/warmstart/plan.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	positionStep    = 2_000_000  // microseconds by which a position must have advanced to be written
-	refreshInterval = 10_000_000 // microseconds after which an unchanged record is written again
-	limitChange     = 0.25       // relative change of a concurrency limit from which it is written
-	maxOps          = 64         // operations of one transaction
-	maxHosts        = 4096       // endpoints of a list that is stored
+	minPositionAdvance = 2_000_000  // microseconds by which a log position must have advanced to be written again
+	refreshInterval    = 10_000_000 // microseconds after which an unchanged record is written again
+	minLimitChange     = 0.25       // minimum relative change of a concurrency limit to be written
+	maxOps             = 64         // maximum number of operations in one transaction
+	maxHosts           = 4096       // maximum number of endpoints in a stored list
 )
 
-// Plan returns the transactions that bring the store up to date with the router's snapshot and endpoint list: at most one
-// for primaries, which has no effect if another gateway wrote one of them in the meantime, and one for the rest. It
-// returns none within Config.MinInterval of the last plan. now is in microseconds.
+// Plan returns the transactions that bring the store up to date with the router's snapshot and endpoint list. There are
+// at most two: one for primaries, which has no effect if another gateway has written one of them in the meantime, and
+// one for the rest. Plan returns none within Config.MinInterval of the last plan that wrote something.
+// now is in microseconds.
 func (c *Cache) Plan(now int64, snapshot balance.Snapshot, list EndpointList) []machine.Command {
 	if now-c.plannedAt < c.conf.MinInterval {
 		return nil
@@ -45,8 +46,8 @@
 	command.Then = append(command.Then, machine.Op{Kind: machine.Put, NS: NS, Key: key, Value: encoded})
 }
 
-// planPrimaries returns the transaction for groups whose primary this router observed more recently than the store
-// records.
+// planPrimaries returns the transaction for the groups whose primary this router has observed more recently than the
+// stored record says.
 func (c *Cache) planPrimaries(now int64, snapshot balance.Snapshot) *machine.Command {
 	command := &machine.Command{Kind: machine.TransactionKind}
 	for _, group := range snapshot.Groups {
@@ -62,7 +63,7 @@
 	return command
 }
 
-// nextPrimary returns the record of a group's primary, and whether it must be written.
+// nextPrimary returns the new record of a group's primary, and whether it must be written.
 func (c *Cache) nextPrimary(now int64, group balance.GroupSnapshot) (next Primary, changed bool) {
 	stored, known := c.groups[group.Group]
 	next = Primary{Host: group.Primary, Term: stored.Term, At: min(group.ObservedAt, now), By: c.conf.Name}
@@ -87,16 +88,16 @@
 	urgent bool
 }
 
-// planRest returns the transaction for hosts, the endpoint list and the session floor. It is unconditional: if two
-// gateways write the same host concurrently, either position is a valid lower bound, and the other fields are written
-// again when they change.
+// planRest returns the transaction for hosts, the endpoint list and the session floor. It has no condition: if two
+// gateways write the same host concurrently, the position of either is a valid lower bound, and the other fields are
+// written again when they change.
 func (c *Cache) planRest(now int64, snapshot balance.Snapshot, list EndpointList) *machine.Command {
 	command := &machine.Command{Kind: machine.TransactionKind}
 	storable := len(list.Endpoints) > 0 && len(list.Endpoints) <= maxHosts
 	if list.Generation > c.list.Generation && storable {
 		put(command, listKey, &list)
 	}
-	if snapshot.SessionFloor > c.sessionFloor+positionStep {
+	if snapshot.SessionFloor > c.sessionFloor+minPositionAdvance {
 		put(command, floorKey, &SessionFloor{snapshot.SessionFloor})
 	}
 	for _, write := range c.hostWrites(now, snapshot.Hosts) {
@@ -133,58 +134,58 @@
 func (c *Cache) hostChange(now int64, observed *balance.HostSnapshot) (write hostWrite, needed bool) {
 	stored, known := c.hosts[observed.Host]
 	next := Host{
-		Group:      observed.Group,
-		Position:   observed.Position,
-		PositionAt: observed.PositionAt,
-		Primary:    observed.Primary,
-		Down:       observed.Down,
-		ColdUntil:  observed.SlowStartUntil,
-		Limit:      observed.ConcurrencyLimit,
-		At:         now,
-		By:         c.conf.Name,
+		Group:            observed.Group,
+		Position:         observed.Position,
+		PositionAt:       observed.PositionAt,
+		Primary:          observed.Primary,
+		Down:             observed.Down,
+		SlowStartUntil:   observed.SlowStartUntil,
+		ConcurrencyLimit: observed.ConcurrencyLimit,
+		At:               now,
+		By:               c.conf.Name,
 	}
 	if observed.Position < stored.Position && observed.Primary == stored.Primary {
 		next.Position = stored.Position // a position never decreases
 		next.PositionAt = stored.PositionAt
 	}
 	roleChanged := observed.Down != stored.Down || observed.Primary != stored.Primary
-	slowStartChanged := (observed.SlowStartUntil > now) != (stored.ColdUntil > now)
+	slowStartChanged := (observed.SlowStartUntil > now) != (stored.SlowStartUntil > now)
 	write = hostWrite{observed.Host, next, roleChanged || slowStartChanged}
 	writtenByAnother := stored.At > now-MaxClockSkew && stored.By != c.conf.Name
-	if nothingKnown(observed) || writtenByAnother {
+	if isUnobserved(observed) || writtenByAnother {
 		return write, false
 	}
 	age := now - stored.At
 	needed = !known || write.urgent ||
-		next.Position-stored.Position > positionStep ||
+		next.Position-stored.Position > minPositionAdvance ||
 		age > refreshInterval ||
-		limitMoved(stored.Limit, observed.ConcurrencyLimit) && age > positionStep
+		limitChanged(stored.ConcurrencyLimit, observed.ConcurrencyLimit) && age > minPositionAdvance
 	return write, needed
 }
 
-// nothingKnown reports whether the router has no information about a host yet.
-func nothingKnown(host *balance.HostSnapshot) bool {
+// isUnobserved reports whether the router has no information about a host yet.
+func isUnobserved(host *balance.HostSnapshot) bool {
 	return host.Position == 0 && !host.Down && host.SlowStartUntil == 0 && host.ConcurrencyLimit == 0
 }
 
-// limitMoved reports whether a concurrency limit differs from the stored one by more than limitChange.
-func limitMoved(stored, observed float64) bool {
+// limitChanged reports whether a concurrency limit differs from the stored one by more than minLimitChange.
+func limitChanged(stored, observed float64) bool {
 	if stored <= 0 || observed <= 0 {
 		return false
 	}
-	return observed > stored*(1+limitChange) || observed < stored*(1-limitChange)
+	return observed > stored*(1+minLimitChange) || observed < stored*(1-minLimitChange)
 }
 
-// obsoleteHosts returns, in order, the ids of stored hosts that are not present, were last written by this gateway and
-// are older than Config.MaxAge.
+// obsoleteHosts returns, in order, the ids of stored hosts that are not in present, that this gateway has written last,
+// and that are older than Config.MaxAge.
 func (c *Cache) obsoleteHosts(now int64, present []balance.HostSnapshot) []string {
-	named := map[string]bool{}
+	isPresent := map[string]bool{}
 	for i := range present {
-		named[present[i].Host] = true
+		isPresent[present[i].Host] = true
 	}
 	var obsolete []string
 	for id, host := range c.hosts {
-		if !named[id] && host.By == c.conf.Name && now-host.At > c.conf.MaxAge {
+		if !isPresent[id] && host.By == c.conf.Name && now-host.At > c.conf.MaxAge {
 			obsolete = append(obsolete, id)
 		}
 	}
--- a/internal/warmstart/stored.go
+++ b/internal/warmstart/stored.go
@@ -29,19 +29,19 @@
 
 // Host is the stored record of a host. Times are in microseconds.
 type Host struct {
-	Group      int64   `msgpack:"g" json:"group"`
-	Position   int64   `msgpack:"p" json:"position"` // a lower bound
-	PositionAt int64   `msgpack:"q" json:"position_at"`
-	Primary    bool    `msgpack:"r" json:"primary"` // whether it was the primary when the position was observed
-	Down       bool    `msgpack:"d" json:"down"`
-	ColdUntil  int64   `msgpack:"c" json:"cold_until"` // end of the slow start
-	Limit      float64 `msgpack:"l" json:"limit"`      // concurrent requests
-	At         int64   `msgpack:"a" json:"at"`
-	By         string  `msgpack:"b" json:"by"` // the gateway that wrote it
+	Group            int64   `msgpack:"g" json:"group"`
+	Position         int64   `msgpack:"p" json:"position"` // a lower bound
+	PositionAt       int64   `msgpack:"q" json:"position_at"`
+	Primary          bool    `msgpack:"r" json:"primary"` // whether it was the primary when the position was observed
+	Down             bool    `msgpack:"d" json:"down"`
+	SlowStartUntil   int64   `msgpack:"c" json:"cold_until"` // end of the slow start
+	ConcurrencyLimit float64 `msgpack:"l" json:"limit"`      // concurrent requests
+	At               int64   `msgpack:"a" json:"at"`
+	By               string  `msgpack:"b" json:"by"` // the gateway that wrote it
 }
 
-// StoredEndpoint is a balance.Endpoint with tags for the field names of the stored format, which must not change. The two
-// types can be converted into each other.
+// StoredEndpoint is a balance.Endpoint whose tags hold the field names of the stored format, which must not change. The
+// two types can be converted into each other.
 type StoredEndpoint struct {
 	Host      string                `msgpack:"Host"`
 	Zone      int                   `msgpack:"Zone"`
@@ -53,7 +53,7 @@
 	StartedAt int64                 `msgpack:"Born"`
 }
 
-// Endpoint is an entry of the stored list, with its address.
+// Endpoint is an entry of the stored list: an endpoint and its address.
 type Endpoint struct {
 	StoredEndpoint `msgpack:"e"`
 	Address        string `msgpack:"a"`
@@ -65,7 +65,7 @@
 	Endpoints  []Endpoint `msgpack:"e"`
 }
 
-// SessionFloor is the stored lower bound of the positions that sessions require.
+// SessionFloor is the stored lower bound of the log positions that sessions require.
 type SessionFloor struct {
 	Position int64 `msgpack:"p" json:"position"`
 }
