--- a/internal/zonefailover/capacity.go
+++ b/internal/zonefailover/capacity.go
@@ -10,8 +10,8 @@
 	}
 }
 
-// hasSeenLoadElsewhere reports whether a zone other than i answers slower than its baseline. Without that, the capacity
-// of the others is unknown.
+// hasSeenLoadElsewhere reports whether a zone other than i responds more slowly than its baseline. Without such a zone
+// the capacity of the other zones cannot be estimated.
 func (s *State) hasSeenLoadElsewhere(i int) bool {
 	for other, baseline := range s.baseline {
 		_, latencyShare, measured := totalLoad(s.votes, other)
@@ -22,8 +22,8 @@
 	return false
 }
 
-// shareToKeep is the share of a zone, in hundredths, that has to remain in use since the other zones lack the capacity
-// for it.
+// shareToKeep returns the share of a zone, in hundredths, that has to remain in use because the other zones lack the
+// capacity for its load.
 //
 // In processor sharing a host with utilization u takes 1/(1-u) times as long to answer as an idle one. A zone's
 // utilization is therefore 1 - baseline/response time, and the highest utilization allowed follows from MaxLatencyShare
--- a/internal/zonefailover/decisions_test.go
+++ b/internal/zonefailover/decisions_test.go
@@ -24,7 +24,7 @@
 	kindDecided crdt.Kind = 2
 )
 
-// gateway is one gateway with its evidence and its state of the zones.
+// gateway is one gateway with its evidence collector and its zone failover state.
 type gateway struct {
 	name     string
 	state    *crdt.State
@@ -32,13 +32,13 @@
 	zones    *zonefailover.State
 }
 
-// fleet is some gateways that use zones which fail and recover.
+// fleet is a set of gateways that use zones which fail and recover.
 type fleet struct {
 	random       *rand.Rand
 	now          int64
 	conf         zonefailover.Config
 	gateways     []*gateway
-	failing      []float64 // part of the attempts that fail, by zone
+	failing      []float64 // fraction of the attempts that fail, by zone
 	latencyShare []float64 // response time as a share of the latency objective, by zone
 	answers      *golden.Hash
 }
@@ -107,7 +107,7 @@
 	}
 }
 
-// broadcast hashes an entry that is to be sent, and merges it at most others.
+// broadcast hashes an entry that is to be sent, and merges it into the state of most other gateways.
 func (f *fleet) broadcast(from *gateway, entry crdt.Entry) {
 	f.answers.Numbers(int64(entry.Kind), int64(entry.Sequence), entry.Timestamp)
 	f.answers.Text(entry.Name)
@@ -164,7 +164,7 @@
 	if f.chance(0.7) {
 		f.failing[f.random.IntN(len(f.failing))] = 0.5 + f.random.Float64()
 	}
-	if f.chance(0.1) { // and another
+	if f.chance(0.1) { // a second zone
 		f.failing[f.random.IntN(len(f.failing))] = 1
 	}
 	if f.chance(0.1) {
@@ -179,6 +179,7 @@
 	}
 }
 
+// storm runs random calls at all gateways for 450 rounds and returns the hash of their results.
 func storm(conf zonefailover.Config, seed uint64) string {
 	f := newFleet(conf, seed)
 	for round := range 450 {
--- a/internal/zonefailover/evacuation_test.go
+++ b/internal/zonefailover/evacuation_test.go
@@ -6,8 +6,9 @@
 	"cloverrock/internal/agreement"
 )
 
-// A zone stays in use if half of the gateways find it unhealthy, if one does, if only those inside it do while they are
-// partitioned with it, and if the fleet is partitioned so that no part has a majority.
+// No zone is evacuated if half of the gateways find it unhealthy, or only one does. The same holds if the gateways inside
+// a zone are partitioned from the others and find the other zones unhealthy, and if the fleet is partitioned so that no
+// part has a majority.
 func TestZoneStaysInUseWithoutQuorumOfOutsideGateways(t *testing.T) {
 	for name, play := range map[string]func(sim *simulation){
 		"half find it unhealthy": func(sim *simulation) { sim.failZoneFor(func(i int) bool { return i%2 == 0 }) },
@@ -39,11 +40,11 @@
 			for z := range 3 {
 				for _, gw := range sim.gateways {
 					if s := gw.zones.Share(sim.now, z); s != FullShare {
-						t.Fatalf("%s uses %d of zone %d", gw.name, s, z)
+						t.Fatalf("%s uses a share of %d of zone %d, want full use", gw.name, s, z)
 					}
 				}
 			}
-			if name == "partitioned in halves" { // and evacuates once the partition is over
+			if name == "partitioned in halves" { // once the partition is over, the zone is evacuated
 				for _, gw := range sim.gateways {
 					gw.partition = 0
 				}
@@ -74,7 +75,7 @@
 		late += gw.agreement.Lateness().Late
 	}
 	if late == 0 {
-		t.Error("no gateway counts that it received the decision late")
+		t.Error("no gateway counted the decision as late")
 	}
 }
 
@@ -92,15 +93,15 @@
 	gw.zones.SetOverride(0, ForceInUse)
 	gw.zones.SetOverride(2, ForceEvacuated)
 	if gw.zones.Share(sim.now, 0) != FullShare || gw.zones.Share(sim.now, 2) != 0 {
-		t.Error("overrides have no effect")
+		t.Error("overrides do not take precedence over decisions")
 	}
 	if len(gw.zones.TakeLog()) == 0 {
 		t.Error("nothing was logged for operators")
 	}
 }
 
-// Without a quorum a minority evacuates a zone, and without paced recovery a zone returns at once. This shows that the
-// other tests depend on both.
+// Without the required quorum a minority evacuates a zone, and without paced recovery a zone returns to full use in one
+// step. This shows that the results of the other tests depend on both.
 func TestQuorumAndPacedRecoveryAreNecessary(t *testing.T) {
 	sim := newSimulation(t, 30, func(_ *Config, a *agreement.Config) { a.RequireQuorum = false })
 	sim.failZoneFor(everybody)
@@ -109,7 +110,7 @@
 	}
 	sim.run(8 * second)
 	if s := sim.shares(); s[0] != 0 {
-		t.Error("six gateways of thirty do not evacuate without the quorum")
+		t.Error("six gateways of thirty did not evacuate the zone although no quorum is required")
 	}
 	sim = newSimulation(t, 30, func(c *Config, _ *agreement.Config) { c.PacedRecovery = false })
 	sim.failZoneFor(everybody)
@@ -149,10 +150,10 @@
 			for _, other := range sim.gateways {
 				total += other.bytes
 			}
-			t.Logf("%d gateways, loss %.1f: evacuated %d ms after the zone failed, 99 of 100 within %d ms, the last within %d; %d bytes per gateway and second at rest, %d while it agreed; %d bytes held",
+			t.Logf("%d gateways, loss %.1f: first evacuated %d ms after the zone failed, 99 percent of gateways within %d ms of that, the last within %d; %d bytes per gateway and second before the failure, %d during the evacuation; %d bytes of entries in memory",
 				n, loss, (first-failedAt)/ms, (p99-first)/ms, (last-first)/ms, atRest/n/20, int64(total-atRest)*second/int64(n)/(sim.now-failedAt), sim.gateways[0].state.MemoryBytes())
 			if p99-first > second || atRest/n/20 > 20_000 {
-				t.Errorf("%d gateways, loss %.1f: 99 of 100 evacuated within %d ms, %d bytes per second", n, loss, (p99-first)/ms, atRest/n/20)
+				t.Errorf("%d gateways, loss %.1f: 99 percent of gateways evacuated within %d ms of the first, %d bytes per gateway and second before the failure; want at most 1 s and 20 000 bytes", n, loss, (p99-first)/ms, atRest/n/20)
 			}
 		}
 	}
--- a/internal/zonefailover/evidence.go
+++ b/internal/zonefailover/evidence.go
@@ -7,21 +7,21 @@
 
 const (
 	minRetainedWeight      = 0.2       // a host whose observations weigh less, after fading, is removed
-	silentFailureThreshold = 1.5       // failures, after fading, above which a host without recent success is failing
+	silentFailureThreshold = 1.5       // failures, after fading, above which a host without a recent success is failing
 	latencySamples         = 10        // number of answers over which a host's response time is averaged
 	rateInterval           = 1_000_000 // microseconds; shortest time between two updates of the request rates
 	rateSmoothing          = 0.3       // weight of a new request rate in the moving average
-	maxPackedRate          = 65535
-	maxPackedLatency       = 255
-	rateUnitsPerRequest    = 10 // a vote's request rate is in tenths per second
+	maxPackedRate          = 65535     // highest request rate that a vote can state
+	maxPackedLatency       = 255       // highest latency share that a vote can state
+	rateUnitsPerRequest    = 10        // a vote's request rate is in tenths of a request per second
 )
 
 // EvidenceCollector gathers what one gateway observes of each zone: the outcomes of attempts and health checks, host by
 // host, over some seconds.
 //
 // A zone is unhealthy when most of its hosts, of more than one group, fail while another zone mostly does not. One
-// failing host or one failing group does not make a zone unhealthy. A gateway whose own link fails sees all zones fail
-// and reports none as unhealthy.
+// failing host or one failing group does not make a zone unhealthy. A gateway whose own network link fails gets failures
+// from all zones, and reports none as unhealthy.
 type EvidenceCollector struct {
 	conf           EvidenceConfig
 	hosts          map[string]*hostEvidence
@@ -35,16 +35,16 @@
 	Zones            int
 	Window           int64   // time in which the weight of an observation falls to 0
 	MinHosts         int     // observed hosts of a zone below which its health is unknown
-	MinFailingGroups int     // groups with a failing host for an unhealthy zone, or all groups if it has fewer
-	FailingShare     float64 // part of the observed hosts that fail in an unhealthy zone
+	MinFailingGroups int     // groups with a failing host that make a zone unhealthy; all groups if the zone has fewer
+	FailingShare     float64 // fraction of the observed hosts that fail in an unhealthy zone
 }
 
 // hostEvidence is the evidence about one host.
 type hostEvidence struct {
 	zone          int
 	group         int64
-	succeeded     float64 // count, fading
-	failed        float64 // count, fading
+	succeeded     float64 // number of successes, faded by age
+	failed        float64 // number of failures, faded by age
 	latencyShare  float64 // mean response time of successes, as a share of the latency objective
 	fadedAt       int64
 	lastSuccessAt int64
@@ -84,13 +84,13 @@
 }
 
 // isFailing reports whether a host is failing: it has more failures than successes, or it has stopped answering. The
-// latter detects a busy host sooner, whose earlier successes would outweigh its failures.
+// second condition detects the failure of a busy host sooner, since its earlier successes outweigh its failures at first.
 func (h *hostEvidence) isFailing(now, window int64) bool {
 	hasStopped := h.failed > silentFailureThreshold && now-h.lastSuccessAt > window/2
 	return h.failed > h.succeeded || hasStopped
 }
 
-// Observe adds one observation. One of an unknown zone is ignored.
+// Observe adds one observation. An observation of an unknown zone is ignored.
 func (c *EvidenceCollector) Observe(o Observation) {
 	if o.Zone < 0 || o.Zone >= c.conf.Zones {
 		return
@@ -117,7 +117,7 @@
 
 // zoneEvidence is the sum of the evidence about the hosts of a zone.
 type zoneEvidence struct {
-	observed, failing, measured int // hosts
+	observed, failing, measured int // numbers of hosts; measured: those that do not fail and have a response time
 	groups, failingGroups       map[int64]bool
 	latencyShare                float64 // sum over the measured hosts
 }
@@ -146,7 +146,7 @@
 		zones[i].groups = map[int64]bool{}
 		zones[i].failingGroups = map[int64]bool{}
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.hosts)) { // the order of a sum of floats changes its last bit
+	for _, id := range slices.Sorted(maps.Keys(c.hosts)) { // in a fixed order: a sum of floats depends on it in the last bit
 		host := c.hosts[id]
 		host.fade(now, c.conf.Window)
 		if host.succeeded+host.failed < minRetainedWeight {
@@ -180,8 +180,8 @@
 	c.ratesUpdatedAt = now
 }
 
-// health is the health of a zone. If no other zone is healthy, or the failing zone is this gateway's own, the fault may
-// be the gateway's own link, and the zone's health is unknown.
+// health returns the health of a zone. If the zone is failing and is this gateway's own, or no other zone is healthy, the
+// fault may be the gateway's own link, and the zone's health is unknown.
 func (c *EvidenceCollector) health(zones []zoneEvidence, i, ownZone int) Health {
 	if zones[i].observed < c.conf.MinHosts {
 		return Unknown
--- a/internal/zonefailover/evidence_test.go
+++ b/internal/zonefailover/evidence_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A zone is unhealthy only if most of its hosts, of several groups, fail and the fault is not the gateway's own.
+// A zone is unhealthy only if most of its hosts, of several groups, fail and the fault cannot be the gateway's own link.
 func TestZoneIsUnhealthyOnlyIfMostHostsOfSeveralGroupsFail(t *testing.T) {
 	for name, c := range map[string]struct {
 		failed func(host, zone int, group int64) bool
@@ -37,18 +37,19 @@
 		}
 		for z, v := range evidence.Assess(beginning+4*second, 0) {
 			if v.Health != c.want[z] {
-				t.Errorf("%s: zone %d: %d, want %d", name, z, v.Health, c.want[z])
+				t.Errorf("%s: zone %d: health %d, want %d", name, z, v.Health, c.want[z])
 			}
 		}
 		for z, v := range evidence.Assess(beginning+60*second, 0) {
 			if v.Health != Unknown {
-				t.Errorf("%s: zone %d is still %d a minute later", name, z, v.Health)
+				t.Errorf("%s: zone %d has health %d a minute after the last observation, want unknown", name, z, v.Health)
 			}
 		}
 	}
 }
 
-// The successes of a busy zone before it stops answering do not delay its detection as unhealthy.
+// A busy zone that stops answering is detected as unhealthy within 3 s, although its earlier successes outnumber its
+// failures at first.
 func TestBusyZoneThatStopsAnsweringIsUnhealthySoon(t *testing.T) {
 	evidence := NewEvidenceCollector(EvidenceConfig{Zones: 2, Window: 4 * second, MinHosts: 3, MinFailingGroups: 2, FailingShare: 0.6})
 	health, now := Healthy, beginning
@@ -62,10 +63,10 @@
 		}
 		health = evidence.Assess(now, 1)[0].Health
 		if now > beginning+13*second {
-			t.Fatal("is not found unhealthy after 3 s")
+			t.Fatal("the zone is not unhealthy 3 s after it stopped answering")
 		}
 		if health == Unhealthy && now <= beginning+10*second {
-			t.Fatal("is found unhealthy while it answers")
+			t.Fatal("the zone is unhealthy while it still answers")
 		}
 	}
 }
@@ -82,7 +83,7 @@
 	first := assess()
 	for range 50 {
 		if again := assess(); again != first {
-			t.Fatalf("%v and then %v", first, again)
+			t.Fatalf("the same observations gave latency shares of %v and %v", first, again)
 		}
 	}
 }
--- a/internal/zonefailover/golden_test.go
+++ b/internal/zonefailover/golden_test.go
@@ -33,7 +33,7 @@
 		}
 		for zone, view := range test.views {
 			if own, read, ok := decodeVote(b, zone); !ok || byte(own) != byte(test.own) || read != view {
-				t.Errorf("%s: zone %d is read as %v of %d, %v", test.name, zone, read, own, ok)
+				t.Errorf("%s: zone %d is decoded as view %v of a gateway in zone %d, valid: %v", test.name, zone, read, own, ok)
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 	vote, voted := s.Vote(start, []ZoneView{{Healthy, 20, 5}, {Unhealthy, 200, 5}, {Healthy, 20, 5}})
 	sent := s.Decide(start, agreement.Members{"a": true})
 	if !voted || len(sent) != 1 {
-		t.Fatalf("%d entries are sent", len(sent))
+		t.Fatalf("want a vote and 1 entry to send, got %d entries", len(sent))
 	}
 	sent = append(sent, vote)
 	b, err := crdt.Encode(&crdt.Message{Entries: sent})
@@ -78,6 +78,6 @@
 	}
 	golden.Check(t, "proposal.golden", []golden.Case{{Name: "proposal and vote", Form: hex.EncodeToString(b)}})
 	if s.Share(start+1, 0) != FullShare || s.Share(start+1, 1) != 0 {
-		t.Errorf("in effect are %d and %d", s.Share(start+1, 0), s.Share(start+1, 1))
+		t.Errorf("shares in effect: %d and %d, want 100 and 0", s.Share(start+1, 0), s.Share(start+1, 1))
 	}
 }
--- a/internal/zonefailover/recovery_test.go
+++ b/internal/zonefailover/recovery_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// A failing zone is evacuated by all gateways at the same time and recovers in steps, each at the same time at all
-// gateways and at a pace that cold hosts can serve; also if a fifth of the messages is lost.
+// A failing zone is evacuated by all gateways at nearly the same time. It recovers in steps that also take effect at the
+// same time at all gateways, at a pace that hosts with cold caches can serve. The same holds if a fifth of the messages
+// is lost.
 func TestZoneIsEvacuatedAtOnceAndRecoversInSteps(t *testing.T) {
 	for _, loss := range []float64{0, 0.2} {
 		sim := newSimulation(t, 60, nil)
@@ -17,7 +18,7 @@
 		sim.run(9 * second)
 		sim.requireShare("while it fails", 0)
 		if first, p99, last := sim.actedOn(1); p99-first > 500*ms || first-beginning > 9*second {
-			t.Errorf("loss %.1f: evacuated from %d to %d ms after the start, 99 of 100 within %d", loss, (first-beginning)/ms, (last-beginning)/ms, (p99-first)/ms)
+			t.Errorf("loss %.1f: evacuated from %d to %d ms after the start, 99 percent of gateways within %d ms of the first; want that within 500 ms, and the first by 9 s", loss, (first-beginning)/ms, (last-beginning)/ms, (p99-first)/ms)
 		}
 		sim.failZoneFor(nobody)
 		recoveryBegan := sim.now
@@ -33,17 +34,18 @@
 			t.Errorf("loss %.1f: steps %v, want %v", loss, steps, want)
 		}
 		if took := sim.now - recoveryBegan; took < 6*2*second {
-			t.Errorf("recovered within %d ms", took/ms)
+			t.Errorf("recovered within %d ms, want at least six steps of 2 s", took/ms)
 		}
 	}
 }
 
-// actedOn is when the first, 99 of 100, and the last gateway acted on an epoch.
+// actedOn returns when the first gateway, 99 percent of the gateways, and the last gateway applied the decision of an
+// epoch, in microseconds.
 func (sim *simulation) actedOn(epoch uint64) (first, p99, last int64) {
 	var at []int64
 	for _, gw := range sim.gateways {
 		if gw.firstActedAt[epoch] == 0 {
-			sim.t.Fatalf("%s never acted on epoch %d", gw.name, epoch)
+			sim.t.Fatalf("%s never applied the decision of epoch %d", gw.name, epoch)
 		}
 		at = append(at, gw.firstActedAt[epoch])
 	}
@@ -51,7 +53,7 @@
 	return at[0], at[len(at)*99/100-1], at[len(at)-1]
 }
 
-// A zone that fails again at a share of 40 is evacuated again, and the next recovery begins after twice the time.
+// A zone that fails again at a share of 40 hundredths is evacuated again, and stays evacuated for twice as long.
 func TestFailureDuringRecoveryDoublesTheNextEvacuation(t *testing.T) {
 	sim := newSimulation(t, 30, nil)
 	sim.failZoneFor(everybody)
@@ -61,7 +63,7 @@
 	for n := 0; sim.shares()[0] < 40; n++ {
 		sim.run(second)
 		if n > 40 {
-			t.Fatal("did not recover")
+			t.Fatal("the zone did not return to a share of 40 within 40 s")
 		}
 	}
 	sim.run(second)
@@ -70,7 +72,7 @@
 	sim.requireShare("evacuated again", 0)
 	sim.failZoneFor(nobody)
 	sim.run(6 * second)
-	sim.requireShare("within twice the time", 0)
+	sim.requireShare("before the doubled evacuation time has passed", 0)
 	sim.run(40 * second)
 	sim.requireShare("after the recovery", FullShare)
 }
--- a/internal/zonefailover/simulation_test.go
+++ b/internal/zonefailover/simulation_test.go
@@ -20,7 +20,7 @@
 	beginning    = 1000 * second
 )
 
-// gateway is the decision modules of one gateway.
+// gateway holds the decision modules of one gateway.
 type gateway struct {
 	name         string
 	zone         int
@@ -29,13 +29,13 @@
 	zones        *State
 	queue        []broadcast
 	stopped      bool
-	partition    int              // only gateways with the same number receive from each other
-	firstActedAt map[uint64]int64 // by epoch
-	bytes        int
+	partition    int              // only gateways with the same number receive messages from each other
+	firstActedAt map[uint64]int64 // time of the first tick with an epoch in effect, by epoch
+	bytes        int              // sent in total
 	rounds       uint64
 }
 
-// broadcast is an entry to be sent to others, and the remaining number of times.
+// broadcast is an encoded entry, and the number of times that it is still to be sent.
 type broadcast struct {
 	data      []byte
 	remaining int
@@ -206,7 +206,7 @@
 	sim.gossip(i, gw)
 }
 
-// gossip sends queued entries to three members, and starts a round with one every 2.5 s.
+// gossip sends queued entries to three members, and starts an anti-entropy round with one member every 2.5 s.
 func (sim *simulation) gossip(i int, gw *gateway) {
 	other := func() int { return (i + 1 + sim.rand.IntN(len(sim.gateways)-1)) % len(sim.gateways) }
 	for range 3 {
@@ -221,7 +221,7 @@
 		}
 	}
 	gw.queue = slices.DeleteFunc(gw.queue, func(b broadcast) bool { return b.remaining <= 0 })
-	slices.SortStableFunc(gw.queue, func(a, b broadcast) int { return b.remaining - a.remaining }) // what was sent least often goes first
+	slices.SortStableFunc(gw.queue, func(a, b broadcast) int { return b.remaining - a.remaining }) // entries sent the fewest times go first
 	if (sim.now/tickInterval+int64(i))%25 == 0 {
 		gw.rounds++
 		if b, err := crdt.Encode(gw.state.StartRound(gw.rounds)); err == nil {
@@ -230,7 +230,7 @@
 	}
 }
 
-// shares are those of the first zone at each gateway, sorted.
+// shares returns the shares of the first zone at all gateways, sorted.
 func (sim *simulation) shares() (all []byte) {
 	for _, gw := range sim.gateways {
 		all = append(all, gw.zones.Share(sim.now, 0))
@@ -246,7 +246,7 @@
 	}
 }
 
-// failZoneFor makes the selected gateways find the first zone unhealthy.
+// failZoneFor makes the selected gateways, given by index, find the first zone unhealthy.
 func (sim *simulation) failZoneFor(who func(i int) bool) {
 	sim.view = func(gw *gateway, z int) ZoneView {
 		v := healthyView()
--- a/internal/zonefailover/vote.go
+++ b/internal/zonefailover/vote.go
@@ -7,7 +7,7 @@
 
 // The states of health.
 const (
-	Unknown Health = iota // too little was observed
+	Unknown Health = iota // too few observations, or the fault may be the gateway's own link
 	Healthy
 	Unhealthy
 )
@@ -23,8 +23,8 @@
 	viewSize     = 4   // bytes of a view in a vote
 	latencyUnits = 100 // a vote's latency share is in hundredths
 
-	changedRatio  = 1.33 // of two figures, above which they justify a new vote
-	changedMargin = 10   // units of a figure, added so that small figures do not
+	changedRatio  = 1.33 // a figure that changes by a greater ratio justifies a new vote
+	changedMargin = 10   // units that a figure has to change in addition, so that small figures do not cause votes all the time
 )
 
 // encodeVote returns a vote's body: the gateway's zone (255 if none) and its view of each zone.
@@ -36,7 +36,7 @@
 	return b
 }
 
-// decodeVote reads the gateway's zone and its view of one zone; false if the body has none.
+// decodeVote returns the voter's zone and its view of one zone; false if the body has no valid view of that zone.
 func decodeVote(b []byte, zone int) (ownZone int, view ZoneView, ok bool) {
 	at := 1 + zone*viewSize
 	if len(b) < at+viewSize || b[at] > byte(Unhealthy) {
@@ -51,7 +51,7 @@
 }
 
 // differs reports whether views justify a new vote: a zone's health or the number of zones has changed, or a figure has
-// changed by more than a third.
+// changed much.
 func differs(last, views []ZoneView) bool {
 	for i := range views {
 		if i >= len(last) || last[i].Health != views[i].Health {
@@ -67,20 +67,20 @@
 	return false
 }
 
-// changedMuch reports whether two figures differ by more than a third and an absolute margin for small figures.
+// changedMuch reports whether two figures differ by more than a third plus changedMargin.
 func changedMuch(a, b float64) bool { return max(a, b) > changedRatio*min(a, b)+changedMargin }
 
-// VoteCount counts the votes on a zone of the gateways outside it, by the health in them.
+// VoteCount counts the votes of the gateways outside a zone on that zone, by the health that they state.
 type VoteCount struct {
 	Healthy, Unhealthy, Unknown int
-	latencyShare                float64 // mean of the gateways that find it healthy, as a share of the latency objective
+	latencyShare                float64 // mean of the votes that find the zone healthy, as a share of the latency objective
 }
 
-// known is how many gateways know the zone's health.
+// known returns how many of the gateways have a view of the zone's health.
 func (v *VoteCount) known() int { return v.Healthy + v.Unhealthy }
 
-// countVotes adds up the votes of gateways outside a zone. Those inside do not count: they may be partitioned with it,
-// and then see all other zones fail.
+// countVotes counts the votes of the gateways outside a zone. Votes from inside do not count: those gateways may be cut
+// off together with the zone, and then get failures from all other zones.
 func countVotes(votes []agreement.Vote, zone int) (count VoteCount) {
 	for _, vote := range votes {
 		voterZone, view, ok := decodeVote(vote.Body, zone)
--- a/internal/zonefailover/zonefailover.go
+++ b/internal/zonefailover/zonefailover.go
@@ -25,7 +25,7 @@
 	OwnZone int      // this gateway's zone; -1: none
 
 	MaxEvacuated    int     // zones that may be evacuated at a time
-	RequiredShare   float64 // part of the gateways with a view of a zone's health that must find it unhealthy
+	RequiredShare   float64 // fraction of the gateways with a view of a zone's health that must find it unhealthy
 	MinViews        int     // gateways that must have a view of the zone's health
 	MaxLatencyShare float64 // response time, as a share of the latency objective, up to which zones may be loaded
 
@@ -35,7 +35,7 @@
 	MaxEvacuationTime int64  // limit of the doubling
 	BackoffReset      int64  // time in full use after which the doubling is reset
 
-	// False only in experiments that show why these are required.
+	// Each is false only in experiments that show why it is required.
 	PacedRecovery, CheckCapacity bool
 }
 
@@ -54,7 +54,7 @@
 	conf       Config
 	agreement  *agreement.Participant
 	zones      []zone
-	epoch      uint64 // the last epoch that followDecision has seen in effect
+	epoch      uint64 // the epoch in effect at the last call of followDecision
 	fullShares []byte // all zones in full use
 	log        []LogEntry
 	lastVote   []ZoneView
@@ -88,8 +88,8 @@
 // zones are evacuated at a time and to check the capacity of the remaining ones.
 const topic = "zones"
 
-// Vote stores this gateway's vote if the views differ from its last vote or that is due for renewal. It reports whether
-// it did; the caller sends the entry to the other members.
+// Vote stores this gateway's vote if the views differ from its last vote or the last vote is due for renewal. It reports
+// whether it stored a vote; the caller sends the entry to the other members.
 func (s *State) Vote(now int64, views []ZoneView) (crdt.Entry, bool) {
 	if !differs(s.lastVote, views) {
 		views = s.lastVote
@@ -124,7 +124,8 @@
 	return s.agreement.InEffect(now, topic, s.fullShares)
 }
 
-// InEffectFor returns for how many microseconds the latest decision has been in effect; 0 if it is not.
+// InEffectFor returns for how many microseconds the latest decision has been in effect; 0 if it is not in effect yet or
+// there is none.
 func (s *State) InEffectFor(now int64) int64 {
 	if latest, found := s.agreement.Latest(topic); found && now >= latest.EffectiveAt {
 		return now - latest.EffectiveAt
@@ -132,7 +133,7 @@
 	return 0
 }
 
-// shareOf is a zone's share in a decision; a zone that the decision lacks is in full use.
+// shareOf returns a zone's share in a decision. A zone that the decision does not include is in full use.
 func shareOf(shares []byte, zone int) byte {
 	if zone < len(shares) {
 		return min(shares[zone], FullShare)
@@ -140,8 +141,8 @@
 	return FullShare
 }
 
-// Decide assesses all zones from the votes, and returns the entries to be sent to the other members: a proposal when
-// this gateway's turn has come, or the last decision when it is due for renewal. Call it periodically.
+// Decide assesses all zones from the votes, and returns the entries to be sent to the other members: a proposal when it
+// is this gateway's turn to propose, or the last decision when it is due for renewal. Call it periodically.
 func (s *State) Decide(now int64, members agreement.Members) (toSend []crdt.Entry) {
 	s.votes = s.agreement.Votes(now, topic, members)
 	s.followDecision(now)
@@ -225,8 +226,8 @@
 	}
 }
 
-// nextShare is the share of a zone that should be decided next, if a change is due; wanted has the shares of all zones
-// that are decided so far.
+// nextShare returns the share that should be proposed for zone i, if a change is due. wanted holds the shares of all
+// zones: those decided last, with the changes that are already due for the zones before i.
 func (s *State) nextShare(now int64, i int, wanted []byte) (share byte, isDue bool) {
 	z := &s.zones[i]
 	votes := countVotes(s.votes, i)
@@ -259,8 +260,8 @@
 	return votes.known() >= 1 && float64(votes.Unhealthy) <= (1-s.conf.RequiredShare)*float64(votes.known())
 }
 
-// mayRecover reports whether a healthy zone that is not in full use may take the next step. A step is held while
-// response times are too long.
+// mayRecover reports whether a healthy zone that is not in full use may take the next recovery step. The next step waits
+// while response times are too long.
 func (s *State) mayRecover(now int64, z *zone, votes *VoteCount) bool {
 	if z.share == 0 {
 		return now-z.since >= z.evacuationTime
@@ -271,7 +272,7 @@
 	return now-z.since >= s.conf.StepDuration && votes.latencyShare <= s.conf.MaxLatencyShare
 }
 
-// nextRecoveryStep is the step after a share.
+// nextRecoveryStep returns the recovery step after a share; without paced recovery that is always full use.
 func (s *State) nextRecoveryStep(share byte) byte {
 	for _, step := range s.conf.RecoverySteps {
 		if step > share && (s.conf.PacedRecovery || step == FullShare) {
