--- a/internal/agreement/agreement.go
+++ b/internal/agreement/agreement.go
@@ -6,7 +6,7 @@
 // makes all gateways converge on one of them. It takes effect at a time far enough ahead for nearly all gateways to
 // have received it; a gateway that receives it later applies it later, and counts that (Lateness). Two gateways have
 // different values in effect for no longer than the time between their receiving the decision. No value is proposed
-// without a quorum: a gateway that sees no more than half of the members alive proposes nothing, and the last decision
+// without a quorum: a gateway that finds no more than half of the members alive proposes nothing, and the last decision
 // stays in effect until it expires.
 //
 // This is weaker than consensus: two proposers within one majority may both succeed, and the value that loses may have
@@ -40,7 +40,7 @@
 // Members are the gateways of the fleet by name: true for those that are alive.
 type Members map[string]bool
 
-// AliveCount is how many members are alive.
+// AliveCount returns how many members are alive.
 func (m Members) AliveCount() (n int) {
 	for _, alive := range m {
 		if alive {
@@ -59,8 +59,8 @@
 	Proposer    string
 }
 
-// encode returns a decision in an encoding whose byte order decides between two for one epoch: the lesser value wins,
-// then the earlier time of effect.
+// encode returns the encoding of a decision. The byte order of encodings decides which of two decisions for the same
+// epoch is kept: the one with the lesser value, then the one with the earlier time of effect.
 func (d *Decision) encode() []byte {
 	b := append([]byte{byte(len(d.Value))}, d.Value...)
 	b = binary.BigEndian.AppendUint64(b, uint64(d.EffectiveAt))
@@ -98,7 +98,7 @@
 	Body   []byte
 }
 
-// Participant is one gateway's part in what its fleet agrees on. It is not safe for concurrent use.
+// Participant votes and proposes for one gateway. It is not safe for concurrent use.
 type Participant struct {
 	conf     Config
 	state    *crdt.State
@@ -106,7 +106,7 @@
 	lateness Lateness
 }
 
-// pendingProposal is a value that this gateway wants and may not propose yet.
+// pendingProposal is a value that this gateway will propose when its turn comes.
 type pendingProposal struct {
 	epoch uint64
 	value string
@@ -128,7 +128,7 @@
 func (p *Participant) Lateness() Lateness { return p.lateness }
 
 // Vote stores this gateway's vote if it has changed or half of VoteTTL has passed since the last one. It reports
-// whether it did; the caller sends the entry to the other members.
+// whether it stored a vote; the caller sends the entry to the other members.
 func (p *Participant) Vote(now int64, topic string, body []byte) (crdt.Entry, bool) {
 	last, found := p.state.Get(crdt.Key{Kind: p.conf.VoteKind, Name: topic, Origin: p.conf.Self})
 	if found && string(last.Value) == string(body) && now-last.Timestamp < p.conf.VoteTTL/2 {
@@ -152,7 +152,7 @@
 	return votes
 }
 
-// HasQuorum reports whether more than half of the members are alive.
+// HasQuorum reports whether more than half of the members are alive. Without RequireQuorum it is always true.
 func (p *Participant) HasQuorum(members Members) bool {
 	return !p.conf.RequireQuorum || 2*members.AliveCount() > len(members)
 }
@@ -179,12 +179,12 @@
 	return decision.Value, decision.Epoch
 }
 
-// Propose proposes a value for the next epoch once this gateway's turn has come, and reports whether it did; the caller
+// Propose proposes a value for the next epoch if it is this gateway's turn, and reports whether it did; the caller
 // sends the entry to the other members. Call it repeatedly with the same value until the value is decided or withdrawn.
-// The live member that ranks first proposes at once and the others one after the other, so that mostly one does.
+// The live member that ranks first proposes at once and the others one after the other, so that usually only one does.
 func (p *Participant) Propose(now int64, topic string, value, defaultValue []byte, members Members) (crdt.Entry, bool) {
 	last, found := p.Latest(topic)
-	isPending := found && now < last.EffectiveAt // one decision at a time
+	isPending := found && now < last.EffectiveAt // the next decision has to wait until this one is in effect
 	if isPending || !p.HasQuorum(members) {
 		return crdt.Entry{}, false
 	}
@@ -216,8 +216,8 @@
 // Withdraw cancels a proposal whose turn has not come.
 func (p *Participant) Withdraw(topic string) { delete(p.pending, topic) }
 
-// proposerRank is how many live members propose before this one in an epoch. Rendezvous hashing changes the order with
-// the epoch.
+// proposerRank returns how many live members propose before this gateway in an epoch. Rendezvous hashing changes the
+// order of the members with the epoch.
 func (p *Participant) proposerRank(topic string, epoch uint64, members Members) (rank int) {
 	score := func(name string) uint64 {
 		key := binary.LittleEndian.AppendUint64(nil, epoch)
@@ -256,7 +256,7 @@
 }
 
 // Resend renews the last decision once half of DecisionTTL has passed, while there is a quorum. It reports whether it
-// did; the caller sends the entry to the other members. Without a quorum the decision expires after DecisionTTL.
+// renewed it; the caller sends the entry to the other members. Without a quorum the decision expires after DecisionTTL.
 func (p *Participant) Resend(now int64, topic string, members Members) (crdt.Entry, bool) {
 	e, found := p.state.Get(crdt.Key{Kind: p.conf.DecisionKind, Name: topic})
 	if !found || now-e.Timestamp < p.conf.DecisionTTL/2 || !p.HasQuorum(members) {
--- a/internal/agreement/agreement_test.go
+++ b/internal/agreement/agreement_test.go
@@ -44,8 +44,8 @@
 	return members
 }
 
-// Several members propose at the same time. In whatever order proposals arrive, all members converge on the same one,
-// which was proposed, and epochs never decrease.
+// Several members propose at the same time. In whatever order the proposals arrive, all members converge on the same
+// proposal, and epochs never decrease.
 func TestAllMembersConvergeOnOneProposal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "gateways")
@@ -65,7 +65,7 @@
 			i := rapid.IntRange(0, n-1).Draw(t, "who")
 			value := []byte{byte(rapid.IntRange(0, 3).Draw(t, "a")), byte(rapid.IntRange(0, 3).Draw(t, "b"))}
 			before, _ := participants[i].Latest(topic)
-			for _, at := range []int64{now, now + second} { // its turn has come by then
+			for _, at := range []int64{now, now + second} { // a second later it is this member's turn in any case
 				if e, ok := participants[i].Propose(at, topic, value, none, members); ok {
 					sent = append(sent, e)
 					proposed[string(value)] = true
@@ -76,7 +76,7 @@
 				states[to].Merge(now+2*second, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "of")])
 			}
 			if after, _ := participants[i].Latest(topic); after.Epoch < before.Epoch {
-				t.Fatalf("epoch %d after %d", after.Epoch, before.Epoch)
+				t.Fatalf("the latest epoch fell to %d from %d", after.Epoch, before.Epoch)
 			}
 		}
 		for i := range n {
@@ -87,7 +87,7 @@
 			requireSameDecision(t, participants[i], first)
 		}
 		if ok && !proposed[string(first.Value)] {
-			t.Fatalf("nobody proposed %v", first.Value)
+			t.Fatalf("the members agreed on %v, which no member proposed", first.Value)
 		}
 	})
 }
@@ -97,24 +97,24 @@
 	t.Helper()
 	got, _ := participant.Latest(topic)
 	if got.Epoch != want.Epoch || !bytes.Equal(got.Value, want.Value) || got.EffectiveAt != want.EffectiveAt || got.Proposer != want.Proposer {
-		t.Fatalf("%+v and %+v", want, got)
+		t.Fatalf("members differ in their latest decision: %+v and %+v", want, got)
 	}
 }
 
-// Until its time of effect the previous value is in effect; a member that receives the decision later counts it as
-// late; half of the members decide nothing; and a decision is renewed before it expires.
+// A decision takes effect at its time; until then the previous value is in effect. A member that receives the decision
+// later counts it as late. Half of the members are no quorum and propose nothing. A decision is renewed before it expires.
 func TestDecisionTakesEffectAtItsTimeAndIsResent(t *testing.T) {
 	a, s := newParticipant("n0")
 	if _, ok := a.Propose(start, topic, []byte{0, 100}, none, newMembers(2, 2)); ok {
-		t.Error("half of the members decide")
+		t.Error("proposed with only half of the members alive")
 	}
 	e, ok := a.Propose(start, topic, []byte{0, 100}, none, Members{"n0": true})
 	if !ok {
-		t.Fatal("not proposed")
+		t.Fatal("not proposed with all members alive")
 	}
 	for at, want := range map[int64]byte{start: 100, start + second - 1: 100, start + second: 0} {
 		if value, _ := a.InEffect(at, topic, none); value[0] != want {
-			t.Errorf("%d us after: %v in effect", at-start, value)
+			t.Errorf("%d us after the proposal the value in effect is %v", at-start, value)
 		}
 	}
 	b, other := newParticipant("n1")
@@ -123,10 +123,10 @@
 		t.Errorf("%+v", l)
 	}
 	if _, ok := a.Resend(start+second, topic, Members{"n0": true}); ok {
-		t.Error("resent at once")
+		t.Error("resent before half of its lifetime has passed")
 	}
 	if _, ok := a.Resend(start+400*second, topic, Members{"n0": true}); !ok || s.Len() != 1 {
-		t.Error("not resent before it expires")
+		t.Error("not resent after half of its lifetime")
 	}
 }
 
@@ -139,12 +139,12 @@
 	}
 	a.Vote(start, topic, []byte{2})
 	if n := len(a.Votes(start+second, topic, newMembers(1, 1))); n != 2 {
-		t.Errorf("%d votes", n)
+		t.Errorf("%d votes of a live and a dead member, want 2", n)
 	}
 	if n := len(a.Votes(start+40*second, topic, newMembers(2, 0))); n != 0 {
-		t.Errorf("%d votes that are 40 s old", n)
+		t.Errorf("%d votes that are 40 s old, want 0", n)
 	}
 	if n := len(a.Votes(start+second, topic, Members{"n0": true})); n != 1 {
-		t.Errorf("%d votes, of one that is no member", n)
+		t.Errorf("%d votes, want 1: the other vote is not from a member", n)
 	}
 }
--- a/internal/agreement/decisions_test.go
+++ b/internal/agreement/decisions_test.go
@@ -34,6 +34,7 @@
 	participant *agreement.Participant
 }
 
+// fleet is five members that exchange entries over an unreliable network.
 type fleet struct {
 	random  *rand.Rand
 	now     int64
@@ -65,6 +66,7 @@
 	return f
 }
 
+// entry hashes an entry.
 func (f *fleet) entry(entry crdt.Entry) {
 	f.answers.Numbers(int64(entry.Kind), int64(entry.Incarnation), int64(entry.Sequence), entry.Timestamp)
 	f.answers.Text(entry.Name)
@@ -73,6 +75,7 @@
 	f.answers.Text(string(entry.Value))
 }
 
+// decision hashes a decision.
 func (f *fleet) decision(decision agreement.Decision) {
 	f.answers.Numbers(int64(decision.Epoch), decision.EffectiveAt)
 	f.answers.Text(string(decision.Value))
@@ -80,7 +83,7 @@
 	f.answers.Text(decision.Proposer)
 }
 
-// broadcast hashes an entry that is to be sent, and delivers it to most others.
+// broadcast hashes an entry that is to be sent, and delivers it to most other members.
 func (f *fleet) broadcast(from *member, entry crdt.Entry, ok bool) {
 	f.answers.Bool(ok)
 	if !ok {
@@ -102,6 +105,7 @@
 	f.answers.Numbers(int64(late.Decisions), int64(late.Late), late.Max)
 }
 
+// newMembers draws the members as m finds them: some are missing, and some are dead.
 func (f *fleet) newMembers(m *member) agreement.Members {
 	members := agreement.Members{}
 	for _, other := range f.members {
@@ -128,6 +132,7 @@
 	f.answers.Numbers(int64(epoch))
 }
 
+// step makes one random call at a random member.
 func (f *fleet) step() {
 	f.now += int64(f.random.IntN(int(second / 10)))
 	m := f.members[f.random.IntN(len(f.members))]
@@ -156,7 +161,7 @@
 		}
 	case 8:
 		m.state.Expire(f.now)
-	case 9: // a malformed decision, for a topic of its own
+	case 9: // a malformed decision, of another topic
 		broken := crdt.Entry{Kind: kindDecided, Name: "broken", Sequence: uint64(f.random.IntN(9)), Timestamp: f.now, Value: []byte{9, 9}}
 		f.deliver(m, broken)
 	default:
--- a/internal/agreement/golden_test.go
+++ b/internal/agreement/golden_test.go
@@ -36,7 +36,7 @@
 		}
 		read, err := decodeDecision(&crdt.Entry{Sequence: test.made.Epoch, Value: value})
 		if err != nil || !reflect.DeepEqual(read, test.made) {
-			t.Errorf("%s is read as %v, %v", test.name, read, err)
+			t.Errorf("%s is decoded as %v, error %v", test.name, read, err)
 		}
 	}
 }
