--- a/internal/store/core/apply.go
+++ b/internal/store/core/apply.go
@@ -23,7 +23,7 @@
 	c.applyData(entry, entry.GetData())
 }
 
-// applyData applies an entry's command; raft's own entries have none.
+// applyData applies an entry's command. The entries that raft adds itself, such as that of a new leader, have none.
 func (c *Core) applyData(entry *raftpb.Entry, data []byte) {
 	if len(data) == 0 {
 		c.machine.Skip(entry.GetIndex())
@@ -81,7 +81,7 @@
 	c.queuedReads = nil
 }
 
-// applyConfChange applies a change of the members, and the command that is carried in its context.
+// applyConfChange applies a change of the members, and the command that records it, from the change's context.
 func (c *Core) applyConfChange(entry *raftpb.Entry) {
 	change, err := decodeConfChange(entry)
 	if err != nil {
@@ -100,6 +100,7 @@
 	}
 }
 
+// decodeConfChange decodes a change of the members, which raft encodes in one of two formats.
 func decodeConfChange(entry *raftpb.Entry) (*raftpb.ConfChangeV2, error) {
 	if entry.GetType() == raftpb.EntryConfChange {
 		change := &raftpb.ConfChange{}
@@ -115,6 +116,7 @@
 	return change, nil
 }
 
+// isMember reports whether an id is a voter or a learner, also while a joint change is in progress.
 func isMember(state *raftpb.ConfState, id uint64) bool {
 	return slices.Contains(state.GetVoters(), id) || slices.Contains(state.GetLearners(), id) ||
 		slices.Contains(state.GetVotersOutgoing(), id) || slices.Contains(state.GetLearnersNext(), id)
--- a/internal/store/core/apply_test.go
+++ b/internal/store/core/apply_test.go
@@ -7,7 +7,8 @@
 	"cloverrock/internal/store/machine"
 )
 
-// A read that was asked for before the instance halted is answered: its index is beyond what the instance will ever apply.
+// A read that was requested before the instance halts is answered with ErrHalted. Its index is beyond what the instance
+// will ever apply, so that the read would otherwise never be answered.
 func TestReadBeforeHaltIsAnswered(t *testing.T) {
 	cl := newCluster(t, 1, machine.Format+1, machine.Format+1)
 	leader := cl.elect(2)
@@ -30,19 +31,19 @@
 	}
 	cl.runUntilIdle()
 	if old.Status().Halted == "" {
-		t.Fatal("not halted")
+		t.Fatal("the instance has not halted")
 	}
 	for range 2 * readIndexTimeout {
 		old.Tick()
 		cl.runUntilIdle()
 	}
 	if answer, answered := cl.answers[1][2]; !answered || !errors.Is(answer.Err, ErrHalted) {
-		t.Errorf("the read was answered: %t, %+v", answered, answer)
+		t.Errorf("the read before the halt: answered %t, %+v; want ErrHalted", answered, answer)
 	}
 }
 
-// The agreed format is raised only when all members support the newer one. An instance that receives a command of a newer
-// format nevertheless stops applying and reports it, and the others keep their quorum.
+// The agreed format is raised only when all members support the newer one. An instance that nevertheless receives a
+// command of an unsupported format stops applying and reports that in its status, and the others keep their quorum.
 func TestUnsupportedFormatHaltsOnlyTheOldInstance(t *testing.T) {
 	cl := newCluster(t, 1, machine.Format+1, machine.Format+1)
 	leader := cl.elect(2)
@@ -56,23 +57,23 @@
 	leader.Propose(1, &machine.Command{Format: machine.Format + 1, Kind: machine.TransactionKind})
 	cl.runUntilIdle()
 	if answer := cl.answers[2][1]; answer.Err != nil {
-		t.Fatalf("a newer build: %+v", answer)
+		t.Fatalf("a command of the newer format at a build that supports it: %+v", answer)
 	}
 	old := cl.cores[1]
 	if status := old.Status(); status.Halted == "" || status.Applied >= leader.Status().Applied {
-		t.Errorf("an old build that met a newer command: %+v", status)
+		t.Errorf("an old build that received a command of a newer format has not halted: %+v", status)
 	}
 	old.Propose(2, &machine.Command{Kind: machine.TransactionKind})
 	old.Read(3)
 	cl.runUntilIdle()
 	for _, token := range []uint64{2, 3} {
 		if answer := cl.answers[1][token]; !errors.Is(answer.Err, ErrHalted) {
-			t.Errorf("token %d at the old build: %+v", token, answer)
+			t.Errorf("token %d at the halted instance: %+v, want ErrHalted", token, answer)
 		}
 	}
 	leader.Propose(4, &machine.Command{Kind: machine.OpenSessionKind})
 	cl.runUntilIdle()
 	if answer := cl.answers[2][4]; answer.Err != nil {
-		t.Errorf("the others do not continue: %+v", answer)
+		t.Errorf("a proposal at the other instances failed: %+v", answer)
 	}
 }
--- a/internal/store/core/cluster_test.go
+++ b/internal/store/core/cluster_test.go
@@ -55,7 +55,7 @@
 	return cl
 }
 
-// deliver passes a message to its receiver, if that one is running.
+// deliver passes a message to its receiver, if that core is running.
 func (cl *cluster) deliver(e Envelope) {
 	if c := cl.cores[e.To]; c != nil {
 		c.Step(e)
@@ -118,7 +118,7 @@
 	}
 	cl.runUntilIdle()
 	if !c.IsLeader() {
-		cl.t.Fatalf("%d is not the leader", id)
+		cl.t.Fatalf("instance %d is not the leader after its campaign", id)
 	}
 	return c
 }
--- a/internal/store/core/core.go
+++ b/internal/store/core/core.go
@@ -1,7 +1,7 @@
-// Package core is one instance of the replicated store as a state machine. Its owner passes it ticks, messages,
-// proposals and the outcome of writes; it returns what to save, what to send and the answers of clients. It does no
-// I/O, reads no clock and starts no goroutine, so that the simulator runs the same code as the daemon. Consensus is
-// go.etcd.io/raft.
+// Package core implements one instance of the replicated store as a state machine. The owner of a core passes it ticks,
+// messages, proposals and the outcome of writes. The core returns what to save, what to send and the answers to clients.
+// It does no I/O, reads no clock and starts no goroutine, so that the simulator runs the same code as the daemon.
+// Consensus is go.etcd.io/raft.
 package core
 
 import (
@@ -16,9 +16,9 @@
 // Errors that answer a proposal or read.
 var (
 	ErrNoLeader       = errors.New("store: no leader is known; nothing was done")
-	ErrOutcomeUnknown = errors.New("store: no outcome in time; it may still be done. Retry under the same sequence number")
-	ErrBusy           = errors.New("store: too many proposals wait; nothing was done")
-	ErrHalted         = errors.New("store: this instance has stopped applying")
+	ErrOutcomeUnknown = errors.New("store: the outcome is not known in time; the command may still be applied. Retry it with the same session and sequence number")
+	ErrBusy           = errors.New("store: too many proposals are waiting; nothing was done. Retry later")
+	ErrHalted         = errors.New("store: this instance has halted and applies no more commands")
 )
 
 // Envelope is one message between instances. Exactly one of Raft, Chunk and Ack is set.
@@ -57,14 +57,14 @@
 	confirmedReads  []confirmedRead            // reads that wait until their index is applied
 	freshAt         int64                      // latest tick at which the state was known to be up to date; -1: none yet
 
-	leader         uint64 // raft.None: unknown
-	memberVersion  uint64 // grows when the records of the members may have changed
-	clockTick      int64  // tick up to which the logical clock was advanced
-	caughtUpChecks map[uint64]int
+	leader         uint64           // raft.None: unknown
+	memberVersion  uint64           // increases when the records of the members may have changed
+	clockTick      int64            // tick up to which the logical clock was advanced
+	caughtUpChecks map[uint64]int   // by learner: consecutive checks at which it was caught up
 	lastHeard      map[uint64]int64 // by member: tick of its last message
 
 	snapshotIndex     uint64            // of the newest saved snapshot
-	snapshotMembers   *raftpb.ConfState // as the newest saved snapshot has them
+	snapshotMembers   *raftpb.ConfState // the members that the newest saved snapshot records
 	savingIndex       uint64            // of the snapshot that is being written; 0: none
 	snapshotForced    bool              // a snapshot is due now
 	needsSnapshotData bool              // a transfer waits for the newest snapshot's bytes
@@ -78,7 +78,7 @@
 // Leader returns the id of the current leader as far as this instance knows; 0: unknown.
 func (c *Core) Leader() uint64 { return c.leader }
 
-// MembersVersion returns a counter that increases whenever the records of the members may have changed.
+// MembersVersion returns a counter that increases when the records of the members may have changed.
 func (c *Core) MembersVersion() uint64 { return c.memberVersion }
 
 // IsLeader reports whether this instance is the leader.
@@ -111,8 +111,8 @@
 	}
 }
 
-// mayReceive reports whether a peer may send the message. Local messages come from this instance only, and snapshots
-// only in chunks.
+// mayReceive reports whether a message may come from another instance. Raft's local messages come from this instance
+// only, and snapshots arrive in chunks instead of as a raft message.
 func mayReceive(message *raftpb.Message, from uint64) bool {
 	kind := message.GetType()
 	return !raft.IsLocalMsg(kind) && kind != raftpb.MsgSnap && message.GetFrom() == from
@@ -125,7 +125,7 @@
 	return ready
 }
 
-// answer queues the outcome of a proposal or read. The token 0 is that of the instance's own requests, whose outcome is
+// answer queues the outcome of a proposal or read. The instance's own requests have the token 0, and their outcome is
 // discarded.
 func (c *Core) answer(token uint64, err error, result machine.Result) {
 	if token != 0 {
--- a/internal/store/core/golden_test.go
+++ b/internal/store/core/golden_test.go
@@ -12,7 +12,8 @@
 	"cloverrock/internal/store/machine"
 )
 
-// The initial snapshot with its member records, and the changes that add and remove a member, keep their bytes.
+// The encoding of the initial snapshot with its member records does not change, nor does that of the changes that add and
+// remove a member.
 func TestMembersKeepTheirBytes(t *testing.T) {
 	var lines []string
 	show := func(name string, b []byte, err error) {
@@ -39,7 +40,7 @@
 		t.Fatal(err)
 	}
 	if got := Members(m); !reflect.DeepEqual(got, map[uint64]Member{11: a}) {
-		t.Errorf("members are read as %+v", got)
+		t.Errorf("the member records are decoded as %+v", got)
 	}
 	change, command, err := PlanJoin(m, 12, b, "token")
 	if err != nil {
--- a/internal/store/core/leader.go
+++ b/internal/store/core/leader.go
@@ -18,8 +18,8 @@
 
 type progress = tracker.Progress
 
-// leaderDuties performs the periodic tasks of a leader: it advances the logical clock, raises the format of commands
-// once all members support it, and promotes learners that have caught up to voters.
+// leaderDuties performs the periodic tasks of a leader: it advances the logical clock, raises the agreed format of
+// commands once all members support it, and promotes learners that have caught up to voters.
 func (c *Core) leaderDuties() {
 	if !c.IsLeader() || c.halted != nil || c.isTransferring() {
 		return
@@ -32,11 +32,11 @@
 	c.promoteLearner()
 }
 
-// isTransferring reports whether raft is transferring leadership; it gives that up after an election timeout.
+// isTransferring reports whether raft is transferring leadership. Raft abandons a transfer after an election timeout.
 func (c *Core) isTransferring() bool { return c.raftNode.BasicStatus().LeadTransferee != raft.None }
 
-// advanceClock proposes to advance the logical clock by the elapsed time. Time is counted from the last change of
-// leader at the earliest, so that such a change can extend leases but never shorten them.
+// advanceClock proposes to advance the logical clock by the elapsed time. That time is counted from the last change of
+// leader at the earliest, so that a change of leader can extend leases but never shorten them.
 func (c *Core) advanceClock() {
 	if c.machine.LeaseCount() == 0 {
 		c.clockTick = c.now
@@ -61,7 +61,7 @@
 	}
 }
 
-// promoteLearner proposes to make a voter of one learner that has caught up, unless a joint change is in progress.
+// promoteLearner proposes to promote one learner that has caught up to a voter, unless a joint change is in progress.
 func (c *Core) promoteLearner() {
 	ready := c.learnerCaughtUp()
 	inJointChange := len(c.confState.GetVotersOutgoing()) > 0
@@ -75,7 +75,7 @@
 	c.ProposeMembershipChange(0, change, &machine.Command{Kind: machine.TransactionKind})
 }
 
-// learnerCaughtUp checks all learners and returns one that may become a voter; 0: none.
+// learnerCaughtUp checks all learners and returns one that has caught up and may become a voter; 0: none.
 func (c *Core) learnerCaughtUp() uint64 {
 	commit := c.raftNode.BasicStatus().GetCommit()
 	ready := uint64(0)
@@ -101,9 +101,9 @@
 	return heard && c.now-at <= int64(c.conf.ElectionTicks)
 }
 
-// TransferLeadership starts to transfer leadership to the recently heard follower with the longest matching log, and
-// returns its id. It reports false if this instance is not the leader or no follower is eligible. Until the leader
-// changes or raft gives up, the periodic tasks of this one are suspended.
+// TransferLeadership starts to transfer leadership to the follower with the longest matching log among those from which
+// a message was received recently, and returns its id. It reports false if this instance is not the leader or there is no
+// such follower. The leader's periodic tasks are suspended until the leader changes or raft abandons the transfer.
 func (c *Core) TransferLeadership() (to uint64, ok bool) {
 	if !c.IsLeader() {
 		return 0, false
--- a/internal/store/core/leader_test.go
+++ b/internal/store/core/leader_test.go
@@ -12,7 +12,8 @@
 	"cloverrock/internal/store/machine"
 )
 
-// A learner that has received nothing does not become a voter, however short the log is: it would count towards the quorum.
+// A learner that has received neither entries nor a snapshot is not promoted, however short the log is: as a voter it
+// would count towards the quorum.
 func TestEmptyLearnerIsNotPromoted(t *testing.T) {
 	cl := newCluster(t, 1, 1, 1)
 	leader := cl.elect(1)
@@ -38,7 +39,7 @@
 			cl.saveSnapshot(leader)
 		}
 		if votes := len(leader.Status().Voters) == 4; votes != receives {
-			t.Errorf("receives: %t, votes: %t, %+v", receives, votes, leader.Status())
+			t.Errorf("the learner receives data: %t, is a voter: %t, want the same; status %+v", receives, votes, leader.Status())
 		}
 	}
 }
@@ -58,7 +59,7 @@
 	c.SnapshotSaved(due, nil)
 }
 
-// newLearner adds a core with an empty state, which no member knows yet.
+// newLearner adds a core with an empty state, which is not a member yet.
 func newLearner(t *testing.T, cl *cluster, id uint64) *Core {
 	t.Helper()
 	conf := Config{ID: id, Nonce: id << 40, Format: 1, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}
@@ -72,7 +73,7 @@
 	return c
 }
 
-// A transfer of leadership that raft gives up leaves the leader's periodic tasks on.
+// The leader's periodic tasks resume after raft has abandoned a transfer of leadership.
 func TestPeriodicTasksResumeAfterAnAbandonedTransfer(t *testing.T) {
 	const format = machine.Format + 1
 	cl := newCluster(t, format, format, format)
@@ -84,7 +85,7 @@
 		cl.deliver(e)
 	}
 	if _, ok := leader.TransferLeadership(); !ok {
-		t.Fatal("no transfer began")
+		t.Fatal("the transfer of leadership did not start")
 	}
 	for range 4 * leader.conf.ElectionTicks {
 		leader.Tick()
@@ -94,6 +95,6 @@
 		t.Fatal("the leader has changed")
 	}
 	if agreed := leader.Machine().AgreedFormat(); agreed != format {
-		t.Errorf("the format is %d, all support %d", agreed, format)
+		t.Errorf("the agreed format is %d, although all members support %d", agreed, format)
 	}
 }
--- a/internal/store/core/members.go
+++ b/internal/store/core/members.go
@@ -25,10 +25,10 @@
 	Format  uint8  `msgpack:"f" json:"format"` // newest format of commands that it supports
 }
 
-// MemberKey is the key of an id's records.
+// MemberKey returns the key of an id's records.
 func MemberKey(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// parseMemberKey returns the id of a key.
+// parseMemberKey is the inverse of MemberKey.
 func parseMemberKey(key string) (id uint64, ok bool) {
 	_, err := fmt.Sscanf(key, "%016x", &id)
 	return id, err == nil
@@ -66,9 +66,9 @@
 	return ids
 }
 
-// PlanJoin returns the change by which an instance joins as a learner, and the command that records it. A member with
-// the same name must have lost its directory: the same change removes its old id, which may not rejoin. The token is
-// the key of the join token that the command deletes; empty: none.
+// PlanJoin returns the change by which an instance joins as a learner, and the command that records it. If there is a
+// member with the same name, it is taken to have lost its data directory: the same change removes its old id, which may not
+// rejoin. The token is the key of the join token that the command deletes; empty: none.
 func PlanJoin(state *machine.Machine, id uint64, member Member, token string) (*raftpb.ConfChangeV2, *machine.Command, error) {
 	record, err := MemberOp(id, member)
 	if err != nil {
--- a/internal/store/core/proposals.go
+++ b/internal/store/core/proposals.go
@@ -13,15 +13,16 @@
 // maxQueuedBatches bounds the queue of proposals that were not yet passed to raft, in batches of Config.MaxBatch.
 const maxQueuedBatches = 8
 
-// pendingProposal is a proposal that was not answered yet.
+// pendingProposal is a proposal whose outcome is not known yet.
 type pendingProposal struct {
 	token    uint64
-	serial   uint64 // orders proposals by the time they were made
+	serial   uint64 // serial number, by which proposals are ordered
 	deadline int64  // in ticks
 }
 
-// nextRequestID returns an id that is unique among the proposals and reads of all incarnations of this instance. The
-// multiplier is the odd integer nearest to 2^64 divided by the golden ratio (Fibonacci hashing).
+// nextRequestID returns an id that is unique among the proposals and reads of this instance, those of earlier
+// incarnations included. The multiplier is the odd integer nearest to 2^64 divided by the golden ratio (Fibonacci
+// hashing).
 func (c *Core) nextRequestID() uint64 {
 	c.serial++
 	return c.conf.Nonce ^ c.serial*0x9e3779b97f4a7c15
@@ -39,7 +40,7 @@
 	}
 }
 
-// refusesProposals returns the error with which a new proposal is answered at once; nil: it is accepted.
+// refusesProposals returns the error with which a new proposal must be rejected at once; nil if it is accepted.
 func (c *Core) refusesProposals() error {
 	switch {
 	case c.halted != nil:
@@ -108,7 +109,7 @@
 	for _, entry := range batch { // raft drops the complete batch, so no entry of it will be applied
 		command, err := machine.Decode(entry.GetData(), c.conf.Format)
 		if err != nil {
-			continue // not decodable by this build: it is answered at its deadline
+			continue // this build cannot decode it: it is answered at its deadline
 		}
 		c.answer(c.pending[command.RequestID].token, ErrNoLeader, machine.Result{})
 		delete(c.pending, command.RequestID)
--- a/internal/store/core/proposals_test.go
+++ b/internal/store/core/proposals_test.go
@@ -7,6 +7,7 @@
 	"cloverrock/internal/store/machine"
 )
 
+// A read at a follower reflects a command that was proposed at another follower and answered before the read.
 func TestReadAtFollowerSeesProposalOfAnotherFollower(t *testing.T) {
 	cl := newCluster(t, 1, 1, 1)
 	cl.elect(1)
@@ -16,13 +17,13 @@
 	cl.cores[2].Read(2)
 	cl.runUntilIdle()
 	if answer := cl.answers[3][1]; answer.Err != nil || answer.Result.Revision != 2 {
-		t.Errorf("at a follower: %+v", answer)
+		t.Errorf("the proposal at a follower: %+v, want revision 2", answer)
 	}
 	if answer := cl.answers[2][2]; answer.Err != nil || answer.Result.Revision != 2 {
-		t.Errorf("the read: %+v", answer)
+		t.Errorf("the read at another follower: %+v, want revision 2", answer)
 	}
 	if staleness, known := cl.cores[2].Staleness(); !known || staleness != 0 {
-		t.Errorf("staleness %d, known %t", staleness, known)
+		t.Errorf("staleness after the read: %d, known %t; want 0", staleness, known)
 	}
 }
 
@@ -37,14 +38,14 @@
 		cl.runUntilIdle()
 	}
 	if answer := cl.answers[1][1]; !errors.Is(answer.Err, ErrOutcomeUnknown) {
-		t.Errorf("a proposal without a quorum: %+v", answer)
+		t.Errorf("a proposal without a quorum: %+v, want ErrOutcomeUnknown", answer)
 	}
 	c.Propose(2, &machine.Command{Kind: machine.OpenSessionKind})
 	cl.runUntilIdle()
 	if answer := cl.answers[1][2]; !errors.Is(answer.Err, ErrNoLeader) {
-		t.Errorf("it still considers itself the leader: %+v", answer)
+		t.Errorf("a later proposal without a quorum: %+v, want ErrNoLeader", answer)
 	}
 	if staleness, _ := c.Staleness(); staleness < int64(c.conf.TimeoutTicks) {
-		t.Errorf("staleness %d", staleness)
+		t.Errorf("staleness %d, want at least the ticks without a quorum", staleness)
 	}
 }
--- a/internal/store/core/reads.go
+++ b/internal/store/core/reads.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	requestIDSize    = 8  // bytes of the context of a read index request
-	refreshInterval  = 2  // ticks between the instance's own read index requests, which measure its staleness
+	requestIDSize    = 8  // bytes of a request id, which is the context of a read index request
+	refreshInterval  = 2  // ticks between the read index requests that the instance makes to measure its staleness
 	readIndexTimeout = 10 // ticks after which an unanswered read index request fails
 )
 
-// readRequest is a read index request that was not answered yet.
+// readRequest is a read index request that the leader has not answered yet.
 type readRequest struct {
 	requestID   uint64
 	requestedAt int64 // in ticks
@@ -29,7 +29,7 @@
 }
 
 // Read requests a linearizable read. The token is answered once the local state contains every command that was
-// answered at any instance before the call, or with ErrNoLeader or ErrHalted; the owner reads Machine then.
+// answered at any instance before the call; the owner then reads Machine. The errors are ErrNoLeader and ErrHalted.
 func (c *Core) Read(token uint64) {
 	if c.halted != nil {
 		c.answer(token, c.halted, machine.Result{})
@@ -38,8 +38,8 @@
 	c.queuedReads = append(c.queuedReads, token)
 }
 
-// Staleness returns an upper bound in ticks on how far the local state is behind. known is false until a first read
-// index was confirmed since the start.
+// Staleness returns an upper bound in ticks on how far the local state is behind. known is false until the instance has
+// completed the first read index request since its start.
 func (c *Core) Staleness() (ticks int64, known bool) { return c.now - c.freshAt, c.freshAt >= 0 }
 
 // requestReadIndex requests from the leader the index that must be applied before the reads are answered. The leader
@@ -65,7 +65,7 @@
 	}
 }
 
-// completeReads answers the reads whose index is applied.
+// completeReads answers the reads whose index has been applied.
 func (c *Core) completeReads() {
 	waiting := c.confirmedReads[:0]
 	for _, read := range c.confirmedReads {
@@ -87,8 +87,8 @@
 	}
 }
 
-// expireWaits fails the proposals and reads that have waited too long, and periodically requests a read index for the
-// staleness of the state, since messages may get lost.
+// expireWaits fails the proposals and reads that have waited too long. It also requests a read index periodically, which
+// measures the staleness of the state; a single request might get lost.
 func (c *Core) expireWaits() {
 	c.abandonProposals(func(proposal pendingProposal) bool { return c.now >= proposal.deadline })
 	if c.leader == raft.None { // without a leader no answer can arrive; the client may try another instance
--- a/internal/store/core/snapshot.go
+++ b/internal/store/core/snapshot.go
@@ -10,8 +10,8 @@
 	"cloverrock/internal/store/machine"
 )
 
-// sentSnapshotName names a snapshot received from another instance in error messages.
-const sentSnapshotName = "a snapshot that was sent"
+// sentSnapshotName stands for a file name in errors about a snapshot that was received from another instance.
+const sentSnapshotName = "a snapshot received from another instance"
 
 // Snapshot is the state at one index. Its image is immutable and may be written by another goroutine, whose result the
 // owner reports with SnapshotSaved.
@@ -36,7 +36,7 @@
 	return meta, state, err
 }
 
-// installSnapshot replaces the state by a snapshot that the leader has sent.
+// installSnapshot replaces the state by a snapshot received from the leader.
 func (c *Core) installSnapshot(data []byte) error {
 	meta, state, err := decodeSnapshot(sentSnapshotName, data)
 	if err != nil {
@@ -55,7 +55,7 @@
 }
 
 // DueSnapshot returns a snapshot that the owner must write and report to SnapshotSaved, or nil. At most one is being
-// written at a time. With force set, one is due unless the newest one already contains all applied entries.
+// written at a time. With force set, a snapshot is due unless the newest one already contains all applied entries.
 func (c *Core) DueSnapshot(force bool) *Snapshot {
 	if c.savingIndex != 0 || c.halted != nil || c.applied == c.snapshotIndex {
 		return nil
--- a/internal/store/core/start.go
+++ b/internal/store/core/start.go
@@ -25,15 +25,15 @@
 	defaultMaxBatch         = 512
 )
 
-// Flow control limits passed to raft: what may be in flight to a slow follower, and uncommitted at the leader.
+// Flow control limits passed to raft: how much may be in flight to one follower, and uncommitted at the leader.
 const (
 	maxMessageSize     = 512 << 10 // bytes
 	maxInflightMsgs    = 64
-	maxInflightBytes   = 8 << 20
+	maxInflightBytes   = 8 << 20  // bytes
 	maxUncommittedSize = 32 << 20 // bytes
 )
 
-// Config of one instance. Zero values get defaults.
+// Config configures one instance. Zero values are replaced by defaults.
 type Config struct {
 	ID                   uint64
 	Nonce                uint64 // new with each start: request ids of an earlier incarnation are never reused
@@ -72,13 +72,14 @@
 
 // InitialState is the durable state that an instance starts from.
 type InitialState struct {
-	Snapshot     []byte // encoded; nil for an instance that has joined and was not sent a snapshot yet
+	Snapshot     []byte // encoded; nil for an instance that has joined and has not received a snapshot yet
 	SnapshotName string // for error messages
 	Log          *disk.Loaded
 }
 
-// New returns an instance with the given state. The error is a *disk.CorruptError for a damaged snapshot, wraps
-// machine.ErrUnknownRecord for one of a newer build, and otherwise describes how snapshot and log contradict each other.
+// New returns an instance with the given state. The error is a *disk.CorruptError for a damaged snapshot, and wraps
+// machine.ErrUnknownRecord for a snapshot of a newer build. Any other error states how snapshot and log contradict each
+// other.
 func New(conf Config, initial InitialState) (*Core, error) {
 	conf.setDefaults()
 	meta, state, err := initial.restore()
@@ -132,7 +133,7 @@
 	return c, nil
 }
 
-// restore returns the snapshot's metadata and state, both empty if there is no snapshot.
+// restore decodes the snapshot. Without one, the metadata and the state are empty.
 func (s *InitialState) restore() (*raftpb.SnapshotMetadata, *machine.Machine, error) {
 	if s.Snapshot == nil {
 		return &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{}}, machine.New(), nil
@@ -142,7 +143,7 @@
 		return nil, nil, err
 	}
 	if state.Index() != meta.GetIndex() {
-		return nil, nil, fmt.Errorf("store: snapshot %s holds index %d in a file of index %d",
+		return nil, nil, fmt.Errorf("store: snapshot %s is inconsistent: its state ends at index %d, its metadata states index %d",
 			s.SnapshotName, state.Index(), meta.GetIndex())
 	}
 	return meta, state, nil
@@ -151,7 +152,7 @@
 // loadLog passes the entries and the hard state that were read from disk to raft's storage.
 func (c *Core) loadLog(log *disk.Loaded, meta *raftpb.SnapshotMetadata) error {
 	if len(log.Entries) > 0 && log.Entries[0].GetIndex() != meta.GetIndex()+1 {
-		return fmt.Errorf("store: the log begins at entry %d and the snapshot ends at %d",
+		return fmt.Errorf("store: the log begins at entry %d, but the snapshot ends at entry %d: the log must begin at the next one",
 			log.Entries[0].GetIndex(), meta.GetIndex())
 	}
 	if err := c.storage.Append(log.Entries); err != nil {
@@ -162,7 +163,7 @@
 		return fmt.Errorf("store: start from log: %w", err)
 	}
 	if commit := log.HardState.GetCommit(); commit > last {
-		return fmt.Errorf("store: the log ends at entry %d, but entry %d was committed: the end of the log is lost", last, commit)
+		return fmt.Errorf("store: the log ends at entry %d, but entry %d was committed: entries at the end of the log were lost", last, commit)
 	}
 	hard := proto.CloneOf(log.HardState)
 	if hard.GetCommit() < meta.GetIndex() {
@@ -190,7 +191,7 @@
 		return nil, err
 	}
 	if result.Code != machine.OK {
-		return nil, fmt.Errorf("store: found a cluster: %s", result.Code)
+		return nil, fmt.Errorf("store: create the initial snapshot: %s", result.Code)
 	}
 	meta := &raftpb.SnapshotMetadata{
 		Index:     proto.Uint64(1),
--- a/internal/store/core/transfer.go
+++ b/internal/store/core/transfer.go
@@ -15,7 +15,7 @@
 	resendAfterAcks   = 3   // acknowledgements without progress after which chunks are sent again at once
 	resendAfterTicks  = 10  // ticks without an acknowledgement after which chunks are sent again
 	abandonAfterTicks = 100 // ticks without a message after which a transfer is abandoned
-	// MaxSnapshotSize bounds the size in bytes that a sender may announce for a snapshot.
+	// MaxSnapshotSize bounds the size, in bytes, that a sender may announce for a snapshot.
 	MaxSnapshotSize = 2 << 30
 )
 
@@ -61,15 +61,16 @@
 	return t.index == chunk.Index && t.term == chunk.Term && t.total == chunk.Total
 }
 
-// beginTransfer starts a transfer in place of raft's MsgSnap. It sends the newest snapshot, which may be newer than the
-// one that raft named.
+// beginTransfer starts a transfer in chunks instead of raft's MsgSnap. It sends the newest snapshot, which may be newer
+// than the one in the message.
 func (c *Core) beginTransfer(request *raftpb.Message) {
 	to := request.GetTo()
 	if c.outgoing[to] != nil {
 		return
 	}
 	c.outgoing[to] = &outgoingTransfer{to: to, term: request.GetTerm(), lastHeard: c.now}
-	// Raft rejects a snapshot whose members do not include the receiver: one that has just joined needs a new snapshot.
+	// Raft rejects a snapshot whose members do not include the receiver. An instance that has just joined therefore needs
+	// a new snapshot.
 	if !isMember(c.snapshotMembers, to) {
 		c.snapshotForced = true
 	}
@@ -152,8 +153,8 @@
 	return budget
 }
 
-// receiveChunk processes a part of a snapshot. Only the next part in order is kept; each acknowledgement states how
-// many bytes were received, and thereby requests the next part.
+// receiveChunk processes a part of a snapshot. Only the next part in order is kept. Each acknowledgement states how many
+// bytes were received, and thereby requests the next part.
 func (c *Core) receiveChunk(from uint64, chunk *SnapshotChunk) {
 	if !chunk.valid() {
 		return
@@ -194,7 +195,8 @@
 	})
 }
 
-// receiveAck processes an acknowledgement: it advances the window, or goes back after a loss or restart.
+// receiveAck processes an acknowledgement. It advances the window, or goes back to the acknowledged offset if a chunk was
+// lost or the receiver has restarted.
 func (c *Core) receiveAck(from uint64, ack *ChunkAck) {
 	transfer := c.outgoing[from]
 	if transfer == nil || transfer.data == nil || ack.Index != transfer.index {
--- a/internal/store/core/transfer_test.go
+++ b/internal/store/core/transfer_test.go
@@ -7,7 +7,7 @@
 	"cloverrock/internal/store/machine"
 )
 
-// A snapshot is sent in chunks within its rate, and arrives complete although chunks and acknowledgements are lost.
+// A snapshot is sent in chunks within the rate limit, and arrives complete although chunks and acknowledgements are lost.
 func TestSnapshotTransferRespectsRateLimitAndToleratesLoss(t *testing.T) {
 	cl := newCluster(t, 1, 1, 1)
 	leader, receiver := cl.elect(1), cl.cores[3]
@@ -23,7 +23,7 @@
 	snapshot := leader.DueSnapshot(true)
 	encoded, err := EncodeSnapshot(snapshot)
 	if err != nil || leader.SnapshotSaved(snapshot, nil) == 0 {
-		t.Fatalf("the log is not released: %v", err)
+		t.Fatalf("no part of the log may be removed after the snapshot: %v", err)
 	}
 
 	cl.snapshotData = encoded
@@ -42,17 +42,17 @@
 	}
 	for tick := 0; receiver.Machine().Index() < snapshot.Meta.GetIndex(); tick++ {
 		if tick > 500 {
-			t.Fatalf("the snapshot does not arrive: %+v", leader.Status())
+			t.Fatalf("the snapshot has not arrived after 500 ticks: %+v", leader.Status())
 		}
 		sent = 0
 		leader.Tick()
 		receiver.Tick()
 		cl.runUntilIdle()
 		if sent > leader.conf.SnapshotBytesPerTick+leader.conf.ChunkSize {
-			t.Fatalf("%d bytes in a tick; %d are allowed", sent, leader.conf.SnapshotBytesPerTick)
+			t.Fatalf("%d bytes sent in a tick, the limit is %d plus one chunk", sent, leader.conf.SnapshotBytesPerTick)
 		}
 	}
 	if receiver.Machine().KeyCount() != leader.Machine().KeyCount() {
-		t.Errorf("%d keys, %d at the leader", receiver.Machine().KeyCount(), leader.Machine().KeyCount())
+		t.Errorf("%d keys at the receiver, %d at the leader", receiver.Machine().KeyCount(), leader.Machine().KeyCount())
 	}
 }
--- a/internal/store/core/work.go
+++ b/internal/store/core/work.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Work is a batch of I/O for the owner, in this order: send SendBeforeSave; save SnapshotData, HardState and Entries;
+// Work is a batch of I/O. The owner does it in this order: send SendBeforeSave; save SnapshotData, HardState and Entries;
 // send SendAfterSave; call Done.
 type Work struct {
 	SendBeforeSave []Envelope
@@ -49,7 +49,7 @@
 }
 
 // sortMessages separates the messages that may be sent before the save from the others. A leader may replicate entries
-// while it writes them itself; all other messages may acknowledge what must be durable first.
+// while it writes them itself. All other messages may acknowledge something that must be durable first.
 func (c *Core) sortMessages(work *Work, messages []*raftpb.Message) {
 	leads := c.IsLeader()
 	for _, message := range messages {
@@ -66,6 +66,7 @@
 	}
 }
 
+// setLeader records a change of leader. The checks of learners and the time for the logical clock start anew.
 func (c *Core) setLeader(leader uint64) {
 	if leader == c.leader {
 		return
@@ -88,11 +89,11 @@
 	}
 	if work.HardState != nil {
 		if err := c.storage.SetHardState(work.HardState); err != nil {
-			return fmt.Errorf("store: note hard state: %w", err)
+			return fmt.Errorf("store: keep hard state in memory: %w", err)
 		}
 	}
 	if err := c.storage.Append(work.ready.Entries); err != nil {
-		return fmt.Errorf("store: note entries: %w", err)
+		return fmt.Errorf("store: keep entries in memory: %w", err)
 	}
 	for _, entry := range work.ready.CommittedEntries {
 		c.apply(entry)
