--- a/internal/store/machine/command.go
+++ b/internal/store/machine/command.go
@@ -7,8 +7,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Format is the newest format of commands that this build supports. A command states the oldest format that a reader
-// must support; fields that an older reader may ignore do not raise it.
+// Format is the newest format of commands that this build supports. Each command states the oldest format that a reader
+// must support to apply it. A new field that older readers may ignore does not raise that format.
 const Format = 1
 
 // Kind is the kind of a command.
@@ -17,13 +17,13 @@
 // The kinds of commands. Their numbers are part of the format.
 const (
 	TransactionKind  Kind = iota + 1 // compare, then one of two lists of operations
-	OpenSessionKind                  // open a session; its id is the result's
-	GrantLeaseKind                   // grant a lease of Amount milliseconds; its id is the result's
+	OpenSessionKind                  // open a session; the result has its id
+	GrantLeaseKind                   // grant a lease of Amount milliseconds; the result has its id
 	KeepAliveKind                    // extend a lease by its full duration from now
 	RevokeLeaseKind                  // end a lease now
 	AdvanceClockKind                 // advance the logical clock by Amount milliseconds
-	CompactKind                      // drop the events up to a revision
-	RaiseFormatKind                  // raise the agreed format of commands
+	CompactKind                      // drop the events up to revision Amount
+	RaiseFormatKind                  // raise the agreed format of commands to Amount
 	lastKind         = RaiseFormatKind
 )
 
@@ -31,14 +31,14 @@
 type Command struct {
 	Format    uint8     `msgpack:"v"`
 	Kind      Kind      `msgpack:"k"`
-	RequestID uint64    `msgpack:"r,omitempty"` // chosen by the proposer, which finds its answer by it
-	Session   uint64    `msgpack:"s,omitempty"` // 0: none; a pair of Session and Seq is applied once
+	RequestID uint64    `msgpack:"r,omitempty"` // chosen by the proposing instance, which matches the result with its proposal by it
+	Session   uint64    `msgpack:"s,omitempty"` // 0: none; a command with the same Session and Seq is applied once
 	Seq       uint64    `msgpack:"q,omitempty"` // increases with each command of a session
-	If        []Compare `msgpack:"i,omitempty"` // all must hold
-	Then      []Op      `msgpack:"t,omitempty"` // executed if If holds
+	If        []Compare `msgpack:"i,omitempty"` // the transaction's conditions, all of which must hold
+	Then      []Op      `msgpack:"t,omitempty"` // executed if all conditions hold
 	Else      []Op      `msgpack:"e,omitempty"` // executed otherwise
 	Lease     uint64    `msgpack:"l,omitempty"` // to extend or revoke
-	Amount    int64     `msgpack:"a,omitempty"` // milliseconds, a revision, or a format, by the kind
+	Amount    int64     `msgpack:"a,omitempty"` // milliseconds, a revision, or a format, depending on the kind
 }
 
 // Target is the property of a key that a comparison reads.
@@ -47,11 +47,11 @@
 // The targets of comparisons. Their numbers are part of the format.
 const (
 	Version  Target = iota // writes since the key was created; 0: it does not exist
-	Modified               // revision of the last write
-	Value
+	Modified               // revision of the last write; 0: the key does not exist
+	Value                  // the key's value; does not hold for a key that does not exist
 )
 
-// Compare is a condition on a key: it holds if the target equals Number, or Value for the target Value.
+// Compare is a condition on a key. It holds if the target equals Number, or Value if the target is Value.
 type Compare struct {
 	NS     string `msgpack:"n"`
 	Key    string `msgpack:"k"`
@@ -72,11 +72,11 @@
 	lastOp = List
 )
 
-// Writes reports whether the operation changes a key. The invalid zero kind counts as a write, so that permission checks
-// for writes cover it too; it is never applied.
+// Writes reports whether the operation changes a key. The zero kind is invalid and never applied; it counts as a write, so
+// that the permission checks for writes cover it too.
 func (k OpKind) Writes() bool { return k <= Delete }
 
-// Op is one operation. A key that is put with a lease is deleted when the lease ends.
+// Op is one operation. A key that is written with a lease is deleted when the lease ends.
 type Op struct {
 	Kind  OpKind `msgpack:"o"`
 	NS    string `msgpack:"n"`
@@ -132,15 +132,15 @@
 // Result is the outcome of a command.
 type Result struct {
 	Code     Code   `msgpack:"c,omitempty"`
-	Holds    bool   `msgpack:"h,omitempty"` // the comparisons of If held
+	Holds    bool   `msgpack:"h,omitempty"` // all conditions held
 	Revision int64  `msgpack:"r"`           // after the command
 	ID       uint64 `msgpack:"i,omitempty"` // of a session or lease
 	KVs      []KV   `msgpack:"k,omitempty"` // found by Get and List, in their order
 }
 
-// ErrUnknownRecord is the error for a record that this build cannot decode. Skipping it would make this instance's state
-// differ from that of the others, so it must stop applying commands instead.
-var ErrUnknownRecord = errors.New("store: a record that this build does not know")
+// ErrUnknownRecord is the error for a record that this build cannot decode. An instance that skipped the record would have
+// another state than the other instances, so it must stop applying commands instead.
+var ErrUnknownRecord = errors.New("store: a record that this build does not support")
 
 // Encode encodes a command for the log. It sets the format of a command that has none.
 func Encode(command *Command) ([]byte, error) {
@@ -154,8 +154,8 @@
 	return data, nil
 }
 
-// Decode decodes a command. The error is ErrUnknownRecord for one that cannot be decoded, of a newer format than the
-// given one, or of an unknown kind.
+// Decode decodes a command. The error wraps ErrUnknownRecord if the command cannot be decoded, has a newer format than the
+// given one, or has an unknown kind.
 func Decode(data []byte, format uint8) (*Command, error) {
 	var command Command
 	if err := msgpack.Unmarshal(data, &command); err != nil {
@@ -164,7 +164,7 @@
 	knownFormat := command.Format != 0 && command.Format <= format
 	knownKind := command.Kind != 0 && command.Kind <= lastKind
 	if !knownFormat || !knownKind {
-		return nil, fmt.Errorf("%w: form %d (this build: %d), kind %d", ErrUnknownRecord, command.Format, format, command.Kind)
+		return nil, fmt.Errorf("%w: command of format %d (supported: 1 to %d) and kind %d", ErrUnknownRecord, command.Format, format, command.Kind)
 	}
 	return &command, nil
 }
--- a/internal/store/machine/events.go
+++ b/internal/store/machine/events.go
@@ -6,11 +6,13 @@
 	"strings"
 )
 
-// KeepEvents is the number of events that are at least kept for watches. At twice as many the older half is dropped.
+// KeepEvents is the smallest number of the latest events that are kept for watches. When there are twice as many, the
+// older half is dropped.
 const KeepEvents = 16384
 
-// EventHandler handles the events of a watch up to a revision. With complete false, events before that revision were
-// compacted: the handler must read the keys again, and the watch continues after upTo. An error ends the watch.
+// EventHandler handles the events of a watch up to a revision. If complete is false, events up to that revision were
+// compacted before the watch received them: the handler must read the keys again, and the watch continues after upTo. An
+// error ends the watch.
 type EventHandler func(events []Event, upTo int64, complete bool) error
 
 // recordEvent appends an event and sets the machine's revision to that of the event.
@@ -22,7 +24,7 @@
 	}
 }
 
-// compactTo drops the events up to a revision, which must exist and not be compacted yet.
+// compactTo drops the events up to a revision, which must not be a future one nor compacted already.
 func (m *Machine) compactTo(revision int64) Code {
 	switch {
 	case revision > m.revision:
@@ -34,7 +36,8 @@
 	return OK
 }
 
-// dropEvents drops the events up to a revision. Images share the old slice, so the remaining events are copied.
+// dropEvents drops the events up to a revision. Images share the old slice, so the remaining events are copied to a new
+// one.
 func (m *Machine) dropEvents(revision int64) {
 	m.events = slices.Clone(m.events[m.firstEventAfter(revision):])
 	m.compactedTo = revision
@@ -49,8 +52,8 @@
 }
 
 // EventsSince returns the events of a namespace and prefix after a revision, and the revision up to which they are
-// complete. It returns about limit events: the events of one revision are never split. It reports false if events after
-// the revision were compacted: the watcher must read the keys again.
+// complete. It returns about limit events: the events of one revision are returned together. It reports false if events
+// after the revision were compacted: the watcher must read the keys again.
 func (m *Machine) EventsSince(ns, prefix string, after int64, limit int) (found []Event, upTo int64, ok bool) {
 	if after < m.compactedTo {
 		return nil, m.compactedTo, false
--- a/internal/store/machine/golden_test.go
+++ b/internal/store/machine/golden_test.go
@@ -11,8 +11,8 @@
 	"cloverrock/internal/golden"
 )
 
-// goldenCommands are commands of each kind, with each operation, comparison and field; in this order they also fill a
-// machine. The session is that of index 1, the leases those of 2 and 3.
+// goldenCommands returns commands of each kind, with each operation, comparison and field. They are also applied in this
+// order: the first opens session 1, the next two grant leases 2 and 3.
 func goldenCommands() []Command {
 	return []Command{
 		{Kind: OpenSessionKind, RequestID: 71},
@@ -33,7 +33,8 @@
 	}
 }
 
-// The form of commands in the log, both ways, and the numbers of results' codes stay.
+// The encoding of commands in the log and the numbers of result codes do not change, and stored commands decode to the same
+// commands.
 func TestCommandsKeepTheirBytes(t *testing.T) {
 	var lines []string
 	commands := goldenCommands()
@@ -54,12 +55,13 @@
 			t.Fatal(err)
 		}
 		if got, err := Decode(b, Format); err != nil || !reflect.DeepEqual(got, &commands[i]) {
-			t.Errorf("command %d is read as %+v, %v", i+1, got, err)
+			t.Errorf("command %d is decoded as %+v, error %v", i+1, got, err)
 		}
 	}
 }
 
-// The form of the state in a snapshot, both ways, and the chain that instances compare stay.
+// The encoding of the state in a snapshot and the chain that instances compare do not change, and a stored image restores
+// to the same state.
 func TestImageKeepsItsBytes(t *testing.T) {
 	m := New()
 	var lines []string
@@ -89,12 +91,12 @@
 	}
 	image.Reset()
 	if err := restored.Image().Write(&image); err != nil || !bytes.Equal(image.Bytes(), b) {
-		t.Errorf("restored and written again: %x, %v", image.Bytes(), err)
+		t.Errorf("the restored image is written as other bytes: %x, error %v", image.Bytes(), err)
 	}
 	checkGoldenState(t, restored)
 }
 
-// checkGoldenState holds what a machine has that applied the golden commands.
+// checkGoldenState checks the state of a machine that was restored after the golden commands.
 func checkGoldenState(t *testing.T, m *Machine) {
 	t.Helper()
 	one, found := m.Get("config", "one")
--- a/internal/store/machine/image.go
+++ b/internal/store/machine/image.go
@@ -21,8 +21,9 @@
 	events   []Event
 }
 
+// imageHead is the first record of an encoded image.
 type imageHead struct {
-	Form     uint8  `msgpack:"form"`  // format version of the image
+	Form     uint8  `msgpack:"form"`  // version of the image's encoding
 	Level    uint8  `msgpack:"level"` // the agreed format of commands
 	Index    uint64 `msgpack:"index"`
 	Revision int64  `msgpack:"revision"`
@@ -164,13 +165,13 @@
 	return m, nil
 }
 
-// check returns an error for a newer format or impossible counts.
+// check returns an error if the image is of a newer build or its head is malformed.
 func (h *imageHead) check() error {
 	if h.Form > Format || h.Level > Format {
-		return fmt.Errorf("%w: an image of form %d, level %d (this build: %d)", ErrUnknownRecord, h.Form, h.Level, Format)
+		return fmt.Errorf("%w: image of version %d with agreed command format %d (both supported up to %d)", ErrUnknownRecord, h.Form, h.Level, Format)
 	}
 	if h.Form == 0 || min(h.Keys, h.Leases, h.Sessions, h.Events) < 0 {
-		return errors.New("store: read image: the head is malformed")
+		return errors.New("store: read image: malformed head: the version is 0 or a count is negative")
 	}
 	return nil
 }
@@ -188,7 +189,7 @@
 	return leased, err
 }
 
-// decodeAll decodes count values and passes each to take; kind names them in an error.
+// decodeAll decodes count values and passes each to add. kind names them in errors.
 func decodeAll[T any](decoder *msgpack.Decoder, kind string, count int, add func(*T)) error {
 	for range count {
 		value := new(T)
--- a/internal/store/machine/lease.go
+++ b/internal/store/machine/lease.go
@@ -9,10 +9,10 @@
 // MaxTTL bounds the duration of a lease in milliseconds.
 const MaxTTL = 24 * 3600 * 1000
 
-// lease expires at a time of the logical clock. Its keys are deleted then.
+// lease ends at a time of the logical clock, and its keys are deleted then.
 type lease struct {
 	id       uint64
-	ttl, end int64               // in milliseconds of the logical clock
+	ttl, end int64               // duration and end, in milliseconds of the logical clock
 	keys     map[string]struct{} // by storageKey
 }
 
@@ -56,7 +56,7 @@
 	return OK
 }
 
-// detachLease removes a key from the lease that it had, if any.
+// detachLease removes a key, given by its storage key, from the lease that the key has, if any.
 func (m *Machine) detachLease(kv *KV, at string) {
 	if lease := m.leases[kv.Lease]; lease != nil {
 		delete(lease.keys, at)
@@ -72,7 +72,7 @@
 	}
 }
 
-// endExpiredLeases ends leases in the order of their ids, so that the revisions are the same at every instance.
+// endExpiredLeases ends expired leases in the order of their ids, so that the revisions are the same at every instance.
 func (m *Machine) endExpiredLeases() {
 	var expired []*lease
 	for _, lease := range m.leases {
--- a/internal/store/machine/machine.go
+++ b/internal/store/machine/machine.go
@@ -1,6 +1,6 @@
-// Package machine is the store's replicated state: namespaces of keys with revisions, transactions, leases on a
-// logical clock, sessions that apply a retried command once, and the latest events for watches. It does no I/O,
-// reads no clock and starts no goroutine; the same commands give the same state and the same results at every instance.
+// Package machine implements the store's replicated state: namespaces of keys with revisions, transactions, leases on a
+// logical clock, sessions that apply a retried command once, and the latest events for watches. It does no I/O, reads no
+// clock and starts no goroutine. The same commands give the same state and the same results at every instance.
 package machine
 
 import (
@@ -97,20 +97,21 @@
 // storageKey returns the key under which a namespace's key is stored.
 func storageKey(ns, key string) string { return ns + "\x00" + key }
 
-// ValidName reports whether a namespace or key is valid: 1 to 1024 bytes without a zero byte, which separates the two in
-// storage keys.
+// ValidName reports whether a namespace or key is valid: 1 to 1024 bytes, none of which is zero. Storage keys use the
+// zero byte as separator.
 func ValidName(name string) bool {
 	return name != "" && len(name) <= maxName && !strings.Contains(name, "\x00")
 }
 
-// Skip advances to an index without a command, for raft's own empty entries.
+// Skip advances to an index that has no command, such as that of an empty entry that raft adds.
 func (m *Machine) Skip(index uint64) { m.extendChain(index, nil, 0, 0) }
 
-// Apply applies the command at an index, and returns its result and the decoded command. It returns an error only for
-// ErrUnknownRecord and for an index out of order, and then changes nothing; any other failure is the result's code.
+// Apply applies the command at an index, and returns its result and the decoded command. It returns an error, and changes
+// nothing, only if the command cannot be decoded (ErrUnknownRecord) or the index is out of order. Any other failure is
+// stated by the result's code.
 func (m *Machine) Apply(index uint64, data []byte) (Result, *Command, error) {
 	if index <= m.index {
-		return Result{}, nil, fmt.Errorf("store: index %d does not follow %d", index, m.index)
+		return Result{}, nil, fmt.Errorf("store: cannot apply the command at index %d: the last applied index is %d", index, m.index)
 	}
 	command, err := Decode(data, m.format)
 	if err != nil {
--- a/internal/store/machine/machine_test.go
+++ b/internal/store/machine/machine_test.go
@@ -61,17 +61,17 @@
 			Else: []Op{{Kind: Get, NS: "n", Key: "a"}}}
 	}
 	if result := h.apply(compareAndSet("a", 7)); result.Holds || len(result.KVs) != 1 || result.Revision != 1 {
-		t.Errorf("a comparison that fails: %+v", result)
+		t.Errorf("a transaction whose condition fails: %+v", result)
 	}
 	h.expect("b", "")
 	if result := h.apply(compareAndSet("a", 1)); !result.Holds || result.Revision != 2 {
-		t.Errorf("a comparison that holds: %+v", result)
+		t.Errorf("a transaction whose condition holds: %+v", result)
 	}
 	h.expect("b", "2")
 	// The second operation names an unknown lease: the first must not be executed either.
 	bad := Command{Kind: TransactionKind, Then: []Op{{Kind: Put, NS: "n", Key: "a", Value: []byte("3")}, {Kind: Put, NS: "n", Key: "c", Lease: 99}}}
 	if result := h.apply(bad); result.Code != NoLease || result.Revision != 2 {
-		t.Errorf("an unknown lease: %+v", result)
+		t.Errorf("a transaction with an unknown lease: %+v, want NoLease", result)
 	}
 	h.expect("a", "2")
 }
@@ -83,18 +83,18 @@
 	first := h.apply(write)
 	h.put("k", "2", 0)
 	if again := h.apply(write); !cmp.Equal(again, first) {
-		t.Errorf("a retry got %+v, the first %+v", again, first)
+		t.Errorf("a retry returned %+v, the first attempt %+v", again, first)
 	}
 	h.expect("k", "2")
 	write.Seq = 2
 	h.apply(write)
 	write.Seq = 1
 	if result := h.apply(write); result.Code != OldSeq {
-		t.Errorf("an old number: %+v", result)
+		t.Errorf("an old sequence number: %+v, want OldSeq", result)
 	}
 	write.Session = 12345
 	if result := h.apply(write); result.Code != NoSession {
-		t.Errorf("an unknown session: %+v", result)
+		t.Errorf("an unknown session: %+v, want NoSession", result)
 	}
 }
 
@@ -130,15 +130,15 @@
 	h.expect("b", "2")
 	events, _, ok := h.machine.EventsSince("n", "", before, 10)
 	if !ok || len(events) != 1 || !events[0].Deleted || events[0].KV.Key != "a" {
-		t.Errorf("the end of a lease gives the events %+v", events)
+		t.Errorf("the end of the lease recorded the events %+v, want the deletion of a", events)
 	}
 	for _, c := range []Command{{Kind: KeepAliveKind, Lease: lease}, {Kind: RevokeLeaseKind, Lease: lease}} {
 		if res := h.apply(c); res.Code != NoLease {
-			t.Errorf("%+v: %+v", c, res)
+			t.Errorf("%+v on an ended lease: %+v, want NoLease", c, res)
 		}
 	}
 	if res := h.apply(Command{Kind: AdvanceClockKind, Amount: -1}); res.Code != BadAmount {
-		t.Error("the clock went back")
+		t.Error("a negative step of the clock was accepted")
 	}
 }
 
@@ -152,18 +152,18 @@
 	for at < h.machine.Revision() {
 		events, upTo, ok := h.machine.EventsSince("n", "", at, 5)
 		if !ok || upTo <= at || len(events)%2 != 0 {
-			t.Fatalf("from %d: %d events, up to %d, %t", at, len(events), upTo, ok)
+			t.Fatalf("after revision %d: %d events, complete up to %d, ok %t; want progress and both events of each revision", at, len(events), upTo, ok)
 		}
 		for _, e := range events {
 			if e.Revision <= at || e.Revision > upTo {
-				t.Errorf("an event of %d between %d and %d", e.Revision, at, upTo)
+				t.Errorf("an event of revision %d was returned for the revisions after %d up to %d", e.Revision, at, upTo)
 			}
 		}
 		seen += len(events)
 		at = upTo
 	}
 	if seen != 60 {
-		t.Errorf("%d events", seen)
+		t.Errorf("%d events in total, want 60", seen)
 	}
 	h.apply(Command{Kind: CompactKind, Amount: 20})
 	if _, _, ok := h.machine.EventsSince("n", "", 19, 5); ok {
@@ -195,8 +195,8 @@
 	return c
 }
 
-// A machine restored from an image gives the same results as the original, and the image does not change with the
-// machine.
+// A machine restored from an image gives the same results as the original machine. The image does not change when the
+// original applies further commands.
 func TestRestoredImageBehavesLikeTheOriginal(t *testing.T) {
 	h := newHarness(t)
 	rng := rand.New(rand.NewPCG(4, 4))
@@ -217,7 +217,7 @@
 		original, _, err1 := h.machine.Apply(h.machine.Index()+1, command)
 		copied, _, err2 := restored.Apply(restored.Index()+1, command)
 		if err1 != nil || err2 != nil || !cmp.Equal(original, copied) {
-			t.Fatalf("%v, %v: %s", err1, err2, cmp.Diff(original, copied))
+			t.Fatalf("the restored machine differs from the original: errors %v and %v, results: %s", err1, err2, cmp.Diff(original, copied))
 		}
 	}
 	if h.machine.Chain() != restored.Chain() {
@@ -233,22 +233,22 @@
 	}
 }
 
-// A build that receives a record of a newer one returns an error, and does not skip the record.
+// A build returns an error for a record of a newer build, and does not skip it.
 func TestUnknownRecordsAreNotApplied(t *testing.T) {
 	m := New()
 	newer := encode(t, Command{Format: Format + 1, Kind: TransactionKind})
 	unknownKind := encode(t, Command{Kind: lastKind + 1})
 	for _, b := range [][]byte{newer, unknownKind, []byte("noise"), {}} {
 		if _, _, err := m.Apply(1, b); !errors.Is(err, ErrUnknownRecord) || m.Index() != 0 {
-			t.Errorf("%q: %v, index %d", b, err, m.Index())
+			t.Errorf("record %q: error %v, index %d; want ErrUnknownRecord at index 0", b, err, m.Index())
 		}
 	}
 	if _, _, err := New().WithFormat(Format+1).Apply(1, newer); err != nil {
-		t.Errorf("a newer build: %v", err)
+		t.Errorf("a build that supports the newer format: %v", err)
 	}
 	raise := encode(t, Command{Kind: RaiseFormatKind, Amount: Format + 1})
 	if res, _, err := m.Apply(1, raise); err != nil || res.Code != BadAmount {
-		t.Error("an old build agreed to a format that it does not support")
+		t.Error("a build accepted an agreed format that it does not support")
 	}
 }
 
--- a/internal/store/machine/session.go
+++ b/internal/store/machine/session.go
@@ -1,17 +1,17 @@
 package machine
 
-// MaxSessions bounds the sessions. Beyond it the least recently used one is dropped, and its next command gives
-// NoSession.
+// MaxSessions bounds the number of sessions. When there are more, the least recently used one is dropped, and its next
+// command gives NoSession.
 const MaxSessions = 16384
 
 // session holds the result of a client's last command, so that a retry is answered without being applied again.
 type session struct {
 	id, seq uint64
 	result  Result // of the command with number seq
-	used    uint64 // index of the last command, for the order of use
+	used    uint64 // index of the session's last command, which orders sessions by use
 }
 
-// openSession opens a session, and drops the least recently used ones if there are too many.
+// openSession opens a session, and drops the least recently used one if there are too many.
 func (m *Machine) openSession(id uint64) {
 	for len(m.sessions) >= MaxSessions {
 		dropped := m.sessionsByUse.Remove(m.sessionsByUse.Front()).(*session)
--- a/internal/store/machine/transaction.go
+++ b/internal/store/machine/transaction.go
@@ -77,7 +77,7 @@
 	return false
 }
 
-// put writes a key at a revision. The earlier KV is not changed: events and images share it.
+// put writes a key at a revision. It replaces the earlier KV instead of changing it, since events and images share it.
 func (m *Machine) put(op *Op, revision int64) {
 	at := storageKey(op.NS, op.Key)
 	kv := &KV{
