--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -6,7 +6,7 @@
 type ZonesError struct{ Zones int }
 
 func (e *ZonesError) Error() string {
-	return fmt.Sprintf("fleet.zones: the configuration names %d zones", e.Zones)
+	return fmt.Sprintf("fleet.zones: the configuration names %d zones, zone failover needs at least 2", e.Zones)
 }
 
 // Remedy returns what an operator can do.
@@ -21,7 +21,7 @@
 }
 
 func (e *PinError) Error() string {
-	return fmt.Sprintf("fleet.zones.pin.%s: no such zone; there are %v", e.Zone, e.Known)
+	return fmt.Sprintf("fleet.zones.pin.%s: unknown zone, expected one of %v", e.Zone, e.Known)
 }
 
 // Remedy returns what an operator can do.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -72,7 +72,7 @@
 	rereadSettings func() (*settings.Settings, error)
 	log            zerolog.Logger
 	conf           *config.Config
-	unitNames      []string // units of failover: zones, or regions where they are configured
+	unitNames      []string // units of failover: zones, or regions for zones that have one
 	unitOfZone     []int    // index into unitNames, by zone
 	ctx            context.Context
 	stop           context.CancelFunc
@@ -94,8 +94,8 @@
 	evidence       *zonefailover.EvidenceCollector
 	hosts          map[string]hostLocation
 	round          uint64 // number of the last anti-entropy round started here
-	catchingUp     bool   // after a stall, until a round has completed
-	reportedDrops  int64
+	catchingUp     bool   // true after a stall, until an anti-entropy round has completed
+	reportedDrops  int64  // elements dropped from full rings that were already logged
 	ticks          int
 	lastTickAt     time.Time
 	lastRoundAt    time.Time
@@ -108,8 +108,8 @@
 	group int64
 }
 
-// Wrap returns a component that adds zone failover to another one. It starts in Attach; rereadSettings is called in
-// ReloadConfig.
+// Wrap returns a component that adds zone failover to another one. Zone failover starts in Attach. reread is called in
+// ReloadConfig and returns the settings of the settings file as it is then.
 func Wrap(inner app.Component, set *settings.Fleet, reread func() (*settings.Settings, error), log zerolog.Logger) *Component {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Component{
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	s.shares.Store(&[]byte{0, 40})
 	for zone, want := range []float64{0, 0.4, 1} {
 		if got := s.ReadShare(zone); got != want {
-			t.Errorf("zone %d: %v", zone, got)
+			t.Errorf("zone %d: share %v", zone, got)
 		}
 	}
 }
--- a/internal/fleet/loop.go
+++ b/internal/fleet/loop.go
@@ -19,7 +19,7 @@
 	hostUpdateInterval = time.Second
 	roundInterval      = 2500 * time.Millisecond // between anti-entropy rounds
 	catchUpInterval    = roundInterval / 5       // between rounds while catching up
-	stallThreshold     = 2 * time.Second         // a longer gap between ticks means that this process did not run
+	stallThreshold     = 2 * time.Second         // a longer gap between ticks means that this process was not running
 )
 
 // decisionLoop merges messages, decides and publishes shares. Only its goroutine uses the modules that decide.
@@ -61,8 +61,9 @@
 	c.publish(now.UnixMicro())
 }
 
-// detectStall detects that this process did not run for a while. Its copy of the entries is then outdated, and its
-// evidence shows its own stall: it drops the evidence and catches up before it votes again.
+// detectStall detects that this process was not running for a while. Its copy of the entries is then outdated, and its
+// evidence shows its own stall instead of the state of the zones. It therefore drops the evidence, and catches up before
+// it votes again.
 func (c *Component) detectStall(now time.Time) {
 	gap := now.Sub(c.lastTickAt)
 	c.lastTickAt = now
@@ -75,7 +76,7 @@
 	c.evidence = c.newEvidence()
 }
 
-// synchronize starts an anti-entropy round when one is due, and ends the catching up when a round has completed.
+// synchronize starts an anti-entropy round when one is due, and ends catching up when a round has completed.
 func (c *Component) synchronize(now time.Time, members agreement.Members) {
 	sinceRound := now.Sub(c.lastRoundAt)
 	if sinceRound > roundInterval || c.catchingUp && sinceRound > catchUpInterval {
@@ -103,7 +104,8 @@
 	}
 }
 
-// observe adds an outcome to the evidence about its zone, unless it is none: the gateway itself ended the attempt.
+// observe adds the outcome of an attempt or health check to the evidence about the host's zone. An attempt that the
+// gateway itself ended is ignored, since it shows nothing about the host.
 func (c *Component) observe(o outcome) {
 	location, known := c.hosts[o.host]
 	if !known {
@@ -149,7 +151,7 @@
 			Msg("fleet: decision received")
 	}
 	isBroadcast := len(decoded.GroupDigests) == 0 && decoded.Round == 0
-	if isBroadcast { // forwarded once by each member that it changes
+	if isBroadcast { // each member forwards an entry once, when the entry changes its state
 		c.broadcast(changed...)
 	}
 	for _, answer := range answers {
@@ -168,7 +170,7 @@
 	return ints
 }
 
-// broadcast queues entries for all members, each in a message that replaces a queued one with the same key.
+// broadcast queues entries for all members. Each is a message of its own, which replaces a queued one with the same key.
 func (c *Component) broadcast(entries ...crdt.Entry) {
 	for _, e := range entries {
 		key := fmt.Sprint(e.Kind, "/", e.Name, "/", e.Origin)
@@ -206,7 +208,8 @@
 	}
 }
 
-// decide votes, proposes what follows from all votes, drops expired entries, and logs events and dropped elements.
+// decide votes, proposes what follows from all votes, drops expired entries, and logs events of zones and the number of
+// elements dropped from full rings.
 func (c *Component) decide(now int64, members agreement.Members) {
 	if vote, isNew := c.zones.Vote(now, c.evidence.Assess(now, c.zones.OwnZone())); isNew {
 		c.broadcast(vote)
--- a/internal/fleet/modules.go
+++ b/internal/fleet/modules.go
@@ -28,15 +28,15 @@
 const (
 	maxVoteSize      = 1 + 4*255 // bytes: a vote on 255 zones
 	maxDecisionSize  = 1024      // bytes
-	requiredShare    = 0.6       // part of the gateways with a view of a zone's health that decides
-	maxMinViews      = 3         // gateways that must have a view of a zone's health, in fleets of nine or more
+	requiredShare    = 0.6       // fraction of the gateways with a view of a zone's health that must find it unhealthy
+	maxMinViews      = 3         // gateways that must have a view of a zone's health, in fleets of nine or more; a third of smaller fleets
 	maxLatencyShare  = 0.6       // of the latency objective
 	minEvidenceHosts = 3
 	minFailingGroups = 2
-	minFailingShare  = 0.6 // of a zone's hosts
+	minFailingShare  = 0.6 // fraction of a zone's hosts
 )
 
-// The values of the setting zones.without, which turns off safeguards for experiments.
+// The safeguards that the setting zones.without can turn off, for experiments.
 const (
 	withoutQuorum   = "quorum"
 	withoutPace     = "pace"
@@ -104,7 +104,7 @@
 // milliseconds converts milliseconds to microseconds.
 func milliseconds(ms int) int64 { return int64(ms) * 1000 }
 
-// ownUnit is the unit of this gateway's zone; -1 if it has none.
+// ownUnit returns the unit of this gateway's zone; -1 if it has none.
 func (c *Component) ownUnit() int {
 	if zone := c.conf.Settings.Zone; zone < len(c.unitOfZone) {
 		return c.unitOfZone[zone]
@@ -112,7 +112,7 @@
 	return -1
 }
 
-// setOverrides replaces all overrides by those in the settings. One of an unknown zone is logged and ignored.
+// setOverrides replaces all overrides by those in the settings. An override of an unknown zone is logged and ignored.
 func (c *Component) setOverrides(pins map[string]string) {
 	for unit := range c.unitNames {
 		c.zones.SetOverride(unit, zonefailover.NoOverride)
--- a/internal/fleet/ring_test.go
+++ b/internal/fleet/ring_test.go
@@ -13,15 +13,15 @@
 	}
 	for want := 2; want < 5; want++ {
 		if got := <-r.ch; got != want {
-			t.Errorf("%d, want %d", got, want)
+			t.Errorf("received element %d, want %d", got, want)
 		}
 	}
 	if r.dropped.Load() != 2 {
-		t.Errorf("%d elements are counted as dropped", r.dropped.Load())
+		t.Errorf("%d elements are counted as dropped, want 2", r.dropped.Load())
 	}
 }
 
-// The cost of an outcome to the gateway's own goroutine.
+// The cost of recording one outcome for the gateway's own goroutine.
 func BenchmarkPushOutcome(b *testing.B) {
 	r := newRing[outcome](outcomeRingSize)
 	b.ReportAllocs()
