--- a/internal/crdt/antientropy.go
+++ b/internal/crdt/antientropy.go
@@ -15,8 +15,8 @@
 	return m
 }
 
-// groupDigest is the hash of a group's buckets. A bucket's index is part of it, since otherwise two
-// swapped buckets would give the same hash.
+// groupDigest returns the hash of a group's buckets. It includes the index of each bucket, since otherwise two swapped
+// buckets would give the same hash.
 func (s *State) groupDigest(group int) (sum uint64) {
 	const goldenRatio = 0x9e3779b97f4a7c15 // 2^64 / phi, the multiplier of Fibonacci hashing
 	for bucket, hash := range s.digest[group] {
@@ -25,7 +25,7 @@
 	return sum
 }
 
-// Receive applies a message. It returns the answers, to be sent to its sender, and the entries that changed the state.
+// Receive applies a message. It returns the answers to its sender, and the entries that changed the state.
 func (s *State) Receive(now int64, m *Message) (answers []*Message, changed []Entry) {
 	s.counts.Messages++
 	changed = s.Merge(now, m.Entries...)
@@ -45,10 +45,11 @@
 	return answers, changed
 }
 
-// CaughtUpRound is the latest round started here that has completed: this state then contained all entries of the other
-// member.
+// CaughtUpRound returns the number of the latest round that was started here and has completed. This state then contains
+// all entries that the other member had.
 func (s *State) CaughtUpRound() uint64 { return s.caughtUpRound }
 
+// caughtUp records that a round started here has completed.
 func (s *State) caughtUp(round uint64) { s.caughtUpRound = max(s.caughtUpRound, round) }
 
 // compareGroups answers the first message of a round with the bucket hashes of the groups that differ.
@@ -64,7 +65,7 @@
 	return answer
 }
 
-// compareBuckets answers with the entries of the buckets that differ, and requests the other member's.
+// compareBuckets answers with the entries of the buckets that differ, and requests the other member's entries of them.
 func (s *State) compareBuckets(m *Message) []*Message {
 	var differing, wanted []int
 	for i, group := range m.DifferingGroups {
--- a/internal/crdt/antientropy_test.go
+++ b/internal/crdt/antientropy_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A round makes two states identical, whatever their entries, with messages that are encoded and decoded. The member
-// that started it detects when it has caught up.
+// A round makes two states identical, whatever their entries. Its messages are encoded and decoded in between. Only the
+// member that started the round records that it has caught up.
 func TestRoundMakesStatesIdentical(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newState("g"), newState("h")
@@ -40,7 +40,7 @@
 			answers, _ := next.to.Receive(start, m)
 			for _, answer := range answers {
 				if answer.Round != 7 {
-					t.Fatalf("an answer of round %d", answer.Round)
+					t.Fatalf("an answer has round %d, want 7", answer.Round)
 				}
 				queue = append(queue, packet{next.from, next.to, answer})
 			}
@@ -49,7 +49,7 @@
 			t.Fatal("the states differ after the round")
 		}
 		if a.CaughtUpRound() != 7 || b.CaughtUpRound() != 0 {
-			t.Fatalf("caught up with %d, %d", a.CaughtUpRound(), b.CaughtUpRound())
+			t.Fatalf("rounds caught up: %d and %d, want 7 and 0", a.CaughtUpRound(), b.CaughtUpRound())
 		}
 	})
 }
--- a/internal/crdt/entry.go
+++ b/internal/crdt/entry.go
@@ -2,9 +2,9 @@
 // all entries, merges what it receives in any order and any number of times, and catches up by anti-entropy rounds
 // after it was disconnected.
 //
-// The merge of two entries of one key is the greater of them by a total order. It is therefore commutative, associative
-// and idempotent for each kind of entry; kinds differ in their order (MergeRule). Each gateway drops an entry on its
-// own when its time to live, counted from its timestamp, has passed: nothing has to be retracted over broken links, and
+// Of two entries with one key, the merge keeps the greater by a total order. It is therefore commutative, associative and
+// idempotent for each kind of entry; kinds differ in their order (MergeRule). Each gateway drops an entry by itself when
+// the entry's time to live, counted from its timestamp, has passed: nothing has to be retracted over broken links, and
 // memory is bounded. The package does no I/O, reads no clock and starts no goroutine.
 //
 // See Shapiro, Preguiça, Baquero, Zawirski: Conflict-free Replicated Data Types (2011).
@@ -25,13 +25,13 @@
 type MergeRule uint8
 
 const (
-	// LastWriterWins is for entries with a single writer: the later incarnation wins, then the later sequence.
+	// LastWriterWins is for entries with a single writer. The later incarnation wins, then the later sequence.
 	LastWriterWins MergeRule = iota
 	// MaxValue is for numbers with any number of writers that only increase, such as positions. The value is a
 	// big-endian number of 8 bytes.
 	MaxValue
-	// HighestEpoch is for agreed values: the sequence is the epoch. Of two values proposed for one epoch the lesser is
-	// kept, so values must be encoded such that the safer one is less.
+	// HighestEpoch is for agreed values. The sequence is the epoch, and the higher epoch wins. Of two values proposed for
+	// one epoch the lesser is kept, so values must be encoded such that the safer one is less.
 	HighestEpoch
 )
 
@@ -57,13 +57,13 @@
 
 // Entry is one replicated value, or a tombstone.
 type Entry struct {
-	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // has the encoder write an array
+	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // makes the encoder write an array
 	Kind        Kind
 	Name        string
 	Origin      string
 	Incarnation uint64 // of the origin's process; increases with each start
 	Sequence    uint64
-	Timestamp   int64 // of the evidence that the entry is based on; microseconds since 1970
+	Timestamp   int64 // when what the entry states was observed; microseconds since 1970
 	Deleted     bool  // a tombstone
 	Value       []byte
 }
@@ -74,7 +74,7 @@
 // numericSize is the size of the value of a MaxValue entry, in bytes.
 const numericSize = 8
 
-// numericValue is the value of a MaxValue entry.
+// numericValue returns the value of a MaxValue entry; 0 if it is malformed.
 func (e *Entry) numericValue() uint64 {
 	if len(e.Value) != numericSize {
 		return 0
@@ -82,7 +82,7 @@
 	return binary.BigEndian.Uint64(e.Value)
 }
 
-// compare orders two entries of one key: above 0 if e is the one to keep. It is total: only equal entries give 0.
+// compare orders two entries of one key: above 0 if e is the one to keep. The order is total: only equal entries give 0.
 func compare(rule MergeRule, e, other *Entry) int {
 	var byRule int
 	switch rule {
@@ -93,7 +93,7 @@
 	case HighestEpoch:
 		byRule = cmp.Or(cmp.Compare(e.Sequence, other.Sequence), bytes.Compare(other.Value, e.Value))
 	}
-	// The rest makes the order total, for conflicting writers under one name and corrupted copies.
+	// The rest makes the order total, for entries of conflicting writers under one name and for corrupted copies.
 	return cmp.Or(byRule,
 		cmp.Compare(e.Timestamp, other.Timestamp),
 		deletedOrder(e)-deletedOrder(other),
@@ -110,7 +110,7 @@
 	return 0
 }
 
-// hash is the hash of an entry in digests. It is part of the protocol and must not change.
+// hash returns the hash of an entry in digests. It is part of the protocol and must not change.
 func (e *Entry) hash() uint64 {
 	digest := xxhash.New()
 	var buf [8]byte
@@ -127,7 +127,7 @@
 	return digest.Sum64()
 }
 
-// hash decides the bucket of a key. It is part of the protocol and must not change.
+// hash returns the hash that decides a key's bucket. It is part of the protocol and must not change.
 func (k Key) hash() uint64 {
 	digest := xxhash.New()
 	_, _ = digest.Write([]byte{byte(k.Kind), byte(len(k.Name))}) // writing to it never fails
--- a/internal/crdt/message.go
+++ b/internal/crdt/message.go
@@ -7,18 +7,18 @@
 )
 
 // Message is a message of an anti-entropy round, or a broadcast of single entries. In a round the gateway that starts
-// it sends the hashes of its digest groups; the answer has the bucket hashes of the groups that differ; then both send
+// it sends the hashes of its digest groups. The answer has the bucket hashes of the groups that differ. Then both send
 // the entries of the buckets that still differ. Each message is self-contained: lost, late and duplicated ones are
 // harmless.
 type Message struct {
-	_msgpack        struct{} `msgpack:",as_array"` //nolint:unused // has the encoder write an array
+	_msgpack        struct{} `msgpack:",as_array"` //nolint:unused // makes the encoder write an array
 	GroupDigests    []uint64 // first message of a round: a hash for each group
 	DifferingGroups []int    // numbers of the groups that differ
 	BucketDigests   []uint64 // their bucket hashes, group after group
 	WantedBuckets   []int    // requests the entries of buckets, each numbered group x bucketsPerGroup + bucket
 	Entries         []Entry
-	Identical       bool // answers a first message without a difference
-	Final           bool // the last of the wanted entries: the member that started the round has caught up
+	Identical       bool // answer to a first message: no group differs
+	Final           bool // last message with wanted entries: the member that started the round has caught up
 	Round           uint64
 }
 
@@ -28,7 +28,7 @@
 	Err  error
 }
 
-func (e *MessageError) Error() string { return fmt.Sprintf("message of %s: %v", e.From, e.Err) }
+func (e *MessageError) Error() string { return fmt.Sprintf("message from %s: %v", e.From, e.Err) }
 
 // Unwrap returns the cause.
 func (e *MessageError) Unwrap() error { return e.Err }
@@ -56,7 +56,7 @@
 	hasGroups := len(m.GroupDigests) == 0 || len(m.GroupDigests) == digestGroups
 	hasBuckets := len(m.BucketDigests) == bucketsPerGroup*len(m.DifferingGroups)
 	if !hasGroups || !hasBuckets {
-		return nil, &MessageError{from, fmt.Errorf("a digest of %d groups and %d buckets", len(m.GroupDigests), len(m.BucketDigests))}
+		return nil, &MessageError{from, fmt.Errorf("%d group digests and %d bucket digests do not match the numbers of groups and buckets", len(m.GroupDigests), len(m.BucketDigests))}
 	}
 	return m, nil
 }
--- a/internal/crdt/state.go
+++ b/internal/crdt/state.go
@@ -27,7 +27,7 @@
 	MaxEntries   int   // 0: 100 000
 }
 
-// Counts counts received messages, and received entries by what became of them.
+// Counts counts the messages received, and the entries received by what was done with them.
 type Counts struct {
 	Merged            int // changed the state
 	NotNewer          int // already present, or older than the present one
@@ -79,17 +79,17 @@
 // Counts returns the counts since New.
 func (s *State) Counts() Counts { return s.counts }
 
-// TakeConflictingOrigin returns the first conflict since it was last called; nil if there was none.
+// TakeConflictingOrigin returns the first conflict since the last call; nil if there was none.
 func (s *State) TakeConflictingOrigin() *ConflictingOriginError {
 	conflict := s.conflict
 	s.conflict = nil
 	return conflict
 }
 
-// Len is the number of entries, tombstones included.
+// Len returns the number of entries, tombstones included.
 func (s *State) Len() int { return s.entries.Len() }
 
-// MemoryBytes is the approximate memory use of the entries, in bytes.
+// MemoryBytes returns the approximate memory use of the entries, in bytes.
 func (s *State) MemoryBytes() int { return s.memoryBytes }
 
 // entryOverhead is the approximate memory use of an entry without its strings, in bytes: struct, tree node and tree
@@ -123,13 +123,13 @@
 	s.updateDigest(&e, 1)
 }
 
-// Put writes an entry of this gateway's own, and returns it for the other gateways.
+// Put writes an entry of this gateway, and returns it to be sent to the other gateways.
 func (s *State) Put(now int64, kind Kind, name string, value []byte) Entry {
 	return s.write(now, kind, name, value, false)
 }
 
-// Delete writes a tombstone, and returns it for the other gateways. It expires no earlier than any copy of the
-// deleted entry, so that no older copy reappears.
+// Delete writes a tombstone, and returns it to be sent to the other gateways. A tombstone expires no earlier than any copy
+// of the deleted entry, so that no older copy reappears.
 func (s *State) Delete(now int64, kind Kind, name string) Entry {
 	return s.write(now, kind, name, nil, true)
 }
@@ -151,8 +151,8 @@
 	return e
 }
 
-// PutEpoch writes a value for an epoch of a HighestEpoch kind. It is merged like a received entry; PutEpoch returns the
-// entry that is kept, which may be another proposal for that epoch.
+// PutEpoch writes a value for an epoch of a HighestEpoch kind. The value is merged like a received entry, and PutEpoch
+// returns the entry that is kept, which may be another proposal for that epoch or a later epoch.
 func (s *State) PutEpoch(now int64, kind Kind, name string, epoch uint64, value []byte) Entry {
 	s.Merge(now, Entry{Kind: kind, Name: name, Sequence: epoch, Timestamp: now, Value: slices.Clone(value)})
 	kept, _ := s.Get(Key{Kind: kind, Name: name})
@@ -169,7 +169,7 @@
 	return changed
 }
 
-// merge reports whether an entry was valid and newer than the present one.
+// merge merges an entry, and reports whether it was valid and newer than the present one.
 func (s *State) merge(now int64, e Entry) bool {
 	kind, valid := s.validate(now, &e)
 	if !valid {
@@ -192,7 +192,7 @@
 	return true
 }
 
-// validate returns the entry's kind, or counts why it must not be merged.
+// validate returns the entry's kind and whether the entry may be merged. It counts the reason if it may not.
 func (s *State) validate(now int64, e *Entry) (kind KindConfig, valid bool) {
 	kind, known := s.conf.Kinds[e.Kind]
 	switch {
@@ -222,8 +222,8 @@
 	return hasOrigin == (k.Rule == LastWriterWins)
 }
 
-// detectConflict finds entries that another process has written under this gateway's name. Copies of entries of an
-// earlier process of the same gateway are no conflict.
+// detectConflict finds entries that another process has written under this gateway's name. A copy of an entry of an
+// earlier process of the same gateway is not a conflict.
 func (s *State) detectConflict(e *Entry) {
 	if e.Origin != s.conf.Self || e.Incarnation < s.conf.Incarnation {
 		return
@@ -253,15 +253,15 @@
 	})
 }
 
-// Expire drops the entries whose time to live has passed, and returns this gateway's own entries for which half of it
-// has passed, to be written again.
+// Expire drops the entries whose time to live has passed. It returns the entries of this process for which half of that
+// time has passed, to be written again.
 func (s *State) Expire(now int64) (toRefresh []Entry) {
 	var expired []string
 	s.entries.Scan(func(key string, e *Entry) bool {
 		ttl := s.conf.Kinds[e.Kind].TTL
 		if e.Deleted {
 			ttl += s.conf.MaxClockSkew // a copy with a timestamp ahead of this clock expires that much later
-		}
+		} // a copy whose timestamp is ahead of this clock expires that much later
 		isOwn := e.Origin == s.conf.Self && e.Incarnation == s.conf.Incarnation
 		if e.Timestamp+ttl < now {
 			expired = append(expired, key)
--- a/internal/crdt/state_test.go
+++ b/internal/crdt/state_test.go
@@ -29,7 +29,7 @@
 	return New(Config{Self: self, Incarnation: 1, Kinds: kindConfigs, MaxClockSkew: 5 * second})
 }
 
-// drawEntries draws entries with few different keys, so that they conflict.
+// drawEntries draws entries with few different keys, so that many have the same key.
 func drawEntries() *rapid.Generator[[]Entry] {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry {
 		e := Entry{
@@ -98,7 +98,7 @@
 	})
 }
 
-// Merged numbers, epochs and incarnations of a writer never decrease.
+// The numbers, epochs and incarnations that a state holds for a key never decrease.
 func TestMergeNeverRestoresAnOlderEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newState("g")
@@ -107,7 +107,7 @@
 			s.Merge(start, e)
 			for _, merged := range allEntries(s) {
 				if old, ok := previous[merged.Key()]; ok && isBefore(&merged, &old) {
-					t.Fatalf("%+v after %+v", merged, old)
+					t.Fatalf("the older entry %+v has replaced %+v", merged, old)
 				}
 				previous[merged.Key()] = merged
 			}
@@ -128,7 +128,7 @@
 	return false
 }
 
-// A deleted entry does not reappear with an older copy, however late that arrives, and all entries expire.
+// A deleted entry does not reappear when an older copy arrives, however late, and all entries expire in the end.
 func TestDeletedEntryStaysDeletedUntilItExpires(t *testing.T) {
 	s, far := newState("g"), newState("h")
 	old := s.Put(start, lastWriterWins, "a", []byte("v"))
@@ -144,11 +144,11 @@
 		}
 	}
 	if s.Len()+far.Len() != 0 || s.MemoryBytes()+far.MemoryBytes() != 0 || s.digest != [digestGroups][bucketsPerGroup]uint64{} {
-		t.Errorf("%d entries, %d bytes remain", s.Len(), s.MemoryBytes())
+		t.Errorf("%d entries and %d bytes remain, want none", s.Len(), s.MemoryBytes())
 	}
 }
 
-// A writer's own entries are returned for refresh before others drop them; those of a crashed writer expire.
+// Expire returns a process's own entries for renewal before other gateways drop them. Entries of a crashed process expire.
 func TestOwnEntriesAreRefreshedBeforeTheyExpire(t *testing.T) {
 	s, o := newState("g"), newState("h")
 	o.Merge(start, s.Put(start, lastWriterWins, "a", []byte("v")))
@@ -158,7 +158,7 @@
 		}
 		o.Expire(at)
 		if o.Len() != 1 {
-			t.Fatalf("dropped after %d s", (at-start)/second)
+			t.Fatalf("the entry was dropped after %d s although its writer renewed it", (at-start)/second)
 		}
 	}
 	o.Expire(start + 300*second)
@@ -167,7 +167,8 @@
 	}
 }
 
-// Entries from the future, from long ago, of unknown kind, too long or without an origin are rejected and counted.
+// Entries from the future, expired, of unknown kind, too long, or with or without an origin against the rule of their kind
+// are rejected and counted.
 func TestInvalidEntriesAreRejectedAndCounted(t *testing.T) {
 	s := newState("g")
 	good := Entry{Kind: lastWriterWins, Name: "a", Origin: "x", Timestamp: start, Value: []byte("v")}
@@ -186,7 +187,7 @@
 		e := good
 		change(&e)
 		if len(s.Merge(start, e)) != 0 {
-			t.Errorf("merged %+v", e)
+			t.Errorf("an invalid entry was merged: %+v", e)
 		}
 	}
 	if c := s.Counts(); c.FromFuture != 1 || c.Expired != 1 || c.UnknownKind != 1 || c.Malformed != 4 {
@@ -194,16 +195,17 @@
 	}
 }
 
-// Of two processes under one name the older one detects the other; a copy of an earlier process's entry is no conflict.
+// Of two processes under one name the older one detects the other. A copy of an entry of an earlier process is not a
+// conflict.
 func TestConflictingOriginIsDetected(t *testing.T) {
 	a, b := newState("g"), New(Config{Self: "g", Incarnation: 2, Kinds: kindConfigs, MaxClockSkew: 5 * second})
 	a.Merge(start, b.Put(start, lastWriterWins, "a", []byte("2")))
 	if f := a.TakeConflictingOrigin(); f == nil || f.Remedy() == "" || errors.Is(f, nil) {
-		t.Errorf("no conflict was detected: %v", f)
+		t.Errorf("no conflict was detected, or it has no remedy: %v", f)
 	}
 	b.Merge(start, a.Put(start, lastWriterWins, "a", []byte("1")))
 	if b.TakeConflictingOrigin() != nil {
-		t.Error("a copy of an earlier process's entry is taken for a conflict")
+		t.Error("a copy of an entry of an earlier process was reported as a conflict")
 	}
 }
 
