--- a/internal/zonefailover/capacity.go
+++ b/internal/zonefailover/capacity.go
@@ -10,9 +10,9 @@
 	}
 }
 
-// hasSeenLoadElsewhere reports whether a zone other than i responds more slowly than its baseline. Without such a zone
+// isOtherZoneLoaded reports whether a zone other than i responds more slowly than its baseline. Without such a zone
 // the capacity of the other zones cannot be estimated.
-func (s *State) hasSeenLoadElsewhere(i int) bool {
+func (s *State) isOtherZoneLoaded(i int) bool {
 	for other, baseline := range s.baseline {
 		_, latencyShare, measured := totalLoad(s.votes, other)
 		if other != i && measured && latencyShare > baseline {
@@ -48,7 +48,7 @@
 		spareCapacity += requestRate * max(maxUtilization/utilization-1, 0)
 	}
 	fits := load == 0 || spareCapacity >= load
-	if fits || len(s.zones) < 2 || !s.hasSeenLoadElsewhere(i) {
+	if fits || len(s.zones) < 2 || !s.isOtherZoneLoaded(i) {
 		return 0
 	}
 	return byte(FullShare * (1 - spareCapacity/load))
--- a/internal/zonefailover/decisions_test.go
+++ b/internal/zonefailover/decisions_test.go
@@ -40,7 +40,7 @@
 	gateways     []*gateway
 	failing      []float64 // fraction of the attempts that fail, by zone
 	latencyShare []float64 // response time as a share of the latency objective, by zone
-	answers      *golden.Hash
+	results      *golden.Hash
 }
 
 func newFleet(conf zonefailover.Config, seed uint64) *fleet {
@@ -48,7 +48,7 @@
 		random:       rand.New(rand.NewPCG(2027, seed)),
 		now:          1_700_000_000 * second,
 		conf:         conf,
-		answers:      golden.NewHash(),
+		results:      golden.NewHash(),
 		failing:      make([]float64, len(conf.Zones)),
 		latencyShare: make([]float64, len(conf.Zones)),
 	}
@@ -109,10 +109,10 @@
 
 // broadcast hashes an entry that is to be sent, and merges it into the state of most other gateways.
 func (f *fleet) broadcast(from *gateway, entry crdt.Entry) {
-	f.answers.Numbers(int64(entry.Kind), int64(entry.Sequence), entry.Timestamp)
-	f.answers.Text(entry.Name)
-	f.answers.Text(entry.Origin)
-	f.answers.Text(string(entry.Value))
+	f.results.Numbers(int64(entry.Kind), int64(entry.Sequence), entry.Timestamp)
+	f.results.Text(entry.Name)
+	f.results.Text(entry.Origin)
+	f.results.Text(string(entry.Value))
 	for _, other := range f.gateways {
 		if other != from && f.chance(0.9) {
 			other.state.Merge(f.now, entry)
@@ -124,10 +124,10 @@
 func (f *fleet) vote(g *gateway) {
 	views := g.evidence.Assess(f.now, g.zones.OwnZone())
 	for _, view := range views {
-		f.answers.Numbers(int64(view.Health), int64(view.LatencyShare), int64(view.RequestRate))
+		f.results.Numbers(int64(view.Health), int64(view.LatencyShare), int64(view.RequestRate))
 	}
 	entry, ok := g.zones.Vote(f.now, views)
-	if f.answers.Bool(ok); ok {
+	if f.results.Bool(ok); ok {
 		f.broadcast(g, entry)
 	}
 }
@@ -142,15 +142,15 @@
 		f.broadcast(g, entry)
 	}
 	for _, line := range g.zones.TakeLog() {
-		f.answers.Text(line.Zone)
-		f.answers.Numbers(int64(line.Epoch), int64(line.Share), int64(line.NextStepIn))
-		f.answers.Bool(line.Message != "")
+		f.results.Text(line.Zone)
+		f.results.Numbers(int64(line.Epoch), int64(line.Share), int64(line.NextStepIn))
+		f.results.Bool(line.Message != "")
 	}
 	shares, epoch := g.zones.InEffect(f.now)
-	f.answers.Text(string(shares))
-	f.answers.Numbers(int64(epoch), g.zones.InEffectFor(f.now))
+	f.results.Text(string(shares))
+	f.results.Numbers(int64(epoch), g.zones.InEffectFor(f.now))
 	for zone := range f.conf.Zones {
-		f.answers.Numbers(int64(g.zones.Share(f.now, zone)))
+		f.results.Numbers(int64(g.zones.Share(f.now, zone)))
 	}
 	g.state.Expire(f.now)
 }
@@ -179,8 +179,8 @@
 	}
 }
 
-// storm runs random calls at all gateways for 450 rounds and returns the hash of their results.
-func storm(conf zonefailover.Config, seed uint64) string {
+// runRandomCalls runs random calls at all gateways for 450 rounds and returns the hash of their results.
+func runRandomCalls(conf zonefailover.Config, seed uint64) string {
 	f := newFleet(conf, seed)
 	for round := range 450 {
 		f.now += second/4 + int64(f.random.IntN(int(second/2)))
@@ -197,7 +197,7 @@
 			f.decide(g)
 		}
 	}
-	return f.answers.String()
+	return f.results.String()
 }
 
 // The views, votes and shares of gateways are as recorded in the golden file.
@@ -234,7 +234,7 @@
 		name string
 		conf zonefailover.Config
 	}{{"base", base}, {"unpaced", unpaced}, {"boundless", unlimited}, {"single", single}, {"short", short}} {
-		lines = append(lines, s.name+" "+storm(s.conf, uint64(i)))
+		lines = append(lines, s.name+" "+runRandomCalls(s.conf, uint64(i)))
 	}
 	golden.CheckLines(t, goldenFile, lines)
 }
--- a/internal/zonefailover/evacuation_test.go
+++ b/internal/zonefailover/evacuation_test.go
@@ -6,11 +6,11 @@
 	"cloverrock/internal/agreement"
 )
 
-// No zone is evacuated if half of the gateways find it unhealthy, or only one does. The same holds if the gateways inside
-// a zone are partitioned from the others and find the other zones unhealthy, and if the fleet is partitioned so that no
-// part has a majority.
+// No zone is evacuated if half of the gateways find it unhealthy, or only one does. The same holds if the gateways
+// inside a zone are partitioned from the others and find the other zones unhealthy, and if the fleet is partitioned so
+// that no part has a majority.
 func TestZoneStaysInUseWithoutQuorumOfOutsideGateways(t *testing.T) {
-	for name, play := range map[string]func(sim *simulation){
+	for name, injectFault := range map[string]func(sim *simulation){
 		"half find it unhealthy": func(sim *simulation) { sim.failZoneFor(func(i int) bool { return i%2 == 0 }) },
 		"one finds it unhealthy": func(sim *simulation) { sim.failZoneFor(func(i int) bool { return i == 1 }) },
 		"those inside find the others unhealthy": func(sim *simulation) {
@@ -26,7 +26,7 @@
 			}
 		},
 		"partitioned in halves": func(sim *simulation) {
-			sim.failZoneFor(everybody)
+			sim.failZoneFor(allGateways)
 			for i, gw := range sim.gateways {
 				gw.partition = i % 2
 			}
@@ -35,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			sim := newSimulation(t, 30, nil)
 			sim.run(3 * second)
-			play(sim)
+			injectFault(sim)
 			sim.run(12 * second)
 			for z := range 3 {
 				for _, gw := range sim.gateways {
@@ -60,7 +60,7 @@
 func TestStoppedGatewaysFollowTheDecisionLate(t *testing.T) {
 	sim := newSimulation(t, 30, nil)
 	sim.run(3 * second)
-	sim.failZoneFor(everybody)
+	sim.failZoneFor(allGateways)
 	for i, gw := range sim.gateways {
 		gw.stopped = i%3 == 0
 	}
@@ -82,7 +82,7 @@
 // Operators' overrides take precedence over decisions.
 func TestOverridesPrecedeDecisions(t *testing.T) {
 	sim := newSimulation(t, 12, nil)
-	sim.failZoneFor(everybody)
+	sim.failZoneFor(allGateways)
 	sim.run(5 * second)
 	gw := sim.gateways[0]
 	for zone, want := range []byte{0, FullShare, FullShare} {
@@ -104,7 +104,7 @@
 // step. This shows that the results of the other tests depend on both.
 func TestQuorumAndPacedRecoveryAreNecessary(t *testing.T) {
 	sim := newSimulation(t, 30, func(_ *Config, a *agreement.Config) { a.RequireQuorum = false })
-	sim.failZoneFor(everybody)
+	sim.failZoneFor(allGateways)
 	for i, gw := range sim.gateways {
 		gw.partition = min(i%5, 1)
 	}
@@ -113,9 +113,9 @@
 		t.Error("six gateways of thirty did not evacuate the zone although no quorum is required")
 	}
 	sim = newSimulation(t, 30, func(c *Config, _ *agreement.Config) { c.PacedRecovery = false })
-	sim.failZoneFor(everybody)
+	sim.failZoneFor(allGateways)
 	sim.run(5 * second)
-	sim.failZoneFor(nobody)
+	sim.failZoneFor(noGateway)
 	sim.run(7 * second)
 	sim.requireShare("without paced recovery", FullShare)
 }
@@ -135,25 +135,25 @@
 				other.bytes = 0
 			}
 			sim.run(20 * second)
-			atRest := 0
+			idleBytes := 0
 			for _, other := range sim.gateways {
-				atRest += other.bytes
+				idleBytes += other.bytes
 			}
-			sim.failZoneFor(everybody)
+			sim.failZoneFor(allGateways)
 			failedAt := sim.now
 			for s := sim.shares(); s[len(s)-1] > 0 && sim.now-failedAt < 30*second; s = sim.shares() {
 				sim.run(tickInterval)
 			}
 			sim.run(tickInterval)
-			first, p99, last := sim.actedOn(1)
+			first, p99, last := sim.appliedAt(1)
 			total := 0
 			for _, other := range sim.gateways {
 				total += other.bytes
 			}
 			t.Logf("%d gateways, loss %.1f: first evacuated %d ms after the zone failed, 99 percent of gateways within %d ms of that, the last within %d; %d bytes per gateway and second before the failure, %d during the evacuation; %d bytes of entries in memory",
-				n, loss, (first-failedAt)/ms, (p99-first)/ms, (last-first)/ms, atRest/n/20, int64(total-atRest)*second/int64(n)/(sim.now-failedAt), sim.gateways[0].state.MemoryBytes())
-			if p99-first > second || atRest/n/20 > 20_000 {
-				t.Errorf("%d gateways, loss %.1f: 99 percent of gateways evacuated within %d ms of the first, %d bytes per gateway and second before the failure; want at most 1 s and 20 000 bytes", n, loss, (p99-first)/ms, atRest/n/20)
+				n, loss, (first-failedAt)/ms, (p99-first)/ms, (last-first)/ms, idleBytes/n/20, int64(total-idleBytes)*second/int64(n)/(sim.now-failedAt), sim.gateways[0].state.MemoryBytes())
+			if p99-first > second || idleBytes/n/20 > 20_000 {
+				t.Errorf("%d gateways, loss %.1f: 99 percent of gateways evacuated within %d ms of the first, %d bytes per gateway and second before the failure; want at most 1 s and 20 000 bytes", n, loss, (p99-first)/ms, idleBytes/n/20)
 			}
 		}
 	}
--- a/internal/zonefailover/evidence.go
+++ b/internal/zonefailover/evidence.go
@@ -11,8 +11,8 @@
 	latencySamples         = 10        // number of answers over which a host's response time is averaged
 	rateInterval           = 1_000_000 // microseconds; shortest time between two updates of the request rates
 	rateSmoothing          = 0.3       // weight of a new request rate in the moving average
-	maxPackedRate          = 65535     // highest request rate that a vote can state
-	maxPackedLatency       = 255       // highest latency share that a vote can state
+	maxEncodedRate         = 65535     // highest request rate that a vote can state
+	maxEncodedLatency      = 255       // highest latency share that a vote can state
 	rateUnitsPerRequest    = 10        // a vote's request rate is in tenths of a request per second
 )
 
@@ -84,7 +84,8 @@
 }
 
 // isFailing reports whether a host is failing: it has more failures than successes, or it has stopped answering. The
-// second condition detects the failure of a busy host sooner, since its earlier successes outweigh its failures at first.
+// second condition detects the failure of a busy host sooner, since its earlier successes outweigh its failures at
+// first.
 func (h *hostEvidence) isFailing(now, window int64) bool {
 	hasStopped := h.failed > silentFailureThreshold && now-h.lastSuccessAt > window/2
 	return h.failed > h.succeeded || hasStopped
@@ -130,9 +131,9 @@
 	for i := range zones {
 		zone := &zones[i]
 		view := ZoneView{Health: c.health(zones, i, ownZone)}
-		view.RequestRate = uint16(min(c.requestRate[i]*rateUnitsPerRequest, maxPackedRate))
+		view.RequestRate = uint16(min(c.requestRate[i]*rateUnitsPerRequest, maxEncodedRate))
 		if zone.measured > 0 {
-			view.LatencyShare = byte(min(latencyUnits*zone.latencyShare/float64(zone.measured), maxPackedLatency))
+			view.LatencyShare = byte(min(latencyUnits*zone.latencyShare/float64(zone.measured), maxEncodedLatency))
 		}
 		views[i] = view
 	}
@@ -180,8 +181,8 @@
 	c.ratesUpdatedAt = now
 }
 
-// health returns the health of a zone. If the zone is failing and is this gateway's own, or no other zone is healthy, the
-// fault may be the gateway's own link, and the zone's health is unknown.
+// health returns the health of a zone. If the zone is failing and is this gateway's own, or no other zone is healthy,
+// the fault may be the gateway's own link, and the zone's health is unknown.
 func (c *EvidenceCollector) health(zones []zoneEvidence, i, ownZone int) Health {
 	if zones[i].observed < c.conf.MinHosts {
 		return Unknown
--- a/internal/zonefailover/recovery_test.go
+++ b/internal/zonefailover/recovery_test.go
@@ -14,13 +14,13 @@
 		sim.loss = loss
 		sim.run(5 * second)
 		sim.requireShare("before", FullShare)
-		sim.failZoneFor(everybody)
+		sim.failZoneFor(allGateways)
 		sim.run(9 * second)
 		sim.requireShare("while it fails", 0)
-		if first, p99, last := sim.actedOn(1); p99-first > 500*ms || first-beginning > 9*second {
+		if first, p99, last := sim.appliedAt(1); p99-first > 500*ms || first-beginning > 9*second {
 			t.Errorf("loss %.1f: evacuated from %d to %d ms after the start, 99 percent of gateways within %d ms of the first; want that within 500 ms, and the first by 9 s", loss, (first-beginning)/ms, (last-beginning)/ms, (p99-first)/ms)
 		}
-		sim.failZoneFor(nobody)
+		sim.failZoneFor(noGateway)
 		recoveryBegan := sim.now
 		var steps []byte
 		sim.afterTick = func() {
@@ -39,15 +39,15 @@
 	}
 }
 
-// actedOn returns when the first gateway, 99 percent of the gateways, and the last gateway applied the decision of an
+// appliedAt returns when the first gateway, 99 percent of the gateways, and the last gateway applied the decision of an
 // epoch, in microseconds.
-func (sim *simulation) actedOn(epoch uint64) (first, p99, last int64) {
+func (sim *simulation) appliedAt(epoch uint64) (first, p99, last int64) {
 	var at []int64
 	for _, gw := range sim.gateways {
-		if gw.firstActedAt[epoch] == 0 {
+		if gw.firstAppliedAt[epoch] == 0 {
 			sim.t.Fatalf("%s never applied the decision of epoch %d", gw.name, epoch)
 		}
-		at = append(at, gw.firstActedAt[epoch])
+		at = append(at, gw.firstAppliedAt[epoch])
 	}
 	slices.Sort(at)
 	return at[0], at[len(at)*99/100-1], at[len(at)-1]
@@ -56,10 +56,10 @@
 // A zone that fails again at a share of 40 hundredths is evacuated again, and stays evacuated for twice as long.
 func TestFailureDuringRecoveryDoublesTheNextEvacuation(t *testing.T) {
 	sim := newSimulation(t, 30, nil)
-	sim.failZoneFor(everybody)
+	sim.failZoneFor(allGateways)
 	sim.run(5 * second)
 	sim.requireShare("evacuated", 0)
-	sim.failZoneFor(nobody)
+	sim.failZoneFor(noGateway)
 	for n := 0; sim.shares()[0] < 40; n++ {
 		sim.run(second)
 		if n > 40 {
@@ -67,10 +67,10 @@
 		}
 	}
 	sim.run(second)
-	sim.failZoneFor(everybody)
+	sim.failZoneFor(allGateways)
 	sim.run(3 * second)
 	sim.requireShare("evacuated again", 0)
-	sim.failZoneFor(nobody)
+	sim.failZoneFor(noGateway)
 	sim.run(6 * second)
 	sim.requireShare("before the doubled evacuation time has passed", 0)
 	sim.run(40 * second)
--- a/internal/zonefailover/simulation_test.go
+++ b/internal/zonefailover/simulation_test.go
@@ -22,17 +22,17 @@
 
 // gateway holds the decision modules of one gateway.
 type gateway struct {
-	name         string
-	zone         int
-	state        *crdt.State
-	agreement    *agreement.Participant
-	zones        *State
-	queue        []broadcast
-	stopped      bool
-	partition    int              // only gateways with the same number receive messages from each other
-	firstActedAt map[uint64]int64 // time of the first tick with an epoch in effect, by epoch
-	bytes        int              // sent in total
-	rounds       uint64
+	name           string
+	zone           int
+	state          *crdt.State
+	agreement      *agreement.Participant
+	zones          *State
+	queue          []broadcast
+	stopped        bool
+	partition      int              // only gateways with the same number receive messages from each other
+	firstAppliedAt map[uint64]int64 // time of the first tick with an epoch in effect, by epoch
+	bytes          int              // sent in total
+	rounds         uint64
 }
 
 // broadcast is an encoded entry, and the number of times that it is still to be sent.
@@ -104,12 +104,12 @@
 		}})
 		participant := agreement.New(agreementConfig, state)
 		sim.gateways = append(sim.gateways, &gateway{
-			name:         agreementConfig.Self,
-			zone:         conf.OwnZone,
-			state:        state,
-			agreement:    participant,
-			zones:        New(conf, participant),
-			firstActedAt: map[uint64]int64{},
+			name:           agreementConfig.Self,
+			zone:           conf.OwnZone,
+			state:          state,
+			agreement:      participant,
+			zones:          New(conf, participant),
+			firstAppliedAt: map[uint64]int64{},
 		})
 	}
 	return sim
@@ -200,17 +200,17 @@
 		gw.state.Expire(now)
 	}
 	_, epoch := gw.agreement.InEffect(now, topic, gw.zones.fullShares)
-	if gw.firstActedAt[epoch] == 0 {
-		gw.firstActedAt[epoch] = sim.now
+	if gw.firstAppliedAt[epoch] == 0 {
+		gw.firstAppliedAt[epoch] = sim.now
 	}
 	sim.gossip(i, gw)
 }
 
 // gossip sends queued entries to three members, and starts an anti-entropy round with one member every 2.5 s.
 func (sim *simulation) gossip(i int, gw *gateway) {
-	other := func() int { return (i + 1 + sim.rand.IntN(len(sim.gateways)-1)) % len(sim.gateways) }
+	randomOther := func() int { return (i + 1 + sim.rand.IntN(len(sim.gateways)-1)) % len(sim.gateways) }
 	for range 3 {
-		to, size := other(), 0
+		to, size := randomOther(), 0
 		for k := range gw.queue {
 			if size+len(gw.queue[k].data) > 1400 {
 				break
@@ -225,7 +225,7 @@
 	if (sim.now/tickInterval+int64(i))%25 == 0 {
 		gw.rounds++
 		if b, err := crdt.Encode(gw.state.StartRound(gw.rounds)); err == nil {
-			sim.send(i, other(), b)
+			sim.send(i, randomOther(), b)
 		}
 	}
 }
@@ -257,5 +257,5 @@
 	}
 }
 
-func everybody(int) bool { return true }
-func nobody(int) bool    { return false }
+func allGateways(int) bool { return true }
+func noGateway(int) bool   { return false }
--- a/internal/zonefailover/vote.go
+++ b/internal/zonefailover/vote.go
@@ -50,25 +50,25 @@
 	return int(b[0]), view, true
 }
 
-// differs reports whether views justify a new vote: a zone's health or the number of zones has changed, or a figure has
-// changed much.
-func differs(last, views []ZoneView) bool {
+// viewsChanged reports whether views justify a new vote: a zone's health or the number of zones has changed, or a
+// figure has changed significantly.
+func viewsChanged(last, views []ZoneView) bool {
 	for i := range views {
 		if i >= len(last) || last[i].Health != views[i].Health {
 			return true
 		}
-		if changedMuch(float64(last[i].LatencyShare), float64(views[i].LatencyShare)) {
+		if changedSignificantly(float64(last[i].LatencyShare), float64(views[i].LatencyShare)) {
 			return true
 		}
-		if changedMuch(float64(last[i].RequestRate), float64(views[i].RequestRate)) {
+		if changedSignificantly(float64(last[i].RequestRate), float64(views[i].RequestRate)) {
 			return true
 		}
 	}
 	return false
 }
 
-// changedMuch reports whether two figures differ by more than a third plus changedMargin.
-func changedMuch(a, b float64) bool { return max(a, b) > changedRatio*min(a, b)+changedMargin }
+// changedSignificantly reports whether two figures differ by more than a third plus changedMargin.
+func changedSignificantly(a, b float64) bool { return max(a, b) > changedRatio*min(a, b)+changedMargin }
 
 // VoteCount counts the votes of the gateways outside a zone on that zone, by the health that they state.
 type VoteCount struct {
@@ -76,8 +76,8 @@
 	latencyShare                float64 // mean of the votes that find the zone healthy, as a share of the latency objective
 }
 
-// known returns how many of the gateways have a view of the zone's health.
-func (v *VoteCount) known() int { return v.Healthy + v.Unhealthy }
+// viewCount returns how many of the gateways have a view of the zone's health.
+func (v *VoteCount) viewCount() int { return v.Healthy + v.Unhealthy }
 
 // countVotes counts the votes of the gateways outside a zone. Votes from inside do not count: those gateways may be cut
 // off together with the zone, and then get failures from all other zones.
--- a/internal/zonefailover/zonefailover.go
+++ b/internal/zonefailover/zonefailover.go
@@ -91,7 +91,7 @@
 // Vote stores this gateway's vote if the views differ from its last vote or the last vote is due for renewal. It reports
 // whether it stored a vote; the caller sends the entry to the other members.
 func (s *State) Vote(now int64, views []ZoneView) (crdt.Entry, bool) {
-	if !differs(s.lastVote, views) {
+	if !viewsChanged(s.lastVote, views) {
 		views = s.lastVote
 	}
 	e, isNew := s.agreement.Vote(now, topic, encodeVote(s.conf.OwnZone, views))
@@ -233,7 +233,7 @@
 	votes := countVotes(s.votes, i)
 	isUnhealthy := s.isUnhealthy(&votes)
 	if z.share == FullShare {
-		if !isUnhealthy || evacuatedOthers(i, wanted) >= s.conf.MaxEvacuated {
+		if !isUnhealthy || countOthersNotInFullUse(i, wanted) >= s.conf.MaxEvacuated {
 			return 0, false
 		}
 		share = s.shareToKeep(i)
@@ -252,12 +252,12 @@
 
 // isUnhealthy reports whether enough votes find a zone unhealthy to evacuate it.
 func (s *State) isUnhealthy(votes *VoteCount) bool {
-	return votes.known() >= s.conf.MinViews && float64(votes.Unhealthy) >= s.conf.RequiredShare*float64(votes.known())
+	return votes.viewCount() >= s.conf.MinViews && float64(votes.Unhealthy) >= s.conf.RequiredShare*float64(votes.viewCount())
 }
 
 // isHealthy reports whether enough votes find a zone healthy to return traffic to it.
 func (s *State) isHealthy(votes *VoteCount) bool {
-	return votes.known() >= 1 && float64(votes.Unhealthy) <= (1-s.conf.RequiredShare)*float64(votes.known())
+	return votes.viewCount() >= 1 && float64(votes.Unhealthy) <= (1-s.conf.RequiredShare)*float64(votes.viewCount())
 }
 
 // mayRecover reports whether a healthy zone that is not in full use may take the next recovery step. The next step waits
@@ -282,8 +282,8 @@
 	return FullShare
 }
 
-// evacuatedOthers counts the zones other than i that are not in full use.
-func evacuatedOthers(i int, shares []byte) (n int) {
+// countOthersNotInFullUse counts the zones other than i that are not in full use.
+func countOthersNotInFullUse(i int, shares []byte) (n int) {
 	for other, share := range shares {
 		if other != i && share < FullShare {
 			n++
