--- a/internal/agreement/agreement_test.go
+++ b/internal/agreement/agreement_test.go
@@ -16,7 +16,7 @@
 	topic  = "t"
 )
 
-var none = []byte{100, 100}
+var defaultValue = []byte{100, 100}
 
 func newParticipant(name string) (*Participant, *crdt.State) {
 	state := crdt.New(crdt.Config{Self: name, Incarnation: 1, MaxClockSkew: 5 * second, Kinds: map[crdt.Kind]crdt.KindConfig{
@@ -66,7 +66,7 @@
 			value := []byte{byte(rapid.IntRange(0, 3).Draw(t, "a")), byte(rapid.IntRange(0, 3).Draw(t, "b"))}
 			before, _ := participants[i].Latest(topic)
 			for _, at := range []int64{now, now + second} { // a second later it is this member's turn in any case
-				if e, ok := participants[i].Propose(at, topic, value, none, members); ok {
+				if e, ok := participants[i].Propose(at, topic, value, defaultValue, members); ok {
 					sent = append(sent, e)
 					proposed[string(value)] = true
 				}
@@ -102,18 +102,19 @@
 }
 
 // A decision takes effect at its time; until then the previous value is in effect. A member that receives the decision
-// later counts it as late. Half of the members are no quorum and propose nothing. A decision is renewed before it expires.
+// later counts it as late. Half of the members are no quorum and propose nothing. A decision is renewed before it
+// expires.
 func TestDecisionTakesEffectAtItsTimeAndIsResent(t *testing.T) {
 	a, s := newParticipant("n0")
-	if _, ok := a.Propose(start, topic, []byte{0, 100}, none, newMembers(2, 2)); ok {
+	if _, ok := a.Propose(start, topic, []byte{0, 100}, defaultValue, newMembers(2, 2)); ok {
 		t.Error("proposed with only half of the members alive")
 	}
-	e, ok := a.Propose(start, topic, []byte{0, 100}, none, Members{"n0": true})
+	e, ok := a.Propose(start, topic, []byte{0, 100}, defaultValue, Members{"n0": true})
 	if !ok {
 		t.Fatal("not proposed with all members alive")
 	}
 	for at, want := range map[int64]byte{start: 100, start + second - 1: 100, start + second: 0} {
-		if value, _ := a.InEffect(at, topic, none); value[0] != want {
+		if value, _ := a.InEffect(at, topic, defaultValue); value[0] != want {
 			t.Errorf("%d us after the proposal the value in effect is %v", at-start, value)
 		}
 	}
--- a/internal/agreement/decisions_test.go
+++ b/internal/agreement/decisions_test.go
@@ -11,8 +11,8 @@
 )
 
 // This file compares the decisions of the package with recorded ones: it makes a fixed sequence of random calls and
-// compares a hash of all results with the one in testdata/decisions.txt. A change that must not alter decisions leaves the
-// hashes as they are. One that does alter them runs the test with -update and states why.
+// compares a hash of all results with the one in testdata/decisions.txt. A change that must not alter decisions leaves
+// the hashes as they are. One that does alter them runs the test with -update and states why.
 
 const goldenFile = "decisions.txt"
 
@@ -22,9 +22,9 @@
 )
 
 var (
-	kindVotes   crdt.Kind = 1
-	kindDecided crdt.Kind = 2
-	none                  = []byte{100, 100}
+	kindVotes    crdt.Kind = 1
+	kindDecided  crdt.Kind = 2
+	defaultValue           = []byte{100, 100}
 )
 
 // member is one gateway of the fleet.
@@ -39,11 +39,11 @@
 	random  *rand.Rand
 	now     int64
 	members []*member
-	answers *golden.Hash
+	results *golden.Hash
 }
 
 func newFleet(requireQuorum bool, seed uint64) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(2026, seed)), now: 1_700_000_000 * second, answers: golden.NewHash()}
+	f := &fleet{random: rand.New(rand.NewPCG(2026, seed)), now: 1_700_000_000 * second, results: golden.NewHash()}
 	kinds := map[crdt.Kind]crdt.KindConfig{
 		kindVotes:   {Name: "votes", Rule: crdt.LastWriterWins, TTL: 60 * second, MaxValueSize: 16},
 		kindDecided: {Name: "decided", Rule: crdt.HighestEpoch, TTL: 20 * second, MaxValueSize: 64},
@@ -66,30 +66,30 @@
 	return f
 }
 
-// entry hashes an entry.
-func (f *fleet) entry(entry crdt.Entry) {
-	f.answers.Numbers(int64(entry.Kind), int64(entry.Incarnation), int64(entry.Sequence), entry.Timestamp)
-	f.answers.Text(entry.Name)
-	f.answers.Text(entry.Origin)
-	f.answers.Bool(entry.Deleted)
-	f.answers.Text(string(entry.Value))
+// hashEntry hashes an entry.
+func (f *fleet) hashEntry(entry crdt.Entry) {
+	f.results.Numbers(int64(entry.Kind), int64(entry.Incarnation), int64(entry.Sequence), entry.Timestamp)
+	f.results.Text(entry.Name)
+	f.results.Text(entry.Origin)
+	f.results.Bool(entry.Deleted)
+	f.results.Text(string(entry.Value))
 }
 
-// decision hashes a decision.
-func (f *fleet) decision(decision agreement.Decision) {
-	f.answers.Numbers(int64(decision.Epoch), decision.EffectiveAt)
-	f.answers.Text(string(decision.Value))
-	f.answers.Text(string(decision.Previous))
-	f.answers.Text(decision.Proposer)
+// hashDecision hashes a decision.
+func (f *fleet) hashDecision(decision agreement.Decision) {
+	f.results.Numbers(int64(decision.Epoch), decision.EffectiveAt)
+	f.results.Text(string(decision.Value))
+	f.results.Text(string(decision.Previous))
+	f.results.Text(decision.Proposer)
 }
 
 // broadcast hashes an entry that is to be sent, and delivers it to most other members.
 func (f *fleet) broadcast(from *member, entry crdt.Entry, ok bool) {
-	f.answers.Bool(ok)
+	f.results.Bool(ok)
 	if !ok {
 		return
 	}
-	f.entry(entry)
+	f.hashEntry(entry)
 	for _, other := range f.members {
 		if other != from && f.random.IntN(10) < 8 {
 			f.deliver(other, entry)
@@ -99,14 +99,14 @@
 
 func (f *fleet) deliver(m *member, entry crdt.Entry) {
 	for _, decision := range m.participant.Apply(f.now+int64(f.random.IntN(int(2*second))), m.state.Merge(f.now, entry)) {
-		f.decision(decision)
+		f.hashDecision(decision)
 	}
 	late := m.participant.Lateness()
-	f.answers.Numbers(int64(late.Decisions), int64(late.Late), late.Max)
+	f.results.Numbers(int64(late.Decisions), int64(late.Late), late.Max)
 }
 
-// newMembers draws the members as m finds them: some are missing, and some are dead.
-func (f *fleet) newMembers(m *member) agreement.Members {
+// drawMembers draws the members as m finds them: some are missing, and some are dead.
+func (f *fleet) drawMembers(m *member) agreement.Members {
 	members := agreement.Members{}
 	for _, other := range f.members {
 		if f.random.IntN(20) > 0 {
@@ -116,20 +116,20 @@
 	return members
 }
 
-// recordAnswers hashes the results of a member's queries.
-func (f *fleet) recordAnswers(m *member, members agreement.Members) {
+// recordResults hashes the results of a member's queries.
+func (f *fleet) recordResults(m *member, members agreement.Members) {
 	for _, vote := range m.participant.Votes(f.now, topic, members) {
-		f.answers.Text(vote.Member)
-		f.answers.Text(string(vote.Body))
+		f.results.Text(vote.Member)
+		f.results.Text(string(vote.Body))
 	}
-	f.answers.Numbers(int64(members.AliveCount()))
-	f.answers.Bool(m.participant.HasQuorum(members))
+	f.results.Numbers(int64(members.AliveCount()))
+	f.results.Bool(m.participant.HasQuorum(members))
 	decision, ok := m.participant.Latest(topic)
-	f.answers.Bool(ok)
-	f.decision(decision)
-	choice, epoch := m.participant.InEffect(f.now, topic, none)
-	f.answers.Text(string(choice))
-	f.answers.Numbers(int64(epoch))
+	f.results.Bool(ok)
+	f.hashDecision(decision)
+	choice, epoch := m.participant.InEffect(f.now, topic, defaultValue)
+	f.results.Text(string(choice))
+	f.results.Numbers(int64(epoch))
 }
 
 // step makes one random call at a random member.
@@ -138,9 +138,9 @@
 	m := f.members[f.random.IntN(len(f.members))]
 	if decision, ok := m.participant.Latest(topic); ok && f.now < decision.EffectiveAt && f.random.IntN(20) == 0 {
 		f.now = decision.EffectiveAt // exactly when it takes effect
-		f.recordAnswers(m, f.newMembers(m))
+		f.recordResults(m, f.drawMembers(m))
 	}
-	members := f.newMembers(m)
+	members := f.drawMembers(m)
 	choice := []byte{byte(f.now / (3 * second) % 3), byte(f.random.IntN(8) / 7)}
 	switch f.random.IntN(12) {
 	case 0, 1:
@@ -150,7 +150,7 @@
 		if f.now/(60*second)%2 == 1 {
 			return // a minute without proposals
 		}
-		entry, ok := m.participant.Propose(f.now, topic, choice, none, members)
+		entry, ok := m.participant.Propose(f.now, topic, choice, defaultValue, members)
 		f.broadcast(m, entry, ok)
 	case 6:
 		entry, ok := m.participant.Resend(f.now, topic, members)
@@ -165,7 +165,7 @@
 		broken := crdt.Entry{Kind: kindDecided, Name: "broken", Sequence: uint64(f.random.IntN(9)), Timestamp: f.now, Value: []byte{9, 9}}
 		f.deliver(m, broken)
 	default:
-		f.recordAnswers(m, members)
+		f.recordResults(m, members)
 	}
 	if f.random.IntN(1000) == 0 {
 		f.now += 15 * second
@@ -180,7 +180,7 @@
 		for range 20000 {
 			f.step()
 		}
-		lines = append(lines, []string{"majority ", "any "}[i]+f.answers.String())
+		lines = append(lines, []string{"majority ", "any "}[i]+f.results.String())
 	}
 	golden.CheckLines(t, goldenFile, lines)
 }
--- a/internal/agreement/golden_test.go
+++ b/internal/agreement/golden_test.go
@@ -54,9 +54,9 @@
 	}
 	vote, sent := c.Vote(start, topic, []byte{1, 2, 3})
 	add("vote", vote, sent)
-	first, sent := c.Propose(start, topic, []byte{0, 100}, none, newMembers(1, 0))
+	first, sent := c.Propose(start, topic, []byte{0, 100}, defaultValue, newMembers(1, 0))
 	add("first epoch", first, sent)
-	next, sent := c.Propose(start+2*second, topic, []byte{50, 100}, none, newMembers(1, 0))
+	next, sent := c.Propose(start+2*second, topic, []byte{50, 100}, defaultValue, newMembers(1, 0))
 	add("next epoch", next, sent)
 	again, sent := c.Resend(start+400*second, topic, newMembers(1, 0))
 	add("again", again, sent)
