--- a/internal/store/core/apply.go
+++ b/internal/store/core/apply.go
@@ -30,11 +30,11 @@
 	} else {
 		c.applyCommand(entry.GetIndex(), data)
 	}
-	c.noteApplied(entry)
+	c.recordApplied(entry)
 }
 
-// noteApplied records an entry as applied, unless applying it has halted the instance.
-func (c *Core) noteApplied(entry *raftpb.Entry) {
+// recordApplied records an entry as applied, unless applying it has halted the instance.
+func (c *Core) recordApplied(entry *raftpb.Entry) {
 	if c.halted != nil {
 		return
 	}
@@ -52,7 +52,7 @@
 		return
 	}
 	if slices.ContainsFunc(command.Then, writesMembers) {
-		c.memberVersion++
+		c.membersVersion++
 	}
 	if proposal, own := c.pending[command.RequestID]; own {
 		delete(c.pending, command.RequestID)
@@ -65,7 +65,8 @@
 	return op.Kind.Writes() && (op.NS == MembersNS || op.NS == RemovedNS)
 }
 
-// halt stops applying entries permanently. It answers the pending proposals with ErrOutcomeUnknown and all reads with err.
+// halt stops applying entries permanently. It answers the pending proposals with ErrOutcomeUnknown and all reads with
+// err.
 func (c *Core) halt(err error) {
 	c.halted = err
 	c.abandonProposals(func(pendingProposal) bool { return true })
--- a/internal/store/core/apply_test.go
+++ b/internal/store/core/apply_test.go
@@ -47,7 +47,7 @@
 func TestUnsupportedFormatHaltsOnlyTheOldInstance(t *testing.T) {
 	cl := newCluster(t, 1, machine.Format+1, machine.Format+1)
 	leader := cl.elect(2)
-	for range 3 * dutyInterval {
+	for range 3 * leaderTaskInterval {
 		leader.Tick()
 		cl.runUntilIdle()
 	}
--- a/internal/store/core/core.go
+++ b/internal/store/core/core.go
@@ -55,13 +55,13 @@
 	pending         map[uint64]pendingProposal // by request id
 	readRequests    []readRequest              // read indexes requested from the leader
 	confirmedReads  []confirmedRead            // reads that wait until their index is applied
-	freshAt         int64                      // latest tick at which the state was known to be up to date; -1: none yet
+	upToDateAt      int64                      // latest tick at which the state was known to be up to date; -1: none yet
 
 	leader         uint64           // raft.None: unknown
-	memberVersion  uint64           // increases when the records of the members may have changed
+	membersVersion uint64           // increases when the records of the members may have changed
 	clockTick      int64            // tick up to which the logical clock was advanced
 	caughtUpChecks map[uint64]int   // by learner: consecutive checks at which it was caught up
-	lastHeard      map[uint64]int64 // by member: tick of its last message
+	lastMessageAt  map[uint64]int64 // by member: tick of its last message
 
 	snapshotIndex     uint64            // of the newest saved snapshot
 	snapshotMembers   *raftpb.ConfState // the members that the newest saved snapshot records
@@ -79,7 +79,7 @@
 func (c *Core) Leader() uint64 { return c.leader }
 
 // MembersVersion returns a counter that increases when the records of the members may have changed.
-func (c *Core) MembersVersion() uint64 { return c.memberVersion }
+func (c *Core) MembersVersion() uint64 { return c.membersVersion }
 
 // IsLeader reports whether this instance is the leader.
 func (c *Core) IsLeader() bool {
@@ -91,14 +91,14 @@
 func (c *Core) Tick() {
 	c.now++
 	c.raftNode.Tick()
-	c.expireWaits()
+	c.expireRequests()
 	c.sendChunks()
-	c.leaderDuties()
+	c.runLeaderTasks()
 }
 
 // Step processes a message from another instance. An invalid or outdated message is ignored.
 func (c *Core) Step(e Envelope) {
-	c.lastHeard[e.From] = c.now
+	c.lastMessageAt[e.From] = c.now
 	switch {
 	case e.Chunk != nil:
 		c.receiveChunk(e.From, e.Chunk)
--- a/internal/store/core/golden_test.go
+++ b/internal/store/core/golden_test.go
@@ -12,8 +12,8 @@
 	"cloverrock/internal/store/machine"
 )
 
-// The encoding of the initial snapshot with its member records does not change, nor does that of the changes that add and
-// remove a member.
+// The encoding of the initial snapshot with its member records does not change, nor does that of the changes that add
+// and remove a member.
 func TestMembersKeepTheirBytes(t *testing.T) {
 	var lines []string
 	show := func(name string, b []byte, err error) {
--- a/internal/store/core/leader.go
+++ b/internal/store/core/leader.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	dutyInterval         = 5   // ticks between checks of the members
+	leaderTaskInterval   = 5   // ticks between checks of the members
 	caughtUpEntries      = 256 // entries behind the commit index at which a learner still counts as caught up
 	caughtUpChecksNeeded = 2   // consecutive checks at which a learner must be caught up to become a voter
 	clockInterval        = 2   // ticks between steps of the logical clock while leases run
-	clockMaxStep         = 50  // ticks that one step of the logical clock covers at most
+	maxClockStep         = 50  // ticks that one step of the logical clock covers at most
 )
 
 type progress = tracker.Progress
 
-// leaderDuties performs the periodic tasks of a leader: it advances the logical clock, raises the agreed format of
+// runLeaderTasks performs the periodic tasks of a leader: it advances the logical clock, raises the agreed format of
 // commands once all members support it, and promotes learners that have caught up to voters.
-func (c *Core) leaderDuties() {
+func (c *Core) runLeaderTasks() {
 	if !c.IsLeader() || c.halted != nil || c.isTransferring() {
 		return
 	}
 	c.advanceClock()
-	if c.now%dutyInterval != 0 {
+	if c.now%leaderTaskInterval != 0 {
 		return
 	}
 	c.raiseFormat()
@@ -46,7 +46,7 @@
 	if elapsed < clockInterval {
 		return
 	}
-	c.Propose(0, &machine.Command{Kind: machine.AdvanceClockKind, Amount: min(elapsed, clockMaxStep) * c.conf.TickMS})
+	c.Propose(0, &machine.Command{Kind: machine.AdvanceClockKind, Amount: min(elapsed, maxClockStep) * c.conf.TickMS})
 	c.clockTick = c.now
 }
 
@@ -63,7 +63,7 @@
 
 // promoteLearner proposes to promote one learner that has caught up to a voter, unless a joint change is in progress.
 func (c *Core) promoteLearner() {
-	ready := c.learnerCaughtUp()
+	ready := c.findCaughtUpLearner()
 	inJointChange := len(c.confState.GetVotersOutgoing()) > 0
 	if ready == 0 || inJointChange {
 		return
@@ -75,14 +75,14 @@
 	c.ProposeMembershipChange(0, change, &machine.Command{Kind: machine.TransactionKind})
 }
 
-// learnerCaughtUp checks all learners and returns one that has caught up and may become a voter; 0: none.
-func (c *Core) learnerCaughtUp() uint64 {
+// findCaughtUpLearner checks all learners and returns one that has caught up and may become a voter; 0: none.
+func (c *Core) findCaughtUpLearner() uint64 {
 	commit := c.raftNode.BasicStatus().GetCommit()
 	ready := uint64(0)
 	c.raftNode.WithProgress(func(id uint64, kind raft.ProgressType, pr progress) {
 		isLearner := kind == raft.ProgressTypeLearner
 		receivesLog := pr.State == tracker.StateReplicate // not before its first entries or snapshot have arrived
-		if !isLearner || !receivesLog || !c.recentlyHeard(id) || pr.Match+caughtUpEntries < commit {
+		if !isLearner || !receivesLog || !c.isRecentlyActive(id) || pr.Match+caughtUpEntries < commit {
 			c.caughtUpChecks[id] = 0
 			return
 		}
@@ -94,16 +94,16 @@
 	return ready
 }
 
-// recentlyHeard reports whether a message was received from an instance within an election timeout. Raft's own
+// isRecentlyActive reports whether a message was received from an instance within an election timeout. Raft's own
 // RecentActive flag is reset at each quorum check and is therefore not usable just after one.
-func (c *Core) recentlyHeard(id uint64) bool {
-	at, heard := c.lastHeard[id]
-	return heard && c.now-at <= int64(c.conf.ElectionTicks)
+func (c *Core) isRecentlyActive(id uint64) bool {
+	at, known := c.lastMessageAt[id]
+	return known && c.now-at <= int64(c.conf.ElectionTicks)
 }
 
 // TransferLeadership starts to transfer leadership to the follower with the longest matching log among those from which
-// a message was received recently, and returns its id. It reports false if this instance is not the leader or there is no
-// such follower. The leader's periodic tasks are suspended until the leader changes or raft abandons the transfer.
+// a message was received recently, and returns its id. It reports false if this instance is not the leader or there is
+// no such follower. The leader's periodic tasks are suspended until the leader changes or raft abandons the transfer.
 func (c *Core) TransferLeadership() (to uint64, ok bool) {
 	if !c.IsLeader() {
 		return 0, false
@@ -112,7 +112,7 @@
 	bestMatch := uint64(0)
 	c.raftNode.WithProgress(func(id uint64, kind raft.ProgressType, pr progress) {
 		isFollower := id != c.conf.ID && kind == raft.ProgressTypePeer
-		if isFollower && c.recentlyHeard(id) && pr.Match >= bestMatch {
+		if isFollower && c.isRecentlyActive(id) && pr.Match >= bestMatch {
 			best = id
 			bestMatch = pr.Match
 		}
--- a/internal/store/core/leader_test.go
+++ b/internal/store/core/leader_test.go
@@ -17,7 +17,7 @@
 func TestEmptyLearnerIsNotPromoted(t *testing.T) {
 	cl := newCluster(t, 1, 1, 1)
 	leader := cl.elect(1)
-	joining := newLearner(t, cl, 4)
+	learner := newLearner(t, cl, 4)
 	receives := false
 	cl.transmit = func(e Envelope) {
 		carriesState := e.Chunk != nil || e.Raft != nil && e.Raft.GetType() == raftpb.MsgApp
@@ -32,14 +32,14 @@
 	}
 	leader.ProposeMembershipChange(0, change, command)
 	for _, receives = range []bool{false, true} {
-		for range 6 * dutyInterval * caughtUpChecksNeeded {
+		for range 6 * leaderTaskInterval * caughtUpChecksNeeded {
 			leader.Tick()
-			joining.Tick()
+			learner.Tick()
 			cl.runUntilIdle()
 			cl.saveSnapshot(leader)
 		}
-		if votes := len(leader.Status().Voters) == 4; votes != receives {
-			t.Errorf("the learner receives data: %t, is a voter: %t, want the same; status %+v", receives, votes, leader.Status())
+		if isVoter := len(leader.Status().Voters) == 4; isVoter != receives {
+			t.Errorf("the learner receives data: %t, is a voter: %t, want the same; status %+v", receives, isVoter, leader.Status())
 		}
 	}
 }
--- a/internal/store/core/members.go
+++ b/internal/store/core/members.go
@@ -67,8 +67,8 @@
 }
 
 // PlanJoin returns the change by which an instance joins as a learner, and the command that records it. If there is a
-// member with the same name, it is taken to have lost its data directory: the same change removes its old id, which may not
-// rejoin. The token is the key of the join token that the command deletes; empty: none.
+// member with the same name, it is taken to have lost its data directory: the same change removes its old id, which may
+// not rejoin. The token is the key of the join token that the command deletes; empty: none.
 func PlanJoin(state *machine.Machine, id uint64, member Member, token string) (*raftpb.ConfChangeV2, *machine.Command, error) {
 	record, err := MemberOp(id, member)
 	if err != nil {
--- a/internal/store/core/proposals.go
+++ b/internal/store/core/proposals.go
@@ -31,7 +31,7 @@
 // Propose queues a command for replication. The token is answered with the command's result once it is applied, or with
 // ErrNoLeader, ErrBusy, ErrHalted, ErrOutcomeUnknown or an encoding error.
 func (c *Core) Propose(token uint64, command *machine.Command) {
-	if err := c.refusesProposals(); err != nil {
+	if err := c.checkAcceptsProposals(); err != nil {
 		c.answer(token, err, machine.Result{})
 		return
 	}
@@ -40,8 +40,8 @@
 	}
 }
 
-// refusesProposals returns the error with which a new proposal must be rejected at once; nil if it is accepted.
-func (c *Core) refusesProposals() error {
+// checkAcceptsProposals returns the error with which a new proposal must be rejected at once; nil if it is accepted.
+func (c *Core) checkAcceptsProposals() error {
 	switch {
 	case c.halted != nil:
 		return c.halted
--- a/internal/store/core/reads.go
+++ b/internal/store/core/reads.go
@@ -40,7 +40,7 @@
 
 // Staleness returns an upper bound in ticks on how far the local state is behind. known is false until the instance has
 // completed the first read index request since its start.
-func (c *Core) Staleness() (ticks int64, known bool) { return c.now - c.freshAt, c.freshAt >= 0 }
+func (c *Core) Staleness() (ticks int64, known bool) { return c.now - c.upToDateAt, c.upToDateAt >= 0 }
 
 // requestReadIndex requests from the leader the index that must be applied before the reads are answered. The leader
 // first confirms with a quorum that it is still the leader.
@@ -73,7 +73,7 @@
 			waiting = append(waiting, read)
 			continue
 		}
-		c.freshAt = max(c.freshAt, read.requestedAt)
+		c.upToDateAt = max(c.upToDateAt, read.requestedAt)
 		for _, token := range read.tokens {
 			c.answer(token, nil, machine.Result{Revision: c.machine.Revision()})
 		}
@@ -87,9 +87,9 @@
 	}
 }
 
-// expireWaits fails the proposals and reads that have waited too long. It also requests a read index periodically, which
-// measures the staleness of the state; a single request might get lost.
-func (c *Core) expireWaits() {
+// expireRequests fails the proposals and reads that have waited too long. It also requests a read index periodically,
+// which measures the staleness of the state; a single request might get lost.
+func (c *Core) expireRequests() {
 	c.abandonProposals(func(proposal pendingProposal) bool { return c.now >= proposal.deadline })
 	if c.leader == raft.None { // without a leader no answer can arrive; the client may try another instance
 		c.failReads(c.queuedReads, ErrNoLeader)
--- a/internal/store/core/snapshot.go
+++ b/internal/store/core/snapshot.go
@@ -10,8 +10,8 @@
 	"cloverrock/internal/store/machine"
 )
 
-// sentSnapshotName stands for a file name in errors about a snapshot that was received from another instance.
-const sentSnapshotName = "a snapshot received from another instance"
+// receivedSnapshotName stands for a file name in errors about a snapshot that was received from another instance.
+const receivedSnapshotName = "a snapshot received from another instance"
 
 // Snapshot is the state at one index. Its image is immutable and may be written by another goroutine, whose result the
 // owner reports with SnapshotSaved.
@@ -38,7 +38,7 @@
 
 // installSnapshot replaces the state by a snapshot received from the leader.
 func (c *Core) installSnapshot(data []byte) error {
-	meta, state, err := decodeSnapshot(sentSnapshotName, data)
+	meta, state, err := decodeSnapshot(receivedSnapshotName, data)
 	if err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 	c.applied = meta.GetIndex()
 	c.snapshotIndex = meta.GetIndex()
 	c.snapshotMembers = meta.GetConfState()
-	c.memberVersion++
+	c.membersVersion++
 	return nil
 }
 
--- a/internal/store/core/start.go
+++ b/internal/store/core/start.go
@@ -14,15 +14,15 @@
 
 // Defaults of Config.
 const (
-	defaultElectionTicks    = 10
-	defaultHeartbeatTicks   = 1
-	defaultTickMS           = 100
-	defaultSnapshotInterval = 20000
-	defaultRetainedEntries  = 5000
-	defaultTimeoutTicks     = 50
-	defaultChunkSize        = 64 << 10
-	defaultSnapshotRate     = 1 << 20
-	defaultMaxBatch         = 512
+	defaultElectionTicks        = 10
+	defaultHeartbeatTicks       = 1
+	defaultTickMS               = 100
+	defaultSnapshotInterval     = 20000
+	defaultRetainedEntries      = 5000
+	defaultTimeoutTicks         = 50
+	defaultChunkSize            = 64 << 10
+	defaultSnapshotBytesPerTick = 1 << 20
+	defaultMaxBatch             = 512
 )
 
 // Flow control limits passed to raft: how much may be in flight to one follower, and uncommitted at the leader.
@@ -59,7 +59,7 @@
 	setDefault(&c.RetainedEntries, defaultRetainedEntries)
 	setDefault(&c.TimeoutTicks, defaultTimeoutTicks)
 	setDefault(&c.ChunkSize, defaultChunkSize)
-	setDefault(&c.SnapshotBytesPerTick, defaultSnapshotRate)
+	setDefault(&c.SnapshotBytesPerTick, defaultSnapshotBytesPerTick)
 	setDefault(&c.MaxBatch, defaultMaxBatch)
 	setDefault(&c.Format, machine.Format)
 }
@@ -92,10 +92,10 @@
 		machine:         state.WithFormat(conf.Format),
 		confState:       meta.GetConfState(),
 		applied:         meta.GetIndex(),
-		freshAt:         -1,
+		upToDateAt:      -1,
 		pending:         map[uint64]pendingProposal{},
 		caughtUpChecks:  map[uint64]int{},
-		lastHeard:       map[uint64]int64{},
+		lastMessageAt:   map[uint64]int64{},
 		snapshotIndex:   meta.GetIndex(),
 		snapshotMembers: meta.GetConfState(),
 		outgoing:        map[uint64]*outgoingTransfer{},
--- a/internal/store/core/status.go
+++ b/internal/store/core/status.go
@@ -75,7 +75,7 @@
 			ID:      id,
 			Match:   pr.Match,
 			State:   pr.State.String(),
-			Active:  c.recentlyHeard(id) || id == c.conf.ID,
+			Active:  c.isRecentlyActive(id) || id == c.conf.ID,
 			Learner: kind == raft.ProgressTypeLearner,
 		})
 	})
--- a/internal/store/core/transfer.go
+++ b/internal/store/core/transfer.go
@@ -41,20 +41,20 @@
 
 // outgoingTransfer is a snapshot that is being sent.
 type outgoingTransfer struct {
-	to, term     uint64
-	index        uint64
-	data         []byte // encoded; nil until it was read from disk
-	sent, acked  int    // bytes
-	repeatedAcks int    // acknowledgements in a row without progress
-	lastHeard    int64  // in ticks
+	to, term       uint64
+	index          uint64
+	data           []byte // encoded; nil until it was read from disk
+	sent, acked    int    // bytes
+	repeatedAcks   int    // acknowledgements in a row without progress
+	lastActivityAt int64  // in ticks
 }
 
 // incomingTransfer is a snapshot that is being received.
 type incomingTransfer struct {
-	index, term uint64
-	data        []byte
-	total       int   // bytes
-	lastHeard   int64 // in ticks
+	index, term    uint64
+	data           []byte
+	total          int   // bytes
+	lastActivityAt int64 // in ticks
 }
 
 func (t *incomingTransfer) matches(chunk *SnapshotChunk) bool {
@@ -68,7 +68,7 @@
 	if c.outgoing[to] != nil {
 		return
 	}
-	c.outgoing[to] = &outgoingTransfer{to: to, term: request.GetTerm(), lastHeard: c.now}
+	c.outgoing[to] = &outgoingTransfer{to: to, term: request.GetTerm(), lastActivityAt: c.now}
 	// Raft rejects a snapshot whose members do not include the receiver. An instance that has just joined therefore needs
 	// a new snapshot.
 	if !isMember(c.snapshotMembers, to) {
@@ -99,7 +99,7 @@
 		}
 		transfer.data = data
 		transfer.index = meta.GetIndex()
-		transfer.lastHeard = c.now
+		transfer.lastActivityAt = c.now
 	}
 }
 
@@ -116,19 +116,19 @@
 // transfers without progress.
 func (c *Core) sendChunks() {
 	for from, transfer := range c.incoming {
-		if c.now-transfer.lastHeard > abandonAfterTicks {
+		if c.now-transfer.lastActivityAt > abandonAfterTicks {
 			delete(c.incoming, from)
 		}
 	}
 	budget := c.conf.SnapshotBytesPerTick
 	for _, id := range c.receivers() {
 		transfer := c.outgoing[id]
-		silence := c.now - transfer.lastHeard
-		if silence > abandonAfterTicks || !c.IsLeader() {
+		idleTicks := c.now - transfer.lastActivityAt
+		if idleTicks > abandonAfterTicks || !c.IsLeader() {
 			c.failTransfer(id)
 			continue
 		}
-		if silence > resendAfterTicks {
+		if idleTicks > resendAfterTicks {
 			transfer.sent = transfer.acked
 		}
 		budget = c.sendWindow(transfer, budget)
@@ -168,7 +168,7 @@
 		transfer = &incomingTransfer{index: chunk.Index, term: chunk.Term, total: chunk.Total}
 		c.incoming[from] = transfer
 	}
-	transfer.lastHeard = c.now
+	transfer.lastActivityAt = c.now
 	if chunk.Offset == len(transfer.data) {
 		transfer.data = append(transfer.data, chunk.Data...) // grows with the bytes received, not with the announced total
 	}
@@ -177,12 +177,12 @@
 		return
 	}
 	delete(c.incoming, from)
-	c.handSnapshotToRaft(from, transfer)
+	c.passSnapshotToRaft(from, transfer)
 }
 
-// handSnapshotToRaft passes a completely received snapshot to raft. A damaged one is dropped, and raft requests another.
-func (c *Core) handSnapshotToRaft(from uint64, transfer *incomingTransfer) {
-	meta, _, err := disk.DecodeSnapshot(sentSnapshotName, transfer.data)
+// passSnapshotToRaft passes a completely received snapshot to raft. A damaged one is dropped, and raft requests another.
+func (c *Core) passSnapshotToRaft(from uint64, transfer *incomingTransfer) {
+	meta, _, err := disk.DecodeSnapshot(receivedSnapshotName, transfer.data)
 	if err != nil || meta.GetIndex() != transfer.index {
 		return
 	}
@@ -195,8 +195,8 @@
 	})
 }
 
-// receiveAck processes an acknowledgement. It advances the window, or goes back to the acknowledged offset if a chunk was
-// lost or the receiver has restarted.
+// receiveAck processes an acknowledgement. It advances the window, or goes back to the acknowledged offset if a chunk
+// was lost or the receiver has restarted.
 func (c *Core) receiveAck(from uint64, ack *ChunkAck) {
 	transfer := c.outgoing[from]
 	if transfer == nil || transfer.data == nil || ack.Index != transfer.index {
@@ -205,7 +205,7 @@
 	if ack.Offset < 0 || ack.Offset > len(transfer.data) {
 		return
 	}
-	transfer.lastHeard = c.now
+	transfer.lastActivityAt = c.now
 	if ack.Offset == transfer.acked {
 		transfer.repeatedAcks++
 	} else {
--- a/internal/store/core/transfer_test.go
+++ b/internal/store/core/transfer_test.go
@@ -7,7 +7,8 @@
 	"cloverrock/internal/store/machine"
 )
 
-// A snapshot is sent in chunks within the rate limit, and arrives complete although chunks and acknowledgements are lost.
+// A snapshot is sent in chunks within the rate limit, and arrives complete although chunks and acknowledgements are
+// lost.
 func TestSnapshotTransferRespectsRateLimitAndToleratesLoss(t *testing.T) {
 	cl := newCluster(t, 1, 1, 1)
 	leader, receiver := cl.elect(1), cl.cores[3]
--- a/internal/store/core/work.go
+++ b/internal/store/core/work.go
@@ -7,8 +7,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Work is a batch of I/O. The owner does it in this order: send SendBeforeSave; save SnapshotData, HardState and Entries;
-// send SendAfterSave; call Done.
+// Work is a batch of I/O. The owner does it in this order: send SendBeforeSave; save SnapshotData, HardState and
+// Entries; send SendAfterSave; call Done.
 type Work struct {
 	SendBeforeSave []Envelope
 	SendAfterSave  []Envelope
@@ -51,14 +51,14 @@
 // sortMessages separates the messages that may be sent before the save from the others. A leader may replicate entries
 // while it writes them itself. All other messages may acknowledge something that must be durable first.
 func (c *Core) sortMessages(work *Work, messages []*raftpb.Message) {
-	leads := c.IsLeader()
+	isLeader := c.IsLeader()
 	for _, message := range messages {
 		envelope := Envelope{To: message.GetTo(), From: c.conf.ID, Raft: message}
 		kind := message.GetType()
 		switch {
 		case kind == raftpb.MsgSnap:
 			c.beginTransfer(message)
-		case leads && (kind == raftpb.MsgApp || kind == raftpb.MsgHeartbeat):
+		case isLeader && (kind == raftpb.MsgApp || kind == raftpb.MsgHeartbeat):
 			work.SendBeforeSave = append(work.SendBeforeSave, envelope)
 		default:
 			work.SendAfterSave = append(work.SendAfterSave, envelope)
