--- a/internal/store/machine/command.go
+++ b/internal/store/machine/command.go
@@ -72,8 +72,8 @@
 	lastOp = List
 )
 
-// Writes reports whether the operation changes a key. The zero kind is invalid and never applied; it counts as a write, so
-// that the permission checks for writes cover it too.
+// Writes reports whether the operation changes a key. The zero kind is invalid and never applied; it counts as a write,
+// so that the permission checks for writes cover it too.
 func (k OpKind) Writes() bool { return k <= Delete }
 
 // Op is one operation. A key that is written with a lease is deleted when the lease ends.
@@ -109,14 +109,14 @@
 
 // The codes of results. Their numbers are part of the format.
 const (
-	OK           Code = iota
-	NoSession         // unknown session: never opened, or dropped because there were too many
-	OldSeq            // a later command of the session was already applied
-	NoLease           // the lease has ended
-	Malformed         // an unknown operation, or an invalid name
-	IsCompacted       // the revision was compacted
-	BadAmount         // a time, revision or format out of bounds
-	BadLeaseName      // a lease in an operation other than Put
+	OK              Code = iota
+	NoSession            // unknown session: never opened, or dropped because there were too many
+	OldSeq               // a later command of the session was already applied
+	NoLease              // the lease has ended
+	Malformed            // an unknown operation, or an invalid name
+	IsCompacted          // the revision was compacted
+	BadAmount            // a time, revision or format out of bounds
+	LeaseNotAllowed      // a lease in an operation other than Put
 )
 
 var codes = [...]string{"ok", "unknown session", "an old sequence number", "unknown lease", "malformed command",
@@ -138,8 +138,8 @@
 	KVs      []KV   `msgpack:"k,omitempty"` // found by Get and List, in their order
 }
 
-// ErrUnknownRecord is the error for a record that this build cannot decode. An instance that skipped the record would have
-// another state than the other instances, so it must stop applying commands instead.
+// ErrUnknownRecord is the error for a record that this build cannot decode. An instance that skipped the record would
+// have another state than the other instances, so it must stop applying commands instead.
 var ErrUnknownRecord = errors.New("store: a record that this build does not support")
 
 // Encode encodes a command for the log. It sets the format of a command that has none.
@@ -154,8 +154,8 @@
 	return data, nil
 }
 
-// Decode decodes a command. The error wraps ErrUnknownRecord if the command cannot be decoded, has a newer format than the
-// given one, or has an unknown kind.
+// Decode decodes a command. The error wraps ErrUnknownRecord if the command cannot be decoded, has a newer format than
+// the given one, or has an unknown kind.
 func Decode(data []byte, format uint8) (*Command, error) {
 	var command Command
 	if err := msgpack.Unmarshal(data, &command); err != nil {
--- a/internal/store/machine/events.go
+++ b/internal/store/machine/events.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// KeepEvents is the smallest number of the latest events that are kept for watches. When there are twice as many, the
-// older half is dropped.
-const KeepEvents = 16384
+// MinRetainedEvents is the smallest number of the latest events that are kept for watches. When there are twice as
+// many, the older half is dropped.
+const MinRetainedEvents = 16384
 
 // EventHandler handles the events of a watch up to a revision. If complete is false, events up to that revision were
 // compacted before the watch received them: the handler must read the keys again, and the watch continues after upTo. An
@@ -19,8 +19,8 @@
 func (m *Machine) recordEvent(event Event) {
 	m.revision = event.Revision
 	m.events = append(m.events, event)
-	if len(m.events) >= 2*KeepEvents {
-		m.dropEvents(m.events[len(m.events)-KeepEvents].Revision)
+	if len(m.events) >= 2*MinRetainedEvents {
+		m.dropEvents(m.events[len(m.events)-MinRetainedEvents].Revision)
 	}
 }
 
--- a/internal/store/machine/golden_test.go
+++ b/internal/store/machine/golden_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// The encoding of commands in the log and the numbers of result codes do not change, and stored commands decode to the same
-// commands.
+// The encoding of commands in the log and the numbers of result codes do not change, and stored commands decode to the
+// same commands.
 func TestCommandsKeepTheirBytes(t *testing.T) {
 	var lines []string
 	commands := goldenCommands()
@@ -45,7 +45,7 @@
 		}
 		lines = append(lines, fmt.Sprintf("command/%d %x", i+1, b))
 	}
-	for code, name := range []Code{OK, NoSession, OldSeq, NoLease, Malformed, IsCompacted, BadAmount, BadLeaseName} {
+	for code, name := range []Code{OK, NoSession, OldSeq, NoLease, Malformed, IsCompacted, BadAmount, LeaseNotAllowed} {
 		lines = append(lines, fmt.Sprintf("code/%d %d %s", code, uint8(name), name))
 	}
 	stored := golden.CheckLines(t, "commands.txt", lines)
@@ -60,8 +60,8 @@
 	}
 }
 
-// The encoding of the state in a snapshot and the chain that instances compare do not change, and a stored image restores
-// to the same state.
+// The encoding of the state in a snapshot and the chain that instances compare do not change, and a stored image
+// restores to the same state.
 func TestImageKeepsItsBytes(t *testing.T) {
 	m := New()
 	var lines []string
--- a/internal/store/machine/image.go
+++ b/internal/store/machine/image.go
@@ -14,26 +14,26 @@
 // Image is an immutable view of the state at one index. Another goroutine may write it while the machine applies further
 // commands. Keys are shared copy-on-write.
 type Image struct {
-	head     imageHead
+	header   imageHeader
 	keys     *btree.Map[string, *KV]
 	leases   []imageLease
 	sessions []imageSession
 	events   []Event
 }
 
-// imageHead is the first record of an encoded image.
-type imageHead struct {
-	Form     uint8  `msgpack:"form"`  // version of the image's encoding
-	Level    uint8  `msgpack:"level"` // the agreed format of commands
-	Index    uint64 `msgpack:"index"`
-	Revision int64  `msgpack:"revision"`
-	Clock    int64  `msgpack:"clock"`
-	Chain    uint64 `msgpack:"chain"`
-	Floor    int64  `msgpack:"floor"` // events up to this revision were dropped
-	Keys     int    `msgpack:"keys"`
-	Leases   int    `msgpack:"leases"`
-	Sessions int    `msgpack:"sessions"`
-	Events   int    `msgpack:"events"`
+// imageHeader is the first record of an encoded image.
+type imageHeader struct {
+	Version      uint8  `msgpack:"form"`  // version of the image's encoding
+	AgreedFormat uint8  `msgpack:"level"` // the agreed format of commands
+	Index        uint64 `msgpack:"index"`
+	Revision     int64  `msgpack:"revision"`
+	Clock        int64  `msgpack:"clock"`
+	Chain        uint64 `msgpack:"chain"`
+	CompactedTo  int64  `msgpack:"floor"` // events up to this revision were dropped
+	Keys         int    `msgpack:"keys"`
+	Leases       int    `msgpack:"leases"`
+	Sessions     int    `msgpack:"sessions"`
+	Events       int    `msgpack:"events"`
 }
 
 type imageLease struct {
@@ -60,24 +60,24 @@
 		s := e.Value.(*session)
 		i.sessions = append(i.sessions, imageSession{s.id, s.seq, s.used, s.result})
 	}
-	i.head = imageHead{
-		Form:     Format,
-		Level:    m.agreedFormat,
-		Index:    m.index,
-		Revision: m.revision,
-		Clock:    m.clock,
-		Chain:    m.chain,
-		Floor:    m.compactedTo,
-		Keys:     i.keys.Len(),
-		Leases:   len(i.leases),
-		Sessions: len(i.sessions),
-		Events:   len(i.events),
+	i.header = imageHeader{
+		Version:      Format,
+		AgreedFormat: m.agreedFormat,
+		Index:        m.index,
+		Revision:     m.revision,
+		Clock:        m.clock,
+		Chain:        m.chain,
+		CompactedTo:  m.compactedTo,
+		Keys:         i.keys.Len(),
+		Leases:       len(i.leases),
+		Sessions:     len(i.sessions),
+		Events:       len(i.events),
 	}
 	return i
 }
 
 // Index returns the index of the last command in the image.
-func (i *Image) Index() uint64 { return i.head.Index }
+func (i *Image) Index() uint64 { return i.header.Index }
 
 // Write encodes the image. The same state gives the same bytes at every instance.
 func (i *Image) Write(w io.Writer) error {
@@ -88,7 +88,7 @@
 }
 
 func (i *Image) write(encoder *msgpack.Encoder) error {
-	if err := encoder.Encode(&i.head); err != nil {
+	if err := encoder.Encode(&i.header); err != nil {
 		return err
 	}
 	var err error
@@ -120,21 +120,21 @@
 // Restore decodes an image into a new machine. The error wraps ErrUnknownRecord for an image of a newer build.
 func Restore(r io.Reader) (*Machine, error) {
 	decoder := msgpack.NewDecoder(r)
-	var head imageHead
-	if err := decoder.Decode(&head); err != nil {
+	var header imageHeader
+	if err := decoder.Decode(&header); err != nil {
 		return nil, fmt.Errorf("store: read image: %w", err)
 	}
-	if err := head.check(); err != nil {
+	if err := header.check(); err != nil {
 		return nil, err
 	}
 	m := New()
-	m.agreedFormat = head.Level
-	m.index = head.Index
-	m.revision = head.Revision
-	m.clock = head.Clock
-	m.chain = head.Chain
-	m.compactedTo = head.Floor
-	leased, err := m.restoreKeys(decoder, head.Keys)
+	m.agreedFormat = header.AgreedFormat
+	m.index = header.Index
+	m.revision = header.Revision
+	m.clock = header.Clock
+	m.chain = header.Chain
+	m.compactedTo = header.CompactedTo
+	leased, err := m.restoreKeys(decoder, header.Keys)
 	if err != nil {
 		return nil, err
 	}
@@ -149,13 +149,13 @@
 		m.addSession(&session{stored.ID, stored.Seq, stored.Result, stored.Used})
 	}
 	restoreEvent := func(stored *Event) { m.events = append(m.events, *stored) }
-	if err := decodeAll(decoder, "lease", head.Leases, restoreLease); err != nil {
+	if err := decodeAll(decoder, "lease", header.Leases, restoreLease); err != nil {
 		return nil, err
 	}
-	if err := decodeAll(decoder, "session", head.Sessions, restoreSession); err != nil {
+	if err := decodeAll(decoder, "session", header.Sessions, restoreSession); err != nil {
 		return nil, err
 	}
-	if err := decodeAll(decoder, "event", head.Events, restoreEvent); err != nil {
+	if err := decodeAll(decoder, "event", header.Events, restoreEvent); err != nil {
 		return nil, err
 	}
 	var extra byte
@@ -165,13 +165,13 @@
 	return m, nil
 }
 
-// check returns an error if the image is of a newer build or its head is malformed.
-func (h *imageHead) check() error {
-	if h.Form > Format || h.Level > Format {
-		return fmt.Errorf("%w: image of version %d with agreed command format %d (both supported up to %d)", ErrUnknownRecord, h.Form, h.Level, Format)
+// check returns an error if the image is of a newer build or its header is malformed.
+func (h *imageHeader) check() error {
+	if h.Version > Format || h.AgreedFormat > Format {
+		return fmt.Errorf("%w: image of version %d with agreed command format %d (both supported up to %d)", ErrUnknownRecord, h.Version, h.AgreedFormat, Format)
 	}
-	if h.Form == 0 || min(h.Keys, h.Leases, h.Sessions, h.Events) < 0 {
-		return errors.New("store: read image: malformed head: the version is 0 or a count is negative")
+	if h.Version == 0 || min(h.Keys, h.Leases, h.Sessions, h.Events) < 0 {
+		return errors.New("store: read image: malformed header: the version is 0 or a count is negative")
 	}
 	return nil
 }
--- a/internal/store/machine/machine.go
+++ b/internal/store/machine/machine.go
@@ -13,8 +13,8 @@
 	"github.com/tidwall/btree"
 )
 
-// maxName bounds the bytes of a namespace or key.
-const maxName = 1024
+// maxNameSize bounds the bytes of a namespace or key.
+const maxNameSize = 1024
 
 // Machine is the replicated state. It is not safe for concurrent use; Image returns a view for other goroutines.
 type Machine struct {
@@ -100,15 +100,15 @@
 // ValidName reports whether a namespace or key is valid: 1 to 1024 bytes, none of which is zero. Storage keys use the
 // zero byte as separator.
 func ValidName(name string) bool {
-	return name != "" && len(name) <= maxName && !strings.Contains(name, "\x00")
+	return name != "" && len(name) <= maxNameSize && !strings.Contains(name, "\x00")
 }
 
 // Skip advances to an index that has no command, such as that of an empty entry that raft adds.
 func (m *Machine) Skip(index uint64) { m.extendChain(index, nil, 0, 0) }
 
-// Apply applies the command at an index, and returns its result and the decoded command. It returns an error, and changes
-// nothing, only if the command cannot be decoded (ErrUnknownRecord) or the index is out of order. Any other failure is
-// stated by the result's code.
+// Apply applies the command at an index, and returns its result and the decoded command. It returns an error, and
+// changes nothing, only if the command cannot be decoded (ErrUnknownRecord) or the index is out of order. Any other
+// failure is stated by the result's code.
 func (m *Machine) Apply(index uint64, data []byte) (Result, *Command, error) {
 	if index <= m.index {
 		return Result{}, nil, fmt.Errorf("store: cannot apply the command at index %d: the last applied index is %d", index, m.index)
@@ -139,7 +139,7 @@
 	result := Result{}
 	switch command.Kind {
 	case TransactionKind:
-		result = m.transact(command)
+		result = m.executeTransaction(command)
 	case OpenSessionKind:
 		m.openSession(index)
 		result.ID = index
--- a/internal/store/machine/transaction.go
+++ b/internal/store/machine/transaction.go
@@ -4,8 +4,9 @@
 	"bytes"
 )
 
-// transact evaluates the conditions and then executes one of the two lists of operations, completely or not at all.
-func (m *Machine) transact(command *Command) Result {
+// executeTransaction evaluates the conditions and then executes one of the two lists of operations, completely or not
+// at all.
+func (m *Machine) executeTransaction(command *Command) Result {
 	result := Result{Holds: true}
 	for i := range command.If {
 		if !m.holds(&command.If[i]) {
@@ -16,7 +17,7 @@
 	if !result.Holds {
 		ops = command.Else
 	}
-	result.Code = m.check(ops)
+	result.Code = m.validate(ops)
 	if result.Code != OK {
 		return result
 	}
@@ -39,15 +40,15 @@
 	return result
 }
 
-// check validates all operations before any of them is executed.
-func (m *Machine) check(ops []Op) Code {
+// validate validates all operations before any of them is executed.
+func (m *Machine) validate(ops []Op) Code {
 	for i := range ops {
 		op := &ops[i]
 		if !op.wellFormed() {
 			return Malformed
 		}
 		if op.Lease != 0 && op.Kind != Put {
-			return BadLeaseName
+			return LeaseNotAllowed
 		}
 		if op.Lease != 0 && m.leases[op.Lease] == nil {
 			return NoLease
