--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -95,7 +95,7 @@
 	hosts          map[string]hostLocation
 	round          uint64 // number of the last anti-entropy round started here
 	catchingUp     bool   // true after a stall, until an anti-entropy round has completed
-	reportedDrops  int64  // elements dropped from full rings that were already logged
+	loggedDrops    int64  // elements dropped from full rings that were already logged
 	ticks          int
 	lastTickAt     time.Time
 	lastRoundAt    time.Time
--- a/internal/fleet/loop.go
+++ b/internal/fleet/loop.go
@@ -220,9 +220,9 @@
 		c.logZone(&entry, members)
 	}
 	dropped := c.outcomes.dropped.Load() + c.inbox.dropped.Load() + c.outbox.dropped.Load()
-	if dropped > c.reportedDrops {
-		c.log.Warn().Int64("lost", dropped-c.reportedDrops).Msg("fleet: rings full, oldest elements dropped")
-		c.reportedDrops = dropped
+	if dropped > c.loggedDrops {
+		c.log.Warn().Int64("lost", dropped-c.loggedDrops).Msg("fleet: rings full, oldest elements dropped")
+		c.loggedDrops = dropped
 	}
 }
 
--- a/internal/fleet/modules.go
+++ b/internal/fleet/modules.go
@@ -38,14 +38,14 @@
 
 // The safeguards that the setting zones.without can turn off, for experiments.
 const (
-	withoutQuorum   = "quorum"
-	withoutPace     = "pace"
-	withoutCapacity = "capacity"
+	safeguardQuorum   = "quorum"
+	safeguardPace     = "pace"
+	safeguardCapacity = "capacity"
 )
 
 // startModules creates the modules that decide.
 func (c *Component) startModules(set *settings.Zones) {
-	isOn := func(what string) bool { return !slices.Contains(set.Without, what) }
+	isEnabled := func(safeguard string) bool { return !slices.Contains(set.Without, safeguard) }
 	c.state = crdt.New(crdt.Config{
 		Self:         c.conf.Name,
 		Incarnation:  uint64(time.Now().UnixMicro()),
@@ -63,7 +63,7 @@
 		ProposerDelay: proposerDelay,
 		VoteTTL:       voteTTL,
 		DecisionTTL:   decisionTTL,
-		RequireQuorum: isOn(withoutQuorum),
+		RequireQuorum: isEnabled(safeguardQuorum),
 	}, c.state)
 	conf := zonefailover.Config{
 		Zones:             c.unitNames,
@@ -77,13 +77,13 @@
 		EvacuationTime:    milliseconds(set.AwayMS),
 		MaxEvacuationTime: maxEvacuationTime,
 		BackoffReset:      backoffReset,
-		PacedRecovery:     isOn(withoutPace),
-		CheckCapacity:     isOn(withoutCapacity),
+		PacedRecovery:     isEnabled(safeguardPace),
+		CheckCapacity:     isEnabled(safeguardCapacity),
 	}
 	if set.StepMS == 0 { // all steps together take as long as a host's slow start
 		conf.StepDuration = max(minStepDuration, c.conf.Settings.SlowStartDuration/int64(len(conf.RecoverySteps)))
 	}
-	if !isOn(withoutQuorum) {
+	if !isEnabled(safeguardQuorum) {
 		conf.MinViews = 1
 	}
 	c.zones = zonefailover.New(conf, c.agreement)
