--- a/internal/crdt/antientropy.go
+++ b/internal/crdt/antientropy.go
@@ -30,7 +30,7 @@
 	s.counts.Messages++
 	changed = s.Merge(now, m.Entries...)
 	if m.Identical || m.Final {
-		s.caughtUp(m.Round)
+		s.recordCaughtUp(m.Round)
 	}
 	if len(m.GroupDigests) == digestGroups {
 		answers = append(answers, s.compareGroups(m))
@@ -49,8 +49,8 @@
 // all entries that the other member had.
 func (s *State) CaughtUpRound() uint64 { return s.caughtUpRound }
 
-// caughtUp records that a round started here has completed.
-func (s *State) caughtUp(round uint64) { s.caughtUpRound = max(s.caughtUpRound, round) }
+// recordCaughtUp records that a round started here has completed.
+func (s *State) recordCaughtUp(round uint64) { s.caughtUpRound = max(s.caughtUpRound, round) }
 
 // compareGroups answers the first message of a round with the bucket hashes of the groups that differ.
 func (s *State) compareGroups(m *Message) *Message {
@@ -85,7 +85,7 @@
 		}
 	}
 	if len(wanted) == 0 {
-		s.caughtUp(m.Round)
+		s.recordCaughtUp(m.Round)
 	}
 	return s.collectEntries(differing, wanted, m.Round)
 }
--- a/internal/crdt/entry.go
+++ b/internal/crdt/entry.go
@@ -2,10 +2,10 @@
 // all entries, merges what it receives in any order and any number of times, and catches up by anti-entropy rounds
 // after it was disconnected.
 //
-// Of two entries with one key, the merge keeps the greater by a total order. It is therefore commutative, associative and
-// idempotent for each kind of entry; kinds differ in their order (MergeRule). Each gateway drops an entry by itself when
-// the entry's time to live, counted from its timestamp, has passed: nothing has to be retracted over broken links, and
-// memory is bounded. The package does no I/O, reads no clock and starts no goroutine.
+// Of two entries with one key, the merge keeps the greater by a total order. It is therefore commutative, associative
+// and idempotent for each kind of entry; kinds differ in their order (MergeRule). Each gateway drops an entry by itself
+// when the entry's time to live, counted from its timestamp, has passed: nothing has to be retracted over broken links,
+// and memory is bounded. The package does no I/O, reads no clock and starts no goroutine.
 //
 // See Shapiro, Preguiça, Baquero, Zawirski: Conflict-free Replicated Data Types (2011).
 package crdt
--- a/internal/crdt/state.go
+++ b/internal/crdt/state.go
@@ -128,8 +128,8 @@
 	return s.write(now, kind, name, value, false)
 }
 
-// Delete writes a tombstone, and returns it to be sent to the other gateways. A tombstone expires no earlier than any copy
-// of the deleted entry, so that no older copy reappears.
+// Delete writes a tombstone, and returns it to be sent to the other gateways. A tombstone expires no earlier than any
+// copy of the deleted entry, so that no older copy reappears.
 func (s *State) Delete(now int64, kind Kind, name string) Entry {
 	return s.write(now, kind, name, nil, true)
 }
@@ -198,7 +198,7 @@
 	switch {
 	case !known:
 		s.counts.UnknownKind++
-	case !kind.fits(e):
+	case !kind.accepts(e):
 		s.counts.Malformed++
 	case e.Timestamp > now+s.conf.MaxClockSkew:
 		s.counts.FromFuture++
@@ -210,8 +210,8 @@
 	return kind, false
 }
 
-// fits reports whether an entry has the form that its kind requires.
-func (k *KindConfig) fits(e *Entry) bool {
+// accepts reports whether an entry has the form that its kind requires.
+func (k *KindConfig) accepts(e *Entry) bool {
 	if len(e.Value) > k.MaxValueSize || len(e.Name) > maxNameSize || len(e.Origin) > maxNameSize {
 		return false
 	}
--- a/internal/crdt/state_test.go
+++ b/internal/crdt/state_test.go
@@ -132,8 +132,8 @@
 func TestDeletedEntryStaysDeletedUntilItExpires(t *testing.T) {
 	s, far := newState("g"), newState("h")
 	old := s.Put(start, lastWriterWins, "a", []byte("v"))
-	gone := s.Delete(start+second, lastWriterWins, "a")
-	far.Merge(start+2*second, gone)
+	tombstone := s.Delete(start+second, lastWriterWins, "a")
+	far.Merge(start+2*second, tombstone)
 	for at := start; at < start+200*second; at += second {
 		for _, o := range []*State{s, far} {
 			o.Expire(at)
@@ -148,7 +148,8 @@
 	}
 }
 
-// Expire returns a process's own entries for renewal before other gateways drop them. Entries of a crashed process expire.
+// Expire returns a process's own entries for renewal before other gateways drop them. Entries of a crashed process
+// expire.
 func TestOwnEntriesAreRefreshedBeforeTheyExpire(t *testing.T) {
 	s, o := newState("g"), newState("h")
 	o.Merge(start, s.Put(start, lastWriterWins, "a", []byte("v")))
@@ -167,11 +168,11 @@
 	}
 }
 
-// Entries from the future, expired, of unknown kind, too long, or with or without an origin against the rule of their kind
-// are rejected and counted.
+// Entries from the future, expired, of unknown kind, too long, or with or without an origin against the rule of their
+// kind are rejected and counted.
 func TestInvalidEntriesAreRejectedAndCounted(t *testing.T) {
 	s := newState("g")
-	good := Entry{Kind: lastWriterWins, Name: "a", Origin: "x", Timestamp: start, Value: []byte("v")}
+	valid := Entry{Kind: lastWriterWins, Name: "a", Origin: "x", Timestamp: start, Value: []byte("v")}
 	for _, change := range []func(*Entry){
 		func(e *Entry) { e.Timestamp = start + 3600*second },
 		func(e *Entry) { e.Timestamp = start - 3600*second },
@@ -184,7 +185,7 @@
 			e.Origin = ""
 		},
 	} {
-		e := good
+		e := valid
 		change(&e)
 		if len(s.Merge(start, e)) != 0 {
 			t.Errorf("an invalid entry was merged: %+v", e)
