--- a/internal/store/core/core.go
+++ b/internal/store/core/core.go
@@ -63,13 +63,13 @@
 	caughtUpChecks map[uint64]int   // by learner: consecutive checks at which it was caught up
 	lastMessageAt  map[uint64]int64 // by member: tick of its last message
 
-	snapshotIndex     uint64            // of the newest saved snapshot
-	snapshotMembers   *raftpb.ConfState // the members that the newest saved snapshot records
-	savingIndex       uint64            // of the snapshot that is being written; 0: none
-	snapshotForced    bool              // a snapshot is due now
-	needsSnapshotData bool              // a transfer waits for the newest snapshot's bytes
-	outgoing          map[uint64]*outgoingTransfer
-	incoming          map[uint64]*incomingTransfer
+	snapshotIndex     uint64                       // of the newest saved snapshot
+	snapshotMembers   *raftpb.ConfState            // the members that the newest saved snapshot records
+	savingIndex       uint64                       // of the snapshot that is being written; 0: none
+	snapshotForced    bool                         // a snapshot is due now, however few entries were applied since the newest one
+	needsSnapshotData bool                         // a transfer waits for the newest snapshot's bytes
+	outgoing          map[uint64]*outgoingTransfer // by receiver
+	incoming          map[uint64]*incomingTransfer // by sender
 }
 
 // Machine returns the replicated state. Only the goroutine that owns the core may read it, and must not change it.
--- a/internal/store/core/transfer.go
+++ b/internal/store/core/transfer.go
@@ -46,7 +46,7 @@
 	data           []byte // encoded; nil until it was read from disk
 	sent, acked    int    // bytes
 	repeatedAcks   int    // acknowledgements in a row without progress
-	lastActivityAt int64  // in ticks
+	lastActivityAt int64  // tick of the last acknowledgement; before the first one, of the transfer's start or of the arrival of data
 }
 
 // incomingTransfer is a snapshot that is being received.
@@ -54,7 +54,7 @@
 	index, term    uint64
 	data           []byte
 	total          int   // bytes
-	lastActivityAt int64 // in ticks
+	lastActivityAt int64 // tick of the last chunk
 }
 
 func (t *incomingTransfer) matches(chunk *SnapshotChunk) bool {
--- a/internal/store/machine/command.go
+++ b/internal/store/machine/command.go
@@ -31,7 +31,7 @@
 type Command struct {
 	Format    uint8     `msgpack:"v"`
 	Kind      Kind      `msgpack:"k"`
-	RequestID uint64    `msgpack:"r,omitempty"` // chosen by the proposing instance, which matches the result with its proposal by it
+	RequestID uint64    `msgpack:"r,omitempty"` // chosen by the proposing instance, to match the result with its proposal
 	Session   uint64    `msgpack:"s,omitempty"` // 0: none; a command with the same Session and Seq is applied once
 	Seq       uint64    `msgpack:"q,omitempty"` // increases with each command of a session
 	If        []Compare `msgpack:"i,omitempty"` // the transaction's conditions, all of which must hold
@@ -101,7 +101,7 @@
 type Event struct {
 	Revision int64 `msgpack:"r" json:"revision"`
 	Deleted  bool  `msgpack:"d,omitempty" json:"deleted,omitempty"`
-	KV       *KV   `msgpack:"k" json:"kv"` // after a Put, or before a Delete
+	KV       *KV   `msgpack:"k" json:"kv"` // the key after a Put, or before a Delete
 }
 
 // Code is the reason why a command had no effect. It is the same at every instance.
@@ -114,7 +114,7 @@
 	OldSeq               // a later command of the session was already applied
 	NoLease              // the lease has ended
 	Malformed            // an unknown operation, or an invalid name
-	IsCompacted          // the revision was compacted
+	IsCompacted          // the revision is one that was compacted already
 	BadAmount            // a time, revision or format out of bounds
 	LeaseNotAllowed      // a lease in an operation other than Put
 )
--- a/internal/zonefailover/log.go
+++ b/internal/zonefailover/log.go
@@ -5,11 +5,11 @@
 // LogEntry is an event for operators.
 type LogEntry struct {
 	Zone, Message string
-	Epoch         uint64 // of the decision in effect
-	Share         byte   // in effect, in hundredths
-	PreviousShare byte   // in effect before, if Message is about a change
-	NextStepIn    time.Duration
-	Proposal      *Proposal // if Message is about a proposal
+	Epoch         uint64        // of the decision in effect
+	Share         byte          // in effect, in hundredths
+	PreviousShare byte          // in effect before, if Message is about a change
+	NextStepIn    time.Duration // 0 if no step follows
+	Proposal      *Proposal     // if Message is about a proposal
 }
 
 // Proposal is a share that this gateway has proposed, and the votes that led to it.
