--- a/internal/store/machine/image.go
+++ b/internal/store/machine/image.go
@@ -140,8 +140,8 @@
 	}
 	restoreLease := func(stored *imageLease) {
 		restored := newLease(stored.ID, stored.TTL, stored.End)
-		for _, at := range leased[stored.ID] {
-			restored.keys[at] = struct{}{}
+		for _, fullKey := range leased[stored.ID] {
+			restored.keys[fullKey] = struct{}{}
 		}
 		m.leases[stored.ID] = restored
 	}
@@ -180,10 +180,10 @@
 func (m *Machine) restoreKeys(decoder *msgpack.Decoder, count int) (leased map[uint64][]string, err error) {
 	leased = map[uint64][]string{}
 	err = decodeAll(decoder, "key", count, func(kv *KV) {
-		at := storageKey(kv.NS, kv.Key)
-		m.keys.Set(at, kv)
+		fullKey := storageKey(kv.NS, kv.Key)
+		m.keys.Set(fullKey, kv)
 		if kv.Lease != 0 {
-			leased[kv.Lease] = append(leased[kv.Lease], at)
+			leased[kv.Lease] = append(leased[kv.Lease], fullKey)
 		}
 	})
 	return leased, err
--- a/internal/store/machine/lease.go
+++ b/internal/store/machine/lease.go
@@ -56,10 +56,10 @@
 	return OK
 }
 
-// detachLease removes a key, given by its storage key, from the lease that the key has, if any.
-func (m *Machine) detachLease(kv *KV, at string) {
+// detachLease removes a key from the lease that it has, if any. fullKey is the key's storage key.
+func (m *Machine) detachLease(kv *KV, fullKey string) {
 	if lease := m.leases[kv.Lease]; lease != nil {
-		delete(lease.keys, at)
+		delete(lease.keys, fullKey)
 	}
 }
 
@@ -67,8 +67,8 @@
 func (m *Machine) endLease(ended *lease) {
 	delete(m.leases, ended.id)
 	next := m.revision + 1
-	for _, at := range slices.Sorted(maps.Keys(ended.keys)) {
-		m.remove(at, next)
+	for _, fullKey := range slices.Sorted(maps.Keys(ended.keys)) {
+		m.remove(fullKey, next)
 	}
 }
 
--- a/internal/store/machine/machine.go
+++ b/internal/store/machine/machine.go
@@ -84,8 +84,8 @@
 // List returns the keys with a prefix in ascending order, at most limit of them; 0: all.
 func (m *Machine) List(ns, prefix string, limit int) (found []KV) {
 	from := storageKey(ns, prefix)
-	m.keys.Ascend(from, func(at string, kv *KV) bool {
-		if !strings.HasPrefix(at, from) || limit > 0 && len(found) == limit {
+	m.keys.Ascend(from, func(fullKey string, kv *KV) bool {
+		if !strings.HasPrefix(fullKey, from) || limit > 0 && len(found) == limit {
 			return false
 		}
 		found = append(found, *kv)
--- a/internal/store/machine/machine_test.go
+++ b/internal/store/machine/machine_test.go
@@ -45,7 +45,7 @@
 	h.apply(Command{Kind: TransactionKind, Then: []Op{{Kind: Put, NS: "n", Key: key, Value: []byte(value), Lease: lease}}})
 }
 
-func (h *harness) expect(key, value string) {
+func (h *harness) requireValue(key, value string) {
 	h.t.Helper()
 	if kv, _ := h.machine.Get("n", key); string(kv.Value) != value {
 		h.t.Errorf("%s is %q, want %q", key, kv.Value, value)
@@ -63,17 +63,17 @@
 	if result := h.apply(compareAndSet("a", 7)); result.Holds || len(result.KVs) != 1 || result.Revision != 1 {
 		t.Errorf("a transaction whose condition fails: %+v", result)
 	}
-	h.expect("b", "")
+	h.requireValue("b", "")
 	if result := h.apply(compareAndSet("a", 1)); !result.Holds || result.Revision != 2 {
 		t.Errorf("a transaction whose condition holds: %+v", result)
 	}
-	h.expect("b", "2")
+	h.requireValue("b", "2")
 	// The second operation names an unknown lease: the first must not be executed either.
 	bad := Command{Kind: TransactionKind, Then: []Op{{Kind: Put, NS: "n", Key: "a", Value: []byte("3")}, {Kind: Put, NS: "n", Key: "c", Lease: 99}}}
 	if result := h.apply(bad); result.Code != NoLease || result.Revision != 2 {
 		t.Errorf("a transaction with an unknown lease: %+v, want NoLease", result)
 	}
-	h.expect("a", "2")
+	h.requireValue("a", "2")
 }
 
 func TestRetryIsAppliedOnce(t *testing.T) {
@@ -85,7 +85,7 @@
 	if again := h.apply(write); !cmp.Equal(again, first) {
 		t.Errorf("a retry returned %+v, the first attempt %+v", again, first)
 	}
-	h.expect("k", "2")
+	h.requireValue("k", "2")
 	write.Seq = 2
 	h.apply(write)
 	write.Seq = 1
@@ -123,11 +123,11 @@
 	h.apply(Command{Kind: AdvanceClockKind, Amount: 60})
 	h.apply(Command{Kind: KeepAliveKind, Lease: lease})
 	h.apply(Command{Kind: AdvanceClockKind, Amount: 60})
-	h.expect("a", "1")
+	h.requireValue("a", "1")
 	before := h.machine.Revision()
 	h.apply(Command{Kind: AdvanceClockKind, Amount: 40})
-	h.expect("a", "")
-	h.expect("b", "2")
+	h.requireValue("a", "")
+	h.requireValue("b", "2")
 	events, _, ok := h.machine.EventsSince("n", "", before, 10)
 	if !ok || len(events) != 1 || !events[0].Deleted || events[0].KV.Key != "a" {
 		t.Errorf("the end of the lease recorded the events %+v, want the deletion of a", events)
--- a/internal/store/machine/transaction.go
+++ b/internal/store/machine/transaction.go
@@ -80,7 +80,7 @@
 
 // put writes a key at a revision. It replaces the earlier KV instead of changing it, since events and images share it.
 func (m *Machine) put(op *Op, revision int64) {
-	at := storageKey(op.NS, op.Key)
+	fullKey := storageKey(op.NS, op.Key)
 	kv := &KV{
 		NS:       op.NS,
 		Key:      op.Key,
@@ -90,24 +90,24 @@
 		Version:  1,
 		Lease:    op.Lease,
 	}
-	if old, found := m.keys.Get(at); found {
+	if old, found := m.keys.Get(fullKey); found {
 		kv.Created = old.Created
 		kv.Version = old.Version + 1
-		m.detachLease(old, at)
+		m.detachLease(old, fullKey)
 	}
 	if lease := m.leases[op.Lease]; lease != nil {
-		lease.keys[at] = struct{}{}
+		lease.keys[fullKey] = struct{}{}
 	}
-	m.keys.Set(at, kv)
+	m.keys.Set(fullKey, kv)
 	m.recordEvent(Event{Revision: revision, KV: kv})
 }
 
-// remove deletes a key, given by its storage key, at a revision. Nothing happens if it does not exist.
-func (m *Machine) remove(at string, revision int64) {
-	old, found := m.keys.Delete(at)
+// remove deletes a key, given by its storage key, at a revision. A key that does not exist is ignored.
+func (m *Machine) remove(fullKey string, revision int64) {
+	old, found := m.keys.Delete(fullKey)
 	if !found {
 		return
 	}
-	m.detachLease(old, at)
+	m.detachLease(old, fullKey)
 	m.recordEvent(Event{Revision: revision, Deleted: true, KV: old})
 }
