--- a/internal/agreement/golden_test.go
+++ b/internal/agreement/golden_test.go
@@ -15,8 +15,8 @@
 // The encoding of a decision does not change, and decodes to the same decision.
 func TestGoldenDecisions(t *testing.T) {
 	tests := []struct {
-		name string
-		made Decision
+		name     string
+		decision Decision
 	}{
 		{"nothing", Decision{Value: []byte{}, Previous: []byte{}}},
 		{"usual", Decision{7, []byte{0, 100}, []byte{100, 100}, start, "n0"}},
@@ -26,7 +26,7 @@
 	}
 	var cases []golden.Case
 	for _, test := range tests {
-		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(test.made.encode())})
+		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(test.decision.encode())})
 	}
 	stored := golden.Check(t, "decisions.golden", cases)
 	for _, test := range tests {
@@ -34,9 +34,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		read, err := decodeDecision(&crdt.Entry{Sequence: test.made.Epoch, Value: value})
-		if err != nil || !reflect.DeepEqual(read, test.made) {
-			t.Errorf("%s is decoded as %v, error %v", test.name, read, err)
+		decoded, err := decodeDecision(&crdt.Entry{Sequence: test.decision.Epoch, Value: value})
+		if err != nil || !reflect.DeepEqual(decoded, test.decision) {
+			t.Errorf("%s is decoded as %v, error %v", test.name, decoded, err)
 		}
 	}
 }
--- a/internal/crdt/golden_test.go
+++ b/internal/crdt/golden_test.go
@@ -25,22 +25,22 @@
 
 // The encoding of each form of a message does not change, and decodes to the same message.
 func TestGoldenMessages(t *testing.T) {
-	asked, other := goldenState().StartRound(math.MaxUint64), newState("b")
-	answers, _ := other.Receive(start, asked)
-	brought, _ := goldenState().Receive(start, answers[0])
+	request, empty := goldenState().StartRound(math.MaxUint64), newState("b")
+	answers, _ := empty.Receive(start, request)
+	entryMessages, _ := goldenState().Receive(start, answers[0])
 	wanted, _ := goldenState().Receive(start, &Message{WantedBuckets: []int{0, 255}, Round: 2})
-	same, _ := goldenState().Receive(start, goldenState().StartRound(3))
+	identical, _ := goldenState().Receive(start, goldenState().StartRound(3))
 	tests := []struct {
-		name string
-		made *Message
+		name    string
+		message *Message
 	}{
 		{"nothing", &Message{}},
-		{"ask", asked},
-		{"ask of an empty state", other.StartRound(1)},
+		{"ask", request},
+		{"ask of an empty state", empty.StartRound(1)},
 		{"groups that differ", answers[0]},
-		{"entries", brought[0]},
+		{"entries", entryMessages[0]},
 		{"last", wanted[0]},
-		{"same", same[0]},
+		{"same", identical[0]},
 		{"want", &Message{WantedBuckets: []int{0, 127, 128, 255}, Round: 256}},
 		{"greatest entry", &Message{Entries: []Entry{{Kind: math.MaxUint8, Name: "n", Origin: "o", Incarnation: math.MaxUint64,
 			Sequence: math.MaxUint64 - 1, Timestamp: math.MaxInt64, Deleted: true, Value: make([]byte, 256)}}}},
@@ -48,7 +48,7 @@
 	}
 	var cases []golden.Case
 	for _, test := range tests {
-		b, err := Encode(test.made)
+		b, err := Encode(test.message)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,11 +60,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		read, err := Decode("a", b)
+		decoded, err := Decode("a", b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(test.made, read, equal, cmpopts.IgnoreUnexported(Message{})); diff != "" {
+		if diff := cmp.Diff(test.message, decoded, equal, cmpopts.IgnoreUnexported(Message{})); diff != "" {
 			t.Errorf("%s: %s", test.name, diff)
 		}
 	}
--- a/internal/crdt/state_test.go
+++ b/internal/crdt/state_test.go
@@ -130,12 +130,12 @@
 
 // A deleted entry does not reappear when an older copy arrives, however late, and all entries expire in the end.
 func TestDeletedEntryStaysDeletedUntilItExpires(t *testing.T) {
-	s, far := newState("g"), newState("h")
+	s, other := newState("g"), newState("h")
 	old := s.Put(start, lastWriterWins, "a", []byte("v"))
 	tombstone := s.Delete(start+second, lastWriterWins, "a")
-	far.Merge(start+2*second, tombstone)
+	other.Merge(start+2*second, tombstone)
 	for at := start; at < start+200*second; at += second {
-		for _, o := range []*State{s, far} {
+		for _, o := range []*State{s, other} {
 			o.Expire(at)
 			o.Merge(at, old)
 			if _, ok := o.Get(old.Key()); ok && at >= start+2*second {
@@ -143,7 +143,7 @@
 			}
 		}
 	}
-	if s.Len()+far.Len() != 0 || s.MemoryBytes()+far.MemoryBytes() != 0 || s.digest != [digestGroups][bucketsPerGroup]uint64{} {
+	if s.Len()+other.Len() != 0 || s.MemoryBytes()+other.MemoryBytes() != 0 || s.digest != [digestGroups][bucketsPerGroup]uint64{} {
 		t.Errorf("%d entries and %d bytes remain, want none", s.Len(), s.MemoryBytes())
 	}
 }
--- a/internal/store/core/apply_test.go
+++ b/internal/store/core/apply_test.go
@@ -13,10 +13,10 @@
 	cl := newCluster(t, 1, machine.Format+1, machine.Format+1)
 	leader := cl.elect(2)
 	old := cl.cores[1]
-	var held []Envelope
+	var delayed []Envelope
 	cl.transmit = func(e Envelope) {
 		if e.To == 1 {
-			held = append(held, e)
+			delayed = append(delayed, e)
 			return
 		}
 		cl.deliver(e)
@@ -26,7 +26,7 @@
 	old.Read(2)
 	cl.runUntilIdle()
 	cl.transmit = cl.deliver
-	for _, e := range held {
+	for _, e := range delayed {
 		cl.deliver(e)
 	}
 	cl.runUntilIdle()
--- a/internal/zonefailover/decisions_test.go
+++ b/internal/zonefailover/decisions_test.go
@@ -82,7 +82,7 @@
 	return f
 }
 
-func (f *fleet) chance(part float64) bool { return f.random.Float64() < part }
+func (f *fleet) chance(probability float64) bool { return f.random.Float64() < probability }
 
 // observe adds observations of attempts and health checks at a gateway.
 func (f *fleet) observe(g *gateway) {
--- a/internal/zonefailover/golden_test.go
+++ b/internal/zonefailover/golden_test.go
@@ -13,9 +13,9 @@
 // The encoding of a vote does not change, and decodes to the view of each zone.
 func TestGoldenVotes(t *testing.T) {
 	tests := []struct {
-		name  string
-		own   int
-		views []ZoneView
+		name    string
+		ownZone int
+		views   []ZoneView
 	}{
 		{"of no zone", -1, []ZoneView{{Healthy, 40, 1}}},
 		{"each verdict", 2, []ZoneView{{Unknown, 0, 0}, {Healthy, 255, 65535}, {Unhealthy, 1, 256}}},
@@ -23,7 +23,7 @@
 	}
 	var cases []golden.Case
 	for _, test := range tests {
-		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(encodeVote(test.own, test.views))})
+		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(encodeVote(test.ownZone, test.views))})
 	}
 	stored := golden.Check(t, "votes.golden", append(cases, golden.Case{Name: "topic and whole", Form: fmt.Sprint(topic, " ", FullShare)}))
 	for _, test := range tests {
@@ -32,8 +32,8 @@
 			t.Fatal(err)
 		}
 		for zone, view := range test.views {
-			if own, read, ok := decodeVote(b, zone); !ok || byte(own) != byte(test.own) || read != view {
-				t.Errorf("%s: zone %d is decoded as view %v of a gateway in zone %d, valid: %v", test.name, zone, read, own, ok)
+			if ownZone, decoded, ok := decodeVote(b, zone); !ok || byte(ownZone) != byte(test.ownZone) || decoded != view {
+				t.Errorf("%s: zone %d is decoded as view %v of a gateway in zone %d, valid: %v", test.name, zone, decoded, ownZone, ok)
 			}
 		}
 	}
