--- a/internal/crdt/state.go
+++ b/internal/crdt/state.go
@@ -260,8 +260,8 @@
 	s.entries.Scan(func(key string, e *Entry) bool {
 		ttl := s.conf.Kinds[e.Kind].TTL
 		if e.Deleted {
-			ttl += s.conf.MaxClockSkew // a copy with a timestamp ahead of this clock expires that much later
-		} // a copy whose timestamp is ahead of this clock expires that much later
+			ttl += s.conf.MaxClockSkew // a copy whose timestamp is ahead of this clock expires that much later
+		}
 		isOwn := e.Origin == s.conf.Self && e.Incarnation == s.conf.Incarnation
 		if e.Timestamp+ttl < now {
 			expired = append(expired, key)
--- a/internal/fleet/modules.go
+++ b/internal/fleet/modules.go
@@ -29,7 +29,7 @@
 	maxVoteSize      = 1 + 4*255 // bytes: a vote on 255 zones
 	maxDecisionSize  = 1024      // bytes
 	requiredShare    = 0.6       // fraction of the gateways with a view of a zone's health that must find it unhealthy
-	maxMinViews      = 3         // gateways that must have a view of a zone's health, in fleets of nine or more; a third of smaller fleets
+	maxMinViews      = 3         // gateways that must have a view of a zone's health; in fleets of fewer than nine a third of them, at least 1
 	maxLatencyShare  = 0.6       // of the latency objective
 	minEvidenceHosts = 3
 	minFailingGroups = 2
--- a/internal/zonefailover/evidence.go
+++ b/internal/zonefailover/evidence.go
@@ -20,8 +20,8 @@
 // host, over some seconds.
 //
 // A zone is unhealthy when most of its hosts, of more than one group, fail while another zone mostly does not. One
-// failing host or one failing group does not make a zone unhealthy. A gateway whose own network link fails gets failures
-// from all zones, and reports none as unhealthy.
+// failing host or one failing group does not make a zone unhealthy. A gateway whose own network link fails observes
+// failures in all zones, and reports none as unhealthy.
 type EvidenceCollector struct {
 	conf           EvidenceConfig
 	hosts          map[string]*hostEvidence
--- a/internal/zonefailover/vote.go
+++ b/internal/zonefailover/vote.go
@@ -80,7 +80,7 @@
 func (v *VoteCount) viewCount() int { return v.Healthy + v.Unhealthy }
 
 // countVotes counts the votes of the gateways outside a zone. Votes from inside do not count: those gateways may be cut
-// off together with the zone, and then get failures from all other zones.
+// off together with the zone, and then observe failures in all other zones.
 func countVotes(votes []agreement.Vote, zone int) (count VoteCount) {
 	for _, vote := range votes {
 		voterZone, view, ok := decodeVote(vote.Body, zone)
