--- a/internal/store/core/apply.go
+++ b/internal/store/core/apply.go
@@ -23,18 +23,18 @@
 	c.applyData(entry, entry.GetData())
 }
 
-// applyData applies an entry's command; raft's own entries have none.
+// applyData applies an entry's command. The entries that raft adds itself, such as that of a new leader, have none.
 func (c *Core) applyData(entry *raftpb.Entry, data []byte) {
 	if len(data) == 0 {
 		c.machine.Skip(entry.GetIndex())
 	} else {
 		c.applyCommand(entry.GetIndex(), data)
 	}
-	c.noteApplied(entry)
+	c.recordApplied(entry)
 }
 
-// noteApplied records an entry as applied, unless applying it has halted the instance.
-func (c *Core) noteApplied(entry *raftpb.Entry) {
+// recordApplied records an entry as applied, unless applying it has halted the instance.
+func (c *Core) recordApplied(entry *raftpb.Entry) {
 	if c.halted != nil {
 		return
 	}
@@ -52,7 +52,7 @@
 		return
 	}
 	if slices.ContainsFunc(command.Then, writesMembers) {
-		c.memberVersion++
+		c.membersVersion++
 	}
 	if proposal, own := c.pending[command.RequestID]; own {
 		delete(c.pending, command.RequestID)
@@ -65,7 +65,8 @@
 	return op.Kind.Writes() && (op.NS == MembersNS || op.NS == RemovedNS)
 }
 
-// halt stops applying entries permanently. It answers the pending proposals with ErrOutcomeUnknown and all reads with err.
+// halt stops applying entries permanently. It answers the pending proposals with ErrOutcomeUnknown and all reads with
+// err.
 func (c *Core) halt(err error) {
 	c.halted = err
 	c.abandonProposals(func(pendingProposal) bool { return true })
@@ -81,7 +82,7 @@
 	c.queuedReads = nil
 }
 
-// applyConfChange applies a change of the members, and the command that is carried in its context.
+// applyConfChange applies a change of the members, and the command that records it, from the change's context.
 func (c *Core) applyConfChange(entry *raftpb.Entry) {
 	change, err := decodeConfChange(entry)
 	if err != nil {
@@ -100,6 +101,7 @@
 	}
 }
 
+// decodeConfChange decodes a change of the members, which raft encodes in one of two formats.
 func decodeConfChange(entry *raftpb.Entry) (*raftpb.ConfChangeV2, error) {
 	if entry.GetType() == raftpb.EntryConfChange {
 		change := &raftpb.ConfChange{}
@@ -115,6 +117,7 @@
 	return change, nil
 }
 
+// isMember reports whether an id is a voter or a learner, also while a joint change is in progress.
 func isMember(state *raftpb.ConfState, id uint64) bool {
 	return slices.Contains(state.GetVoters(), id) || slices.Contains(state.GetLearners(), id) ||
 		slices.Contains(state.GetVotersOutgoing(), id) || slices.Contains(state.GetLearnersNext(), id)
--- a/internal/store/core/transfer.go
+++ b/internal/store/core/transfer.go
@@ -15,7 +15,7 @@
 	resendAfterAcks   = 3   // acknowledgements without progress after which chunks are sent again at once
 	resendAfterTicks  = 10  // ticks without an acknowledgement after which chunks are sent again
 	abandonAfterTicks = 100 // ticks without a message after which a transfer is abandoned
-	// MaxSnapshotSize bounds the size in bytes that a sender may announce for a snapshot.
+	// MaxSnapshotSize bounds the size, in bytes, that a sender may announce for a snapshot.
 	MaxSnapshotSize = 2 << 30
 )
 
@@ -41,35 +41,36 @@
 
 // outgoingTransfer is a snapshot that is being sent.
 type outgoingTransfer struct {
-	to, term     uint64
-	index        uint64
-	data         []byte // encoded; nil until it was read from disk
-	sent, acked  int    // bytes
-	repeatedAcks int    // acknowledgements in a row without progress
-	lastHeard    int64  // in ticks
+	to, term       uint64
+	index          uint64
+	data           []byte // encoded; nil until it was read from disk
+	sent, acked    int    // bytes
+	repeatedAcks   int    // acknowledgements in a row without progress
+	lastActivityAt int64  // tick of the last acknowledgement; before the first one, of the transfer's start or of the arrival of data
 }
 
 // incomingTransfer is a snapshot that is being received.
 type incomingTransfer struct {
-	index, term uint64
-	data        []byte
-	total       int   // bytes
-	lastHeard   int64 // in ticks
+	index, term    uint64
+	data           []byte
+	total          int   // bytes
+	lastActivityAt int64 // tick of the last chunk
 }
 
 func (t *incomingTransfer) matches(chunk *SnapshotChunk) bool {
 	return t.index == chunk.Index && t.term == chunk.Term && t.total == chunk.Total
 }
 
-// beginTransfer starts a transfer in place of raft's MsgSnap. It sends the newest snapshot, which may be newer than the
-// one that raft named.
+// beginTransfer starts a transfer in chunks instead of raft's MsgSnap. It sends the newest snapshot, which may be newer
+// than the one in the message.
 func (c *Core) beginTransfer(request *raftpb.Message) {
 	to := request.GetTo()
 	if c.outgoing[to] != nil {
 		return
 	}
-	c.outgoing[to] = &outgoingTransfer{to: to, term: request.GetTerm(), lastHeard: c.now}
-	// Raft rejects a snapshot whose members do not include the receiver: one that has just joined needs a new snapshot.
+	c.outgoing[to] = &outgoingTransfer{to: to, term: request.GetTerm(), lastActivityAt: c.now}
+	// Raft rejects a snapshot whose members do not include the receiver. An instance that has just joined therefore needs
+	// a new snapshot.
 	if !isMember(c.snapshotMembers, to) {
 		c.snapshotForced = true
 	}
@@ -98,7 +99,7 @@
 		}
 		transfer.data = data
 		transfer.index = meta.GetIndex()
-		transfer.lastHeard = c.now
+		transfer.lastActivityAt = c.now
 	}
 }
 
@@ -115,19 +116,19 @@
 // transfers without progress.
 func (c *Core) sendChunks() {
 	for from, transfer := range c.incoming {
-		if c.now-transfer.lastHeard > abandonAfterTicks {
+		if c.now-transfer.lastActivityAt > abandonAfterTicks {
 			delete(c.incoming, from)
 		}
 	}
 	budget := c.conf.SnapshotBytesPerTick
 	for _, id := range c.receivers() {
 		transfer := c.outgoing[id]
-		silence := c.now - transfer.lastHeard
-		if silence > abandonAfterTicks || !c.IsLeader() {
+		idleTicks := c.now - transfer.lastActivityAt
+		if idleTicks > abandonAfterTicks || !c.IsLeader() {
 			c.failTransfer(id)
 			continue
 		}
-		if silence > resendAfterTicks {
+		if idleTicks > resendAfterTicks {
 			transfer.sent = transfer.acked
 		}
 		budget = c.sendWindow(transfer, budget)
@@ -152,8 +153,8 @@
 	return budget
 }
 
-// receiveChunk processes a part of a snapshot. Only the next part in order is kept; each acknowledgement states how
-// many bytes were received, and thereby requests the next part.
+// receiveChunk processes a part of a snapshot. Only the next part in order is kept. Each acknowledgement states how many
+// bytes were received, and thereby requests the next part.
 func (c *Core) receiveChunk(from uint64, chunk *SnapshotChunk) {
 	if !chunk.valid() {
 		return
@@ -167,7 +168,7 @@
 		transfer = &incomingTransfer{index: chunk.Index, term: chunk.Term, total: chunk.Total}
 		c.incoming[from] = transfer
 	}
-	transfer.lastHeard = c.now
+	transfer.lastActivityAt = c.now
 	if chunk.Offset == len(transfer.data) {
 		transfer.data = append(transfer.data, chunk.Data...) // grows with the bytes received, not with the announced total
 	}
@@ -176,12 +177,12 @@
 		return
 	}
 	delete(c.incoming, from)
-	c.handSnapshotToRaft(from, transfer)
+	c.passSnapshotToRaft(from, transfer)
 }
 
-// handSnapshotToRaft passes a completely received snapshot to raft. A damaged one is dropped, and raft requests another.
-func (c *Core) handSnapshotToRaft(from uint64, transfer *incomingTransfer) {
-	meta, _, err := disk.DecodeSnapshot(sentSnapshotName, transfer.data)
+// passSnapshotToRaft passes a completely received snapshot to raft. A damaged one is dropped, and raft requests another.
+func (c *Core) passSnapshotToRaft(from uint64, transfer *incomingTransfer) {
+	meta, _, err := disk.DecodeSnapshot(receivedSnapshotName, transfer.data)
 	if err != nil || meta.GetIndex() != transfer.index {
 		return
 	}
@@ -194,7 +195,8 @@
 	})
 }
 
-// receiveAck processes an acknowledgement: it advances the window, or goes back after a loss or restart.
+// receiveAck processes an acknowledgement. It advances the window, or goes back to the acknowledged offset if a chunk
+// was lost or the receiver has restarted.
 func (c *Core) receiveAck(from uint64, ack *ChunkAck) {
 	transfer := c.outgoing[from]
 	if transfer == nil || transfer.data == nil || ack.Index != transfer.index {
@@ -203,7 +205,7 @@
 	if ack.Offset < 0 || ack.Offset > len(transfer.data) {
 		return
 	}
-	transfer.lastHeard = c.now
+	transfer.lastActivityAt = c.now
 	if ack.Offset == transfer.acked {
 		transfer.repeatedAcks++
 	} else {
--- a/internal/store/machine/machine.go
+++ b/internal/store/machine/machine.go
@@ -1,6 +1,6 @@
-// Package machine is the store's replicated state: namespaces of keys with revisions, transactions, leases on a
-// logical clock, sessions that apply a retried command once, and the latest events for watches. It does no I/O,
-// reads no clock and starts no goroutine; the same commands give the same state and the same results at every instance.
+// Package machine implements the store's replicated state: namespaces of keys with revisions, transactions, leases on a
+// logical clock, sessions that apply a retried command once, and the latest events for watches. It does no I/O, reads no
+// clock and starts no goroutine. The same commands give the same state and the same results at every instance.
 package machine
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/tidwall/btree"
 )
 
-// maxName bounds the bytes of a namespace or key.
-const maxName = 1024
+// maxNameSize bounds the bytes of a namespace or key.
+const maxNameSize = 1024
 
 // Machine is the replicated state. It is not safe for concurrent use; Image returns a view for other goroutines.
 type Machine struct {
@@ -84,8 +84,8 @@
 // List returns the keys with a prefix in ascending order, at most limit of them; 0: all.
 func (m *Machine) List(ns, prefix string, limit int) (found []KV) {
 	from := storageKey(ns, prefix)
-	m.keys.Ascend(from, func(at string, kv *KV) bool {
-		if !strings.HasPrefix(at, from) || limit > 0 && len(found) == limit {
+	m.keys.Ascend(from, func(fullKey string, kv *KV) bool {
+		if !strings.HasPrefix(fullKey, from) || limit > 0 && len(found) == limit {
 			return false
 		}
 		found = append(found, *kv)
@@ -97,20 +97,21 @@
 // storageKey returns the key under which a namespace's key is stored.
 func storageKey(ns, key string) string { return ns + "\x00" + key }
 
-// ValidName reports whether a namespace or key is valid: 1 to 1024 bytes without a zero byte, which separates the two in
-// storage keys.
+// ValidName reports whether a namespace or key is valid: 1 to 1024 bytes, none of which is zero. Storage keys use the
+// zero byte as separator.
 func ValidName(name string) bool {
-	return name != "" && len(name) <= maxName && !strings.Contains(name, "\x00")
+	return name != "" && len(name) <= maxNameSize && !strings.Contains(name, "\x00")
 }
 
-// Skip advances to an index without a command, for raft's own empty entries.
+// Skip advances to an index that has no command, such as that of an empty entry that raft adds.
 func (m *Machine) Skip(index uint64) { m.extendChain(index, nil, 0, 0) }
 
-// Apply applies the command at an index, and returns its result and the decoded command. It returns an error only for
-// ErrUnknownRecord and for an index out of order, and then changes nothing; any other failure is the result's code.
+// Apply applies the command at an index, and returns its result and the decoded command. It returns an error, and
+// changes nothing, only if the command cannot be decoded (ErrUnknownRecord) or the index is out of order. Any other
+// failure is stated by the result's code.
 func (m *Machine) Apply(index uint64, data []byte) (Result, *Command, error) {
 	if index <= m.index {
-		return Result{}, nil, fmt.Errorf("store: index %d does not follow %d", index, m.index)
+		return Result{}, nil, fmt.Errorf("store: cannot apply the command at index %d: the last applied index is %d", index, m.index)
 	}
 	command, err := Decode(data, m.format)
 	if err != nil {
@@ -138,7 +139,7 @@
 	result := Result{}
 	switch command.Kind {
 	case TransactionKind:
-		result = m.transact(command)
+		result = m.executeTransaction(command)
 	case OpenSessionKind:
 		m.openSession(index)
 		result.ID = index
--- a/internal/store/machine/transaction.go
+++ b/internal/store/machine/transaction.go
@@ -4,8 +4,9 @@
 	"bytes"
 )
 
-// transact evaluates the conditions and then executes one of the two lists of operations, completely or not at all.
-func (m *Machine) transact(command *Command) Result {
+// executeTransaction evaluates the conditions and then executes one of the two lists of operations, completely or not
+// at all.
+func (m *Machine) executeTransaction(command *Command) Result {
 	result := Result{Holds: true}
 	for i := range command.If {
 		if !m.holds(&command.If[i]) {
@@ -16,7 +17,7 @@
 	if !result.Holds {
 		ops = command.Else
 	}
-	result.Code = m.check(ops)
+	result.Code = m.validate(ops)
 	if result.Code != OK {
 		return result
 	}
@@ -39,15 +40,15 @@
 	return result
 }
 
-// check validates all operations before any of them is executed.
-func (m *Machine) check(ops []Op) Code {
+// validate validates all operations before any of them is executed.
+func (m *Machine) validate(ops []Op) Code {
 	for i := range ops {
 		op := &ops[i]
 		if !op.wellFormed() {
 			return Malformed
 		}
 		if op.Lease != 0 && op.Kind != Put {
-			return BadLeaseName
+			return LeaseNotAllowed
 		}
 		if op.Lease != 0 && m.leases[op.Lease] == nil {
 			return NoLease
@@ -77,9 +78,9 @@
 	return false
 }
 
-// put writes a key at a revision. The earlier KV is not changed: events and images share it.
+// put writes a key at a revision. It replaces the earlier KV instead of changing it, since events and images share it.
 func (m *Machine) put(op *Op, revision int64) {
-	at := storageKey(op.NS, op.Key)
+	fullKey := storageKey(op.NS, op.Key)
 	kv := &KV{
 		NS:       op.NS,
 		Key:      op.Key,
@@ -89,24 +90,24 @@
 		Version:  1,
 		Lease:    op.Lease,
 	}
-	if old, found := m.keys.Get(at); found {
+	if old, found := m.keys.Get(fullKey); found {
 		kv.Created = old.Created
 		kv.Version = old.Version + 1
-		m.detachLease(old, at)
+		m.detachLease(old, fullKey)
 	}
 	if lease := m.leases[op.Lease]; lease != nil {
-		lease.keys[at] = struct{}{}
+		lease.keys[fullKey] = struct{}{}
 	}
-	m.keys.Set(at, kv)
+	m.keys.Set(fullKey, kv)
 	m.recordEvent(Event{Revision: revision, KV: kv})
 }
 
-// remove deletes a key, given by its storage key, at a revision. Nothing happens if it does not exist.
-func (m *Machine) remove(at string, revision int64) {
-	old, found := m.keys.Delete(at)
+// remove deletes a key, given by its storage key, at a revision. A key that does not exist is ignored.
+func (m *Machine) remove(fullKey string, revision int64) {
+	old, found := m.keys.Delete(fullKey)
 	if !found {
 		return
 	}
-	m.detachLease(old, at)
+	m.detachLease(old, fullKey)
 	m.recordEvent(Event{Revision: revision, Deleted: true, KV: old})
 }
