--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// send begins an attempt. One for a request that is finished, or that has an attempt in flight, is refused: the router
-// never asks for it unless it has a defect.
+// send starts an attempt. It refuses an attempt for a request that is finished or already has an attempt in flight;
+// the router asks for such an attempt only if it has a defect.
 func (g *Gateway) send(action *balance.Action) {
 	id := action.Request
 	req := g.requests[id]
@@ -89,7 +89,7 @@
 	})
 }
 
-// writeLog writes a line of the router's with its fields.
+// writeLog writes a log entry of the router with its fields.
 func (g *Gateway) writeLog(entry *balance.LogEntry) {
 	event := g.log.Info()
 	if entry.HasGroup {
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -2,7 +2,7 @@
 
 import "cloverrock/balance"
 
-// Accept takes a request and returns its id.
+// Accept passes a new request to the router and returns the id of the request.
 func (g *Gateway) Accept(request Request) int64 {
 	g.lastRequest++
 	g.counts.Requests++
@@ -17,8 +17,9 @@
 	return id
 }
 
-// sessionWriteAge returns how long ago the position was written that a read must see, in microseconds; 0 means that
-// there is no such position. A commit is rounded up and may lie a little ahead of the clock: its age is negative.
+// sessionWriteAge returns the age, in microseconds, of the log position that a read must include; 0 means that there is
+// no such position. The position of a commit is rounded up and may lie slightly ahead of the clock, so its age may be
+// negative.
 func (g *Gateway) sessionWriteAge(minPosition int64) int64 {
 	if minPosition <= 0 {
 		return 0
@@ -41,8 +42,8 @@
 	g.handle(balance.Event{Kind: balance.ClientDisconnectedEvent, Request: id})
 }
 
-// clientGone looks at the client itself just before the first byte of an attempt: the event of its disconnection may
-// still be queued behind others.
+// clientGone reports whether a request is finished, after checking the client's connection itself. It is called
+// just before the first byte of an attempt is written, when the event of a disconnection may still be queued.
 func (g *Gateway) clientGone(id int64) bool {
 	req := g.requests[id]
 	if req != nil && !req.finished && req.Client.Disconnected() {
@@ -51,8 +52,8 @@
 	return req == nil || req.finished
 }
 
-// AttemptFinished takes the outcome of an attempt. The first that succeeds is served to the client; an outcome that
-// comes after the final answer, or after the client has disconnected, reaches only the router.
+// AttemptFinished handles the outcome of an attempt. The first success is served to the client. An outcome that arrives
+// after the final answer, or after the client has disconnected, is reported to the router only.
 func (g *Gateway) AttemptFinished(attempt Attempt, outcome Outcome) {
 	req := g.requests[attempt.Request]
 	if req == nil {
@@ -77,7 +78,7 @@
 	})
 }
 
-// HealthCheckFinished takes the outcome of a health check.
+// HealthCheckFinished handles the outcome of a health check.
 func (g *Gateway) HealthCheckFinished(host string, outcome Outcome) {
 	if !outcome.Result.Answered() {
 		g.counts.HealthChecksFailed++
@@ -89,7 +90,7 @@
 	})
 }
 
-// EndpointsUpdated takes an endpoint list, or the changes of one if it is not complete.
+// EndpointsUpdated handles an endpoint list, or a list of changes if it is not complete.
 func (g *Gateway) EndpointsUpdated(endpoints []balance.Endpoint, complete bool) {
 	g.endpointsKnown = true
 	g.handle(balance.Event{Kind: balance.EndpointsEvent, Endpoints: endpoints, Complete: complete})
@@ -100,20 +101,20 @@
 	g.handle(balance.Event{Kind: balance.EndpointsEvent, PollFailed: true})
 }
 
-// GossipReceived takes a message from another gateway.
+// GossipReceived handles a message from another gateway.
 func (g *Gateway) GossipReceived(peer int, data []byte) {
 	g.counts.GossipReceived++
 	g.handle(balance.Event{Kind: balance.GossipEvent, Peer: peer, Data: data})
 }
 
-// Shutdown has every request answered by a time, in microseconds on the loop's clock, those that are accepted from now on
-// included.
+// Shutdown makes the router answer every request, including those that are accepted later, before answersDueAt, a time
+// in microseconds on the loop's clock.
 func (g *Gateway) Shutdown(answersDueAt int64) {
 	g.handle(balance.Event{Kind: balance.ShutdownEvent, Deadline: answersDueAt})
 }
 
-// handle passes events to the router one at a time: an event that is caused by an action waits until all actions of
-// the event before it are done.
+// handle passes events to the router one at a time. An event that is caused by an action is queued until all actions of
+// the current event are done.
 func (g *Gateway) handle(event balance.Event) {
 	g.events = append(g.events, event)
 	if g.handling {
@@ -132,7 +133,7 @@
 	g.handling = false
 }
 
-// finish marks a request as answered or abandoned; it is forgotten once its attempt has ended.
+// finish marks a request as answered or abandoned. The request is deleted once its attempt has ended.
 func (g *Gateway) finish(id int64, req *pendingRequest) {
 	req.finished = true
 	req.Client = nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway keeps the requests in flight between clients and database hosts. It reports every event to the
-// decision module (package balance) and carries out the actions that the module returns; it knows no protocol and
-// takes no decision of its own. Frontends, backends, discovery and other gateways are behind small interfaces, so
-// that a second protocol is subject to the same decisions.
+// Package gateway tracks the requests in flight between clients and database hosts. It reports every event to the
+// decision module (package balance) and carries out the actions that the module returns. It implements no protocol and
+// makes no decisions of its own. Frontends, backends, discovery and other gateways are behind small interfaces, so that
+// the same decisions apply to any further protocol.
 package gateway
 
 import (
@@ -10,20 +10,20 @@
 	"cloverrock/balance"
 )
 
-// HealthCheckClass is passed to observers in place of a request's class where the outcome is that of a health check.
+// HealthCheckClass is passed to observers in place of a request class when the outcome is that of a health check.
 const HealthCheckClass = -1
 
-// Counts is what a gateway has done since its start.
+// Counts holds the counters of a gateway since its start.
 type Counts struct {
 	Requests, Rejected, Failed                  int
 	Outcomes                                    [balance.NotPrimary + 1]int // of attempts, by result
-	Retries                                     int                         // attempts of requests that had one before
+	Retries                                     int                         // attempts of a request after its first
 	HealthChecks, HealthChecksFailed            int
 	GossipSent, GossipBytesSent, GossipReceived int // messages to and from other gateways
 }
 
-// Gateway owns the requests in flight. It is not safe for concurrent use: all of its methods belong to the goroutine
-// of the event loop.
+// Gateway tracks the requests in flight. It is not safe for concurrent use: all of its methods must be called on the
+// goroutine of the event loop.
 type Gateway struct {
 	router    *balance.Router
 	clock     Clock
@@ -39,16 +39,16 @@
 	observers      []func(host string, class int, outcome Outcome)
 
 	events   []balance.Event  // not handled yet, in the order in which they occurred
-	actions  []balance.Action // of the event that is being handled; kept to reuse its memory
+	actions  []balance.Action // of the event that is being handled; the slice is reused
 	handling bool             // an event is being handled
 }
 
-// pendingRequest is a request whose final answer is still due, or whose attempt is still in flight.
+// pendingRequest is a request that has no final answer yet or whose attempt is still in flight.
 type pendingRequest struct {
 	Request
-	attempts        int  // attempts begun so far
+	attempts        int  // attempts started so far
 	attemptInFlight bool // at most one attempt is in flight
-	finished        bool // the final answer was given, or the client has disconnected
+	finished        bool // the final answer was sent, or the client has disconnected
 }
 
 // New returns a gateway around a router. Connect must be called before the first event.
@@ -66,7 +66,7 @@
 // Ready reports whether an endpoint list is known.
 func (g *Gateway) Ready() bool { return g.endpointsKnown }
 
-// InFlight returns the number of requests whose final answer is still due.
+// InFlight returns the number of requests that have no final answer yet.
 func (g *Gateway) InFlight() int {
 	n := 0
 	for _, req := range g.requests {
@@ -77,7 +77,7 @@
 	return n
 }
 
-// Counts returns what was done so far.
+// Counts returns the counters since the start.
 func (g *Gateway) Counts() Counts { return g.counts }
 
 // ObserveOutcomes registers a function that is called with the host, class and outcome of each attempt and health
@@ -92,13 +92,13 @@
 	}
 }
 
-// SetZoneShares gives the router the shares of the zones that the fleet has agreed on.
+// SetZoneShares passes the zone shares that the gateways have agreed on to the router.
 func (g *Gateway) SetZoneShares(shares balance.ZoneShares) { g.router.SetZoneShares(shares) }
 
-// Snapshot returns the router's state that a new router can start from.
+// Snapshot returns the state of the router, with which Restore can start another router.
 func (g *Gateway) Snapshot() balance.Snapshot { return g.router.Snapshot() }
 
-// Restore gives the router the state that another one has learned.
+// Restore loads the state of another router and carries out the resulting actions.
 func (g *Gateway) Restore(snapshot balance.Snapshot) {
 	for _, action := range g.router.Restore(g.clock.Now(), snapshot, nil) {
 		g.execute(&action)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -36,7 +36,7 @@
 func (c *testClock) Now() int64                { return c.now }
 func (c *testClock) CallAt(at int64, f func()) { c.timers = append(c.timers, testTimer{at, f}) }
 
-// advance runs the timers up to a time, in the order of their times.
+// advance sets the clock to a time and runs the timers that are due until then, in the order of their times.
 func (c *testClock) advance(until int64) {
 	for {
 		next := -1
@@ -56,7 +56,7 @@
 	}
 }
 
-// testHosts keeps what is sent, and reports outcomes when a test asks for them.
+// testHosts records attempts and health checks; a test reports the outcomes of the attempts by finish.
 type testHosts struct {
 	gateway      *Gateway
 	clock        *testClock
@@ -86,7 +86,7 @@
 
 func (h *testHosts) CloseIdle(string) {}
 
-// finish reports the outcome of an attempt, unless that was reported already.
+// finish reports the outcome of an attempt unless it was already reported.
 func (h *testHosts) finish(request int64, number int, outcome Outcome) {
 	i := slices.IndexFunc(h.attempts, func(a Attempt) bool { return a.Request == request && a.Number == number })
 	if i < 0 {
@@ -106,7 +106,7 @@
 
 func (noPeers) Send(int, []byte) {}
 
-// testClient counts the answers that it gets.
+// testClient counts the answers that it receives.
 type testClient struct {
 	served, rejected, failed int
 	disconnected             bool
@@ -118,7 +118,7 @@
 func (c *testClient) Disconnected() bool { return c.disconnected }
 func (c *testClient) answers() int       { return c.served + c.rejected + c.failed }
 
-// startGateway returns a gateway that knows a group of one primary and two replicas.
+// startGateway returns a gateway with an endpoint list of one group: a primary and two replicas.
 func startGateway(t *testing.T) (*Gateway, *testHosts, *testClock) {
 	t.Helper()
 	router, err := balance.New(balance.Settings{
@@ -153,8 +153,8 @@
 	return Request{Class: class, Write: class == writeClass, Deadline: now + second, Client: client}
 }
 
-// Whatever becomes of its attempts, each request gets exactly one final answer, and one whose client has disconnected gets
-// none after that.
+// Each request gets exactly one final answer, however its attempts end. A request gets no answer after its client has
+// disconnected.
 func TestEachRequestGetsExactlyOneFinalAnswer(t *testing.T) {
 	gateway, hosts, clock := startGateway(t)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -203,14 +203,16 @@
 		kinds.failed += client.failed
 	}
 	if kinds.served == 0 || kinds.rejected == 0 || kinds.failed == 0 || len(answersAtDisconnect) == 0 {
-		t.Errorf("only %+v, %d left: the test lacks a kind of answer", kinds, len(answersAtDisconnect))
+		t.Errorf("answers %+v, %d clients disconnected, want each kind of answer and at least one disconnected client",
+			kinds, len(answersAtDisconnect))
 	}
 	if gateway.InFlight() != 0 || len(gateway.requests) != 0 || len(hosts.attempts) != 0 {
-		t.Errorf("left: %d in flight, %d requests, %d attempts", gateway.InFlight(), len(gateway.requests), len(hosts.attempts))
+		t.Errorf("at the end %d in flight, %d requests and %d attempts, want none",
+			gateway.InFlight(), len(gateway.requests), len(hosts.attempts))
 	}
 }
 
-// A success that comes after the client has disconnected is served to nobody, and the request is forgotten.
+// A success that arrives after the client has disconnected is not sent to the client, and the request is deleted.
 func TestOutcomeAfterDisconnectReachesNoClient(t *testing.T) {
 	gateway, hosts, clock := startGateway(t)
 	client := &testClient{}
@@ -224,25 +226,26 @@
 	}
 	hosts.finish(id, 0, Outcome{Result: balance.Succeeded, Value: []byte("value")})
 	if client.answers() != 0 || len(gateway.requests) != 0 {
-		t.Errorf("%+v, %d requests are left", *client, len(gateway.requests))
+		t.Errorf("answers %+v, %d requests pending, want none", *client, len(gateway.requests))
 	}
 }
 
-// Just before its first byte an attempt has expired if its client has disconnected, though the gateway was not notified.
+// An attempt must not be sent once its client has disconnected, even if the gateway was not notified of that:
+// Attempt.Expired, which is called just before the first byte, asks the client.
 func TestAttemptHasExpiredOnceItsClientIsDisconnected(t *testing.T) {
 	gateway, hosts, clock := startGateway(t)
 	client := &testClient{}
 	id := gateway.Accept(newRequest(writeClass, client, clock.now))
 	attempt := hosts.attempts[0]
 	if attempt.Expired() {
-		t.Error("expired while its client waits")
+		t.Error("attempt has expired while its client is connected")
 	}
 	client.disconnected = true
 	if !attempt.Expired() || gateway.InFlight() != 0 {
-		t.Errorf("not expired, or %d in flight", gateway.InFlight())
+		t.Errorf("attempt has not expired, or %d requests are in flight, want 0", gateway.InFlight())
 	}
 	hosts.finish(id, 0, Outcome{Result: balance.NotSent})
 	if client.answers() != 0 || len(hosts.attempts) != 0 {
-		t.Errorf("%+v, %d attempts in flight", *client, len(hosts.attempts))
+		t.Errorf("answers %+v, %d attempts in flight, want none", *client, len(hosts.attempts))
 	}
 }
