--- a/internal/frontend/client.go
+++ b/internal/frontend/client.go
@@ -8,7 +8,7 @@
 	"cloverrock/internal/pgwire"
 )
 
-// maxPipelined is the number of commands of one client that may wait for their turn.
+// maxPipelined is the number of commands that may be queued for one client.
 const maxPipelined = 64
 
 // client is one client connection. It implements eventloop.Handler and gateway.Client.
@@ -16,40 +16,40 @@
 	server *Server
 	conn   *eventloop.Conn
 
-	started       bool // its startup message was answered
-	overLimit     bool // accepted only to receive an error
-	active        bool // a request of it was taken, and the connection has not been ended
-	skipUntilSync bool // an extended query was refused: commands are ignored until its Sync
+	started       bool // the startup message was answered
+	overLimit     bool // above the connection limit: accepted only to receive an error
+	active        bool // the client has sent a request, and the connection has not been ended
+	skipUntilSync bool // an extended query was rejected: commands are ignored until the next Sync
 
-	// What ends a connection, in the order in which it usually happens.
-	terminated bool // a fatal error or Terminate: further input is ignored
-	lingering  bool // our side has ended: further input is not even read
-	closed     bool // the connection is forgotten
+	// The stages in which a connection ends, in their usual order.
+	terminated bool // after a fatal error or Terminate: further input is ignored
+	lingering  bool // the write side was closed: further input is discarded unread
+	closed     bool // the connection was removed from the server
 
-	cancelID     uint32 // its process number in BackendKeyData; 0 if it has none
+	cancelID     uint32 // process id sent in BackendKeyData; 0 if none was assigned
 	cancelSecret [4]byte
 
 	partial      []byte    // an incomplete message
-	partialSince int64     // when it began to arrive
-	pipeline     []command // in the order in which they came
-	heldBytes    int       // its part of the server's
+	partialSince int64     // when the first byte of partial arrived
+	pipeline     []command // queued commands, in the order of arrival
+	heldBytes    int       // this client's part of Server.heldBytes
 
 	awaitingAnswer  bool   // a request is in flight
-	requestID       int64  // its id in the gateway; 0 if there is none
-	clientRequestID string // its id, as the client names it
-	requestBytes    int    // size of its text
+	requestID       int64  // id of the request in the gateway; 0 if there is none
+	clientRequestID string // id of the request that the client has set
+	requestBytes    int    // size of the request's text
 
-	stateSince int64         // when it connected, became idle, was terminated or began to linger
-	idleEntry  *list.Element // in one of the server's lists; nil while it has work
+	stateSince int64         // time of the last change: connected, became idle, was terminated or began to linger
+	idleEntry  *list.Element // entry in one of the server's lists; nil while the connection has work
 	retryTimer *eventloop.Timer
 }
 
-// command is a message that waits for its turn.
+// command is a queued message.
 type command struct {
 	kind       byte
 	text       []byte
 	receivedAt int64
-	err        error // framing is lost: this is the last command
+	err        error // a framing error; no further message can be parsed, so this is the last command
 }
 
 // Data implements eventloop.Handler.
@@ -80,7 +80,7 @@
 	return n > 0 && c.pipeline[n-1].err != nil
 }
 
-// parse splits data into messages and appends them to the pipeline. It returns false if that has ended the connection.
+// parse splits data into messages and appends them to the pipeline. It returns false if it has ended the connection.
 func (c *client) parse(data []byte, now int64) bool {
 	for len(data) > 0 {
 		if !c.started {
@@ -119,15 +119,16 @@
 	return true
 }
 
-// rejectExcessInput ends at once a client that sends more than can be held for it. To answer first what it has sent in
-// due order would leave it without an answer for as long as that takes.
+// rejectExcessInput abandons the request in flight and ends the connection at once with an error, because the client
+// has sent more than the server may hold. Answering the queued commands first would delay the error by as long as that
+// takes.
 func (c *client) rejectExcessInput() {
 	c.abandonRequest()
 	c.failConnection(pgwire.CodeProtocolViolation, "too much sent ahead of the answers")
 }
 
-// handleStartup answers a startup message, or a request in place of one. It returns false if that has ended the
-// connection.
+// handleStartup answers a startup message, or an SSL, GSSAPI encryption or cancel request in its place. It returns
+// false if it has ended the connection.
 func (c *client) handleStartup(startup pgwire.Startup) bool {
 	major := startup.Code >> 16
 	minor := startup.Code & 0xffff
@@ -148,7 +149,7 @@
 	return true
 }
 
-// serverParameters are reported to each client at its start.
+// serverParameters are reported to each client at startup.
 var serverParameters = [...]struct{ name, value string }{
 	{"server_version", "15.0 (cloverrock)"},
 	{"server_encoding", "UTF8"},
@@ -172,7 +173,7 @@
 	return pgwire.AppendReadyForQuery(b)
 }
 
-// updateHeldBytes brings the number of bytes held for this client, and for all, up to date.
+// updateHeldBytes recomputes the number of bytes held for this client and updates the server's total.
 func (c *client) updateHeldBytes() {
 	n := len(c.partial) + c.requestBytes
 	for i := range c.pipeline {
@@ -182,7 +183,7 @@
 	c.heldBytes = n
 }
 
-// markIdle notes that the connection is between requests.
+// markIdle records that the connection has no request in flight and no queued command: it may be evicted.
 func (c *client) markIdle() {
 	if c.idleEntry != nil || c.closed {
 		return
@@ -196,12 +197,12 @@
 	c.server.enforceActiveLimit()
 }
 
-// markBusy notes that the connection has work: it can't be evicted.
+// markBusy records that the connection has work: it can't be evicted.
 func (c *client) markBusy() {
 	if c.idleEntry == nil {
 		return
 	}
-	// A list leaves entries of another alone.
+	// Remove does nothing if the entry belongs to another list.
 	c.server.newClients.Remove(c.idleEntry)
 	c.server.idleClients.Remove(c.idleEntry)
 	c.server.lingeringClients.Remove(c.idleEntry)
--- a/internal/frontend/closing.go
+++ b/internal/frontend/closing.go
@@ -1,10 +1,10 @@
 package frontend
 
-// A connection is ended by a lingering close. To close the socket at once would reset the connection over whatever the
-// client is just sending, and a reset takes with it the answers that the client has not read yet. So our side ends
-// first, and the socket stays open until the client has ended its side too, or until its time is up.
+// A connection ends with a lingering close. Closing the socket at once would reset the connection if the client is just
+// sending something, and a reset discards the answers that the client has not read yet. The server therefore closes its
+// write side first and keeps the socket open until the client has closed its side or lingerTimeout is over.
 
-// retryInterval is the time in microseconds that a client has to read its answers before more is done for it.
+// retryInterval is the time in microseconds that a client has to read its answers before the next step is tried again.
 const retryInterval = 5e3
 
 // Closed implements eventloop.Handler.
@@ -15,13 +15,13 @@
 	c.forget()
 }
 
-// forget removes a closed connection from the server, and gives up its request.
+// forget removes a closed connection from the server and abandons its request.
 func (c *client) forget() {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	c.markBusy() // takes it out of the lists
+	c.markBusy() // removes it from the server's lists
 	c.partial = nil
 	c.pipeline = nil
 	c.updateHeldBytes()
@@ -34,9 +34,9 @@
 	c.server.finishShutdown()
 }
 
-// closeIfDrained begins the lingering close of a connection on which no answer is due, unless the client's next bytes
-// have arrived, and reports whether it did. Meanwhile the connection counts as open. A client without a request has
-// nothing to lose: its descriptor is free at once.
+// closeIfDrained begins the lingering close of a connection on which no answer is due, and reports whether it did. It
+// does nothing if further bytes of the client have arrived. While it lingers the connection counts as open. A client
+// that has sent no request cannot lose an answer, so its connection is closed at once and the descriptor is freed.
 func (c *client) closeIfDrained() bool {
 	hadRequest := c.active
 	if !c.beginLinger(c.conn.CloseWrite) {
@@ -48,12 +48,12 @@
 	return true
 }
 
-// beginLinger ends our side of the connection by the given function, and reports whether that has succeeded.
+// beginLinger closes the write side by the given function, and reports whether that has succeeded.
 func (c *client) beginLinger(closeWrite func() bool) bool {
 	if !closeWrite() {
 		return false
 	}
-	c.markBusy() // takes it out of the lists
+	c.markBusy() // removes it from the server's lists
 	c.partial = nil
 	c.pipeline = nil
 	if c.active {
@@ -67,11 +67,11 @@
 	return true
 }
 
-// closeWhenFlushed ends the connection once everything that was written to it is on its way. Meanwhile the client may
-// send a request: unless the connection is terminated, that one is taken and answered first, also where it is in the
-// socket and was not read yet.
+// closeWhenFlushed ends the connection once the kernel has taken all bytes that were written to it. Until then the
+// client may send another request. Unless the connection is terminated, that request is accepted and answered first,
+// even if it is still unread in the socket.
 func (c *client) closeWhenFlushed() {
-	if c.closed || c.lingering || c.hasWork() { // processPipeline comes back to it
+	if c.closed || c.lingering || c.hasWork() { // processPipeline calls closeWhenFlushed again
 		return
 	}
 	if !c.tryFinalClose() {
@@ -88,16 +88,16 @@
 		return c.beginLinger(c.conn.ForceCloseWrite)
 	}
 	justConnected := !c.active && c.server.loop.Now()-c.stateSince <= inputGrace
-	return !justConnected && c.closeIfDrained() // the first request may be on its way
+	return !justConnected && c.closeIfDrained() // the first request may still be in transit
 }
 
-// retryLater calls f once the client has had some time to read; at most one call is pending.
+// retryLater calls f after retryInterval, in place of an earlier call that is still pending.
 func (c *client) retryLater(f func()) {
 	c.retryTimer.Stop()
 	c.retryTimer = c.server.loop.CallAt(c.server.loop.Now()+retryInterval, f)
 }
 
-// terminate ends the connection once everything that was written to it is on its way; further input is ignored.
+// terminate ends the connection once all bytes written to it are flushed. Further input is ignored.
 func (c *client) terminate() {
 	c.terminated = true
 	c.pipeline = nil
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -4,16 +4,16 @@
 
 // Times in microseconds.
 const (
-	sweepInterval     = 1e5 // between two looks at all clients
-	inputGrace        = 1e5 // in which a startup message, or the rest of a message, usually arrives
+	sweepInterval     = 1e5 // between two checks of all clients
+	inputGrace        = 1e5 // in which the startup message or the first request, or the rest of a message, usually arrives
 	finalErrorTimeout = 1e6 // for a client to read the error that ends its connection
-	lingerTimeout     = 5e5 // for a client to end its side once we have ended ours
-	minLinger         = 1e5 // before a lingering connection is cut off for others
+	lingerTimeout     = 5e5 // for a client to close its side after the server has closed its own
+	minLinger         = 1e5 // before a lingering connection may be cut off to make room for others
 )
 
-// sweep closes the clients that have used up their time. None of them has a request in flight, and one whose next bytes
-// have arrived is left to send them. Where answers that clients don't read take too much memory, the client with most
-// of them is closed.
+// sweep closes the clients whose time is over. It does not close a client with a request in flight, or one whose next
+// bytes have arrived. If the unsent answers of all clients exceed the memory limit, it closes the client with the most
+// unsent bytes.
 func (s *Server) sweep() {
 	now := s.loop.Now()
 	var unsent int64
@@ -52,7 +52,7 @@
 	}
 }
 
-// inputExpired reports whether the client has taken too long over a message, or to send its first request.
+// inputExpired reports whether a message was not complete, or the first request was not sent, within MessageTimeout.
 func (c *client) inputExpired(now int64) bool {
 	timeout := c.server.limits.MessageTimeout
 	messageLate := len(c.partial) > 0 && now-c.partialSince > timeout
@@ -60,8 +60,8 @@
 	return messageLate || firstRequestLate
 }
 
-// enforceConnectionLimit evicts clients while there are too many: new connections wait in the system's queue where
-// nobody accepts them. Lingering connections are cut off last, and only after minLinger.
+// enforceConnectionLimit evicts clients while there are too many: otherwise new connections would stay in the listen
+// backlog and not be accepted. Lingering connections are cut off last, and only after minLinger.
 func (s *Server) enforceConnectionLimit(now int64) {
 	for len(s.clients)-s.lingeringClients.Len() > s.limits.Connections {
 		if !s.evictOne() {
@@ -77,12 +77,16 @@
 	}
 }
 
-// evictOne closes one client to make room, and reports whether it found one: first the longest silent of those that
-// have not even sent a startup message, which usual clients send at once; then, while clients without a request are at
-// least half of all, the longest silent of these, so that any number of them does not crowd out clients with requests;
-// else the client that has been idle longest. A new client has no request either at first, and clients that ask once
-// and stay would lock out all that come later.
-// A client that has not read its last answer is spared, as it would lose it; so is one whose next bytes have arrived.
+// evictOne closes one client to make room for another, and reports whether it found one. It tries in this order:
+//
+//   - Clients that have not sent a startup message, the longest waiting first. Normal clients send it at once.
+//   - If at least half of the allowed connections have sent no request: these, the longest waiting first, so that no
+//     number of them can displace clients with requests.
+//   - The client that has been idle longest between requests, and then those without a request. A new client has sent no
+//     request either at first; evicting only such clients would let clients that send one request and stay connected
+//     lock out all later ones.
+//
+// A client is not evicted if it has not read its last answer, which it would lose, or if its next bytes have arrived.
 func (s *Server) evictOne() bool {
 	now := s.loop.Now()
 	return s.evictWithoutStartup(now) || s.evictIdle(now)
@@ -118,8 +122,9 @@
 	return false
 }
 
-// enforceActiveLimit closes the clients that have been idle longest while too many have sent a request: their side has
-// a bounded number of connections, and clients that ask once and stay would keep all that come later from connecting.
+// enforceActiveLimit closes the clients that have been idle longest while too many clients have sent a request. The
+// number of connections that clients can open is limited on their side too: idle ones that stay open would keep later
+// clients from connecting.
 func (s *Server) enforceActiveLimit() {
 	entry := s.idleClients.Front()
 	for entry != nil && s.activeClients > s.limits.ActiveConnections {
@@ -131,8 +136,8 @@
 	}
 }
 
-// enforceMemoryLimit ends the client that holds most, once pipelined commands and incomplete messages of all clients
-// together exceed the limit.
+// enforceMemoryLimit ends the client that holds the most bytes if the requests, pipelined commands and incomplete
+// messages of all clients together exceed the limit.
 func (s *Server) enforceMemoryLimit() {
 	if s.heldBytes <= s.limits.Bytes {
 		return
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// maxUnsent is the number of bytes of answers that a client has not read before its next command waits.
+	// maxUnsent is the number of unsent answer bytes of a client above which its next command is delayed.
 	maxUnsent = 64 << 10
 
-	// maxCommitLead is how far ahead of our clock, in microseconds, a commit may lie that a read must see: clocks differ.
+	// maxCommitLead is how far ahead of this gateway's clock, in microseconds, the commit may lie that a read must
+	// include. Clocks differ between machines.
 	maxCommitLead = 60e6
 )
 
 var (
 	errCommitInFuture = errors.New("comment: after: lies in the future")
-	// Hosts tell requests apart by their id: forwarded, the second would disturb the first.
+	// Hosts identify requests by this id: a second request with the same id would interfere with the first.
 	errRequestIDInUse = errors.New("comment: id: another request has it, and is not answered yet")
 )
 
-// processPipeline takes commands in their order, up to a request that must be answered before the next.
+// processPipeline executes queued commands in order until one is a request, which must be answered before the next.
 func (c *client) processPipeline() {
 	for !c.awaitingAnswer && !c.closed && len(c.pipeline) > 0 {
 		if c.conn.UnsentBytes() > maxUnsent {
@@ -47,7 +48,7 @@
 		c.closeWhenFlushed()
 		return
 	}
-	c.markIdle() // also with an incomplete message: that is no request yet
+	c.markIdle() // even with an incomplete message, which is no request yet
 }
 
 func (c *client) execute(cmd command) {
@@ -58,7 +59,7 @@
 	case pgwire.MsgQuery:
 		c.executeQuery(cmd)
 	case pgwire.MsgTerminate:
-		c.terminate() // earlier answers may still be on their way
+		c.terminate() // earlier answers may still be unsent
 	case pgwire.MsgSync:
 		c.skipUntilSync = false
 		c.conn.Write(pgwire.AppendReadyForQuery(nil))
@@ -100,8 +101,8 @@
 	c.submit(query, class, cmd)
 }
 
-// answerLocally answers statements that need no host: the empty one, which shows whether the gateway is ready, and
-// those that change settings of a session, which have no effect here.
+// answerLocally answers statements that need no host. The empty statement shows whether the gateway is ready. Statements
+// that change session settings are acknowledged and have no effect.
 func (c *client) answerLocally(text string) bool {
 	switch word := pgwire.Command(text); word {
 	case "":
@@ -118,7 +119,7 @@
 	return false
 }
 
-// checkQuery returns the class of a query, or why the query can't be taken. The errors are for the client.
+// checkQuery returns the class of a query, or an error for the client if the query can't be accepted.
 func (s *Server) checkQuery(query *pgwire.Query) (Class, error) {
 	class, known := s.classes[query.Class]
 	if !known {
@@ -161,14 +162,14 @@
 	}
 }
 
-// clearRequest notes that the request in flight has its final answer, or is abandoned.
+// clearRequest records that the request in flight was answered or abandoned.
 func (c *client) clearRequest() {
 	c.awaitingAnswer = false
 	c.requestBytes = 0
 	delete(c.server.openRequestIDs, c.clientRequestID)
 }
 
-// abandonRequest gives up the request in flight.
+// abandonRequest ends the request in flight without an answer.
 func (c *client) abandonRequest() {
 	if c.awaitingAnswer {
 		c.clearRequest()
@@ -191,7 +192,7 @@
 // Serve implements gateway.Client.
 func (c *client) Serve(value []byte) { c.answer(value) }
 
-// Reject implements gateway.Client. The error's detail is the time to retry after in milliseconds, rounded up.
+// Reject implements gateway.Client. The detail of the error is the time to retry after in milliseconds, rounded up.
 func (c *client) Reject(retryAfter int64) {
 	rejection := pgwire.ErrorResponse{
 		Severity: "ERROR", Code: pgwire.CodeTooManyConnections, Message: "refused; trying again is harmless",
@@ -207,15 +208,16 @@
 	c.answer(errorResponse(pgwire.CodeSystemError, "no host has answered; the statement may have run"))
 }
 
-// Disconnected implements gateway.Client. It looks into the socket: the event of the end may still be queued.
+// Disconnected implements gateway.Client. It checks the socket, because the event of the disconnection may still be
+// queued.
 func (c *client) Disconnected() bool { return c.closed || c.conn.PeerClosed() }
 
-// failQuery answers a query that can't be taken; the connection stays open.
+// failQuery answers a query that can't be accepted with an error. The connection stays open.
 func (c *client) failQuery(code, message string) {
 	c.conn.Write(pgwire.AppendReadyForQuery(errorResponse(code, message)))
 }
 
-// failConnection reports why the connection ends, and ends it.
+// failConnection sends a fatal error and ends the connection.
 func (c *client) failConnection(code, message string) {
 	c.conn.Write(pgwire.AppendError(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: code, Message: message}))
 	c.terminate()
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,6 +1,6 @@
-// Package frontend holds the client connections: it reads startup messages and queries, passes each request to the
-// gateway, and writes the answers in the order of the queries. Connections are evicted when there are too many of them
-// or when they use up their time, and are ended by a lingering close.
+// Package frontend serves the client connections: it reads startup messages and queries, passes each request to the
+// gateway, and writes the answers in the order of the queries. Connections are evicted when there are too many or when
+// they exceed a time limit, and end with a lingering close.
 package frontend
 
 import (
@@ -11,33 +11,33 @@
 	"cloverrock/internal/pgwire"
 )
 
-// OverflowConnections is how many connections above the limit are accepted, to receive an error or while they linger.
+// OverflowConnections is how many connections above the limit are accepted, to receive an error or to linger.
 const OverflowConnections = 16
 
-// Gateway takes requests.
+// Gateway accepts requests.
 type Gateway interface {
 	Accept(request gateway.Request) int64
 	ClientDisconnected(id int64)
 	Ready() bool
 }
 
-// Class is what the name of a request class stands for.
+// Class describes a request class, which queries select by name.
 type Class struct {
 	Index    int
 	Write    bool
-	Deadline int64 // microseconds; for a query that does not state how long its client waits, and the most it may state
+	Deadline int64 // microseconds; default and maximum of the time that a client of the class waits
 }
 
-// Limits bound what all clients together may take. Times are in microseconds.
+// Limits are the limits on all clients together. Times are in microseconds.
 type Limits struct {
 	Connections       int
-	ActiveConnections int   // of them, clients that have sent a request; above it those that are idle are closed
-	Bytes             int   // of requests, pipelined commands and incomplete messages; as much again of unsent answers
-	MessageTimeout    int64 // from connecting to the first request, and from the begin of a message to its end
+	ActiveConnections int   // of these, clients that have sent a request; above the limit idle ones are closed
+	Bytes             int   // of requests, pipelined commands and incomplete messages; also of unsent answers
+	MessageTimeout    int64 // from connecting to the first request, and from the first byte of a message to its last
 	IdleTimeout       int64 // between requests
 }
 
-// Server holds all client connections. It belongs to the goroutine of the event loop.
+// Server holds all client connections. Its methods must be called on the goroutine of the event loop.
 type Server struct {
 	loop    *eventloop.Loop
 	gateway Gateway
@@ -45,19 +45,19 @@
 	limits  Limits
 
 	clients       map[*client]struct{}
-	activeClients int // that have sent a request
+	activeClients int // clients that have sent a request
 	heldBytes     int // of requests, pipelined commands and incomplete messages
 
-	// Every client that has no work is in one of these lists, the longest waiting first.
-	newClients       *list.List // that have sent no request yet
+	// Every client without work is in one of these lists, the longest waiting first.
+	newClients       *list.List // have sent no request yet
 	idleClients      *list.List // between requests
 	lingeringClients *list.List // in their lingering close
 
-	cancelKeys     map[uint32]*client  // by the process number in BackendKeyData
-	openRequestIDs map[string]struct{} // ids, as named by clients, of requests whose answer is due
+	cancelKeys     map[uint32]*client  // by the process id in BackendKeyData
+	openRequestIDs map[string]struct{} // ids, set by clients, of the requests that are not answered yet
 
 	shuttingDown bool
-	onShutdown   func() // called once, when the last client is gone
+	onShutdown   func() // called once, when the last client is closed
 }
 
 // New returns a server without clients.
@@ -72,8 +72,8 @@
 	return s
 }
 
-// Accept takes a new connection. Above the limit, a lingering connection is cut off or an idle one evicted for it. If
-// every client has work, the new one is accepted only to be answered with an error.
+// Accept handles a new connection. Above the limit, it cuts off a lingering connection or evicts an idle one. If every
+// client has work, the new connection is accepted only to receive an error.
 func (s *Server) Accept(conn *eventloop.Conn) eventloop.Handler {
 	c := &client{server: s, conn: conn, stateSince: s.loop.Now()}
 	for s.lingeringClients.Len() > 0 && len(s.clients) >= s.limits.Connections {
@@ -91,7 +91,7 @@
 	return c
 }
 
-// UnsentBytes returns the number of bytes of answers that clients have yet to read.
+// UnsentBytes returns the number of answer bytes that are not sent yet.
 func (s *Server) UnsentBytes() (n int64) {
 	for c := range s.clients {
 		n += c.conn.UnsentBytes()
@@ -99,7 +99,7 @@
 	return n
 }
 
-// InputDrained reports whether everything that clients have sent was read.
+// InputDrained reports whether all input of the clients has been read.
 func (s *Server) InputDrained() bool {
 	for c := range s.clients {
 		if !c.conn.InputDrained() {
@@ -109,8 +109,9 @@
 	return true
 }
 
-// Shutdown closes each connection once no answer is due on it, and calls done when the last is closed. Clients go on
-// sending requests on open connections: one whose next bytes have arrived is answered first.
+// Shutdown closes each connection once no answer is due on it, and calls done when the last one is closed. Clients may
+// continue to send requests on open connections: if the next bytes of a client have arrived, its request is answered
+// before the connection is closed.
 func (s *Server) Shutdown(done func()) {
 	s.shuttingDown = true
 	s.onShutdown = done
@@ -122,8 +123,9 @@
 	s.finishShutdown()
 }
 
-// CloseRemaining ends what Shutdown has left open: clients that are in the middle of a message are told that it is not
-// taken. It goes on until the last client is gone. A client whose next bytes have arrived is heard first.
+// CloseRemaining ends the connections that Shutdown has left open. A client whose message is incomplete gets an error.
+// If further bytes of a client have arrived, they are read first. CloseRemaining repeats itself until no client is
+// left.
 func (s *Server) CloseRemaining() {
 	for c := range s.clients {
 		isReceiving := len(c.partial) > 0 && !c.awaitingAnswer && len(c.pipeline) == 0
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -13,10 +13,10 @@
 	"cloverrock/internal/pgwire"
 )
 
-// testTimeout ends a test that hangs; no verdict depends on how soon anything happens.
+// testTimeout ends a test that hangs. No test result depends on how fast something happens.
 const testTimeout = 30 * time.Second
 
-// acceptedRequests is a gateway that passes the clients of the requests that it accepts to the test.
+// acceptedRequests is a gateway that passes the client of each accepted request to the test.
 type acceptedRequests chan gateway.Client
 
 func (a acceptedRequests) Accept(request gateway.Request) int64 { a <- request.Client; return 1 }
@@ -30,12 +30,12 @@
 	case c := <-a:
 		return c.(*client)
 	case <-time.After(testTimeout):
-		t.Fatal("the request is not accepted")
+		t.Fatal("no request was accepted within the test timeout")
 		return nil
 	}
 }
 
-// startServer starts a server with a gateway that the test plays, and returns a client's connection to it.
+// startServer starts a server whose gateway is controlled by the test, and returns a client's connection to it.
 func startServer(t *testing.T) (*eventloop.Loop, *Server, acceptedRequests, net.Conn) {
 	t.Helper()
 	loop := eventloop.New(64, 1<<20, zerolog.Nop())
