--- a/internal/frontend/client.go
+++ b/internal/frontend/client.go
@@ -145,7 +145,7 @@
 		return false
 	}
 	c.started = true
-	c.conn.Write(c.appendWelcome(nil, startup.Code))
+	c.conn.Write(c.appendStartupResponse(nil, startup.Code))
 	return true
 }
 
@@ -160,7 +160,7 @@
 	{"standard_conforming_strings", "on"},
 }
 
-func (c *client) appendWelcome(b []byte, version uint32) []byte {
+func (c *client) appendStartupResponse(b []byte, version uint32) []byte {
 	b = pgwire.AppendAuthenticationOk(b)
 	if version != pgwire.ProtocolVersion {
 		b = pgwire.AppendNegotiate(b)
--- a/internal/frontend/closing.go
+++ b/internal/frontend/closing.go
@@ -8,15 +8,15 @@
 const retryInterval = 5e3
 
 // Closed implements eventloop.Handler.
-func (c *client) Closed(error) { c.forget() }
+func (c *client) Closed(error) { c.remove() }
 
 func (c *client) close() {
 	c.conn.Close()
-	c.forget()
+	c.remove()
 }
 
-// forget removes a closed connection from the server and abandons its request.
-func (c *client) forget() {
+// remove removes a closed connection from the server and abandons its request.
+func (c *client) remove() {
 	if c.closed {
 		return
 	}
@@ -87,7 +87,7 @@
 	if c.terminated {
 		return c.beginLinger(c.conn.ForceCloseWrite)
 	}
-	justConnected := !c.active && c.server.loop.Now()-c.stateSince <= inputGrace
+	justConnected := !c.active && c.server.loop.Now()-c.stateSince <= inputGracePeriod
 	return !justConnected && c.closeIfDrained() // the first request may still be in transit
 }
 
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -5,7 +5,7 @@
 // Times in microseconds.
 const (
 	sweepInterval     = 1e5 // between two checks of all clients
-	inputGrace        = 1e5 // in which the startup message or the first request, or the rest of a message, usually arrives
+	inputGracePeriod  = 1e5 // in which the startup message or the first request, or the rest of a message, usually arrives
 	finalErrorTimeout = 1e6 // for a client to read the error that ends its connection
 	lingerTimeout     = 5e5 // for a client to close its side after the server has closed its own
 	minLinger         = 1e5 // before a lingering connection may be cut off to make room for others
@@ -95,7 +95,7 @@
 func (s *Server) evictWithoutStartup(now int64) bool {
 	for entry := s.newClients.Front(); entry != nil; entry = entry.Next() {
 		c := clientOf(entry)
-		if now-c.stateSince <= inputGrace {
+		if now-c.stateSince <= inputGracePeriod {
 			return false // those that follow are newer
 		}
 		if !c.started && len(c.partial) == 0 && c.closeIfDrained() {
@@ -113,7 +113,7 @@
 	for _, clients := range order {
 		for entry := clients.Front(); entry != nil; entry = entry.Next() {
 			c := clientOf(entry)
-			receiving := len(c.partial) > 0 && now-c.partialSince <= inputGrace
+			receiving := len(c.partial) > 0 && now-c.partialSince <= inputGracePeriod
 			if !receiving && c.closeIfDrained() {
 				return true
 			}
