--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -11,13 +11,13 @@
 	"cloverrock/internal/pgwire"
 )
 
-// Names and values in which hosts report their state.
+// Names and values by which hosts report their state.
 const (
 	healthCheckQuery = "SHOW vitals"
 
 	parameterRole     = "rank"
 	parameterPosition = "as_of"  // milliseconds since 1970
-	parameterReport   = "vitals" // pairs of names and values
+	parameterReport   = "vitals" // pairs of names and values, separated by commas
 
 	rolePrimary = "source"
 	roleReplica = "copy"
@@ -26,11 +26,12 @@
 	reportPrimary  = "x1" // 1 for a primary, 0 for a replica
 )
 
-// maxPositionLead is how far ahead of our clock a position may lie, in microseconds. Hosts and gateways read the same
-// clock, so one further ahead is invalid; to believe it would make a replica count as up to date whatever it holds.
+// maxPositionLead is how far ahead of this gateway's clock a log position may lie, in microseconds. Hosts and gateways
+// use the same clock, so a position further ahead is invalid. If it were accepted, a replica would count as up to date
+// whatever its real position.
 const maxPositionLead = 1e6
 
-// authenticationOk is the body of an Authentication message that asks for no password.
+// authenticationOk is the body of an Authentication message that requires no password.
 const authenticationOk = "\x00\x00\x00\x00"
 
 var (
@@ -38,18 +39,18 @@
 	errMalformedMessage  = errors.New("malformed")
 )
 
-// answer is what has been received of the answer to the attempt in flight.
+// answer holds the messages received so far in answer to the attempt in flight.
 type answer struct {
-	raw         []byte                // row description, row and completion, as they came
-	lastMessage byte                  // type of the last message that belongs to the answer; 0 if none has come
-	value       []byte                // the row's column
-	hostError   *pgwire.ErrorResponse // nil if there is none
-	role        string                // of the host, as reported
-	position    string                // of the host, as reported
-	report      string                // of the host, as reported
+	raw         []byte                // row description, row and completion, as received
+	lastMessage byte                  // type of the latest message of the answer; 0 if none was received
+	value       []byte                // the only column of the row
+	hostError   *pgwire.ErrorResponse // nil if the host has sent no error
+	role        string                // role that the host reported
+	position    string                // log position that the host reported
+	report      string                // state that the host reported
 }
 
-// complete reports whether nothing but ReadyForQuery is missing.
+// complete reports whether only ReadyForQuery is missing.
 func (a *answer) complete() bool {
 	switch a.lastMessage {
 	case pgwire.MsgCommandComplete, pgwire.MsgErrorResponse, pgwire.MsgEmptyQueryResponse:
@@ -58,7 +59,7 @@
 	return false
 }
 
-// precedingMessage holds, for each message of a result, the one that must come directly before it; 0: none.
+// precedingMessage maps each message of a result to the one that must come directly before it; 0 means none.
 var precedingMessage = map[byte]byte{
 	pgwire.MsgRowDescription:     0,
 	pgwire.MsgDataRow:            pgwire.MsgRowDescription,
@@ -66,7 +67,7 @@
 	pgwire.MsgEmptyQueryResponse: 0,
 }
 
-// handleMessage takes the next message; more reports that the host has sent something behind it.
+// handleMessage handles one message; more reports whether further data of the host has been received after it.
 func (c *conn) handleMessage(message pgwire.Message, more bool) error {
 	before := c.answer.lastMessage
 	if err := c.dispatchMessage(message, more); err != nil {
@@ -98,10 +99,10 @@
 			return errUnexpectedMessage
 		}
 	}
-	return nil // notices and notifications are ignored
+	return nil // notices, notifications and other messages are ignored
 }
 
-// handleResult takes a message of the one row that an answer consists of.
+// handleResult handles a message of an answer's result, which is a single row.
 func (c *conn) handleResult(message pgwire.Message) error {
 	a := &c.answer
 	if c.state != busy || a.lastMessage != precedingMessage[message.Type] {
@@ -137,7 +138,7 @@
 	if hostError.Severity != "FATAL" && hostError.Severity != "PANIC" {
 		return nil
 	}
-	// The host closes the connection after it, so nothing may follow.
+	// The host closes the connection after a fatal error, so no data may follow.
 	if more && c.state == busy {
 		return errUnexpectedMessage
 	}
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// setParameter takes the body of a ParameterStatus. A malformed one is ignored.
+// setParameter reads the body of a ParameterStatus. A malformed one is ignored.
 func (a *answer) setParameter(body []byte) {
 	name, rest, ok := pgwire.CString(body)
 	if !ok {
@@ -165,7 +166,7 @@
 	}
 }
 
-// outcome returns the outcome that a complete answer stands for.
+// outcome returns the outcome of a complete answer.
 func (c *conn) outcome() gateway.Outcome {
 	a := &c.answer
 	outcome := gateway.Outcome{Result: c.answerResult()}
@@ -179,8 +180,8 @@
 		outcome.Role = balance.Replica
 	}
 	latest := c.pool.loop.Now() + maxPositionLead
-	// The position in a write's answer is that of its commit. It is rounded up: only a position that is no less has
-	// reached the commit.
+	// The position in a write's answer is that of its commit. It is rounded up, so that a host whose position is at
+	// least as high has certainly applied the commit.
 	isCommit := c.attempt != nil && c.attempt.Write && a.hostError == nil
 	position, err := pgwire.Decimal(a.position, 3, isCommit)
 	if err == nil && position <= latest {
@@ -194,7 +195,7 @@
 	return outcome
 }
 
-// answerResult returns the result that a complete answer stands for.
+// answerResult returns the result of a complete answer.
 func (c *conn) answerResult() balance.Result {
 	a := &c.answer
 	if a.hostError == nil {
@@ -211,12 +212,12 @@
 	c.pool.log.Warn().Str("host", c.host.id).Str("code", a.hostError.Code).Str("text", a.hostError.Message).
 		Msg("backend: host answered with an error")
 	if c.state == dialing {
-		return balance.ConnectionRefused // nothing was sent yet
+		return balance.ConnectionRefused // no request was sent yet
 	}
 	return balance.Failed
 }
 
-// resultOfError returns what a host's error proves.
+// resultOfError returns the result that an error code of a host proves.
 func resultOfError(code string) balance.Result {
 	switch code {
 	case pgwire.CodeReadOnly, pgwire.CodeSnapshotTooOld:
@@ -227,8 +228,8 @@
 	return balance.Failed
 }
 
-// parseReport parses the names and values of a host's report; unknown names are ignored. A report that is malformed in
-// any part, or has a position after latest (microseconds), is ignored as a whole.
+// parseReport parses the names and values of a host's report. Unknown names are ignored. A report is ignored as a whole
+// if any part is malformed or its position is after latest (microseconds since 1970).
 func parseReport(text string, latest int64) (report balance.HostReport) {
 	for text != "" {
 		var part string
@@ -247,7 +248,7 @@
 			report.Position = micros
 		case reportPrimary:
 			report.HasRole = true
-			report.Primary = micros >= 5e5 // at least a half
+			report.Primary = micros >= 5e5 // 0.5 or more
 		}
 	}
 	return report
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -13,11 +13,11 @@
 	gateway.Attempt
 	healthCheck  bool
 	host         *host
-	conn         *conn // nil while it waits for one
+	conn         *conn // nil until the attempt is written to a connection, and once it has finished
 	startedAt    int64 // microseconds
 	timer        *eventloop.Timer
-	awaitingSlot bool // it waits for a connection slot
-	finished     bool // its outcome was reported
+	awaitingSlot bool // waits until one more connection may be opened
+	finished     bool // the outcome was reported
 }
 
 // Send implements gateway.Hosts.
@@ -53,12 +53,13 @@
 	}
 }
 
-// assign gives an attempt an idle connection of its host, or has it wait for a new one or the first that becomes free.
+// assign sends an attempt on an idle connection of its host. If there is none, the attempt waits for a new connection or
+// for the first that becomes free.
 func (p *Pool) assign(at *attempt) {
 	h := at.host
 	for len(h.idle) > 0 {
 		c := h.idle[len(h.idle)-1]
-		if !c.socket.InputDrained() { // the host has closed it, or sent what would pass for the answer
+		if !c.socket.InputDrained() { // the host closed it, or sent data that would be taken for the answer
 			c.close()
 			continue
 		}
@@ -78,9 +79,9 @@
 	})
 }
 
-// dialForWaiting dials for the attempts that wait for a connection slot, as far as there is any, and
-// reports whether none is left. That the limit is reached says nothing of a host: such an attempt waits as long as a
-// dial may take, and ends as not sent.
+// dialForWaiting opens connections for the attempts that wait for a connection slot, as long as slots are free, and
+// reports whether no attempt is left waiting. A reached connection limit proves nothing about a host, so an attempt
+// that gets no slot within the dial timeout ends as not sent.
 func (p *Pool) dialForWaiting() bool {
 	for len(p.awaitingSlot) > 0 && p.acquireSlot() {
 		at := p.awaitingSlot[0]
@@ -91,19 +92,19 @@
 	return len(p.awaitingSlot) == 0
 }
 
-// acquireSlot reports whether one more connection may be opened; it evicts an idle one if necessary.
+// acquireSlot reports whether one more connection may be opened. It evicts an idle connection if necessary.
 func (p *Pool) acquireSlot() bool {
 	return len(p.conns) < p.limits.Connections || p.evictIdle()
 }
 
-// slotFreed notes that a connection has become idle, or was closed.
+// slotFreed is called when a connection has become idle or was closed.
 func (p *Pool) slotFreed() {
 	if len(p.awaitingSlot) > 0 {
 		p.loop.Post(func() { p.dialForWaiting() })
 	}
 }
 
-// nextWaiting returns the attempt that has waited longest for a connection to a host; nil if none does.
+// nextWaiting returns the attempt that has waited longest for a connection to a host, or nil if there is none.
 func (p *Pool) nextWaiting(h *host) *attempt {
 	if len(h.waiting) > 0 {
 		return h.waiting[0]
@@ -115,7 +116,7 @@
 	return p.awaitingSlot[i]
 }
 
-// stopWaiting takes an attempt out of those that wait for a connection.
+// stopWaiting removes an attempt from the queues of attempts that wait for a connection.
 func (p *Pool) stopWaiting(at *attempt) {
 	isAttempt := func(waiting *attempt) bool { return waiting == at }
 	p.awaitingSlot = slices.DeleteFunc(p.awaitingSlot, isAttempt)
@@ -125,8 +126,8 @@
 	}
 }
 
-// abandon ends an attempt from this side. Its connection is closed first: only then is it final whether the last byte
-// of the request was written.
+// abandon ends an attempt before its answer is complete. Its connection is closed first, because only then is it certain
+// whether the last byte of the request was written.
 func (p *Pool) abandon(at *attempt, result balance.Result) {
 	if at.finished {
 		return
@@ -142,13 +143,13 @@
 	p.finish(at, gateway.Outcome{Result: result})
 }
 
-// finishLater ends an attempt in a turn of the loop of its own.
+// finishLater ends an attempt in a later turn of the event loop.
 func (p *Pool) finishLater(at *attempt, result balance.Result) {
 	p.stopWaiting(at)
 	p.loop.Post(func() { p.finish(at, gateway.Outcome{Result: result}) })
 }
 
-// finish reports an outcome, once.
+// finish reports an outcome, unless one was already reported for the attempt.
 func (p *Pool) finish(at *attempt, outcome gateway.Outcome) {
 	if at.finished {
 		return
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -11,24 +11,24 @@
 )
 
 var (
-	errAnswerStalled   = errors.New("the answer has begun and does not go on")
-	errAnswersTooLarge = errors.New("incomplete answers of all hosts take too much memory")
-	errDataAfterReady  = errors.New("data after the end of the startup")
+	errAnswerStalled   = errors.New("the rest of an answer did not arrive in time")
+	errAnswersTooLarge = errors.New("incomplete answers of all hosts exceed the memory limit")
+	errDataAfterReady  = errors.New("host sent data after the end of the startup")
 )
 
 // conn is one connection to a host. It carries one attempt at a time. It implements eventloop.Handler.
 type conn struct {
 	pool      *Pool
-	host      *host
+	host      *host  // address of the host when the connection was dialed
 	address   string // of the host when it was dialed
 	socket    *eventloop.Conn
 	state     connState
-	timer     *eventloop.Timer // limits the wait for a new connection, or for the rest of an answer
+	timer     *eventloop.Timer // limits the time to open the connection, or between the parts of an answer
 	idleSince int64            // microseconds
-	attempt   *attempt         // nil if it carries none
+	attempt   *attempt         // the attempt in flight; nil if there is none
 	partial   []byte           // an incomplete message
 	answer    answer
-	heldBytes int // its part of the pool's
+	heldBytes int // this connection's part of Pool.heldBytes
 }
 
 type connState uint8
@@ -40,8 +40,8 @@
 	closed
 )
 
-// Closed implements eventloop.Handler. Where only ReadyForQuery is missing at the end of an answer, or of an error in
-// reply to the startup, the answer counts.
+// Closed implements eventloop.Handler. An answer, or an error in reply to the startup message, is valid even if the
+// connection ends before its ReadyForQuery.
 func (c *conn) Closed(error) {
 	if c.state != idle && c.answer.complete() && len(c.partial) == 0 {
 		c.end(c.outcome())
@@ -50,7 +50,7 @@
 	c.lost()
 }
 
-// Data implements eventloop.Handler. Whatever a host sends behind an answer never becomes a part of the next one.
+// Data implements eventloop.Handler. Data that a host sends after an answer never becomes a part of the next answer.
 func (c *conn) Data(data []byte) {
 	if len(c.partial) > 0 {
 		data = append(c.partial, data...)
@@ -84,8 +84,9 @@
 	c.pool.log.Warn().Str("host", c.host.id).Msg("backend: host sent data after its answer, connection closed")
 }
 
-// limitAnswerGap has an answer that has begun go on within a fifth of the dial timeout, so that it can't take forever.
-// What has arrived in the socket meanwhile is read first: it may be this program that is late.
+// limitAnswerGap ends the connection if an answer has begun and no more of it arrives within a fifth of the dial
+// timeout. Otherwise an incomplete answer could occupy the connection without end. Data that is unread in the socket
+// when the time is over is read first, because the delay may be this program's own.
 func (c *conn) limitAnswerGap() {
 	answerBegun := len(c.partial) > 0 || c.answer.lastMessage != 0
 	if c.state != busy || !answerBegun {
@@ -99,8 +100,8 @@
 	})
 }
 
-// updateHeldBytes brings the number of bytes held by this connection, and by all, up to date. Above the limit, the
-// connection that holds most is ended.
+// updateHeldBytes recomputes the number of bytes held for this connection and updates the pool's total. If the total
+// exceeds the limit, the connection that holds the most bytes is ended.
 func (c *conn) updateHeldBytes() {
 	n := 0
 	if c.state != closed {
@@ -120,8 +121,8 @@
 	largest.protocolViolation(errAnswersTooLarge)
 }
 
-// ready takes the end of the startup or of an answer. Where more data came behind it, the answer counts but the
-// connection is closed: the data might be taken for the answer to the next request.
+// ready handles ReadyForQuery, which ends the startup or an answer. If more data follows it, the answer is valid but the
+// connection is closed, because the data might be taken for the answer to the next request.
 func (c *conn) ready(more bool) {
 	c.timer.Stop()
 	c.timer = nil
@@ -140,17 +141,17 @@
 		outcome := c.outcome()
 		at.conn = nil
 		c.attempt = nil
-		c.release() // first: the outcome may lead to the next request on this connection
+		c.release() // before finish: the outcome may lead to the next request on this connection
 		c.pool.finish(at, outcome)
 	}
 }
 
-// release gives the connection to an attempt that waits for one, or keeps it as idle.
+// release passes the connection to the next waiting attempt of its host, or keeps it as idle.
 func (c *conn) release() {
 	c.answer = answer{}
 	h := c.host
 	if c.address != h.address || h.removed {
-		c.state = busy // neither dialing nor idle: only closed
+		c.state = busy // neither dialing nor idle, so that close changes no count or list of these
 		c.terminate()
 		return
 	}
@@ -165,7 +166,7 @@
 	c.pool.slotFreed()
 }
 
-// carry writes an attempt, unless the decision to send it has expired while it waited.
+// carry writes an attempt to the connection, unless the attempt has expired while it waited.
 func (c *conn) carry(at *attempt) {
 	if !at.healthCheck && at.Expired() {
 		c.pool.finishLater(at, balance.NotSent)
@@ -183,7 +184,7 @@
 	c.socket.Write(at.Body.(Query).Append(nil, at.Deadline-c.pool.loop.Now()))
 }
 
-// lost takes the end of the connection. The attempt on it may have been executed if its last byte was written.
+// lost handles the loss of the connection. Its attempt may have been executed if the last byte was written.
 func (c *conn) lost() {
 	outcome := gateway.Outcome{Result: balance.ConnectionRefused}
 	if c.state == busy && c.socket.Flushed() {
@@ -192,8 +193,8 @@
 	c.end(outcome)
 }
 
-// protocolViolation ends a connection on which something came that is no answer. The request may have been executed;
-// what the host reported of itself along with it is not used.
+// protocolViolation ends a connection on which the host sent something that is not a valid answer. The request may have
+// been executed; the state that the host reported with it is not used.
 func (c *conn) protocolViolation(err error) {
 	if c.state == closed {
 		return
@@ -206,8 +207,8 @@
 	c.end(outcome)
 }
 
-// end closes the connection and reports the outcome of the attempt that it carried, or of the one that has waited
-// longest for it.
+// end closes the connection and reports the outcome of its attempt. If the connection was still being dialed, and more
+// attempts wait for the host than other dials are pending, that is the attempt that has waited longest.
 func (c *conn) end(outcome gateway.Outcome) {
 	stateBefore := c.state
 	at := c.attempt
@@ -224,13 +225,13 @@
 	}
 }
 
-// terminate closes a connection that carries nothing in the way that the protocol asks for.
+// terminate sends Terminate, as the protocol requires, and closes a connection that has no attempt in flight.
 func (c *conn) terminate() {
 	c.socket.Write(pgwire.AppendTerminate(nil))
 	c.close()
 }
 
-// close ends the connection without an outcome for the attempt that it carried.
+// close closes the connection. It reports no outcome for its attempt.
 func (c *conn) close() {
 	h := c.host
 	switch c.state {
--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -14,10 +14,10 @@
 	"cloverrock/internal/pgwire"
 )
 
-// testTimeout ends a test that hangs; no verdict depends on how soon anything happens.
+// testTimeout ends a test that hangs. No test result depends on how fast something happens.
 const testTimeout = 30 * time.Second
 
-// reportedOutcome is what a pool reports of an attempt, or of a health check, whose request is 0.
+// reportedOutcome is an outcome that a pool reports; request is 0 for a health check.
 type reportedOutcome struct {
 	request int64
 	result  balance.Result
@@ -43,15 +43,15 @@
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		t.Fatal("nothing received: ", what)
+		t.Fatal("nothing received within the test timeout: ", what)
 	}
 	return v
 }
 
-// databaseHost accepts connections, and sends nothing by itself.
+// databaseHost accepts connections. A test sends its answers.
 type databaseHost struct {
 	listener net.Listener
-	conns    chan net.Conn // those that have sent their startup message
+	conns    chan net.Conn // connections whose startup message was received
 }
 
 func startHost(t *testing.T) *databaseHost {
@@ -80,16 +80,16 @@
 
 func (h *databaseHost) address() string { return h.listener.Addr().String() }
 
-// welcome ends the startup of a connection, and waits for the query that comes on it.
+// welcome completes the startup of a connection and reads the query that follows.
 func welcome(t *testing.T, conn net.Conn) {
 	t.Helper()
-	_, _ = conn.Write(pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil))) // the read shows a failure
+	_, _ = conn.Write(pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil))) // the read detects a failure
 	readQuery(t, conn)
 }
 
 func readQuery(t *testing.T, conn net.Conn) {
 	t.Helper()
-	_ = conn.SetReadDeadline(time.Now().Add(testTimeout)) // the read shows a failure
+	_ = conn.SetReadDeadline(time.Now().Add(testTimeout)) // the read detects a failure
 	if _, err := io.ReadFull(conn, make([]byte, len(testQuery{}.Append(nil, 0)))); err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 	_, _ = conn.Write(pgwire.AppendReadyForQuery(b)) // the outcome shows a failure
 }
 
-// harness is a pool with its loop.
+// harness is a pool with its event loop.
 type harness struct {
 	t        *testing.T
 	loop     *eventloop.Loop
@@ -129,7 +129,7 @@
 	<-done
 }
 
-// setEndpoints gives the pool a complete list.
+// setEndpoints passes a complete endpoint list to the pool.
 func (h *harness) setEndpoints(addresses map[string]string) {
 	h.onLoop(func() { h.pool.UpdateEndpoints(addresses, nil, true) })
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,5 +1,5 @@
-// Package backend holds the connections to database hosts: it dials, keeps idle connections, carries one attempt at a
-// time on each and reports exactly how the attempt ended. It never sends a request a second time on its own.
+// Package backend holds the connections to database hosts. It opens connections, keeps idle ones, sends one attempt at a
+// time on each, and reports the exact outcome of each attempt. It never sends a request a second time on its own.
 package backend
 
 import (
@@ -13,13 +13,13 @@
 	"cloverrock/internal/pgwire"
 )
 
-// Bounds in microseconds of the time between two looks at idle connections.
+// Limits in microseconds for the interval between two sweeps of idle connections.
 const (
 	minSweepInterval = 1e4
 	maxSweepInterval = 1e6
 )
 
-// Query is the body of a request: it appends itself as a message with the time that is left, in microseconds.
+// Query is the body of a request. Append appends it as a message that states the remaining time in microseconds.
 type Query interface {
 	Append(b []byte, wait int64) []byte
 }
@@ -30,15 +30,15 @@
 	HealthCheckFinished(host string, outcome gateway.Outcome)
 }
 
-// Limits bound the connections. Times are in microseconds.
+// Limits are the limits on connections. Times are in microseconds.
 type Limits struct {
 	DialTimeout int64
-	IdleClose   int64 // after which hosts close a connection that has been idle
+	IdleClose   int64 // idle time after which hosts close a connection
 	Connections int   // to all hosts together
 	Bytes       int   // of incomplete answers
 }
 
-// Pool holds the connections to all hosts. It belongs to the goroutine of the event loop.
+// Pool holds the connections to all hosts. Its methods must be called on the goroutine of the event loop.
 type Pool struct {
 	loop   *eventloop.Loop
 	events Events
@@ -46,24 +46,24 @@
 	log    zerolog.Logger
 
 	hosts     map[string]*host
-	conns     map[*conn]struct{} // those that are being dialed included
+	conns     map[*conn]struct{} // including those that are being dialed
 	heldBytes int                // of incomplete answers
 
 	attempts     map[int64]*attempt // in flight, by request
-	awaitingSlot []*attempt         // that wait for a connection slot, in the order in which they came
+	awaitingSlot []*attempt         // waiting for a connection slot, in the order in which they came
 
-	dials       int // connections begun since the start
-	failedDials int // of these, those that were closed before they were ready
+	dials       int // connections that were dialed since the start
+	failedDials int // of these, the ones that were closed before they were ready
 }
 
 // host is one database host with its connections.
 type host struct {
 	id, address string
-	idle        []*conn    // the one used last at the end
+	idle        []*conn    // the most recently used one is the last
 	waiting     []*attempt // for a connection that is being dialed
 	dialing     int
-	open        int  // connections, those that are being dialed included
-	removed     bool // it is not in the endpoint list any more
+	open        int  // connections, including those that are being dialed
+	removed     bool // the host is no longer in the endpoint list
 }
 
 // New returns an empty pool.
@@ -76,12 +76,13 @@
 	return p
 }
 
-// maxIdle returns how long a connection may be idle. Hosts close theirs after IdleClose, and a request that crosses the
-// close ends in a reset whose outcome is unknown: the pool closes connections clearly earlier.
+// maxIdle returns how long a connection may be idle, in microseconds. Hosts close a connection after IdleClose. A
+// request that is sent while the host closes the connection ends in a reset with an unknown outcome, so the pool closes
+// idle connections well before that.
 func (p *Pool) maxIdle() int64 { return p.limits.IdleClose * 3 / 4 }
 
-// sweep closes connections that have been idle for too long, and forgets hosts that were removed: new hosts have new
-// ids, so they would add up.
+// sweep closes connections that have been idle for too long and deletes removed hosts. New hosts have new ids, so
+// removed ones would accumulate.
 func (p *Pool) sweep() {
 	now := p.loop.Now()
 	for id, h := range p.hosts {
@@ -96,8 +97,9 @@
 	p.loop.CallAt(now+interval, p.sweep)
 }
 
-// UpdateEndpoints takes the addresses of hosts and the ids of removed ones. Where the list is complete, hosts that it
-// lacks are removed as well. Connections to an old address of a host, or to a removed one, are not used any more.
+// UpdateEndpoints applies the addresses of hosts and the ids of removed ones. If the list is complete, hosts that are
+// missing from it are removed too. Idle connections and pending dials to a previous address of a host, or to a removed
+// host, are closed; other connections are closed once their attempt has ended.
 func (p *Pool) UpdateEndpoints(addresses map[string]string, removed []string, complete bool) {
 	if complete {
 		for id := range p.hosts {
@@ -133,8 +135,8 @@
 	}
 }
 
-// removeHost ends what waits for the host as not sent, so that it is decided anew at once. Attempts that a host is
-// carrying out go on.
+// removeHost ends the attempts that wait for a connection to the host as not sent, so that the router decides on them
+// again at once. Attempts that were already sent to the host continue.
 func (p *Pool) removeHost(h *host) {
 	h.removed = true
 	p.closeUnused(h)
@@ -145,8 +147,8 @@
 	}
 }
 
-// closeUnused closes the connections to a host that carry nothing: idle ones, and those that are being dialed, which may
-// take long to open.
+// closeUnused closes the connections to a host that have no attempt in flight: idle ones, and those that are being
+// dialed, which may take long to open.
 func (p *Pool) closeUnused(h *host) {
 	p.CloseIdle(h.id)
 	for c := range p.conns {
@@ -167,10 +169,11 @@
 	}
 }
 
-// Dials returns how many connections were begun since the start, and how many of these failed to open.
+// Dials returns how many connections were dialed since the start, and how many of them were closed before they were
+// ready.
 func (p *Pool) Dials() (begun, failed int) { return p.dials, p.failedDials }
 
-// KnownHosts returns the number of hosts that the pool remembers.
+// KnownHosts returns the number of hosts in the pool, including removed ones that are not deleted yet.
 func (p *Pool) KnownHosts() int { return len(p.hosts) }
 
 func (p *Pool) dial(h *host) {
