--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		h.idle = h.idle[:len(h.idle)-1]
-		c.carry(at)
+		c.send(at)
 		return
 	}
 	p.awaitingSlot = append(p.awaitingSlot, at)
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -14,7 +14,7 @@
 	h.setEndpoints(map[string]string{"h": host.address(), "other": other.address()})
 	h.send(1, "h")
 	conn := receive(t, host.conns, "the connection")
-	welcome(t, conn) // the query is never answered
+	completeStartup(t, conn) // the query is never answered
 	h.onLoop(func() {
 		h.pool.CheckHealth("h")
 		h.pool.CheckHealth("other")
@@ -42,7 +42,7 @@
 	h.setEndpoints(map[string]string{"h": host.address(), "other": other.address()})
 	h.send(1, "h")
 	conn := receive(t, host.conns, "the connection")
-	welcome(t, conn)
+	completeStartup(t, conn)
 	h.send(2, "other")
 	h.send(3, "h") // sent after attempt 2, but it needs no new connection
 	reply(conn)
@@ -52,12 +52,12 @@
 	h.wantOutcome(reportedOutcome{3, balance.Succeeded})
 
 	otherConn := receive(t, other.conns, "the connection to the other host") // the first connection is idle and is evicted
-	welcome(t, otherConn)
+	completeStartup(t, otherConn)
 	h.send(4, "h")
 	_ = otherConn.Close() // the outcome shows a failure
 	h.wantOutcome(reportedOutcome{2, balance.ConnectionReset})
 	replacement := receive(t, host.conns, "a new connection in place of the closed one")
-	welcome(t, replacement)
+	completeStartup(t, replacement)
 	reply(replacement)
 	h.wantOutcome(reportedOutcome{4, balance.Succeeded})
 }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -16,11 +16,11 @@
 	errDataAfterReady  = errors.New("host sent data after the end of the startup")
 )
 
-// conn is one connection to a host. It carries one attempt at a time. It implements eventloop.Handler.
+// conn is one connection to a host. At most one attempt is in flight on it. It implements eventloop.Handler.
 type conn struct {
 	pool      *Pool
-	host      *host  // address of the host when the connection was dialed
-	address   string // of the host when it was dialed
+	host      *host
+	address   string // address of the host when the connection was dialed
 	socket    *eventloop.Conn
 	state     connState
 	timer     *eventloop.Timer // limits the time to open the connection, or between the parts of an answer
@@ -47,7 +47,7 @@
 		c.end(c.outcome())
 		return
 	}
-	c.lost()
+	c.connectionLost()
 }
 
 // Data implements eventloop.Handler. Data that a host sends after an answer never becomes a part of the next answer.
@@ -157,7 +157,7 @@
 	}
 	if at := c.pool.nextWaiting(h); at != nil {
 		c.pool.stopWaiting(at)
-		c.carry(at)
+		c.send(at)
 		return
 	}
 	c.state = idle
@@ -166,8 +166,8 @@
 	c.pool.slotFreed()
 }
 
-// carry writes an attempt to the connection, unless the attempt has expired while it waited.
-func (c *conn) carry(at *attempt) {
+// send writes an attempt to the connection, unless the attempt has expired while it waited.
+func (c *conn) send(at *attempt) {
 	if !at.healthCheck && at.Expired() {
 		c.pool.finishLater(at, balance.NotSent)
 		c.release()
@@ -184,8 +184,8 @@
 	c.socket.Write(at.Body.(Query).Append(nil, at.Deadline-c.pool.loop.Now()))
 }
 
-// lost handles the loss of the connection. Its attempt may have been executed if the last byte was written.
-func (c *conn) lost() {
+// connectionLost handles the end of the connection. Its attempt may have been executed if the last byte was written.
+func (c *conn) connectionLost() {
 	outcome := gateway.Outcome{Result: balance.ConnectionRefused}
 	if c.state == busy && c.socket.Flushed() {
 		outcome.Result = balance.ConnectionReset
--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -80,8 +80,8 @@
 
 func (h *databaseHost) address() string { return h.listener.Addr().String() }
 
-// welcome completes the startup of a connection and reads the query that follows.
-func welcome(t *testing.T, conn net.Conn) {
+// completeStartup completes the startup of a connection and reads the query that follows.
+func completeStartup(t *testing.T, conn net.Conn) {
 	t.Helper()
 	_, _ = conn.Write(pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil))) // the read detects a failure
 	readQuery(t, conn)
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -182,7 +182,7 @@
 	h.dialing++
 	c := &conn{pool: p, host: h, address: h.address, state: dialing}
 	p.conns[c] = struct{}{}
-	c.timer = p.loop.CallAt(p.loop.Now()+p.limits.DialTimeout, c.lost)
+	c.timer = p.loop.CallAt(p.loop.Now()+p.limits.DialTimeout, c.connectionLost)
 	c.socket = p.loop.Dial(h.address, c)
 	c.socket.Write(pgwire.AppendStartup(nil, "user", "worker", "database", "catalog"))
 }
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -21,7 +21,7 @@
 	var conns []net.Conn
 	for range 2 {
 		conn := receive(t, moved.conns, "a dial to the new address")
-		welcome(t, conn)
+		completeStartup(t, conn)
 		conns = append(conns, conn)
 	}
 	for _, conn := range conns {
