--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -24,7 +24,8 @@
 	for range 4 {
 		got := receive(t, h.outcomes, "an outcome")
 		if got.request == 1 || got.result != balance.NotSent {
-			t.Errorf("request %d ended with result %d, want result %d and not request 1", got.request, got.result, balance.NotSent)
+			t.Errorf("request %d ended with result %d, want result %d and not request 1",
+				got.request, got.result, balance.NotSent)
 		}
 	}
 	h.onLoop(func() {
