--- a/internal/gossip/concurrency_test.go
+++ b/internal/gossip/concurrency_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// All gateways together send fewer and fewer attempts to a primary whose answers take all of their latency objective,
-// but none is blocked permanently: the fewer attempts are in flight, the more gateways may proceed. When the primary
-// has recovered, the cap is removed.
+// All gateways together send fewer attempts to a primary whose response times reach the latency objective, but no
+// gateway is blocked permanently: the fewer attempts are in flight, the more gateways may proceed. When the primary has
+// recovered, the cap is removed.
 func TestOverloadedPrimaryIsCappedUntilItRecovers(t *testing.T) {
 	const gateways = 40
 	f := newFleet(gateways, 5)
@@ -31,18 +31,19 @@
 	}
 	run(1000*ms, 0.2, 30)
 	if n := atCapacity(); n != 0 {
-		t.Fatalf("%d gateways hold back from a healthy primary", n)
+		t.Fatalf("%d gateways are at capacity at a healthy primary, want none", n)
 	}
 	run(1500*ms, 1.5, 30)
 	if n := atCapacity(); n != gateways {
-		t.Errorf("%d of %d gateways hold back with 30 in flight at a primary that answers late", n, gateways)
+		t.Errorf("%d of %d gateways are at capacity with 30 attempts in flight at an overloaded primary, want all",
+			n, gateways)
 	}
 	run(200*ms, 1.5, 1)
 	if n := atCapacity(); n < 2 || n > gateways*2/3 {
-		t.Errorf("%d of %d gateways hold back with one in flight", n, gateways)
+		t.Errorf("%d of %d gateways are at capacity with one attempt in flight, want two to two thirds", n, gateways)
 	}
 	run(4000*ms, 0.1, 20)
 	if n := atCapacity(); n != 0 {
-		t.Errorf("%d gateways hold back long after the recovery", n)
+		t.Errorf("%d gateways are at capacity 4 s after the recovery, want none", n)
 	}
 }
--- a/internal/gossip/coordinator.go
+++ b/internal/gossip/coordinator.go
@@ -11,38 +11,38 @@
 
 const (
 	maxCandidates            = 8         // gateways that may coordinate a group
-	silentCoordinatorBackoff = 5_000_000 // mean time, in microseconds, for which a silent coordinator is passed over
+	silentCoordinatorBackoff = 5_000_000 // mean time, in microseconds, for which a silent coordinator is skipped
 	propagationDelay         = 40_000    // microseconds from a report until the digest that contains it arrives
-	checkTokensPerAttempt    = 0.1       // checks that each attempt at a replica earns
-	checkTokenBurst          = 8.0       // checks; enough for all hosts of a group at its start
+	checkTokensPerAttempt    = 0.1       // health checks that are allowed per attempt at a replica
+	checkTokenBurst          = 8.0       // health checks; enough for all hosts of a group at its start
 )
 
-// groupState is a group of hosts, its coordinator, and, on the coordinator, what the next digest contains.
+// groupState is the state of a group of hosts. On the group's coordinator it includes the state of the next digest.
 type groupState struct {
 	hash             uint32
 	hosts            []*hostState
 	hostsByShortHash map[uint16]*hostState
-	candidates       []int // ordinals of the gateways that may coordinate it, in order of preference
+	candidates       []int // ordinals of the gateways that may coordinate the group, in order of preference
 
-	awaitingSince      int64 // when the oldest report was sent that no digest has answered; 0 if none
+	awaitingSince      int64 // when the oldest report that no digest has followed was sent; 0 if there is none
 	awaitedCoordinator int   // the receiver of that report
 
-	// As the coordinator.
+	// Used only on the coordinator.
 	hasUnpublished bool // something was reported since the last digest
 	lastReportAt   int64
 	firstReportAt  int64
-	checkTokens    float64 // hosts that HostsToCheck may still name
-	started        int     // attempts reported since the last digest
+	checkTokens    float64 // number of hosts that HostsToCheck may return at present
+	started        int     // attempts at replicas that were reported since the last digest
 	lastDigestAt   int64
 	nextDigestAt   int64
 
 	attemptRate    float64 // attempts at replicas, per second
-	digestSentAt   int64   // when the newest digest received had been sent; 0 if none was received
-	digestInterval int64   // microseconds until the next digest, by the newest one received
+	digestSentAt   int64   // sending time of the newest digest received; 0 if none was received
+	digestInterval int64   // microseconds until the next digest, as stated in the newest one received
 }
 
-// ensureGroup returns the group's state, and creates it on first use. Two groups with one hash share a coordinator;
-// their hosts are distinguished by their own hashes.
+// ensureGroup returns the state of a group and creates it on first use. Groups with the same hash share one state and
+// therefore a coordinator; their hosts are distinguished by their own hashes.
 func (s *State) ensureGroup(id int64) *groupState {
 	hash := uint32(xxhash.Sum64String("group "+strconv.FormatInt(id, 10)) >> 40)
 	if group := s.groupsByHash[hash]; group != nil {
@@ -59,8 +59,8 @@
 	return group
 }
 
-// rankCandidates ranks gateways for a group by rendezvous hashing: all gateways compute the same order, groups
-// spread evenly, and a silent gateway moves only the groups that it coordinated.
+// rankCandidates ranks the gateways for a group by rendezvous hashing. All gateways compute the same order, the groups
+// are spread evenly, and when a gateway is silent only the groups that it coordinated get another coordinator.
 func rankCandidates(groupHash uint32, gateways int) []int {
 	type candidate struct {
 		score   uint64
@@ -86,7 +86,7 @@
 	return ordinals
 }
 
-// coordinator is the first candidate that is not marked as silent, or the first one if all are.
+// coordinator returns the first candidate that is not marked as silent, or the first one if all are.
 func (s *State) coordinator(now int64, group *groupState) int {
 	for _, ordinal := range group.candidates {
 		if ordinal == s.conf.Ordinal || s.silentUntil[ordinal] <= now {
@@ -106,7 +106,7 @@
 	return g.digestSentAt != 0 && now-g.digestSentAt <= max(countLifetime, 2*g.digestInterval)
 }
 
-// awaitDigest records that a report was sent to a coordinator, whose digest is expected.
+// awaitDigest records that a report was sent to a coordinator and that a digest of it is expected.
 func (g *groupState) awaitDigest(now int64, coordinator int) {
 	if g.awaitingSince == 0 || g.awaitedCoordinator != coordinator {
 		g.awaitingSince = now
@@ -114,8 +114,8 @@
 	}
 }
 
-// passOverSilentCoordinator marks a coordinator as silent for a random backoff if it was sent reports and sent no
-// digest.
+// passOverSilentCoordinator marks a coordinator as silent for a random backoff if reports were sent to it and no digest
+// of it has arrived in time.
 func (s *State) passOverSilentCoordinator(now int64, group *groupState) {
 	timeout := max(s.conf.FreshnessWindow, group.digestInterval) + s.conf.FreshnessWindow/2
 	if group.awaitingSince == 0 || now-group.awaitingSince <= timeout {
@@ -126,8 +126,8 @@
 	group.awaitingSince = 0
 }
 
-// MaxReportDelay is the longest time, in microseconds, until an answer of a host to another gateway is known here; 0 if
-// unknown.
+// MaxReportDelay returns the longest time, in microseconds, until this gateway learns of an answer that a host gave to
+// another gateway; 0 if unknown.
 func (s *State) MaxReportDelay(id string) int64 {
 	host := s.hosts[id]
 	if host == nil || host.group.digestSentAt == 0 {
@@ -136,9 +136,10 @@
 	return host.group.digestInterval + 2*propagationDelay
 }
 
-// HostsToCheck returns the ids of hosts whose position this gateway, as their coordinator, needs a health check for. A
-// replica whose position is unknown gets no reads with bounded staleness, and without reads its position stays unknown.
-// Replicas that lag far behind are checked seldom, and none while the group is idle.
+// HostsToCheck returns the ids of the hosts that this gateway, as the coordinator of their groups, must send a health
+// check to learn their positions. A replica with an unknown position gets no reads with bounded staleness, and without
+// reads its position would stay unknown. Replicas that lag far behind are checked less often. Hosts of an idle group are
+// not checked.
 func (s *State) HostsToCheck(now int64) (ids []string) {
 	for _, group := range s.groups {
 		idle := group.lastReportAt == 0 || now-group.lastReportAt > s.maxUncheckedAge()
@@ -156,10 +157,10 @@
 	return ids
 }
 
-// maxUncheckedAge is how old a replica's position may become, in microseconds, before the replica is checked.
+// maxUncheckedAge returns the age in microseconds of a replica's position above which the replica is checked.
 func (s *State) maxUncheckedAge() int64 { return s.conf.FreshnessWindow / 2 }
 
-// needsCheck reports whether the position of a replica is outdated and its last check long enough ago.
+// needsCheck reports whether the position of a replica is outdated and its last check is long enough ago.
 func (s *State) needsCheck(now int64, host *hostState) bool {
 	if host.latest.Role == Primary || now-host.latestAt <= s.maxUncheckedAge() {
 		return false
@@ -169,6 +170,6 @@
 	return now-host.checkedAt > pause
 }
 
-// isIsolated reports whether this gateway receives no messages, or only outdated ones. As a coordinator it would then
-// broadcast little more than its own observations; while it is silent, others replace it.
+// isIsolated reports whether this gateway receives no messages or only outdated ones. As a coordinator it would then
+// broadcast little more than its own observations. It sends no digests, so that the other gateways replace it.
 func (s *State) isIsolated(now int64) bool { return now-s.newestSentAt > s.conf.FreshnessWindow }
--- a/internal/gossip/coordinator_test.go
+++ b/internal/gossip/coordinator_test.go
@@ -8,8 +8,8 @@
 	"cloverrock/internal/random"
 )
 
-// When the coordinator crashes or is stopped, reports go to the next candidate, which broadcasts. When the first one
-// has recovered, all gateways return to it.
+// When the coordinator crashes or is stopped, gateways report to the next candidate, which broadcasts the digests. When
+// the first one has recovered, all gateways report to it again.
 func TestNextCandidateCoordinatesWhileTheCoordinatorIsSilent(t *testing.T) {
 	const gateways, hosts = 30, 5
 	f := newFleet(gateways, hosts)
@@ -20,18 +20,19 @@
 	f.run(hosts, 1500*ms)
 	other := f.coordinators((first + 1) % gateways)[0]
 	if age := f.maxPositionAge(hosts, running); other == first || age > 300*ms {
-		t.Fatalf("coordinator %d after %d; a host's position is known as of %d ms ago", other, first, age/ms)
+		t.Fatalf("coordinator %d after coordinator %d stopped, want another; oldest position %d ms old, want at most 300 ms",
+			other, first, age/ms)
 	}
 	delete(f.stopped, first)
 	f.run(hosts, 9000*ms)
 	if got := f.coordinators((first + 1) % gateways)[0]; got != first {
-		t.Errorf("coordinator %d long after %d has recovered", got, first)
+		t.Errorf("coordinator %d long after gateway %d has recovered, want that gateway", got, first)
 	}
 }
 
 // A coordinator that can send but receives no messages, or only outdated ones, has little more than its own
-// observations: it stops sending digests, and another gateway coordinates until it receives again. The same holds for a
-// gateway that coordinated no group before.
+// observations. It stops sending digests, and another gateway coordinates the group until the first one receives
+// messages again. This also holds for a gateway that has coordinated no group before.
 func TestCoordinatorThatReceivesNothingIsPassedOver(t *testing.T) {
 	const gateways, hosts = 30, 5
 	for _, late := range []int64{0, 1000 * ms} {
@@ -44,23 +45,24 @@
 			f.isLost = func(_, to int) bool { return to == first }
 		}
 		f.run(hosts, 1700*ms)
-		for range 80 { // gateways try it again after a backoff
+		for range 80 { // gateways try the first coordinator again after a backoff
 			f.run(hosts, 100*ms)
 			if age := f.maxPositionAge(hosts, others); age > 300*ms {
-				t.Fatalf("late %d ms: %d ms after, a host's position is known as of %d ms ago", late/ms, (f.now-base)/ms-2000, age/ms)
+				t.Fatalf("receiving %d ms late, at %d ms: oldest position %d ms old, want at most 300 ms",
+					late/ms, (f.now-base)/ms-2000, age/ms)
 			}
 		}
 		f.extraDelay[first] = 0
 		f.isLost = noLoss
 		f.run(hosts, 9000*ms)
 		if got := f.coordinators((first + 1) % gateways)[0]; got != first {
-			t.Errorf("coordinator %d long after %d receives again", got, first)
+			t.Errorf("coordinator %d long after gateway %d receives messages again, want that gateway", got, first)
 		}
 	}
 }
 
-// A third of all messages is lost, and one gateway can't reach the coordinator at all: it reports to another one, and
-// both broadcast.
+// A third of all messages is lost, and one gateway cannot reach the coordinator at all. That gateway reports to another
+// coordinator, and both broadcast digests.
 func TestFactsSpreadOverLossyLinks(t *testing.T) {
 	const gateways, hosts = 30, 10
 	f := newFleet(gateways, hosts)
@@ -72,14 +74,14 @@
 	}
 	f.run(hosts, 6000*ms)
 	if age := f.maxPositionAge(hosts, all); age > 900*ms {
-		t.Errorf("a host's position is known as of %d ms ago", age/ms)
+		t.Errorf("oldest position %d ms old, want at most 900 ms", age/ms)
 	}
 	if f.coordinators(cut)[0] == first {
-		t.Error("a gateway still reports to a coordinator that it can't reach")
+		t.Error("a gateway still reports to a coordinator that it cannot reach")
 	}
 }
 
-// In a fleet that is partitioned into halves each half has its own coordinators; afterwards there is one again.
+// While the fleet is partitioned into halves, each half has its own coordinators. Afterwards all gateways agree again.
 func TestEachPartitionHasCoordinators(t *testing.T) {
 	const gateways, hosts = 40, 10
 	f := newFleet(gateways, hosts)
@@ -87,17 +89,17 @@
 	f.isLost = func(from, to int) bool { return from%2 != to%2 }
 	f.run(hosts, 6000*ms)
 	if age := f.maxPositionAge(hosts, all); age > 900*ms {
-		t.Errorf("in halves a host's position is known as of %d ms ago", age/ms)
+		t.Errorf("during the partition: oldest position %d ms old, want at most 900 ms", age/ms)
 	}
 	f.isLost = noLoss
 	f.run(hosts, 9000*ms)
 	if !slices.Equal(f.coordinators(0), f.coordinators(1)) {
-		t.Errorf("coordinators %v and %v long after the partition", f.coordinators(0), f.coordinators(1))
+		t.Errorf("coordinators %v and %v long after the partition, want the same", f.coordinators(0), f.coordinators(1))
 	}
 }
 
-// Requests reach one of five hosts. The coordinator, and no other gateway, has the other hosts checked, at a limited
-// rate, and none once the group is idle.
+// Requests reach one of five hosts. Only the coordinator has the other hosts checked, at a limited rate, and stops when
+// the group is idle.
 func TestOnlyTheCoordinatorChecksHostsWithoutReports(t *testing.T) {
 	f := newFleet(4, 5)
 	checked := map[string]int{}
@@ -109,10 +111,10 @@
 		for i, s := range f.states {
 			for _, h := range s.HostsToCheck(f.now) {
 				if i != f.coordinators(i)[0] {
-					t.Fatalf("gateway %d has hosts checked", i)
+					t.Fatalf("gateway %d, which is not the coordinator, has hosts checked", i)
 				}
 				checked[h]++
-				if h == hostName(1) { // it answers; the others do not, and one of them lags far behind
+				if h == hostName(1) { // hosts 1 and 2 answer their checks, and host 2 lags far behind; hosts 3 and 4 do not answer
 					s.Record(HostFact{Host: h, Position: f.now - 20*ms, Role: Replica})
 				} else if h == hostName(2) {
 					s.Record(HostFact{Host: h, Position: f.now - 4000*ms, Role: Replica})
@@ -122,7 +124,7 @@
 	}
 	for host, want := range map[string][2]int{hostName(0): {0, 1}, hostName(1): {4, 9}, hostName(2): {2, 4}, hostName(3): {6, 9}} {
 		if n := checked[host]; n < want[0] || n > want[1] {
-			t.Errorf("%s was checked %d times in 2 s, want %v", host, n, want)
+			t.Errorf("%s was checked %d times in 2 s, want a number in %v", host, n, want)
 		}
 	}
 	clear(checked)
@@ -135,11 +137,11 @@
 		}
 	}
 	if checked[hostName(3)] > 2 {
-		t.Errorf("%v checked while there are no reads", checked)
+		t.Errorf("checks by host %v in 2 s without reads, want at most 2 of the host that does not answer", checked)
 	}
 }
 
-// Groups spread evenly over the gateways that coordinate them.
+// The coordinators of many groups are spread evenly over the gateways.
 func TestGroupsSpreadEvenlyOverCoordinators(t *testing.T) {
 	const gateways, groups = 20, 2000
 	coordinated := make([]float64, gateways)
@@ -151,6 +153,6 @@
 	least := slices.Min(coordinated)
 	most := slices.Max(coordinated)
 	if least < mean-tolerance || most > mean+tolerance {
-		t.Errorf("gateways coordinate %.0f to %.0f groups", least, most)
+		t.Errorf("gateways coordinate %.0f to %.0f groups, want about the same number", least, most)
 	}
 }
--- a/internal/gossip/decisions_test.go
+++ b/internal/gossip/decisions_test.go
@@ -10,13 +10,14 @@
 	"cloverrock/internal/gossip"
 )
 
-// This file compares the decisions of the package with recorded ones: it makes a fixed sequence of random calls and
-// compares a hash of all results with the one in testdata/decisions.txt. A change that must not alter decisions leaves
-// the hashes as they are. One that does alter them runs the test with -update and states why.
+// This file compares the decisions of the package with recorded ones. It makes a fixed sequence of random calls and
+// compares a hash of all results with the one in testdata/decisions.txt. A change that must not alter decisions must
+// leave the hashes as they are. For a change that alters them on purpose, run the test with -update and state the
+// reason.
 
 const goldenFile = "decisions.txt"
 
-// gateway is one gateway and the messages that are on their way to it.
+// gateway is one gateway and the messages that are in transit to it.
 type gateway struct {
 	ordinal int
 	state   *gossip.State
@@ -28,7 +29,7 @@
 	data []byte
 }
 
-// fleet is some gateways with the same hosts.
+// fleet is a set of gateways that have the same hosts.
 type fleet struct {
 	random   *rand.Rand
 	now      int64
@@ -43,7 +44,7 @@
 	for i := range 40 {
 		f.hosts = append(f.hosts, "host"+strconv.Itoa(i))
 	}
-	f.hosts[4], f.hosts[8] = "host249", "host561" // two of one group with the same short hash
+	f.hosts[4], f.hosts[8] = "host249", "host561" // two hosts of one group with the same short hash
 	for _, ordinal := range ordinals {
 		conf.Ordinal = ordinal
 		g := &gateway{ordinal: ordinal, state: gossip.New(conf, seed+uint64(ordinal))}
@@ -74,11 +75,11 @@
 }
 
 func (f *fleet) deliver(g *gateway) {
-	if f.chance(0.03) && len(f.sent) > 0 { // an old one, from a random sender
+	if f.chance(0.03) && len(f.sent) > 0 { // an old message, from a random sender
 		old := f.sent[f.random.IntN(len(f.sent))]
 		g.inbox = append(g.inbox, datagram{f.random.IntN(330) - 10, slices.Clone(old.data)})
 	}
-	if f.chance(0.01) { // a truncated one
+	if f.chance(0.01) { // a truncated message
 		g.inbox = append(g.inbox, datagram{0, []byte{3}})
 	}
 	for _, l := range g.inbox {
@@ -89,7 +90,7 @@
 			l.data = l.data[:f.random.IntN(len(l.data))]
 		}
 		f.receive(g, l)
-		if f.chance(0.1) && len(l.data) > 11 { // as of the same moment, with something else in the first report
+		if f.chance(0.1) && len(l.data) > 11 { // the same sending time, with other contents in the first report
 			l.data[11] ^= 3
 			f.receive(g, l)
 		}
@@ -191,7 +192,7 @@
 	return f.answers.String()
 }
 
-// What gateways send, accept and answer is as recorded in the golden file.
+// Compares what gateways send, accept and answer in random scenarios with the golden file.
 func TestDecisionsStayTheSame(t *testing.T) {
 	var everyOne []int
 	for ordinal := range 10 {
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -1,17 +1,18 @@
 package gossip
 
-// The pace of digests.
+// Limits of the interval between digests.
 const (
-	minDigestInterval     = 40_000    // microseconds; reports are not fresher
-	relaxedIntervalFactor = 2         // multiple of the time in which requests pay for a digest, until the next one
+	minDigestInterval     = 40_000    // microseconds; more frequent digests would contain no newer reports
+	relaxedIntervalFactor = 2         // usual interval, as a multiple of the time in which requests pay for a digest
 	rateWarmup            = 1_000_000 // microseconds from the first report until the attempt rate is known
-	// After this fraction of the freshness window the next digest is due, at any cost while the rate is unknown and
-	// afterwards as soon as it is paid for once: otherwise positions become too old to be used.
+	// At the latest after this fraction of the freshness window the next digest is due, because positions would
+	// otherwise become too old to be used. Once the attempt rate is known, the digest must also be paid for by
+	// requests.
 	urgentNumerator   = 2
 	urgentDenominator = 5
 )
 
-// buildDigest returns the digest that this gateway, as the coordinator of a group, is to broadcast now, or nil.
+// buildDigest returns the digest that this gateway, as the coordinator of a group, must broadcast now, or nil.
 func (s *State) buildDigest(now int64, group *groupState) []byte {
 	if !group.hasUnpublished || now < group.nextDigestAt || s.isIsolated(now) {
 		return nil
@@ -29,7 +30,7 @@
 	return append(message, entries...)
 }
 
-// updateAttemptRate adds the attempts since the last digest to the rate, a moving average over about a second.
+// updateAttemptRate updates the rate, a moving average over about a second, by the attempts since the last digest.
 func (g *groupState) updateAttemptRate(now int64) {
 	if g.lastDigestAt == 0 {
 		g.firstReportAt = now
@@ -41,7 +42,7 @@
 	g.attemptRate += weight * (float64(g.started)/elapsed - g.attemptRate)
 }
 
-// buildEntries returns the entries of a digest, the primary's first, and whether there is one of the primary.
+// buildEntries returns the entries of a digest, and whether the first of them is the primary's.
 func (s *State) buildEntries(now int64, group *groupState) (entries []byte, primaryLeads bool) {
 	primary := group.latestPrimary()
 	if primary != nil {
@@ -56,7 +57,7 @@
 	return entries, primaryLeads
 }
 
-// latestPrimary is the host that was seen as primary at the highest position, or nil.
+// latestPrimary returns the host that was reported as primary at the highest position, or nil.
 func (g *groupState) latestPrimary() (primary *hostState) {
 	for _, host := range g.hosts {
 		if host.latest.Role != Primary {
@@ -94,8 +95,9 @@
 	return appendEntry(entries, now, host.hash, fact, load)
 }
 
-// totalLoad is how many attempts all gateways have in flight at a host. Where another gateway publishes digests of the
-// group too, some gateways can't reach one of the two coordinators, and the higher number is more accurate.
+// totalLoad returns how many attempts all gateways have in flight at a host. If another gateway also publishes digests
+// of the group, some gateways cannot reach one of the two coordinators, and the higher number is the more accurate
+// one.
 func (s *State) totalLoad(now int64, host *hostState) float64 {
 	load := float64(s.inFlightByOthers(now, host) + host.inFlight)
 	if host.group.hasRecentDigest(now) {
@@ -104,8 +106,8 @@
 	return load
 }
 
-// nextInterval is the time in microseconds from a digest of a size, in bytes, until the next one: as soon as the
-// group's requests have paid for it, within the limits above.
+// nextInterval returns the time in microseconds from a digest of the given size, in bytes, until the next one: as soon
+// as the byte budget of the group's requests allows it, within the limits above.
 func (s *State) nextInterval(now int64, group *groupState, size int) int64 {
 	cost := float64(size * (s.conf.Gateways - 1)) // bytes
 	paidInterval := maxInterval * 2.0
@@ -120,7 +122,7 @@
 }
 
 // receiveDigest applies a digest of another gateway and returns the facts in it. Loads are used only from the
-// coordinator to which this gateway reports, since another one has only a part of them.
+// coordinator to which this gateway reports, because any other one has received only a part of the reports.
 func (s *State) receiveDigest(now, sentAt int64, from int, body []byte) ([]HostFact, error) {
 	d, err := readDigest(sentAt, body)
 	if err != nil {
@@ -160,7 +162,8 @@
 	return facts, nil
 }
 
-// follow applies a digest's header. Hosts without an entry have no attempts in flight.
+// follow applies the header of a digest and sets the loads of all hosts to 0, because hosts without an entry have no
+// attempts in flight.
 func (g *groupState) follow(sentAt int64, d *digest) {
 	g.digestSentAt = sentAt
 	g.digestInterval = d.interval
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -24,10 +24,10 @@
 	stopped    map[int]bool
 	isLost     func(from, to int) bool
 	extraDelay map[int]int64      // by receiver
-	positions  []map[string]int64 // the highest received, by gateway and host
+	positions  []map[string]int64 // highest position received, by gateway and host
 }
 
-// packet is a message on its way.
+// packet is a message in transit.
 type packet struct {
 	at       int64
 	from, to int
@@ -52,7 +52,7 @@
 	return f
 }
 
-// step moves the clock by 5 ms. Messages take 10 ms; a stopped gateway receives the messages sent to it when it
+// step advances the clock by 5 ms. Messages take 10 ms. A stopped gateway receives the messages sent to it when it
 // resumes.
 func (f *fleet) step() {
 	f.now += 5 * ms
@@ -104,7 +104,7 @@
 	}
 }
 
-// run lets the running gateways in turn record an answer of each host every 5 ms, for a duration.
+// run simulates a duration: every 5 ms one running gateway, each in turn, records an answer of each host.
 func (f *fleet) run(hosts int, duration int64) {
 	for end := f.now + duration; f.now < end; f.step() {
 		for h := range hosts {
@@ -119,7 +119,7 @@
 	}
 }
 
-// maxPositionAge is the greatest age of a host's position among the selected gateways.
+// maxPositionAge returns the greatest age of a host's position among the selected gateways.
 func (f *fleet) maxPositionAge(hosts int, selects func(ordinal int) bool) (age int64) {
 	for ordinal, state := range f.states {
 		if !selects(ordinal) {
@@ -147,7 +147,7 @@
 // toggleInFlight starts an attempt at a host, or ends the one that is in flight.
 func (s *State) toggleInFlight(id string) { s.SetInFlight(id, 1-s.hosts[id].inFlight) }
 
-// receiveAs reads a message as another state would, without changing that one.
+// receiveAs decodes a message as the other state would, without changing the other state.
 func (s *State) receiveAs(other *State, now int64, from int, data []byte) []HostFact {
 	for _, group := range other.groups {
 		for _, host := range group.hosts {
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -43,7 +43,7 @@
 		version, sent, body := opened(t, stored[test.name])
 		read, err := readReport(sent, body)
 		if version != reportVersion || err != nil || read != test.read {
-			t.Errorf("%s is read as %v (version %d, %v)", test.name, read, version, err)
+			t.Errorf("%s: decoded %v (version %d, %v), want the encoded value", test.name, read, version, err)
 		}
 	}
 }
@@ -86,13 +86,13 @@
 		version, sent, body := opened(t, stored[test.name])
 		read, err := readDigest(sent, body)
 		if version != digestVersion || err != nil || !reflect.DeepEqual(read, test.made) {
-			t.Errorf("%s is read as %v (version %d, %v)", test.name, read, version, err)
+			t.Errorf("%s: decoded %v (version %d, %v), want the encoded value", test.name, read, version, err)
 		}
 	}
 }
 
-// Hashes of hosts and the order of a group's candidates do not change: gateways of different versions must agree on
-// them.
+// Hashes of hosts and groups and the order of a group's candidates do not change: gateways of different versions must
+// agree on them.
 func TestGoldenCodesAndOrder(t *testing.T) {
 	cases := []golden.Case{{Name: "bounds", Form: fmt.Sprint(MaxMessage, " ", Broadcast)}}
 	for _, host := range []string{"", "host-a", "10.0.0.1:5432"} {
@@ -108,7 +108,7 @@
 	golden.Check(t, "codes.golden", cases)
 }
 
-// opened removes the header of a recorded message.
+// opened decodes a recorded message, checks its header and returns its parts.
 func opened(t *testing.T, form string) (version byte, sent int64, body []byte) {
 	t.Helper()
 	b, err := hex.DecodeString(form)
@@ -117,7 +117,7 @@
 	}
 	version, sent, body, err = readHeader(goldenNow, b)
 	if err != nil || sent != goldenNow {
-		t.Fatalf("sent at %d, %v", sent, err)
+		t.Fatalf("sending time %d, %v, want goldenNow", sent, err)
 	}
 	return version, sent, body
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,16 +1,16 @@
 // Package gossip exchanges facts about hosts between the gateways of a fleet. It decides what is sent to whom and when,
 // and which received facts are valid.
 //
-// A single gateway contacts each host seldom; together the gateways contact it often. Each group of hosts has a
-// coordinator among the gateways, which each gateway determines for itself (coordinator.go). A gateway sends reports to
-// the coordinator alone: what a host has answered and how many attempts it has in flight there. The coordinator
-// aggregates them and broadcasts one short digest, as often as the byte budget of the group's requests allows. Traffic
-// therefore grows with requests and groups; only digests are multiplied by the number of gateways.
+// A single gateway contacts each host seldom, but all gateways together contact it often. Each group of hosts has one of
+// the gateways as its coordinator, which every gateway determines for itself (coordinator.go). A gateway sends reports
+// only to the coordinator: what a host has answered, and how many attempts it has in flight there. The coordinator
+// aggregates the reports and broadcasts one short digest, as often as the byte budget of the group's requests allows.
+// Traffic therefore grows with requests and groups; only digests are multiplied by the number of gateways.
 //
-// Correctness does not depend on who coordinates: two coordinators at a time are harmless, since positions only
-// increase and loads are used only from the coordinator that a gateway reports to. Without a coordinator a gateway uses
-// its own observations. Messages may be lost, delayed, duplicated or reordered. The package does no I/O, reads no clock
-// and starts no goroutine; the same calls give the same messages.
+// Correctness does not depend on which gateway coordinates a group. Two coordinators at a time are harmless, because
+// positions only increase and loads are used only from the coordinator that a gateway reports to. Without a coordinator
+// a gateway uses its own observations. Messages may be lost, delayed, duplicated or reordered. The package does no I/O,
+// reads no clock and starts no goroutine; the same calls produce the same messages.
 package gossip
 
 import (
@@ -19,7 +19,7 @@
 	"cloverrock/internal/random"
 )
 
-// Role is the replication role in which a host was seen.
+// Role is the replication role that a host reported.
 type Role uint8
 
 // The roles of a host.
@@ -29,12 +29,12 @@
 	Replica
 )
 
-// HostFact is the state of a host as one or more gateways observed it. Positions are commit times in the host's log, in
+// HostFact is the state of a host as observed by one or more gateways. Positions are commit times in the host's log, in
 // microseconds since 1970.
 type HostFact struct {
 	Host         string
-	Position     int64   // the host has applied its log at least up to here; 0 if unknown
-	Role         Role    // as of Position
+	Position     int64   // the host has applied its log at least up to this position; 0 if unknown
+	Role         Role    // at Position
 	LatencyShare float64 // recent response time as a share of the latency objective; 0 if unknown
 	Failing      bool    // most recent answers were errors
 }
@@ -50,10 +50,10 @@
 
 // Config describes the fleet.
 type Config struct {
-	Gateways        int     // size of the fleet, this gateway included
+	Gateways        int     // number of gateways, this one included
 	Ordinal         int     // this gateway's number, from 0
-	BytesPerRequest float64 // upper limit of gossip bytes per request, each byte counted once for each receiver
-	FreshnessWindow int64   // microseconds for which a fact is useful to others
+	BytesPerRequest float64 // limit on gossip bytes per request; a byte counts once for each receiver
+	FreshnessWindow int64   // microseconds for which a fact is useful to other gateways
 }
 
 // enabled reports whether there are other gateways to exchange facts with.
@@ -66,24 +66,24 @@
 
 // Intervals in microseconds.
 const (
-	malformedReportInterval = 10_000_000 // shortest time between two log lines on malformed messages
-	reportInterval          = 20_000     // shortest time between two rounds of reports, so that one message carries several
+	malformedReportInterval = 10_000_000 // shortest time between two log lines about malformed messages
+	reportInterval          = 20_000     // shortest time between two rounds of reports; one message then carries several
 	countLifetime           = 1_000_000  // an in-flight count expires unless it is repeated within this time
 )
 
-// State is one gateway's part in the exchange. It is not safe for concurrent use.
+// State is the gossip state of one gateway. It is not safe for concurrent use.
 type State struct {
 	conf         Config
 	rand         random.Source
 	hosts        map[string]*hostState
-	hostsByHash  map[uint32]*hostState  // nil where two hosts share a hash: facts of either are dropped
-	groups       []*groupState          // in the order of their creation, so that the same calls give the same messages
-	groupsByHash map[uint32]*groupState // the same by hash
-	silentUntil  map[int]int64          // by gateway: a silent coordinator is passed over until then
+	hostsByHash  map[uint32]*hostState  // nil if several hosts share a hash: facts about any of them are ignored
+	groups       []*groupState          // in order of creation, so that the same calls produce the same messages
+	groupsByHash map[uint32]*groupState // the same groups by hash
+	silentUntil  map[int]int64          // by gateway: until when it is skipped as a coordinator because it was silent
 
 	pendingReports []*hostState
 	nextReportsAt  int64
-	newestSentAt   int64 // when the newest message that was received had been sent
+	newestSentAt   int64 // latest sending time of all messages received
 	overloadRatio  float64
 
 	malformed           int // messages that could not be decoded
@@ -91,7 +91,7 @@
 	malformedReportedAt int64
 }
 
-// New returns a state without hosts; the seed feeds its random numbers.
+// New returns a state without hosts; seed is the seed of its random numbers.
 func New(c Config, seed uint64) *State {
 	return &State{
 		conf:         c,
@@ -116,7 +116,7 @@
 	group.hosts = append(group.hosts, host)
 }
 
-// RemoveHost removes a host: nothing about it is sent or accepted any more.
+// RemoveHost removes a host. From then on messages neither contain it nor change its state.
 func (s *State) RemoveHost(id string) {
 	host := s.hosts[id]
 	if host == nil {
@@ -138,18 +138,18 @@
 	m[hash] = value
 }
 
-// removeUnique removes a value. A shared hash stays marked as ambiguous, since old messages may still arrive.
+// removeUnique removes a value. An ambiguous hash stays marked as such, because old messages may still arrive.
 func removeUnique[K comparable, V any](m map[K]*V, hash K, value *V) {
 	if m[hash] == value {
 		delete(m, hash)
 	}
 }
 
-// MalformedMessages is the number of messages that could not be decoded.
+// MalformedMessages returns the number of messages that could not be decoded.
 func (s *State) MalformedMessages() int { return s.malformed }
 
-// TakeMalformedReport returns how many messages could not be decoded since it last returned a number above 0. It
-// does so at most once per malformedReportInterval, so that a faulty sender cannot fill the log.
+// TakeMalformedReport returns how many messages could not be decoded since it last returned a number above 0. It returns
+// such a number at most once per malformedReportInterval, so that a faulty sender cannot fill the log.
 func (s *State) TakeMalformedReport(now int64) int {
 	n := s.malformed - s.malformedReported
 	if n == 0 {
@@ -179,8 +179,8 @@
 	return messages
 }
 
-// Receive applies a message of another gateway and returns the facts in it about known hosts. A message with any
-// malformed part is counted and has no effect.
+// Receive applies a message of another gateway and returns the facts in it about known hosts. A message of which any
+// part is malformed is counted and otherwise ignored.
 func (s *State) Receive(now int64, from int, data []byte) []HostFact {
 	if !s.conf.enabled() {
 		return nil
@@ -193,7 +193,7 @@
 	return facts
 }
 
-// receive is Receive with an error for a malformed message.
+// receive does the work of Receive, and returns an error for a malformed message.
 func (s *State) receive(now int64, from int, data []byte) ([]HostFact, error) {
 	version, sentAt, body, err := readHeader(now, data)
 	if err != nil {
@@ -206,6 +206,6 @@
 	if version == reportVersion {
 		return s.receiveReport(now, sentAt, from, body)
 	}
-	delete(s.silentUntil, from) // a digest proves that the gateway coordinates; a report doesn't
+	delete(s.silentUntil, from) // a digest proves that the gateway is a running coordinator; a report does not
 	return s.receiveDigest(now, sentAt, from, body)
 }
--- a/internal/gossip/host.go
+++ b/internal/gossip/host.go
@@ -1,12 +1,12 @@
 package gossip
 
-// hostState is the state of one host: own observations, reports of others and the last digest.
+// hostState is the state of one host: this gateway's observations, reports of other gateways, and the last digest.
 type hostState struct {
 	id    string
 	hash  uint32
 	group *groupState
 
-	// What this gateway observed itself.
+	// Observations of this gateway.
 	ownFact          HostFact
 	samples          latencySamples
 	inFlight         int
@@ -15,8 +15,8 @@
 	reportDue        bool
 
 	latest            HostFact // the latest position that any gateway reported, with the role at that position
-	latestAt          int64    // when it was received
-	checkedAt         int64    // as its coordinator: when HostsToCheck named it last
+	latestAt          int64    // when latest was received
+	checkedAt         int64    // when HostsToCheck last returned this host; used on the coordinator
 	publishedPosition int64
 	reportedSamples   latencySamples
 	reportedCounts    []reportedCount // by gateway
@@ -24,8 +24,8 @@
 	countsExpiredAt   int64           // when outdated counts were last removed
 
 	concurrencyCap     concurrencyCap
-	publishedLoad      float64 // attempts in flight of all gateways, by the last digest
-	ownInPublishedLoad int     // this gateway's part of it
+	publishedLoad      float64 // attempts of all gateways in flight, from the last digest
+	ownInPublishedLoad int     // this gateway's part of publishedLoad
 }
 
 // latencySamples is the sum of response times as shares of their latency objective.
@@ -42,7 +42,7 @@
 	}
 }
 
-// writeTo sets a fact's share and failure flag if there are samples.
+// writeTo sets the latency share and failure flag of a fact if there are samples.
 func (s *latencySamples) writeTo(fact *HostFact) {
 	if s.count > 0 {
 		fact.LatencyShare = s.sum / float64(s.count)
@@ -50,13 +50,13 @@
 	}
 }
 
-// reportedCount is how many attempts a gateway reported as in flight at a host.
+// reportedCount is the number of attempts in flight at a host that one gateway reported.
 type reportedCount struct {
 	inFlight int
 	sentAt   int64
 }
 
-// Record records what a host itself has reported to this gateway.
+// Record records a position and role that a host reported to this gateway.
 func (s *State) Record(fact HostFact) {
 	host := s.hosts[fact.Host]
 	if host != nil && fact.Position > host.ownFact.Position {
@@ -65,13 +65,13 @@
 	}
 }
 
-// overloadWeight is the weight of a new answer in the moving average of OverloadRatio: about thirty answers decide,
-// which is a second or two of a gateway among hundreds.
+// overloadWeight is the weight of a new answer in the moving average of OverloadRatio. The average covers about thirty
+// answers, which a gateway among hundreds receives in a second or two.
 const overloadWeight = 0.03
 
-// OverloadRatio is the share of this gateway's recent attempts, at all hosts together, that took all of their latency
-// objective or were rejected. It is for gateways that contact each host too seldom to judge it. The response time of
-// answers within the objective does not count, since at rest it differs from deployment to deployment.
+// OverloadRatio returns the share of this gateway's recent attempts, at all hosts together, that took at least their
+// latency objective or were rejected. It serves gateways that contact each host too seldom to measure its load. Response
+// times within the objective do not count, because without load they differ between deployments.
 func (s *State) OverloadRatio() float64 { return s.overloadRatio }
 
 // RecordLatencyShare records an answer of a host: its response time as a share of the latency objective, and whether it
@@ -106,8 +106,8 @@
 	}
 }
 
-// Load is how many attempts other gateways have in flight at a host, and how many of the group's are about to start
-// that no digest contains yet. Both are 0 without a recent digest.
+// Load returns how many attempts other gateways have in flight at a host, and how many attempts of the group are
+// starting that no digest contains yet. Both are 0 without a recent digest.
 func (s *State) Load(now int64, id string) (inFlight, starting float64) {
 	host := s.hosts[id]
 	if host == nil {
@@ -124,7 +124,7 @@
 	return inFlight, group.attemptRate * float64(group.digestInterval+propagationDelay) / 1e6
 }
 
-// recordLatest records a position and role if the position is the latest so far.
+// recordLatest records a position and role if the position is higher than all before.
 func (h *hostState) recordLatest(now int64, fact HostFact) {
 	if fact.Position > h.latest.Position {
 		h.latest = HostFact{Host: h.id, Position: fact.Position, Role: fact.Role}
@@ -132,7 +132,7 @@
 	}
 }
 
-// recordCount records how many attempts a gateway has in flight. A count that is reordered or outdated is ignored.
+// recordCount records how many attempts a gateway has in flight. Counts that are reordered or outdated are ignored.
 func (h *hostState) recordCount(now, sentAt int64, from, inFlight int) {
 	count := &h.reportedCounts[from]
 	if sentAt < count.sentAt || now-sentAt > countLifetime {
@@ -142,8 +142,8 @@
 	*count = reportedCount{inFlight, sentAt}
 }
 
-// expireCounts removes the counts that other gateways have not repeated within countLifetime: they crashed, or their
-// reports were lost. It runs at most four times per countLifetime.
+// expireCounts removes the counts that other gateways have not repeated within countLifetime, because the gateways
+// crashed or their reports were lost. It does so at most about four times per countLifetime.
 func (h *hostState) expireCounts(now int64, self int) {
 	if now-h.countsExpiredAt <= countLifetime/4 {
 		return
@@ -158,7 +158,7 @@
 	}
 }
 
-// inFlightByOthers is how many attempts the other gateways have in flight at a host, as they have reported.
+// inFlightByOthers returns how many attempts the other gateways have reported as in flight at a host.
 func (s *State) inFlightByOthers(now int64, host *hostState) int {
 	if host.reportedCounts == nil {
 		return 0
--- a/internal/gossip/host_test.go
+++ b/internal/gossip/host_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Loads add up over the fleet, are unaffected by duplicated messages, and expire with a gateway that has stopped
-// reporting.
+// The loads of all gateways add up. Duplicated messages do not change them, and the load of a gateway that has stopped
+// reporting expires.
 func TestLoadsOfGatewaysAddUpAndExpire(t *testing.T) {
 	const gateways = 12
 	f := newFleet(gateways, 5)
@@ -29,26 +29,26 @@
 		}
 	}
 	if n, _ := f.states[a].Load(f.now, hostName(2)); n != 40 {
-		t.Errorf("%.0f in flight, want 40", n)
+		t.Errorf("%.0f attempts in flight by others, want 40", n)
 	}
-	f.stopped[b] = true // crashes with one in flight
+	f.stopped[b] = true // crashes with one attempt in flight
 	for range 400 {
 		f.states[a].toggleInFlight(hostName(0)) // so that digests are still sent
 		f.states[k].toggleInFlight(hostName(0))
 		f.step()
 	}
-	if n, _ := load(c); n != 4 { // those of a have expired, too: it has not reported them for 2 s
-		t.Errorf("%.0f in flight after two gateways stopped reporting, want the coordinator's 4", n)
+	if n, _ := load(c); n != 4 { // the attempts of a have expired too: it has not reported them for 2 s
+		t.Errorf("%.0f attempts in flight after two gateways stopped reporting, want the coordinator's 4", n)
 	}
 	for range 400 {
 		f.step()
 	}
 	if n, starting := load(c); n != 0 || starting != 0 {
-		t.Errorf("outdated counts are used: %.0f in flight, %.1f starting", n, starting)
+		t.Errorf("%.0f attempts in flight, %.1f starting, want 0: all counts and digests are outdated", n, starting)
 	}
 }
 
-// A report older than the sender's previous one, or older than the lifetime of a count, does not change the load.
+// A report is ignored if it is older than the previous one of its sender or older than the lifetime of a count.
 func TestReorderedReportsDoNotChangeLoads(t *testing.T) {
 	f := newFleet(2, 5)
 	k := f.coordinators(0)[0]
@@ -60,7 +60,7 @@
 	coordinator.Receive(base+40*ms, from, report(base+10*ms, 9))
 	coordinator.Receive(base+2000*ms, from, report(base+50*ms, 9))
 	if n := coordinator.hosts[hostName(0)].reportedTotal; n != 3 {
-		t.Errorf("%d in flight, want 3", n)
+		t.Errorf("%d attempts in flight, want 3", n)
 	}
 }
 
@@ -80,7 +80,7 @@
 	s.AddHost(b, 1)
 	m := appendReport(newMessage(base, reportVersion), base, &report{HostFact{Position: base, Role: Replica}, hostHash(a), 1, 1})
 	if f := s.Receive(base, 1, m); f != nil {
-		t.Errorf("accepted %+v", f)
+		t.Errorf("accepted %+v, want no facts about ambiguous hosts", f)
 	}
 	s.Record(HostFact{Host: a, Position: base, Role: Primary})
 	if len(s.pendingReports) != 0 {
@@ -89,6 +89,6 @@
 	s.RemoveHost(b)
 	s.RemoveHost(a)
 	if len(s.hosts) != 0 || len(s.groups[0].hosts) != 0 {
-		t.Error("removed hosts remain")
+		t.Error("removed hosts are still in the state")
 	}
 }
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -9,23 +9,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Messages are in network byte order. Both kinds begin with the version (1 byte) and the time of sending (4 bytes: the
-// low half of the milliseconds since 1970). The numbers below are sizes in bytes unless they say bits.
+// Messages are in network byte order. Both kinds begin with the version (1 byte) and the sending time (4 bytes: the low
+// half of the milliseconds since 1970). The numbers below are sizes in bytes unless bits are stated.
 //
-//	report  for each host: hash of its id 3, age 2 (milliseconds from its position to the sending; all ones:
+//	report  for each host: hash of its id 3, age 2 (milliseconds from its position to the sending time; all ones:
 //	        unknown), role 2 bits and latency share 6 bits, the sender's attempts in flight 1, and the attempts
 //	        started since its last report 1
-//	digest  hash of the group 3, interval until the next digest 1 (in 20 ms), first entry is the primary 1 bit,
-//	        rate of attempts 7 bits; for each host: short hash 2, age 1 (in 4 ms; all ones: unknown), load
-//	        5 bits and latency share 3 bits
+//	digest  hash of the group 3, interval until the next digest 1 (in 20 ms), flag for the first entry being the
+//	        primary 1 bit, rate of attempts 7 bits; for each host: short hash 2, age 1 (in 4 ms; all ones: unknown),
+//	        load 5 bits and latency share 3 bits
 //
-// Hosts are named by hashes, since indexes into a list differ between gateways that hold different lists. Ages are
-// rounded up, so that a position is never overstated.
+// Hosts are identified by hashes, because indexes into a list differ between gateways that have different lists. Ages
+// are rounded up, so that a position is never overstated.
 const (
 	// MaxMessage is the size of the longest message, in bytes.
 	MaxMessage = 256
 
-	reportVersion    = 3 // versions 1 and 2 are no longer read
+	reportVersion    = 3 // versions 1 and 2 are rejected as malformed
 	digestVersion    = 4
 	headerSize       = 5 // bytes
 	reportSize       = 8 // bytes
@@ -45,17 +45,17 @@
 	codesPerDoubling = 8
 	codeOfShareOne   = 32 // the 6-bit code of a latency share of 1
 	codeOfRateOne    = 24 // the 7-bit code of one attempt per second
-	shareMask        = 63 // the low 6 bits of a byte, beside the role
+	shareMask        = 63 // the low 6 bits of the byte that also holds the role
 	roleShift        = 6  // bits
 	loadShift        = 3  // bits
-	shareBandMask    = 7  // the low 3 bits of a byte, beside the load
+	shareBandMask    = 7  // the low 3 bits of the byte that also holds the load
 
-	// maxClockLead is how far ahead of our clock, in microseconds, a sender's may be. A position further ahead is
-	// invalid: if it were accepted, a replica would serve reads whatever its real position.
+	// maxClockLead is how far ahead of this gateway's clock, in microseconds, a sender's clock may be. A position
+	// further ahead is invalid: if it were accepted, a replica would serve reads whatever its real position.
 	maxClockLead = 50_000
 )
 
-// Errors of receive: a message that can't be decoded, and one of a gateway outside the fleet.
+// Errors of receive: a message that cannot be decoded, and a message from a gateway outside the fleet.
 var (
 	errMalformedMessage = errors.New("gossip: malformed message")
 	errUnknownSender    = errors.New("gossip: sender is not a gateway of the fleet")
@@ -71,12 +71,12 @@
 
 func appendUint24(b []byte, v uint32) []byte { return append(b, byte(v>>16), byte(v>>8), byte(v)) }
 
-// newMessage returns a message that consists of its header.
+// newMessage returns a message that contains only the header.
 func newMessage(now int64, version byte) []byte {
 	return binary.BigEndian.AppendUint32([]byte{version}, uint32(now/millisecond))
 }
 
-// readHeader reads the version and the time of sending in microseconds.
+// readHeader decodes the version and the sending time, in microseconds.
 func readHeader(now int64, b []byte) (version byte, sentAt int64, body []byte, err error) {
 	if len(b) < headerSize || len(b) > MaxMessage {
 		return 0, 0, nil, fmt.Errorf("%w: %d bytes", errMalformedMessage, len(b))
@@ -85,7 +85,7 @@
 	if version != reportVersion && version != digestVersion {
 		return 0, 0, nil, fmt.Errorf("%w: version %d", errMalformedMessage, version)
 	}
-	// Of the times with these low bits the one nearest to now is meant: the low bits repeat after 49 days.
+	// The low bits repeat every 49 days. Of all times with these low bits, the one nearest to now is the sending time.
 	nowMillis := now / millisecond
 	lead := int32(binary.BigEndian.Uint32(b[1:]) - uint32(nowMillis))
 	sentAt = (nowMillis + int64(lead)) * millisecond
@@ -95,16 +95,16 @@
 	return version, sentAt, b[headerSize:], nil
 }
 
-// report is one host in a report.
+// report is the part of a report message about one host.
 type report struct {
 	HostFact
 	hash              uint32
 	inFlight, started int // attempts
 }
 
-// appendReport writes one host. A position of more than 65 s ago, or one ahead of the clock, is left out.
+// appendReport encodes one host. A position more than 65 s old or ahead of the clock is encoded as unknown.
 func appendReport(b []byte, now int64, r *report) []byte {
-	age := now/millisecond - r.Position/millisecond // both rounded down, as the time of sending is
+	age := now/millisecond - r.Position/millisecond // both rounded down, as the sending time is
 	if r.Position <= 0 || age < 0 || age > unknownAge {
 		age = unknownAge
 	}
@@ -137,11 +137,11 @@
 	return r, nil
 }
 
-// failingLatencyShare marks, in place of a share, that most answers were errors.
+// failingLatencyShare is the code, in place of a share, for a host of which most answers were errors.
 const failingLatencyShare = 63
 
-// packLatencyShare packs a share into 6 bits: 0 if it is unknown, else eight steps for each doubling, with 1 in the
-// middle.
+// packLatencyShare encodes a share in 6 bits: 0 if it is unknown, otherwise eight codes for each doubling, with a
+// share of 1 in the middle.
 func packLatencyShare(fact HostFact) byte {
 	if fact.Failing {
 		return failingLatencyShare
@@ -155,17 +155,17 @@
 
 // digest is a decoded digest.
 type digest struct {
-	group       uint32  // hash
+	group       uint32  // hash of the group
 	interval    int64   // microseconds until the next digest
 	attemptRate float64 // attempts at replicas, per second
 	entries     []entry
 }
 
-// entry is one host in a digest.
+// entry is the part of a digest about one host.
 type entry struct {
 	HostFact
 	shortHash uint16
-	load      float64 // attempts in flight, of all gateways
+	load      float64 // attempts of all gateways in flight
 }
 
 func appendDigestHeader(b []byte, group uint32, interval int64, attemptRate float64, primaryLeads bool) []byte {
@@ -181,10 +181,11 @@
 	return append(appendUint24(b, group), byte(steps), packedRate)
 }
 
-// latencyShareBands are what the 3 bits of a share stand for. They are closest together where decisions depend on them.
+// latencyShareBands are the shares that the 3-bit codes stand for. They are closest together where decisions depend on
+// them.
 var latencyShareBands = [...]float64{0, 0.08, 0.18, 0.26, 0.36, 0.55, 1}
 
-// failingBand marks, in place of a share, that most answers were errors.
+// failingBand is the code, in place of a share, for a host of which most answers were errors.
 const failingBand = 7
 
 func appendEntry(b []byte, now int64, hash uint32, fact HostFact, load float64) []byte {
@@ -197,7 +198,7 @@
 	return append(b, byte(max(age, 0)), packLoad(load)<<loadShift|packShareBand(fact))
 }
 
-// packShareBand returns the band nearest to a fact's share, by ratio.
+// packShareBand returns the code of the band that is nearest to a fact's share, by ratio.
 func packShareBand(fact HostFact) byte {
 	if fact.Failing {
 		return failingBand
@@ -212,7 +213,7 @@
 	return byte(band)
 }
 
-// packLoad packs a count into 5 bits: exact up to 15, then in steps of 4.
+// packLoad encodes a number of attempts in 5 bits: exactly up to 15, then in steps of 4.
 func packLoad(n float64) byte {
 	if n < 16 {
 		return byte(max(math.Round(n), 0))
@@ -227,7 +228,7 @@
 	return 16 + 4*float64(b-16)
 }
 
-// readDigest reads a message's body.
+// readDigest decodes the body of a digest message.
 func readDigest(sentAt int64, b []byte) (digest, error) {
 	const bodyHeader = digestHeaderSize - headerSize
 	if len(b) < bodyHeader || (len(b)-bodyHeader)%entrySize != 0 {
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// malformedMessages are messages that must be rejected, by the reason.
+// malformedMessages returns messages that must be rejected, by the reason.
 func malformedMessages() map[string][]byte {
 	valid := report{HostFact{Position: base, Role: Replica}, hostHash(hostName(0)), 3, 1}
 	report := appendReport(newMessage(base, reportVersion), base, &valid)
@@ -38,7 +38,7 @@
 	return appendEntry(header, base, hostHash(hostName(0)), HostFact{Position: base - ms}, 3)
 }
 
-// A malformed message has no effect and is counted, and the count is reported at most once in ten seconds.
+// A malformed message is counted and otherwise ignored. The count is reported at most once in ten seconds.
 func TestMalformedMessagesHaveNoEffect(t *testing.T) {
 	s := New(testConfig(2, 0), 1)
 	s.AddHost(hostName(0), 1)
@@ -48,21 +48,23 @@
 		facts := s.Receive(base, 1, m)
 		counted := s.MalformedMessages() - malformed
 		if facts != nil || counted != 1 || !reflect.DeepEqual(*s.hosts[hostName(0)], before) {
-			t.Errorf("%s: %+v, %d malformed", what, facts, counted)
+			t.Errorf("%s: facts %+v, %d malformed messages counted, want no facts, one counted and the host unchanged",
+				what, facts, counted)
 		}
 	}
-	s.Receive(base, -1, newMessage(base, reportVersion)) // from outside the fleet
+	s.Receive(base, -1, newMessage(base, reportVersion)) // from a sender outside the fleet
 	s.Receive(base, 2, newMessage(base, reportVersion))
 	if n := s.TakeMalformedReport(base); n != len(malformedMessages())+2 || s.TakeMalformedReport(base+ms) != 0 {
-		t.Errorf("%d malformed messages were reported", n)
+		t.Errorf("%d malformed messages were reported, want all of them once", n)
 	}
 	s.Receive(base, 1, nil)
 	if s.TakeMalformedReport(base+5000*ms) != 0 || s.TakeMalformedReport(base+11_000*ms) != 1 {
-		t.Error("malformed messages are not reported once in ten seconds")
+		t.Error("malformed messages are reported within ten seconds of the last report, or not at all")
 	}
 }
 
-// Whatever is received, no accepted position is ahead of the clock and no message exceeds the maximum size.
+// For any input, no accepted position is ahead of the clock by more than maxClockLead, and no message that is sent
+// exceeds the maximum size.
 func FuzzReceive(f *testing.F) {
 	for _, m := range malformedMessages() {
 		f.Add(m)
@@ -76,13 +78,13 @@
 		s.AddHost(hostName(1), 1)
 		for _, fact := range s.Receive(base, 1, m) {
 			if fact.Position > base+maxClockLead || fact.Role > Replica || math.IsNaN(fact.LatencyShare) || s.hosts[fact.Host] == nil {
-				t.Errorf("accepted %+v", fact)
+				t.Errorf("accepted invalid fact %+v", fact)
 			}
 		}
 		for now := base; now < base+200*ms; now += 5 * ms {
 			for _, m := range s.PendingMessages(now) {
 				if len(m.Data) > MaxMessage {
-					t.Errorf("a message of %d bytes", len(m.Data))
+					t.Errorf("a pending message has %d bytes, above the maximum size", len(m.Data))
 				}
 			}
 		}
--- a/internal/gossip/report.go
+++ b/internal/gossip/report.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// buildReports returns the reports that are due, one message or more for each coordinator. What this gateway
-// coordinates itself is applied at once.
+// buildReports returns the reports that are due, one or more messages for each coordinator. Reports about groups that
+// this gateway coordinates are applied at once instead.
 func (s *State) buildReports(now int64) (messages []Message) {
 	for _, host := range s.pendingReports {
 		r := host.takeReport()
@@ -28,7 +28,7 @@
 	return messages
 }
 
-// takeReport returns what is to be reported about a host, and begins the next report.
+// takeReport returns the report of a host and resets the counts and samples for the next one.
 func (h *hostState) takeReport() report {
 	r := report{HostFact: h.ownFact, hash: h.hash, inFlight: h.inFlight, started: h.started}
 	r.Host = h.id
@@ -40,8 +40,7 @@
 	return r
 }
 
-// receiveReport applies a report of another gateway to the hosts that this one coordinates, and returns the facts in
-// it.
+// receiveReport applies a report message of another gateway and returns the facts in it about known hosts.
 func (s *State) receiveReport(now, sentAt int64, from int, body []byte) ([]HostFact, error) {
 	if len(body)%reportSize != 0 {
 		return nil, fmt.Errorf("%w: report of %d bytes", errMalformedMessage, len(body))
@@ -67,13 +66,13 @@
 	return facts, nil
 }
 
-// applyReport adds a gateway's report of a host to the next digest.
+// applyReport adds the report of one gateway about a host to the next digest.
 func (s *State) applyReport(now, sentAt int64, from int, host *hostState, r *report) {
 	group := host.group
 	group.hasUnpublished = true
 	group.lastReportAt = now
 	isNewPrimary := r.Role == Primary && host.latest.Role != Primary && r.Position > host.latest.Position
-	if isNewPrimary { // writes wait for it, so the digest is due at once
+	if isNewPrimary { // writes wait for the new primary, so the digest is due at once
 		group.nextDigestAt = now
 	}
 	host.recordLatest(now, r.HostFact)
