--- a/internal/gossip/concurrency.go
+++ b/internal/gossip/concurrency.go
@@ -37,8 +37,8 @@
 }
 
 // AtCapacity reports whether this gateway must not send another attempt to a host because of the host's cap. Each
-// gateway compares the attempts in flight of the other gateways with a random part of the cap, so that gateways that wait
-// for capacity do not all proceed at once: the more capacity is free, the more of them proceed.
+// gateway compares the attempts in flight of the other gateways with a random part of the cap, so that gateways that
+// wait for capacity do not all proceed at once: the more capacity is free, the more of them proceed.
 func (s *State) AtCapacity(now int64, id string) bool {
 	host := s.hosts[id]
 	if host == nil || host.concurrencyCap.limit == 0 {
--- a/internal/gossip/coordinator.go
+++ b/internal/gossip/coordinator.go
@@ -114,9 +114,9 @@
 	}
 }
 
-// passOverSilentCoordinator marks a coordinator as silent for a random backoff if reports were sent to it and no digest
+// markSilentCoordinator marks a coordinator as silent for a random backoff if reports were sent to it and no digest
 // of it has arrived in time.
-func (s *State) passOverSilentCoordinator(now int64, group *groupState) {
+func (s *State) markSilentCoordinator(now int64, group *groupState) {
 	timeout := max(s.conf.FreshnessWindow, group.digestInterval) + s.conf.FreshnessWindow/2
 	if group.awaitingSince == 0 || now-group.awaitingSince <= timeout {
 		return
--- a/internal/gossip/decisions_test.go
+++ b/internal/gossip/decisions_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-func (f *fleet) step(trouble bool) {
+func (f *fleet) step(overloaded bool) {
 	f.now += int64(f.random.IntN(4e3))
 	g := f.gateways[f.random.IntN(len(f.gateways))]
 	i := min(f.random.IntN(len(f.hosts)), f.random.IntN(len(f.hosts)))
@@ -156,13 +156,13 @@
 		f.record(g, i)
 	case 2, 3:
 		share := f.random.Float64() * 0.5
-		if trouble {
+		if overloaded {
 			share *= 3
 		}
-		g.state.RecordLatencyShare(f.hosts[i], share, trouble && f.chance(0.4))
+		g.state.RecordLatencyShare(f.hosts[i], share, overloaded && f.chance(0.4))
 	case 4, 5:
 		n := f.random.IntN(6)
-		if trouble {
+		if overloaded {
 			n = f.random.IntN(60)
 		}
 		g.state.SetInFlight(f.hosts[i], n)
@@ -184,7 +184,7 @@
 	}
 }
 
-func storm(conf gossip.Config, seed uint64, ordinals []int) string {
+func scenarioHash(conf gossip.Config, seed uint64, ordinals []int) string {
 	f := newFleet(conf, seed, ordinals)
 	for i := range 20000 {
 		f.step(i/2000%3 == 1)
@@ -194,11 +194,11 @@
 
 // Compares what gateways send, accept and answer in random scenarios with the golden file.
 func TestDecisionsStayTheSame(t *testing.T) {
-	var everyOne []int
+	var sparseOrdinals []int
 	for ordinal := range 10 {
-		everyOne = append(everyOne, ordinal*30)
+		sparseOrdinals = append(sparseOrdinals, ordinal*30)
 	}
-	storms := []struct {
+	scenarios := []struct {
 		name     string
 		conf     gossip.Config
 		ordinals []int
@@ -206,11 +206,11 @@
 		{"alone", gossip.Config{Gateways: 1, BytesPerRequest: 30, FreshnessWindow: 300e3}, []int{0}},
 		{"few", gossip.Config{Gateways: 3, BytesPerRequest: 30, FreshnessWindow: 300e3}, []int{0, 1, 2}},
 		{"dear", gossip.Config{Gateways: 3, BytesPerRequest: 0.1, FreshnessWindow: 2e6}, []int{0, 1, 2}},
-		{"many", gossip.Config{Gateways: 300, BytesPerRequest: 30, FreshnessWindow: 500e3}, everyOne},
+		{"many", gossip.Config{Gateways: 300, BytesPerRequest: 30, FreshnessWindow: 500e3}, sparseOrdinals},
 	}
 	var lines []string
-	for i, s := range storms {
-		lines = append(lines, s.name+" "+storm(s.conf, uint64(i), s.ordinals))
+	for i, s := range scenarios {
+		lines = append(lines, s.name+" "+scenarioHash(s.conf, uint64(i), s.ordinals))
 	}
 	golden.CheckLines(t, goldenFile, lines)
 }
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -138,7 +138,7 @@
 	coordinator := s.coordinator(now, group)
 	isFollowed := (coordinator == from || coordinator == s.conf.Ordinal) && sentAt > group.digestSentAt
 	if isFollowed {
-		group.follow(sentAt, &d)
+		group.applyHeader(sentAt, &d)
 	}
 	var facts []HostFact
 	for _, e := range d.entries {
@@ -162,9 +162,9 @@
 	return facts, nil
 }
 
-// follow applies the header of a digest and sets the loads of all hosts to 0, because hosts without an entry have no
-// attempts in flight.
-func (g *groupState) follow(sentAt int64, d *digest) {
+// applyHeader applies the header of a digest and sets the loads of all hosts to 0, because hosts without an entry have
+// no attempts in flight.
+func (g *groupState) applyHeader(sentAt int64, d *digest) {
 	g.digestSentAt = sentAt
 	g.digestInterval = d.interval
 	g.attemptRate = d.attemptRate
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -40,7 +40,7 @@
 	}
 	stored := golden.Check(t, "reports.golden", cases)
 	for _, test := range tests {
-		version, sent, body := opened(t, stored[test.name])
+		version, sent, body := decodeHeader(t, stored[test.name])
 		read, err := readReport(sent, body)
 		if version != reportVersion || err != nil || read != test.read {
 			t.Errorf("%s: decoded %v (version %d, %v), want the encoded value", test.name, read, version, err)
@@ -83,7 +83,7 @@
 	}
 	stored := golden.Check(t, "digests.golden", cases)
 	for _, test := range tests {
-		version, sent, body := opened(t, stored[test.name])
+		version, sent, body := decodeHeader(t, stored[test.name])
 		read, err := readDigest(sent, body)
 		if version != digestVersion || err != nil || !reflect.DeepEqual(read, test.made) {
 			t.Errorf("%s: decoded %v (version %d, %v), want the encoded value", test.name, read, version, err)
@@ -102,14 +102,14 @@
 		cases = append(cases, golden.Case{Name: fmt.Sprintf("order for %06x", id), Form: fmt.Sprint(rankCandidates(id, 40))})
 	}
 	for _, group := range []int64{-1, 0, 1 << 31} {
-		circle := New(Config{Gateways: 3, BytesPerRequest: 1, FreshnessWindow: 1}, 1).ensureGroup(group)
-		cases = append(cases, golden.Case{Name: fmt.Sprint("code of group ", group), Form: fmt.Sprintf("%06x", circle.hash)})
+		state := New(Config{Gateways: 3, BytesPerRequest: 1, FreshnessWindow: 1}, 1).ensureGroup(group)
+		cases = append(cases, golden.Case{Name: fmt.Sprint("code of group ", group), Form: fmt.Sprintf("%06x", state.hash)})
 	}
 	golden.Check(t, "codes.golden", cases)
 }
 
-// opened decodes a recorded message, checks its header and returns its parts.
-func opened(t *testing.T, form string) (version byte, sent int64, body []byte) {
+// decodeHeader decodes a recorded message, checks its header and returns its parts.
+func decodeHeader(t *testing.T, form string) (version byte, sent int64, body []byte) {
 	t.Helper()
 	b, err := hex.DecodeString(form)
 	if err != nil {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -174,7 +174,7 @@
 		if data := s.buildDigest(now, group); data != nil {
 			messages = append(messages, Message{Broadcast, data})
 		}
-		s.passOverSilentCoordinator(now, group)
+		s.markSilentCoordinator(now, group)
 	}
 	return messages
 }
