--- a/internal/eventloop/acceptlimiter.go
+++ b/internal/eventloop/acceptlimiter.go
@@ -11,24 +11,25 @@
 	"github.com/rs/zerolog"
 )
 
-// acceptRetryDelay is the pause after an accept that has failed, for lack of descriptors for example.
+// acceptRetryDelay is the pause after a failed accept, for example when no descriptor is free.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// acceptLimiter is a listener that can be stopped without the engine, and that accepts no more connections than there are
-// descriptors for: the rest wait in the system's queue. The engine calls Accept again and again after an error, so one that
-// fails for good would spin: once stopped, Accept blocks until the end of the engine.
+// acceptLimiter is a listener that can be stopped without stopping the engine, and that limits the number of open
+// connections so that the descriptors suffice. Further connections wait in the listen backlog of the system. The engine
+// calls Accept again after every error and would spin on a permanent one, so once the listener is stopped Accept blocks
+// until the engine ends.
 type acceptLimiter struct {
 	*net.TCPListener
 	log   zerolog.Logger
 	limit int
 
 	mu        sync.Mutex // guards the fields below
-	freed     *sync.Cond // a connection was closed, or stopping has changed
+	freed     *sync.Cond // signaled when a connection was closed or stopping has changed
 	open      int
 	stopping  bool
-	onStopped func() // called when nothing more is accepted
+	onStopped func() // called after the last accept
 
-	engineStarted chan struct{} // closed once the engine's goroutine accepts
+	engineStarted chan struct{} // closed when the engine's goroutine first calls Accept
 	startOnce     sync.Once
 	engineEnded   chan struct{}
 	endOnce       sync.Once
@@ -51,7 +52,7 @@
 		if err == nil {
 			return conn, nil
 		}
-		if !errors.Is(err, os.ErrDeadlineExceeded) { // that is the deadline which stop sets
+		if !errors.Is(err, os.ErrDeadlineExceeded) { // stop sets a deadline to end a blocked Accept
 			a.log.Warn().Err(err).Msg("eventloop: accept failed, new connections wait for free descriptors")
 			time.Sleep(acceptRetryDelay)
 		}
@@ -59,7 +60,7 @@
 	if conn, err := a.acceptPending(); err == nil {
 		return conn, nil
 	}
-	_ = a.TCPListener.Close() // nothing more can be accepted in any case
+	_ = a.TCPListener.Close() // an error changes nothing: no connection is accepted any more
 	if a.onStopped != nil {
 		a.onStopped()
 	}
@@ -67,7 +68,8 @@
 	return nil, net.ErrClosed
 }
 
-// waitForRoom waits until one more connection may be accepted, and reports whether the listener was stopped.
+// waitForRoom waits until one more connection may be accepted or the listener is stopped, and reports whether it is
+// stopped.
 func (a *acceptLimiter) waitForRoom() (stopped bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -77,8 +79,8 @@
 	return a.stopping
 }
 
-// acceptPending accepts a connection that the system has accepted already, if there is one and room for it. To close the
-// listener would reset it.
+// acceptPending accepts a connection from the listen backlog, if there is one and the limit allows it. Closing the
+// listener would reset the connections in the backlog.
 func (a *acceptLimiter) acceptPending() (net.Conn, error) {
 	a.mu.Lock()
 	hasRoom := a.open < a.limit
@@ -103,11 +105,11 @@
 		return nil, errors.Join(controlErr, err)
 	}
 	file := os.NewFile(uintptr(fd), "socket")
-	defer func() { _ = file.Close() }() // the connection has a descriptor of its own
+	defer func() { _ = file.Close() }() // the returned connection has a duplicate of the descriptor
 	return net.FileConn(file)
 }
 
-// opened and closed count the connections that were accepted.
+// opened and closed update the number of open accepted connections.
 func (a *acceptLimiter) opened() { a.addOpen(1) }
 func (a *acceptLimiter) closed() { a.addOpen(-1) }
 
@@ -118,14 +120,14 @@
 	a.freed.Signal()
 }
 
-// Close implements net.Listener. The engine calls it when it ends.
+// Close implements net.Listener. The engine calls it when the engine ends.
 func (a *acceptLimiter) Close() error {
 	a.stop(nil)
 	a.endOnce.Do(func() { close(a.engineEnded) })
 	return nil
 }
 
-// stop has Accept take the connections that wait, close the listener and call onStopped.
+// stop makes Accept take the connections that wait in the backlog, close the listener and call onStopped.
 func (a *acceptLimiter) stop(onStopped func()) {
 	a.mu.Lock()
 	if !a.stopping {
@@ -134,5 +136,5 @@
 	}
 	a.mu.Unlock()
 	a.freed.Broadcast()
-	_ = a.SetDeadline(time.Now()) // ends an Accept that blocks; it fails only on a closed listener
+	_ = a.SetDeadline(time.Now()) // ends a blocked Accept; fails only if the listener is closed
 }
--- a/internal/eventloop/acceptlimiter_test.go
+++ b/internal/eventloop/acceptlimiter_test.go
@@ -7,8 +7,8 @@
 	"github.com/lesismal/nbio"
 )
 
-// However many connections come at once, no more are accepted than the limit allows; the others are accepted when there is
-// room.
+// However many connections come at once, no more than the limit are open at a time. The others are accepted once earlier
+// ones are closed.
 func TestAcceptLimitHoldsBackConnectionsUntilThereIsRoom(t *testing.T) {
 	const limit, all = 4, 12
 	conns := make(chan *Conn, all)
@@ -20,21 +20,21 @@
 		c := receive(t, conns, "accept")
 		l.acceptLimiter.mu.Lock()
 		if l.acceptLimiter.open > limit {
-			t.Errorf("%d are open, want %d at most", l.acceptLimiter.open, limit)
+			t.Errorf("%d connections are open, want at most %d", l.acceptLimiter.open, limit)
 		}
 		l.acceptLimiter.mu.Unlock()
 		l.onLoop(c.Close)
 	}
 }
 
-// What the system has accepted when the listening ends is accepted here, and done is called behind it.
+// Connections that wait in the listen backlog when the listening ends are still accepted, and done is called after them.
 func TestStopListeningAcceptsPendingConnections(t *testing.T) {
 	conns := make(chan *Conn, 4)
 	accept := func(c *Conn) Handler { conns <- c; return newTestHandler() }
 	l := startLoop(t, accept)
 	entered, release := make(chan struct{}, 4), make(chan struct{})
 	l.onLoop(func() {
-		l.engine.OnOpen(func(nb *nbio.Conn) { // the engine accepts the next one after it
+		l.engine.OnOpen(func(nb *nbio.Conn) { // the engine accepts the next connection only after OnOpen returns
 			entered <- struct{}{}
 			<-release
 			l.engineOpened(nb, accept)
@@ -43,15 +43,15 @@
 	for range 3 {
 		connect(t, l)
 	}
-	receive(t, entered, "the first")
+	receive(t, entered, "the first connection")
 	done := make(chan int, 1)
 	l.onLoop(func() { l.StopListening(func() { done <- len(conns) }) })
 	close(release)
 	if n := receive(t, done, "done"); n != 3 {
-		t.Errorf("%d of 3 were accepted when the listening had ended", n)
+		t.Errorf("%d of 3 connections were accepted before done was called, want 3", n)
 	}
 	if conn, err := net.Dial("tcp4", l.Address()); err == nil {
 		_ = conn.Close()
-		t.Error("still listening")
+		t.Error("a connection was accepted after StopListening had called done")
 	}
 }
--- a/internal/eventloop/closing_test.go
+++ b/internal/eventloop/closing_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// After Close the handler receives nothing more, not even what had come before.
+// After Close the handler receives nothing more, not even data that arrived before.
 func TestHandlerReceivesNothingAfterClose(t *testing.T) {
 	h, conns := newTestHandler(), make(chan *Conn, 1)
 	l := startLoop(t, func(c *Conn) Handler { conns <- c; return h })
@@ -15,11 +15,11 @@
 		t.Fatal(err)
 	}
 	if got := receive(t, h.data, "data"); got != "one" {
-		t.Errorf("read %q", got)
+		t.Errorf("the handler received %q, want \"one\"", got)
 	}
 	l.onLoop(c.Close)
 	if _, err := peer.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("peer saw %v", err)
+		t.Errorf("the peer's read returned %v, want io.EOF", err)
 	}
 	l.onLoop(func() {})
 	if len(h.data) != 0 || len(h.closed) != 0 {
@@ -27,8 +27,8 @@
 	}
 }
 
-// Once our side has ended, further input is discarded: it resets nothing that is on its way to the peer, and is never
-// delivered. The peer's end is.
+// After CloseWrite, further input is discarded. It causes no reset, which would destroy data in transit to the peer,
+// and is never delivered to the handler. The handler is still notified when the peer closes its side.
 func TestLingeringCloseDiscardsInputWithoutReset(t *testing.T) {
 	h, conns := newTestHandler(), make(chan *Conn, 1)
 	l := startLoop(t, func(c *Conn) Handler { conns <- c; return h })
@@ -36,42 +36,42 @@
 	l.onLoop(func() {
 		c.Write([]byte("answer"))
 		if !c.CloseWrite() {
-			t.Error("not closed")
+			t.Error("CloseWrite failed")
 		}
 		if c.CloseWrite() || c.InputDrained() {
-			t.Error("closed twice, or drained after it")
+			t.Error("CloseWrite succeeded twice, or InputDrained is true after it")
 		}
 		c.Write([]byte("more"))
 	})
-	for range 100 { // a reset would fail one of these
+	for range 100 { // one of these writes would fail after a reset
 		if _, err := peer.Write([]byte("late")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if got, err := io.ReadAll(peer); err != nil || string(got) != "answer" {
-		t.Errorf("read %q, %v", got, err)
+		t.Errorf("the peer read %q, %v, want \"answer\"", got, err)
 	}
 	_ = peer.Close() // the handler shows a failure
 	receive(t, h.closed, "the end")
 	if len(h.data) > 0 {
-		t.Errorf("received %q", <-h.data)
+		t.Errorf("the handler received %q after CloseWrite, want nothing", <-h.data)
 	}
 }
 
-// Our side is not ended while the peer has sent something that was not received, and the peer's end is seen before the
-// handler is called for it.
+// CloseWrite fails while input of the peer has not been delivered to the handler. PeerClosed reports the peer's end
+// before the handler is notified of it.
 func TestCloseWriteIsRefusedOverUnreadInput(t *testing.T) {
 	h, conns := newTestHandler(), make(chan *Conn, 1)
 	l := startLoop(t, func(c *Conn) Handler { conns <- c; return h })
 	c, peer := connectAndAccept(t, l, conns)
 	l.onLoop(func() {
 		if c.PeerClosed() {
-			t.Error("closed while it is there")
+			t.Error("PeerClosed is true before the peer has closed the connection")
 		}
 		_, _ = peer.Write([]byte("x")) // the poll shows a failure
 		pollUntil(t, "the byte", func() bool { return !c.InputDrained() })
 		if c.CloseWrite() {
-			t.Error("closed over unread bytes")
+			t.Error("CloseWrite succeeded with unread input")
 		}
 	})
 	receive(t, h.data, "the byte")
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -13,36 +13,38 @@
 )
 
 const (
-	// maxDiscardedReads bounds the reads of discarded input before other connections have their turn.
+	// maxDiscardedReads is the number of reads of discarded input after which other connections are served.
 	maxDiscardedReads = 4
 
-	// releaseTimeout is how long, in microseconds, the engine has to close a socket whose end it should come to itself.
+	// releaseTimeout is the time in microseconds after which a socket is closed that the engine has not closed by
+	// itself.
 	releaseTimeout = 1e5
 )
 
-// Conn is one TCP connection. Its methods belong to the loop's goroutine.
+// Conn is one TCP connection. Its methods must be called on the loop's goroutine, except as noted.
 //
-// The engine closes sockets on its own goroutine as well, and a descriptor that is free goes to the next socket. So every
-// use of the descriptor here is made under mu, and the engine's reads, in which it meets the end, are made under it too:
-// what the peer sends is either seen before we end our side, or never delivered.
+// The engine also closes sockets, on its own goroutine, and the system may give a free descriptor to the next socket.
+// Therefore every use of the descriptor here is made with mu locked. The engine's reads, in which it detects the end of
+// the connection, are made with mu locked too: data of the peer is either read before the write side is closed, or never
+// delivered.
 type Conn struct {
 	loop     *Loop
 	nb       *nbio.Conn // nil if the dial failed at once
 	handler  Handler
 	accepted bool
-	closed   bool // nothing more is delivered to the handler
+	closed   bool // the handler receives nothing more
 
-	queuedBytes  int64        // given to Write
-	writtenBytes atomic.Int64 // taken by the kernel
+	queuedBytes  int64        // passed to Write
+	writtenBytes atomic.Int64 // accepted by the kernel
 
 	mu               sync.Mutex // guards the fields below and the descriptor
-	released         bool       // the descriptor is not ours any more
-	writeClosed      bool       // our side has ended: further input is discarded
-	undeliveredReads int        // that the handler has not received yet
+	released         bool       // the descriptor must not be used any more
+	writeClosed      bool       // the write side was closed: further input is discarded
+	undeliveredReads int        // reads that the handler has not received yet
 }
 
-// read reads what the peer has sent, on the engine's goroutine. It returns 0 and no error where there is nothing more yet,
-// and an error at the end, by which time the socket is closed.
+// read reads the peer's input. It is called on the engine's goroutine. It returns 0 and no error if there is no more
+// input at present, and an error at the end of the connection, after closing the socket.
 func (c *Conn) read(b []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,18 +73,19 @@
 	return 0, nil
 }
 
-// readDelivered notes that the handler receives a read.
+// readDelivered records that one read is passed to the handler.
 func (c *Conn) readDelivered() {
 	c.mu.Lock()
 	c.undeliveredReads--
 	c.mu.Unlock()
 }
 
-// Write sends b, now or as the socket takes it.
+// Write sends b, at once as far as the socket accepts it and the rest later.
 //
-// The first try is made here and not by the engine, which closes a socket at an error, on this goroutine, while its own
-// may hold an event of it that would then meet the next socket with the same descriptor. After an error the engine comes
-// to that event and closes the socket itself.
+// The first write is made here and not by the engine. The engine would close the socket after an error at once, on
+// this goroutine, while its own goroutine may hold an event of the socket; that event would then be applied to the
+// next socket with the same descriptor. After an error here, the engine handles the event first and closes the socket
+// itself.
 func (c *Conn) Write(b []byte) {
 	if c.closed || c.nb == nil {
 		return
@@ -109,26 +112,26 @@
 	}
 	if len(b) > 0 {
 		_, err := c.nb.Write(b)
-		c.released = err != nil // then the engine has closed it, and calls engineClosed
+		c.released = err != nil // after an error the engine has closed the socket and calls engineClosed
 	}
 }
 
 func (c *Conn) descriptor() (fd int) {
-	// Neither fails while the socket is open, which callers see to.
+	// Neither call fails while the socket is open, which callers ensure.
 	raw, _ := c.nb.SyscallConn()
 	_ = raw.Control(func(socket uintptr) { fd = int(socket) })
 	return fd
 }
 
-// Flushed reports whether the kernel has taken the last byte given to Write. Only after Close, or once Closed was called,
-// is the answer final: until then the engine may go on writing what is left.
+// Flushed reports whether the kernel has accepted the last byte passed to Write. The answer is final only after Close or
+// after the handler's Closed was called: until then the engine may continue to write.
 func (c *Conn) Flushed() bool { return c.writtenBytes.Load() >= c.queuedBytes }
 
-// UnsentBytes returns the number of bytes that the kernel has yet to take.
+// UnsentBytes returns the number of bytes passed to Write that the kernel has not accepted yet.
 func (c *Conn) UnsentBytes() int64 { return c.queuedBytes - c.writtenBytes.Load() }
 
-// InputDrained reports whether the handler has received everything that the peer has sent, its end included. It looks into
-// the socket itself: what has arrived there may be some time away from the handler.
+// InputDrained reports whether the connection is open and the handler has received all input of the peer. It checks the
+// socket itself, because input may have arrived there that the handler will receive only later.
 func (c *Conn) InputDrained() bool {
 	if c.closed || c.nb == nil {
 		return false
@@ -146,7 +149,7 @@
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// peek looks for a byte in the socket: 0 and no error are the end of the peer's side.
+// peek looks for a byte of input without consuming it. 0 and no error mean that the peer has closed its side.
 func (c *Conn) peek() (n int, err error) {
 	var b [1]byte
 	for {
@@ -157,8 +160,8 @@
 	}
 }
 
-// PeerClosed reports whether the peer or the network has ended the connection, whether or not the handler was called for
-// it, and whether or not unread bytes lie before the end: then the state of the TCP connection shows it.
+// PeerClosed reports whether the peer or the network has ended the connection, even if the handler has not been notified
+// yet. If unread bytes precede the end, the state of the TCP connection shows it.
 func (c *Conn) PeerClosed() bool {
 	if c.closed || c.nb == nil {
 		return true
@@ -180,12 +183,13 @@
 	return err == nil && (info.State == unix.BPF_TCP_CLOSE_WAIT || info.State == unix.BPF_TCP_CLOSE)
 }
 
-// CloseWrite ends our side, unless the peer has sent something that the handler has not received or bytes are unsent, and
-// reports whether it did. What the peer sends from then on is read and discarded, so that it resets nothing that is on its
-// way to the peer; Closed is called once the peer has ended its side, too.
+// CloseWrite closes the write side and reports whether it did. It does nothing if the handler has not received all input
+// of the peer, or if bytes are unsent. Later input is read and discarded, because unread input would cause a reset that
+// destroys data in transit to the peer. The handler's Closed is called once the peer has closed its side too.
 func (c *Conn) CloseWrite() bool { return c.closeWriteIf(c.inputDrainedLocked) }
 
-// ForceCloseWrite is CloseWrite for a connection whose further input is ignored in any case.
+// ForceCloseWrite is CloseWrite for a connection whose further input is ignored: it does not require that all input was
+// received.
 func (c *Conn) ForceCloseWrite() bool {
 	return c.closeWriteIf(func() bool { return !c.released && !c.writeClosed })
 }
@@ -206,8 +210,9 @@
 	return true
 }
 
-// Close ends the connection; the handler receives nothing more. The engine comes to the end of the socket and closes it:
-// done here, the descriptor might go to another socket while the engine still holds an event of this one.
+// Close ends the connection; the handler receives nothing more. The engine then detects the end of the socket and closes
+// it. If the socket were closed here, its descriptor might go to another socket while the engine still holds an event of
+// this one.
 func (c *Conn) Close() {
 	if c.closed {
 		return
@@ -226,8 +231,9 @@
 	c.releaseLater()
 }
 
-// shutdownUnlessReleased ends both sides of the socket. The engine may be writing to it on its own goroutine, and close it at
-// an error: it marks it as closed first, under its own lock.
+// shutdownUnlessReleased shuts down both directions of the socket. The engine may write to the socket on its own
+// goroutine and close it after an error. It marks the connection as closed first, under its own lock, which is checked
+// here.
 func (c *Conn) shutdownUnlessReleased() {
 	c.nb.Lock()
 	defer c.nb.Unlock()
@@ -237,13 +243,13 @@
 	_ = syscall.Shutdown(c.descriptor(), syscall.SHUT_RDWR) // after an error releaseLater closes the socket
 }
 
-// release closes the socket, under the lock.
+// release closes the socket. mu must be locked.
 func (c *Conn) release(err error) {
 	c.released = true
-	_ = c.nb.CloseWithError(err) // it fails only if the socket is closed already
+	_ = c.nb.CloseWithError(err) // fails only if the socket is already closed
 }
 
-// releaseLater closes the socket after a while, in case the engine does not come to its end.
+// releaseLater closes the socket after releaseTimeout if the engine has not detected its end by then.
 func (c *Conn) releaseLater() {
 	c.loop.CallAt(c.loop.Now()+releaseTimeout, func() {
 		c.mu.Lock()
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Whether the last byte was written decides what an attempt proves. A peer that reads nothing leaves most of 16 MB
-// unsent, for no socket's buffers are that large; one that reads all leaves nothing.
+// The result of an attempt depends on whether its last byte was written. Of 16 MB, a peer that reads nothing leaves most
+// unsent, because no socket's buffers are that large; a peer that reads everything leaves nothing unsent.
 func TestFlushedReportsWhetherTheLastByteWasWritten(t *testing.T) {
 	l := startLoop(t, nil)
 	for name, c := range map[string]struct {
@@ -34,7 +34,7 @@
 			}
 		}
 		if c.size < 1024 {
-			if _, err := peer.Read(make([]byte, 1)); err != nil { // it was taken
+			if _, err := peer.Read(make([]byte, 1)); err != nil { // waits until the kernel has accepted it
 				t.Fatal(name, err)
 			}
 		}
@@ -48,19 +48,19 @@
 	}
 }
 
-// What a peer has sent, its end too, is seen before the handler is called for it: a connection whose input is not drained
-// is no place for the next request.
+// InputDrained detects input of a peer, including its end, before the handler is called for it: a connection whose input
+// is not drained must not be used for the next request.
 func TestInputDrainedSeesWhatTheHandlerHasNotReceived(t *testing.T) {
 	h, conns := newTestHandler(), make(chan *Conn, 1)
 	l := startLoop(t, func(c *Conn) Handler { conns <- c; return h })
 	c, peer := connectAndAccept(t, l, conns)
 	for _, step := range []func(){
-		func() { _, _ = peer.Write([]byte("x")) }, // the poll shows a failure of either
+		func() { _, _ = peer.Write([]byte("x")) }, // the poll shows a failure of either step
 		func() { _ = peer.Close() },
 	} {
-		l.onLoop(func() { // the handler is not called while this runs
+		l.onLoop(func() { // the handler is not called while this function runs
 			if !c.InputDrained() {
-				t.Error("not drained before anything came")
+				t.Error("the input is not drained before the peer has sent anything")
 			}
 			step()
 			pollUntil(t, "the input", func() bool { return !c.InputDrained() })
@@ -74,7 +74,8 @@
 	}
 }
 
-// Input that the engine has read is not drained, while the engine waits for room in the queue: the socket is empty then.
+// Input that the engine has read, and holds while it waits for space in the queue, is not drained, although the socket
+// is empty.
 func TestInputThatTheEngineHoldsIsNotDrained(t *testing.T) {
 	l, listener := startLoopWithSmallQueue(t), listen(t)
 	flood, c := dialPeer(t, l, listener), dialPeer(t, l, listener)
@@ -92,10 +93,10 @@
 		pollUntil(t, "the byte", func() bool { return !c.InputDrained() })
 		pollUntil(t, "the read", socketEmpty)
 		if c.InputDrained() {
-			t.Error("drained, although a byte was read")
+			t.Error("InputDrained is true with a byte that was read and not delivered")
 		}
 		if c.CloseWrite() {
-			t.Error("closed, although a byte was read")
+			t.Error("CloseWrite succeeded with a byte that was read and not delivered")
 		}
 	})
 	receive(t, c.data, "the byte")
@@ -107,8 +108,8 @@
 	return l.queuedBytes
 }
 
-// A peer that has closed is seen to have, though bytes that the engine has yet to read lie before its end; one that has
-// only sent them is not.
+// PeerClosed reports a peer that has closed the connection even if bytes that the engine has not read precede the end.
+// It does not report a peer that has only sent bytes.
 func TestPeerClosedSeesTheEndBehindUnreadBytes(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn) error{
 		"closes":   (*net.TCPConn).Close,
@@ -128,30 +129,30 @@
 					defer other.mu.Unlock()
 					return other.undeliveredReads == 1
 				})
-				c.sendByte(t) // not read: the engine waits to queue the other's
+				c.sendByte(t) // not read: the engine waits for space to queue the byte of the other connection
 				pollUntil(t, "the byte", func() bool { return !c.InputDrained() })
 				if c.PeerClosed() {
-					t.Error("closed while it is there")
+					t.Error("PeerClosed is true before the peer has closed the connection")
 				}
 				if leave != nil {
 					_ = leave(c.peer.(*net.TCPConn)) // the poll shows a failure
 					pollUntil(t, "the end", c.PeerClosed)
 				}
 				if n, _ := c.peek(); n != 1 && name != "is reset" {
-					t.Error("the byte was read meanwhile")
+					t.Error("the byte was read, want it unread in the socket")
 				}
 			})
 		})
 	}
 }
 
-// No small write is held back by the system, on any connection: what it held back would be lost with a reset.
+// All sockets send small writes without delay (TCP_NODELAY): data that the system held back would be lost with a reset.
 func TestAllSocketsHaveNoDelay(t *testing.T) {
 	conns := make(chan *Conn, 2)
 	l, listener := startLoop(t, func(c *Conn) Handler { conns <- c; return newTestHandler() }), listen(t)
 	c, _ := connectAndAccept(t, l, conns)
 	connect(t, l)
-	pending, err := l.acceptLimiter.acceptPending() // as at the end of the listening; the engine may have been quicker
+	pending, err := l.acceptLimiter.acceptPending() // as StopListening does; the engine may have accepted it before
 	if err == nil {
 		defer func() { _ = pending.Close() }()
 		raw, err := pending.(*net.TCPConn).SyscallConn()
@@ -172,6 +173,6 @@
 func wantNoDelay(t *testing.T, fd int) {
 	t.Helper()
 	if v, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY); v == 0 || err != nil {
-		t.Errorf("TCP_NODELAY is %d, %v", v, err)
+		t.Errorf("TCP_NODELAY is %d, %v, want it set", v, err)
 	}
 }
--- a/internal/eventloop/descriptor_reuse_test.go
+++ b/internal/eventloop/descriptor_reuse_test.go
@@ -7,20 +7,21 @@
 	"github.com/lesismal/nbio"
 )
 
-// The engine takes events in rounds. One that it holds of a connection, and has yet to look at, must not meet another
-// that was opened meanwhile with the same descriptor: the end of the one would end the other.
+// The engine handles events in rounds. If a connection is closed while the engine holds an unhandled event of it, and a
+// new connection gets the same descriptor, the event must not be applied to the new connection: the end of the old
+// connection would end the new one.
 func TestEventOfClosedConnectionDoesNotReachItsDescriptorsNextOwner(t *testing.T) {
 	testDescriptorReuse(t, func(*Conn) {})
 }
 
-// The same holds where the old connection has bytes that its peer has not read: it was given back at once.
+// The same holds if the old connection has unsent bytes. In that case the descriptor used to be freed at once.
 func TestEventOfClosedConnectionWithUnsentBytesDoesNotReachTheNextOwner(t *testing.T) {
-	const tooMuch = 16 << 20 // bytes, for the buffers of any socket
+	const tooMuch = 16 << 20 // bytes, more than the buffers of any socket hold
 	testDescriptorReuse(t, func(c *Conn) { c.Write(make([]byte, tooMuch)) })
 }
 
-// testDescriptorReuse closes a connection of which the engine holds an event, and opens others. prepare is called with the
-// connection, on the loop.
+// testDescriptorReuse closes a connection of which the engine holds an event and then opens others. It calls prepare
+// with the connection on the loop before that.
 func testDescriptorReuse(t *testing.T, prepare func(*Conn)) {
 	t.Helper()
 	l, listener := startLoop(t, nil), listen(t)
@@ -39,12 +40,12 @@
 	l.onLoop(func() { prepare(old.Conn) })
 	first.sendByte(t)
 	receive(t, entered, "the first round")
-	second.sendByte(t) // both are in the next round, this one first
+	second.sendByte(t) // both are in the next round, the second connection first
 	_ = old.peer.Close()
 	release <- struct{}{}
 	receive(t, entered, "the next round")
 	l.onLoop(old.Close)
-	var next [8]testHandler // one of them gets the descriptor: none of the test's own sockets is opened before
+	var next [8]testHandler // one of these gets the descriptor, because the test opens no other socket before them
 	l.onLoop(func() {
 		for i := range next {
 			next[i] = newTestHandler()
@@ -54,7 +55,7 @@
 	release <- struct{}{}
 	first.sendByte(t)
 	receive(t, entered, "the engine's turn")
-	release <- struct{}{} // the round that held the event is over
+	release <- struct{}{} // the round with the event is over
 	for range next {
 		peer, err := listener.Accept()
 		if err != nil {
@@ -67,9 +68,9 @@
 		select {
 		case <-h.data:
 		case err := <-h.closed:
-			t.Error("a new connection was ended:", err)
+			t.Error("a new connection was closed:", err)
 		case <-time.After(testTimeout):
-			t.Error("nothing came")
+			t.Error("a new connection received no data within the test timeout")
 		}
 	}
 	l.onLoop(func() { l.engine.OnRead(l.engineReadable) })
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A dial that fails, or whose address is invalid, ends with Closed like any connection.
+// A dial that fails or has an invalid address ends with a call of Closed, like any connection.
 func TestFailedDialCallsClosed(t *testing.T) {
 	l := startLoop(t, nil)
 	listener := listen(t)
@@ -21,8 +21,8 @@
 	}
 }
 
-// Where a platform does not return the local address of a socket that is connecting, the library's connection must exist
-// before the connect begins, on a socket that is bound.
+// Some platforms do not return the local address of a socket that is connecting. The library's connection must
+// therefore be created before connect is called, on a socket that is bound.
 func TestSocketIsBoundBeforeItConnects(t *testing.T) {
 	fd, file, conn, err := newSocket()
 	if err != nil {
@@ -31,12 +31,12 @@
 	defer func() { _ = file.Close() }()
 	defer func() { _ = conn.Close() }()
 	if _, err := syscall.Getpeername(fd); !errors.Is(err, syscall.ENOTCONN) {
-		t.Errorf("connected already: %v", err)
+		t.Errorf("getpeername returned %v, want ENOTCONN: the socket must not be connected yet", err)
 	}
 	if bound, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_IP, bindNoPort); err != nil || bound != 1 {
-		t.Errorf("not bound, or to a port that is chosen too early: %d, %v", bound, err)
+		t.Errorf("IP_BIND_ADDRESS_NO_PORT is %d, %v, want it set", bound, err)
 	}
 	if _, ok := conn.(*net.TCPConn); !ok {
-		t.Errorf("a %T", conn)
+		t.Errorf("the connection is a %T, want a *net.TCPConn", conn)
 	}
 }
--- a/internal/eventloop/engine.go
+++ b/internal/eventloop/engine.go
@@ -7,12 +7,12 @@
 	"github.com/rs/zerolog"
 )
 
-// maxPackets bounds the datagrams that are read before connections have their turn.
+// maxPackets is the number of datagrams that are read at once before connections are served.
 const maxPackets = 3
 
 const engineLogPrefix = "eventloop: engine: "
 
-// engineOpened is called by the engine, on the goroutine that accepts, for a new connection.
+// engineOpened is called by the engine, on its accepting goroutine, for a new connection.
 func (l *Loop) engineOpened(nb *nbio.Conn, accept func(*Conn) Handler) {
 	_, isUDP := nb.RemoteAddr().(*net.UDPAddr)
 	isDialed := nb.Session() != nil
@@ -26,8 +26,8 @@
 	l.post(event{call: func() { c.handler = accept(c) }})
 }
 
-// engineReadable is called by the engine, on its goroutine, when data has arrived or the peer has ended its side. It reads
-// everything that is there: where the peer has ended, the engine closes the socket afterwards, whatever was not read.
+// engineReadable is called by the engine, on its goroutine, when data has arrived or the peer has closed its side. It
+// must read all available input: if the peer has closed its side, the engine closes the socket afterwards.
 func (l *Loop) engineReadable(nb *nbio.Conn) {
 	l.syncWithEngine()
 	c, ok := nb.Session().(*Conn)
@@ -47,7 +47,7 @@
 	}
 }
 
-// engineClosed is called by the engine when it has closed a socket.
+// engineClosed is called by the engine after it has closed a socket.
 func (l *Loop) engineClosed(nb *nbio.Conn, err error) {
 	c, ok := nb.Session().(*Conn)
 	if !ok {
@@ -59,15 +59,15 @@
 	l.post(event{conn: c, kind: closedEvent, err: err})
 }
 
-// engineWritten is called by the engine when the kernel has taken n bytes.
+// engineWritten is called by the engine when the kernel has accepted n bytes.
 func engineWritten(nb *nbio.Conn, _ []byte, n int) {
 	if c, ok := nb.Session().(*Conn); ok {
 		c.writtenBytes.Add(int64(n))
 	}
 }
 
-// syncWithEngine orders the making of a connection before the engine's first use of it: the engine's table of connections
-// has no lock.
+// syncWithEngine orders the creation of a connection before the engine's first use of it, because the engine's table of
+// connections has no lock.
 func (l *Loop) syncWithEngine() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,8 +87,8 @@
 	}
 }
 
-// waitForEngine waits until the engine's goroutines run. As they begin they reset the flag that ends them: if it was set
-// earlier, they would run forever.
+// waitForEngine waits until the engine's goroutines run. When they start they reset the flag that stops them, so a stop
+// before that would be lost and they would run forever.
 func (l *Loop) waitForEngine() {
 	if l.acceptLimiter != nil {
 		<-l.acceptLimiter.engineStarted
@@ -97,17 +97,17 @@
 	if err != nil {
 		return
 	}
-	defer func() { _ = listener.Close() }() // it was of use already
+	defer func() { _ = listener.Close() }() // it was only needed for the dial below
 	closed := closeSignal(make(chan struct{}))
 	l.Post(func() { l.Dial(listener.Addr().String(), closed) })
 	go func() {
 		if conn, err := listener.Accept(); err == nil {
-			_ = conn.Close() // the engine sees the end of the connection in any case
+			_ = conn.Close() // an error changes nothing: the connection ends in any case
 		}
 	}()
 	select {
 	case <-closed:
-	case <-l.done: // the engine has run
+	case <-l.done: // Run has ended before
 	}
 }
 
@@ -117,7 +117,8 @@
 func (closeSignal) Data([]byte)    {}
 func (s closeSignal) Closed(error) { close(s) }
 
-// engineLog writes the engine's log lines to the program's log, one level lower where they are about normal operation.
+// engineLog writes the log lines of the engine to the log of the program, lines of level info at level debug. It drops
+// lines of level debug.
 type engineLog struct{ log zerolog.Logger }
 
 func (e engineLog) Debug(string, ...any)          {}
--- a/internal/eventloop/harness_test.go
+++ b/internal/eventloop/harness_test.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 )
 
-// testTimeout ends a test that hangs; no verdict depends on how soon anything happens.
+// testTimeout ends a test that hangs. No test result depends on how fast something happens.
 const testTimeout = 30 * time.Second
 
 // testHandler passes the events of a connection to channels.
@@ -23,7 +23,7 @@
 func (h testHandler) Data(b []byte)    { h.data <- string(b) }
 func (h testHandler) Closed(err error) { h.closed <- fmt.Sprint(err) }
 
-// startLoop starts a loop that listens; accept may be nil where nobody connects.
+// startLoop starts a loop that listens; accept may be nil if no client connects.
 func startLoop(t *testing.T, accept func(*Conn) Handler) *Loop {
 	t.Helper()
 	return startLimitedLoop(t, 512, accept)
@@ -40,7 +40,7 @@
 	return l
 }
 
-// startLoopWithSmallQueue starts a loop whose engine waits once two bytes are not handled.
+// startLoopWithSmallQueue starts a loop whose engine stops reading while two bytes or more are queued.
 func startLoopWithSmallQueue(t *testing.T) *Loop {
 	t.Helper()
 	l := New(1024, 1, zerolog.Nop())
@@ -63,23 +63,23 @@
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		t.Fatalf("%s: nothing received", what)
+		t.Fatalf("%s: nothing received within the test timeout", what)
 	}
 	return v
 }
 
-// pollUntil waits, within a turn of the loop, for the effect of something that a peer has done.
+// pollUntil waits, on the loop's goroutine, for the effect of an action of a peer.
 func pollUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !done(); {
 		if time.Now().After(end) {
-			t.Error(what, "does not come")
+			t.Error(what, "did not happen within the test timeout")
 			return
 		}
 	}
 }
 
-// listen returns a peer on an address that is not 127.0.0.1: the engine's own dial would miss it.
+// listen returns a listener on an address other than 127.0.0.1, which the engine's own dial would not reach.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.77.0.1:0")
@@ -116,14 +116,14 @@
 	return receive(t, conns, "accept"), peer
 }
 
-// dialedConn is a connection that the loop has dialed, with its peer.
+// dialedConn is a connection that the loop has dialed, with its handler and its peer.
 type dialedConn struct {
 	*Conn
 	testHandler
 	peer net.Conn
 }
 
-// dialPeer dials a connection and waits until it is open.
+// dialPeer dials the listener and waits until the connection is accepted.
 func dialPeer(t *testing.T, l *Loop, listener net.Listener) *dialedConn {
 	t.Helper()
 	d := &dialedConn{testHandler: newTestHandler()}
@@ -138,7 +138,7 @@
 	return d
 }
 
-// sendByte has the peer send a byte.
+// sendByte makes the peer send one byte.
 func (d *dialedConn) sendByte(t *testing.T) {
 	t.Helper()
 	if _, err := d.peer.Write([]byte("x")); err != nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,5 +1,5 @@
-// Package eventloop runs the network engine, the clock and the timers. Every event of a socket and every timer is passed
-// to one goroutine, which alone owns the state of the program: handlers need no locks.
+// Package eventloop runs the network engine, the clock and the timers. All events of sockets and timers are handled on
+// one goroutine, which alone accesses the program's state, so handlers need no locks.
 package eventloop
 
 import (
@@ -15,48 +15,49 @@
 )
 
 const (
-	// maxSpareEvents bounds the memory, in events, of the queue that is kept for reuse: a flood may have enlarged it.
+	// maxSpareEvents is the capacity, in events, above which an emptied queue is not kept for reuse. A burst of events
+	// may have enlarged it.
 	maxSpareEvents = 4096
 
-	// minEngineSlots is the least size of the engine's table of connections, which it allocates at its start.
+	// minEngineSlots is the minimum size of the engine's table of connections, which the engine allocates at its start.
 	minEngineSlots = 1024
 
-	// readBufferSize is the most that is read from a socket at once, in bytes.
+	// readBufferSize is the maximum size of one read from a socket, in bytes.
 	readBufferSize = 64 << 10
 
-	// maxWait is how long the loop waits for an event where there is no timer.
+	// maxWait is how long the loop waits for an event if no timer is set.
 	maxWait = time.Hour
 )
 
-// Handler receives the events of a connection, always on the loop's goroutine. After Closed, or once the connection was
-// closed from this side, nothing more is received.
+// Handler receives the events of a connection, always on the loop's goroutine. It receives nothing after Closed, or
+// after the connection was closed by Conn.Close.
 type Handler interface {
-	Data(b []byte)    // b belongs to the handler
-	Closed(err error) // the peer or the network ended the connection
+	Data(b []byte)    // the handler may keep b
+	Closed(err error) // the peer or the network has ended the connection
 }
 
-// Loop is the engine with its one goroutine.
+// Loop is the event loop with its engine.
 type Loop struct {
 	engine        *nbio.Engine
 	log           zerolog.Logger
 	acceptLimiter *acceptLimiter // nil if the loop does not listen
-	readBuffer    []byte         // belongs to the engine's goroutine
+	readBuffer    []byte         // used only on the engine's goroutine
 	startedAt     time.Time
 	startUnix     int64 // startedAt in microseconds since 1970
 
-	// mu guards the fields up to wake, which is signaled when an event was queued.
+	// mu guards the fields up to wake. A value is sent to wake after an event was queued.
 	mu          sync.Mutex
 	queueFreed  *sync.Cond
 	queue       []event
 	queuedBytes int
-	// maxQueuedBytes bounds the bytes read and not yet handled. Above it the engine waits, so that a client that floods
-	// the program is slowed down by its own socket and not held in memory.
+	// maxQueuedBytes limits the bytes that were read and are not handled yet. Above it the engine stops reading, so that
+	// the socket of a client that sends too fast slows the client down, and its input does not fill the memory.
 	maxQueuedBytes int
-	ended          bool // Run has ended: the queue is not emptied any more
+	ended          bool // Run has ended: queued events are not handled any more
 	wake           chan struct{}
 
-	// These belong to the loop's goroutine.
-	spareQueue []event // emptied, for reuse
+	// The fields below are used only on the loop's goroutine.
+	spareQueue []event // an emptied queue for reuse
 	timers     timers
 	stopped    bool
 	onPacket   func(from net.Addr, b []byte)
@@ -64,7 +65,7 @@
 	done chan struct{} // closed when Run has ended
 }
 
-// event is one callback on its way to the loop's goroutine.
+// event is a callback that is queued for the loop's goroutine.
 type event struct {
 	conn *Conn
 	kind eventKind
@@ -81,7 +82,7 @@
 	closedEvent
 )
 
-// New returns a loop that may hold the given number of descriptors, and of bytes read and not yet handled.
+// New returns a loop for the given maximum number of descriptors and of bytes that were read and are not handled yet.
 func New(descriptors, maxQueuedBytes int, log zerolog.Logger) *Loop {
 	now := time.Now()
 	l := &Loop{
@@ -90,16 +91,17 @@
 	}
 	l.queueFreed = sync.NewCond(&l.mu)
 	logging.SetLogger(engineLog{log})
-	nbio.MaxOpenFiles = max(descriptors, minEngineSlots) // the engine takes no descriptor above it
+	nbio.MaxOpenFiles = max(descriptors, minEngineSlots) // the engine rejects higher descriptors
 	return l
 }
 
-// Start starts the engine. It listens on address, if that is not empty; accept is called for each new connection. At
-// most maxAccepted accepted connections are open at a time; more wait in the system's queue, and hold no descriptor.
+// Start starts the engine. It listens on address unless that is empty; accept is called for each new connection. At most
+// maxAccepted accepted connections are open at a time. Further ones wait in the listen backlog of the system and use no
+// descriptor.
 func (l *Loop) Start(address string, maxAccepted int, accept func(*Conn) Handler) error {
 	conf := nbio.Config{
 		Name: "cloverrock", Network: "tcp", NPoller: 1, UDPReadTimeout: time.Minute,
-		ReadBufferSize: 1, // not used: engineReadable reads into a buffer of its own
+		ReadBufferSize: 1, // not used: engineReadable reads into Loop.readBuffer
 		Listen: func(network, addr string) (net.Listener, error) {
 			listener, err := net.Listen(network, addr)
 			if err != nil {
@@ -127,8 +129,8 @@
 // Address returns the address that the loop listens on.
 func (l *Loop) Address() string { return l.engine.Addrs[0] }
 
-// StopListening refuses new connections from now on; open connections stay, and those that the system has accepted
-// already are accepted here. Then done is called, behind the last accept.
+// StopListening stops accepting new connections. Open connections stay open, and those that already wait in the listen
+// backlog are still accepted. Then done is called, after the last accept.
 func (l *Loop) StopListening(done func()) {
 	if l.acceptLimiter == nil {
 		l.Post(done)
@@ -137,8 +139,8 @@
 	l.acceptLimiter.stop(func() { l.Post(done) })
 }
 
-// Now returns the time in microseconds since 1970. It is taken from the system's clock once and then only advances, also
-// when that clock is set back; a time in Unix milliseconds is exact on it.
+// Now returns the time in microseconds since 1970. It is read from the system's clock once and then only advances,
+// even if that clock is set back. A time in Unix milliseconds is exact on it.
 func (l *Loop) Now() int64 { return l.startUnix + time.Since(l.startedAt).Microseconds() }
 
 // Post runs f on the loop's goroutine.
@@ -177,7 +179,7 @@
 	}
 }
 
-// handleQueue handles the events that are queued now, and returns their number.
+// handleQueue handles the events that are queued at its start, and returns their number.
 func (l *Loop) handleQueue() int {
 	l.mu.Lock()
 	batch := l.queue
@@ -228,14 +230,15 @@
 	return time.Duration(l.timers[0].at-l.Now()) * time.Microsecond
 }
 
-// Done returns a channel that is closed when Run has ended: what is posted from then on is not run.
+// Done returns a channel that is closed when Run has ended. Functions that are posted after that are not run.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// Stop ends Run after the events that are being handled. Sockets stay open until the process ends, or Close is called.
+// Stop ends Run after the events that are being handled. Sockets stay open until Close is called or the process ends.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Close ends Run, if it has not ended, and then the engine with its sockets and goroutines, in a process that goes on. It
-// is called from outside the loop's goroutine. A process that ends leaves this to the system, which does not wait.
+// Close ends Run, unless it has ended, and then the engine with its sockets and goroutines, in a process that
+// continues to run. It must not be called on the loop's goroutine. A process that exits need not call it: the system
+// closes the sockets without waiting.
 func (l *Loop) Close() {
 	l.waitForEngine()
 	l.Post(l.Stop)
--- a/internal/eventloop/packet.go
+++ b/internal/eventloop/packet.go
@@ -12,7 +12,7 @@
 // PacketConn is a UDP socket.
 type PacketConn struct{ nb *nbio.Conn }
 
-// ListenPacket opens a UDP socket; onPacket is called for each datagram. A loop has one such socket at most.
+// ListenPacket opens a UDP socket; onPacket is called for each datagram. A loop has at most one such socket.
 func (l *Loop) ListenPacket(address string, onPacket func(from net.Addr, b []byte)) (*PacketConn, error) {
 	addr, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return &PacketConn{nb}, nil
 }
 
-// Send sends one datagram from the socket's own address; like any datagram it may be lost.
+// Send sends one datagram from the socket's own address. Like any datagram, it may be lost.
 func (p *PacketConn) Send(to netip.AddrPort, b []byte) error {
 	raw, err := p.nb.SyscallConn()
 	if err != nil {
--- a/internal/eventloop/packet_test.go
+++ b/internal/eventloop/packet_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A datagram goes out from the socket's own address, and the answer to it is received with its sender's.
+// A datagram is sent from the socket's own address, and the reply is received with the address of its sender.
 func TestPacketsAreSentAndReceivedOnOneSocket(t *testing.T) {
 	l := startLoop(t, nil)
 	peer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -32,12 +32,12 @@
 	buf := make([]byte, 64)
 	n, from, err := peer.ReadFromUDP(buf)
 	if err != nil || string(buf[:n]) != "hello" {
-		t.Fatalf("got %q, %v", buf[:n], err)
+		t.Fatalf("the peer read %q, %v, want \"hello\"", buf[:n], err)
 	}
 	if _, err := peer.WriteToUDP([]byte("back"), from); err != nil {
 		t.Fatal(err)
 	}
 	if got := receive(t, received, "datagram"); got != peer.LocalAddr().String()+" back" {
-		t.Errorf("received %q", got)
+		t.Errorf("received %q, want the peer's address and \"back\"", got)
 	}
 }
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// Timer is one call that is due in the future.
+// Timer is one function call at a time in the future.
 type Timer struct {
 	loop  *Loop
 	at    int64 // microseconds on the loop's clock
@@ -17,14 +17,14 @@
 	return t
 }
 
-// Stop prevents the call; a nil timer or one that has run is left alone.
+// Stop prevents the call. It does nothing for a nil timer or for one that has run or was stopped.
 func (t *Timer) Stop() {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&t.loop.timers, t.index)
 	}
 }
 
-// timers is a heap by time; equal times are in no fixed order.
+// timers is a heap ordered by time. Timers with equal times are in no fixed order.
 type timers []*Timer
 
 func (h timers) Len() int           { return len(h) }
--- a/internal/eventloop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Timers run in the order of their times, and not at all once they are stopped; Stop may be called again, or on nil.
+// Timers run in the order of their times. A stopped timer does not run. Stop may be called again, or on nil.
 func TestTimersRunInOrderUnlessStopped(t *testing.T) {
 	l := startLoop(t, nil)
 	var got []string
@@ -29,10 +29,10 @@
 	}
 }
 
-// A loop that a timer stops ends at once, and not with the next event or timer.
+// A loop that is stopped by a timer ends at once, without waiting for the next event or timer.
 func TestStopInATimerEndsTheLoop(t *testing.T) {
 	l := startLoop(t, nil)
-	l.waitForEngine() // its events would end the wait, too
+	l.waitForEngine() // its events would also end the wait
 	l.onLoop(func() { l.CallAt(l.Now()+20_000, l.Stop) })
 	receive(t, l.Done(), "the end")
 }
