--- a/internal/eventloop/acceptlimiter.go
+++ b/internal/eventloop/acceptlimiter.go
@@ -24,7 +24,7 @@
 	limit int
 
 	mu        sync.Mutex // guards the fields below
-	freed     *sync.Cond // signaled when a connection was closed or stopping has changed
+	changed   *sync.Cond // signaled when a connection was closed or stopping has changed
 	open      int
 	stopping  bool
 	onStopped func() // called after the last accept
@@ -40,14 +40,14 @@
 		TCPListener: listener, limit: limit, log: log,
 		engineStarted: make(chan struct{}), engineEnded: make(chan struct{}),
 	}
-	a.freed = sync.NewCond(&a.mu)
+	a.changed = sync.NewCond(&a.mu)
 	return a
 }
 
 // Accept implements net.Listener.
 func (a *acceptLimiter) Accept() (net.Conn, error) {
 	a.startOnce.Do(func() { close(a.engineStarted) })
-	for !a.waitForRoom() {
+	for !a.waitForFreeSlot() {
 		conn, err := a.TCPListener.Accept()
 		if err == nil {
 			return conn, nil
@@ -68,13 +68,13 @@
 	return nil, net.ErrClosed
 }
 
-// waitForRoom waits until one more connection may be accepted or the listener is stopped, and reports whether it is
+// waitForFreeSlot waits until one more connection may be accepted or the listener is stopped, and reports whether it is
 // stopped.
-func (a *acceptLimiter) waitForRoom() (stopped bool) {
+func (a *acceptLimiter) waitForFreeSlot() (stopped bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for a.open >= a.limit && !a.stopping {
-		a.freed.Wait()
+		a.changed.Wait()
 	}
 	return a.stopping
 }
@@ -83,13 +83,13 @@
 // listener would reset the connections in the backlog.
 func (a *acceptLimiter) acceptPending() (net.Conn, error) {
 	a.mu.Lock()
-	hasRoom := a.open < a.limit
+	belowLimit := a.open < a.limit
 	a.mu.Unlock()
 	raw, err := a.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	if !hasRoom {
+	if !belowLimit {
 		return nil, syscall.EMFILE
 	}
 	fd := -1
@@ -117,7 +117,7 @@
 	a.mu.Lock()
 	a.open += n
 	a.mu.Unlock()
-	a.freed.Signal()
+	a.changed.Signal()
 }
 
 // Close implements net.Listener. The engine calls it when the engine ends.
@@ -135,6 +135,6 @@
 		a.onStopped = onStopped
 	}
 	a.mu.Unlock()
-	a.freed.Broadcast()
+	a.changed.Broadcast()
 	_ = a.SetDeadline(time.Now()) // ends a blocked Accept; fails only if the listener is closed
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -163,18 +163,18 @@
 // Run handles events and timers until Stop. The goroutine that calls it is the loop's goroutine.
 func (l *Loop) Run() {
 	defer close(l.done)
-	alarm := time.NewTimer(maxWait)
-	defer alarm.Stop()
+	timer := time.NewTimer(maxWait)
+	defer timer.Stop()
 	for !l.stopped {
 		handled := l.handleQueue()
 		l.runTimers()
 		if handled > 0 || l.stopped {
 			continue
 		}
-		alarm.Reset(l.untilNextTimer())
+		timer.Reset(l.untilNextTimer())
 		select {
 		case <-l.wake:
-		case <-alarm.C:
+		case <-timer.C:
 		}
 	}
 }
