--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries short messages between the gateways of a fleet as UDP datagrams. They may arrive late, out of
-// order or never.
+// Package peer sends short messages between the gateways of a fleet as UDP datagrams. Datagrams may arrive late, out of
+// order or not at all.
 package peer
 
 import (
@@ -16,29 +16,30 @@
 // MaxMessage is the length in bytes of the longest message that is sent or accepted.
 const MaxMessage = 256
 
-// warningPeriod is the time in which at most one dropped datagram is logged.
+// warningPeriod is the period in which at most one dropped datagram is logged.
 const warningPeriod = 10 * time.Second
 
-// Peers is the socket with the addresses of the other gateways. It belongs to the goroutine of the event loop.
+// Peers holds the socket and the addresses of the other gateways. Its methods must be called on the goroutine of the
+// event loop.
 type Peers struct {
-	socket     *eventloop.PacketConn // nil if the configuration names no address to listen on
-	addresses  []netip.AddrPort      // by number
+	socket     *eventloop.PacketConn // nil if the configuration has no address to listen on
+	addresses  []netip.AddrPort      // by gateway number
 	all        netip.AddrPort
 	log        zerolog.Logger
 	sampledLog zerolog.Logger
 
-	droppedDatagrams int // from unknown addresses, or too long
+	droppedDatagrams int // datagrams that came from unknown addresses or were too long
 }
 
-// Config names the addresses.
+// Config holds the addresses.
 type Config struct {
-	Listen string           // empty: nothing is received or sent
-	Peers  []netip.AddrPort // the other gateways, by number
-	All    netip.AddrPort   // an address whose messages reach all of them
+	Listen string           // if empty, nothing is received or sent
+	Peers  []netip.AddrPort // the other gateways, by gateway number
+	All    netip.AddrPort   // address that reaches all of them
 }
 
-// Open listens, unless the configuration names no address; onMessage is called for each message with the number of its
-// sender.
+// Open listens on the configured address, if there is one. It calls onMessage for each message with the number of the
+// gateway that sent it.
 func Open(loop *eventloop.Loop, c Config, onMessage func(peer int, data []byte), log zerolog.Logger) (*Peers, error) {
 	p := &Peers{
 		addresses: c.Peers, all: c.All, log: log,
@@ -66,7 +67,7 @@
 	return p, nil
 }
 
-// senderNumber returns the number of the gateway that a datagram came from.
+// senderNumber returns the number of the gateway that sent a datagram.
 func senderNumber(numbers map[netip.AddrPort]int, from net.Addr) (number int, known bool) {
 	udp, ok := from.(*net.UDPAddr)
 	if !ok {
@@ -83,8 +84,8 @@
 		Msg("peer: datagram dropped, unknown sender or too long")
 }
 
-// Send sends a message to the gateway of that number, or to all if it is -1. What is too long, or has no address to go to,
-// is dropped.
+// Send sends a message to the gateway with the given number, or to all gateways if the number is -1. A message that is
+// too long or has no known address is dropped.
 func (p *Peers) Send(number int, data []byte) {
 	to := p.address(number)
 	if p.socket == nil || !to.IsValid() || len(data) > MaxMessage {
@@ -96,7 +97,7 @@
 	}
 }
 
-// address returns where messages to a number go; invalid if that is unknown.
+// address returns the address for messages to a gateway number; it is invalid if the number is unknown.
 func (p *Peers) address(number int) netip.AddrPort {
 	switch {
 	case number < 0:
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,7 +11,7 @@
 	"cloverrock/internal/eventloop"
 )
 
-// testTimeout ends a test that hangs; no verdict depends on how soon anything happens.
+// testTimeout ends a test that hangs. No test result depends on how fast something happens.
 const testTimeout = 30 * time.Second
 
 type message struct {
@@ -19,7 +19,7 @@
 	text string
 }
 
-// startLoop starts an event loop, and returns a function that runs another on it.
+// startLoop starts an event loop and returns it with a function that runs another function on it and waits for its end.
 func startLoop(t *testing.T) (loop *eventloop.Loop, onLoop func(f func())) {
 	t.Helper()
 	loop = eventloop.New(1024, 1<<20, zerolog.Nop())
@@ -42,15 +42,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = socket.Close() }) // it was of use already
+	t.Cleanup(func() { _ = socket.Close() }) // an error at the end of the test changes nothing
 	if err := socket.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return socket, netip.MustParseAddrPort(socket.LocalAddr().String())
 }
 
-// A message goes to the gateway of that number or to the address of all; one that arrives is delivered with its sender's
-// number, and one from an address that is no gateway's is not delivered.
+// A message is sent to the gateway with the given number or to the address for all gateways. A received message is
+// delivered with the number of its sender; one from an unknown address is not delivered.
 func TestMessagesGoByNumberAndUnknownSendersAreDropped(t *testing.T) {
 	loop, onLoop := startLoop(t)
 	zero, zeroAddress := openSocket(t)
@@ -75,12 +75,12 @@
 	buf := make([]byte, 512)
 	n, from, err := one.ReadFromUDP(buf)
 	if err != nil || string(buf[:n]) != "to one" {
-		t.Fatalf("one got %q, %v", buf[:n], err)
+		t.Fatalf("gateway 1 received %q, %v, want \"to one\"", buf[:n], err)
 	}
 	if n, _, err := all.ReadFromUDP(buf); err != nil || string(buf[:n]) != "to all" {
-		t.Fatalf("all got %q, %v", buf[:n], err)
+		t.Fatalf("the address for all gateways received %q, %v, want \"to all\"", buf[:n], err)
 	}
-	for _, socket := range []*net.UDPConn{all, zero, one} { // all's address is no gateway's
+	for _, socket := range []*net.UDPConn{all, zero, one} { // the address for all gateways is not that of a gateway
 		if _, err := socket.WriteToUDP([]byte("hello"), from); err != nil {
 			t.Fatal(err)
 		}
@@ -92,7 +92,7 @@
 				t.Errorf("received %+v, want %+v", got, want)
 			}
 		case <-time.After(testTimeout):
-			t.Fatal("nothing received")
+			t.Fatal("no message received within the test timeout")
 		}
 	}
 }
