--- a/internal/pgwire/column.go
+++ b/internal/pgwire/column.go
@@ -3,14 +3,14 @@
 import "encoding/binary"
 
 const (
-	columnCountSize = 2 // at the head of a RowDescription and a DataRow
+	columnCountSize = 2 // at the start of the body of a RowDescription and of a DataRow
 	valueLengthSize = 4 // before each value of a DataRow
 	dataRowHeadSize = columnCountSize + valueLengthSize
 
-	// dataRowOverhead is what the length field of a DataRow with one column counts beside the value.
+	// dataRowOverhead is the length field of a DataRow with one column, minus the length of the value.
 	dataRowOverhead = lengthSize + dataRowHeadSize
 
-	// columnFieldsSize is the size of what describes a column in a RowDescription, behind its name.
+	// columnFieldsSize is the size of the fields that follow the name of a column in a RowDescription.
 	columnFieldsSize = 18
 )
 
@@ -22,8 +22,8 @@
 	return int(binary.BigEndian.Uint16(body))
 }
 
-// onlyColumnLength returns the length of the value, as stated in the body of a DataRow, if it has exactly one column. That
-// of a null value is larger than any message.
+// onlyColumnLength returns the length of the value, as stated in the body of a DataRow, if the row has exactly one
+// column. The stated length of a null value is larger than any message.
 func onlyColumnLength(body []byte) (length uint64, ok bool) {
 	if columnCount(body) != 1 || len(body) < dataRowHeadSize {
 		return 0, false
@@ -31,8 +31,8 @@
 	return uint64(binary.BigEndian.Uint32(body[columnCountSize:])), true
 }
 
-// mayBeOnlyColumn reports whether the begin of a body can become a DataRow with one column that fills a message of the
-// given length.
+// mayBeOnlyColumn reports whether the received start of a body may belong to a DataRow whose single column fills a
+// message of the given length.
 func mayBeOnlyColumn(begin []byte, messageLength uint32) bool {
 	if len(begin) < dataRowHeadSize {
 		return true
@@ -41,7 +41,7 @@
 	return ok && length+dataRowOverhead == uint64(messageLength)
 }
 
-// OnlyColumn returns the value of a DataRow that has one column, which fills it.
+// OnlyColumn returns the value of a DataRow. It succeeds if the row has exactly one column and the value fills the body.
 func OnlyColumn(body []byte) (value []byte, ok bool) {
 	length, ok := onlyColumnLength(body)
 	if !ok {
@@ -51,7 +51,7 @@
 	return value, length == uint64(len(value))
 }
 
-// OneColumn reports whether the body of a RowDescription describes one column and nothing else.
+// OneColumn reports whether the body of a RowDescription describes exactly one column and contains nothing else.
 func OneColumn(body []byte) bool {
 	if columnCount(body) != 1 {
 		return false
--- a/internal/pgwire/column_test.go
+++ b/internal/pgwire/column_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A value is taken from a row of one column only, and a description must be of one column and nothing else.
+// A value is read only from a row with a single column, and a description must describe one column and nothing else.
 func TestOneColumnAndItsValueAreRead(t *testing.T) {
 	row := AppendRow(nil, "body", "value")
 	description, rest, _, err := NextHost(row)
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if v, ok := OnlyColumn(data.Body); string(v) != "value" || !ok {
-		t.Errorf("value is %q, %v", v, ok)
+		t.Errorf("value is %q, %v, want \"value\"", v, ok)
 	}
 	for name, body := range map[string][]byte{
 		"empty":          nil,
@@ -28,11 +28,11 @@
 		"null":           {0, 1, 0xff, 0xff, 0xff, 0xff},
 	} {
 		if v, ok := OnlyColumn(body); ok {
-			t.Errorf("%s: value is %q", name, v)
+			t.Errorf("%s: value is %q, want none", name, v)
 		}
 	}
 	if !OneColumn(description.Body) {
-		t.Error("the description is not of one column")
+		t.Error("the description of one column was rejected")
 	}
 	for name, body := range map[string][]byte{
 		"empty":    nil,
@@ -40,7 +40,7 @@
 		"too long": append(bytes.Clone(description.Body), 0),
 	} {
 		if OneColumn(body) {
-			t.Errorf("%s: taken as one column", name)
+			t.Errorf("%s: accepted as the description of one column", name)
 		}
 	}
 }
--- a/internal/pgwire/decimal.go
+++ b/internal/pgwire/decimal.go
@@ -6,17 +6,18 @@
 	"strconv"
 )
 
-// maxDigits is the number of decimal digits that any int64 can hold.
+// maxDigits is the largest number of decimal digits of which every value fits into an int64.
 const maxDigits = 18
 
 // errNotDecimal is wrapped by the errors of Decimal.
 var errNotDecimal = errors.New("bad number")
 
-// Decimal parses a decimal number without a sign as a whole number of units of 10^-scale, rounded down or up.
+// Decimal parses an unsigned decimal number as a whole number of units of 10^-scale. It rounds up if up is set, and
+// otherwise down.
 func Decimal(s string, scale int, up bool) (int64, error) {
 	var n int64
 	digits := 0
-	fraction := -1 // digits taken behind the point; -1 before it
+	fraction := -1 // digits read after the decimal point; -1 before it
 	inexact := false
 	for i := range len(s) {
 		ch := s[i]
--- a/internal/pgwire/decimal_test.go
+++ b/internal/pgwire/decimal_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A number is rounded in the direction asked for; one with a sign, an exponent or too many digits is an error.
+// A number is rounded in the requested direction. One with a sign, an exponent or too many digits is an error.
 func TestDecimalIsRoundedOrRejected(t *testing.T) {
 	for _, c := range []struct {
 		in       string
--- a/internal/pgwire/encode.go
+++ b/internal/pgwire/encode.go
@@ -2,15 +2,15 @@
 
 import "encoding/binary"
 
-// Fields of a RowDescription for a column of type text that belongs to no table.
+// Fields of a RowDescription for a text column that belongs to no table.
 const (
 	textTypeOID      = 25
 	variableTypeSize = 0xffff
 	noTypeModifier   = 0xffffffff
 )
 
-// beginMessage appends a message's type and room for its length, and returns where the length stands. endMessage fills it
-// in.
+// beginMessage appends a message's type and a zero length, and returns the offset of the length. endMessage sets the
+// length.
 func beginMessage(b []byte, kind byte) (extended []byte, lengthAt int) {
 	return append(b, kind, 0, 0, 0, 0), len(b) + 1
 }
@@ -22,7 +22,7 @@
 
 func appendCString(b []byte, s string) []byte { return append(append(b, s...), 0) }
 
-// AppendStartup appends a startup message with pairs of names and values.
+// AppendStartup appends a startup message with parameters, given as pairs of names and values.
 func AppendStartup(b []byte, pairs ...string) []byte {
 	lengthAt := len(b)
 	b = binary.BigEndian.AppendUint32(append(b, 0, 0, 0, 0), ProtocolVersion)
@@ -32,7 +32,7 @@
 	return endMessage(append(b, 0), lengthAt)
 }
 
-// AppendQuery appends a simple query.
+// AppendQuery appends a simple query message.
 func AppendQuery(b []byte, sql string) []byte {
 	b, lengthAt := beginMessage(b, MsgQuery)
 	return endMessage(appendCString(b, sql), lengthAt)
@@ -50,25 +50,25 @@
 	return endMessage(append(b, 0, 0, 0, 0), lengthAt)
 }
 
-// AppendNegotiate appends the message that tells a client which asked for a newer minor version that 3.0 is used.
+// AppendNegotiate appends the message that tells a client that 3.0 is used although it requested a newer minor version.
 func AppendNegotiate(b []byte) []byte {
 	b, lengthAt := beginMessage(b, MsgNegotiateVersion)
 	return endMessage(append(b, 0, 0, 0, 0, 0, 0, 0, 0), lengthAt)
 }
 
-// AppendParameterStatus appends the value of a setting.
+// AppendParameterStatus appends the message that reports a setting.
 func AppendParameterStatus(b []byte, name, value string) []byte {
 	b, lengthAt := beginMessage(b, MsgParameterStatus)
 	return endMessage(appendCString(appendCString(b, name), value), lengthAt)
 }
 
-// AppendBackendKeyData appends the process number and the secret by which a query of this connection can be cancelled.
+// AppendBackendKeyData appends the process id and the secret with which a query of this connection can be canceled.
 func AppendBackendKeyData(b []byte, pid uint32, secret [4]byte) []byte {
 	b, lengthAt := beginMessage(b, MsgBackendKeyData)
 	return endMessage(append(binary.BigEndian.AppendUint32(b, pid), secret[:]...), lengthAt)
 }
 
-// AppendReadyForQuery appends the end of an answer, outside any transaction.
+// AppendReadyForQuery appends the message that ends an answer, with the status "not in a transaction".
 func AppendReadyForQuery(b []byte) []byte {
 	b, lengthAt := beginMessage(b, MsgReadyForQuery)
 	return endMessage(append(b, 'I'), lengthAt)
@@ -80,19 +80,19 @@
 	return endMessage(b, lengthAt)
 }
 
-// AppendCommandComplete appends the end of a statement.
+// AppendCommandComplete appends the message that ends a statement's result.
 func AppendCommandComplete(b []byte, tag string) []byte {
 	b, lengthAt := beginMessage(b, MsgCommandComplete)
 	return endMessage(appendCString(b, tag), lengthAt)
 }
 
-// AppendRow appends the description of a single text column and one row of it.
+// AppendRow appends the description of a single text column and one row with it.
 func AppendRow(b []byte, column, value string) []byte {
 	const oneColumn = 1
 	b, lengthAt := beginMessage(b, MsgRowDescription)
 	b = binary.BigEndian.AppendUint16(b, oneColumn)
 	b = appendCString(b, column)
-	b = append(b, 0, 0, 0, 0, 0, 0) // neither a table nor a column of one
+	b = append(b, 0, 0, 0, 0, 0, 0) // no table (4 bytes) and no column of a table (2 bytes)
 	b = binary.BigEndian.AppendUint32(b, textTypeOID)
 	b = binary.BigEndian.AppendUint16(b, variableTypeSize)
 	b = binary.BigEndian.AppendUint32(b, noTypeModifier)
--- a/internal/pgwire/error.go
+++ b/internal/pgwire/error.go
@@ -19,16 +19,16 @@
 // Types of the fields of an ErrorResponse.
 const (
 	fieldSeverity         = 'S'
-	fieldSeverityNotLocal = 'V' // the severity again, never translated
+	fieldSeverityNotLocal = 'V' // the severity, never translated
 	fieldCode             = 'C'
 	fieldMessage          = 'M'
 	fieldDetail           = 'D'
 )
 
-// ErrorResponse is the content of the message of that name.
+// ErrorResponse is the content of an ErrorResponse message.
 type ErrorResponse struct{ Severity, Code, Message, Detail string }
 
-// AppendError appends an ErrorResponse.
+// AppendError appends an ErrorResponse message.
 func AppendError(b []byte, e ErrorResponse) []byte {
 	b, lengthAt := beginMessage(b, MsgErrorResponse)
 	for _, field := range [...]struct {
@@ -48,8 +48,8 @@
 	return endMessage(append(b, 0), lengthAt)
 }
 
-// ParseError parses the body of an ErrorResponse; unknown fields are ignored. It reports whether the body is complete, has
-// a severity and a code of five characters, and has nothing behind its end.
+// ParseError parses the body of an ErrorResponse; unknown fields are ignored. It reports whether the body is complete,
+// has a severity and a code of five characters, and ends directly after its terminator.
 func ParseError(body []byte) (e ErrorResponse, ok bool) {
 	for len(body) > 0 && body[0] != 0 {
 		kind := body[0]
--- a/internal/pgwire/error_test.go
+++ b/internal/pgwire/error_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// An error is parsed as it was appended; an incomplete one, or one without a valid code, is rejected.
+// A parsed error equals the one that was encoded. An incomplete error, or one without a valid code, is rejected.
 func TestErrorIsParsedAsItWasAppended(t *testing.T) {
 	want := ErrorResponse{Severity: "ERROR", Code: CodeTooManyConnections, Message: "full", Detail: "150"}
 	m, _, _, _ := Next(AppendError(nil, want))
@@ -16,7 +16,7 @@
 	}
 	for _, bad := range []string{"", "Sopen", "\x00", "SERROR\x00C53300\x00", "SERROR\x00C53300\x00\x00more", "SERROR\x00C5330\x00\x00", "C53300\x00\x00"} {
 		if e, ok := ParseError([]byte(bad)); ok {
-			t.Errorf("%q is taken as %+v", bad, e)
+			t.Errorf("%q was parsed as %+v, want it rejected", bad, e)
 		}
 	}
 }
--- a/internal/pgwire/golden_test.go
+++ b/internal/pgwire/golden_test.go
@@ -8,7 +8,7 @@
 	"cloverrock/internal/golden"
 )
 
-// Each message has the same bytes as ever, and is split off as one message of its type, with nothing left.
+// The encoding of each message does not change, and it parses as one message of its type.
 func TestGoldenMessages(t *testing.T) {
 	cases := encodedMessages(t)
 	stored := golden.Check(t, "messages.golden", cases)
@@ -25,7 +25,7 @@
 		}
 	}
 	if read, ok := ParseError(message("E")[headerSize:]); !ok || read != goldenError {
-		t.Errorf("the error is read as %v, %v", read, ok)
+		t.Errorf("the error was parsed as %v, %v, want goldenError", read, ok)
 	}
 	wantStartup(t, message("startup"))
 }
@@ -36,7 +36,7 @@
 	t.Helper()
 	query, err := ParseQuery([]byte("/*id=r-1,c=read,d=80.5,cluster=7,after=1.0005*/ GET 'ff'"))
 	if err != nil || query.ID != "r-1" || query.Class != "read" || query.Wait != 80_500 || query.Cluster != 7 || query.After != 1001 || query.KeyID() != 255 {
-		t.Fatalf("read as %v, %v", query, err)
+		t.Fatalf("the query was parsed as %v, %v, want the values of its comment", query, err)
 	}
 	cases := []golden.Case{
 		{Name: "Q", Form: string(AppendQuery(nil, "select ü"))},
@@ -61,50 +61,52 @@
 	return cases
 }
 
-// wantOneMessage checks that b is one message of the type that its name begins with, or a description with one row.
+// wantOneMessage checks that b is one message, or a description with one row. Its type must be the first letter of name.
 func wantOneMessage(t *testing.T, name string, b []byte) {
 	t.Helper()
 	message, rest, complete, err := Next(b)
 	if err != nil || !complete || message.Type != name[0] {
-		t.Errorf("%s is split into %v, %v, %v", name, message, complete, err)
+		t.Errorf("%s was parsed as %v, complete %v, %v, want one message of that type", name, message, complete, err)
 	}
 	if message.Type == MsgRowDescription {
 		if !OneColumn(message.Body) {
-			t.Errorf("%s is not of one column", name)
+			t.Errorf("%s: the description was rejected, want one of one column", name)
 		}
 		rest = wantRow(t, name, rest)
 	}
 	if len(rest) != 0 {
-		t.Errorf("%s leaves %x", name, rest)
+		t.Errorf("%s: %x is left after the message, want nothing", name, rest)
 	}
 }
 
-// wantRow checks that b begins with a row of one column, and returns the rest.
+// wantRow checks that b begins with a row of one column, and returns the bytes after it.
 func wantRow(t *testing.T, name string, b []byte) (rest []byte) {
 	t.Helper()
 	row, rest, complete, err := NextHost(b)
 	if err != nil || !complete || row.Type != MsgDataRow {
-		t.Errorf("%s has the row %v, %v, %v", name, row, complete, err)
+		t.Errorf("%s: the row was parsed as %v, complete %v, %v, want a DataRow", name, row, complete, err)
 	}
 	value, ok := OnlyColumn(row.Body)
 	if !ok || len(value) != 0 && !bytes.Equal(value, []byte("value")) {
-		t.Errorf("%s has the value %q, %v", name, value, ok)
+		t.Errorf("%s: value %q, %v, want \"value\" or an empty one", name, value, ok)
 	}
 	return rest
 }
 
-// wantStartup checks that b is the startup message, and that a cancel request is read as one.
+// wantStartup checks that b is the expected startup message, and that a cancel request is recognized.
 func wantStartup(t *testing.T, b []byte) {
 	t.Helper()
 	startup, rest, complete, err := NextStartup(b)
 	if err != nil || !complete || len(rest) != 0 {
-		t.Errorf("the startup is split into %v, %x, %v, %v", startup, rest, complete, err)
+		t.Errorf("the startup was parsed as %v, rest %x, complete %v, %v, want one message and no rest",
+			startup, rest, complete, err)
 	}
 	if startup.Code != ProtocolVersion || startup.Params["user"] != "u" || startup.Params["database"] != "d" {
-		t.Errorf("the startup is read as %v", startup)
+		t.Errorf("the startup was parsed as %v, want version 3.0, user u and database d", startup)
 	}
 	cancel, _, complete, err := NextStartup([]byte{0, 0, 0, 16, 4, 210, 22, 46, 1, 2, 3, 4, 5, 6, 7, 8})
 	if err != nil || !complete || cancel.Code != CancelRequest || cancel.PID != 0x01020304 || cancel.Secret != [4]byte{5, 6, 7, 8} {
-		t.Errorf("the cancel request is read as %v, %v, %v", cancel, complete, err)
+		t.Errorf("the cancel request was parsed as %v, complete %v, %v, want its process id and secret",
+			cancel, complete, err)
 	}
 }
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -1,5 +1,5 @@
-// Package pgwire parses and encodes the messages of version 3 of PostgreSQL's wire protocol that simple queries need, and
-// the comment at the head of a query. It does no I/O; all sizes are bounded.
+// Package pgwire parses and encodes the messages of version 3 of PostgreSQL's wire protocol that simple queries need,
+// and parses the comment at the start of a query. It does no I/O. The sizes of all messages are limited.
 //
 // Source: PostgreSQL documentation, "Frontend/Backend Protocol".
 package pgwire
@@ -10,22 +10,23 @@
 	"fmt"
 )
 
-// Bounds in bytes.
+// Limits in bytes.
 const (
-	// MaxStartup bounds a startup message.
+	// MaxStartup is the maximum size of a startup message.
 	MaxStartup = 10_000
-	// MaxMessage bounds any other message. Whoever holds messages of many connections bounds them together, too.
+	// MaxMessage is the maximum size of any other message. Callers that hold messages of many connections must also
+	// limit their total size.
 	MaxMessage = 1 << 20
-	// MaxValue bounds a value that a host returns.
+	// MaxValue is the maximum size of a value that a host returns.
 	MaxValue = MaxMessage - 64
 )
 
 const (
-	lengthSize = 4              // the length field, which counts itself
-	headerSize = 1 + lengthSize // type and length
+	lengthSize = 4              // of the length field, which includes its own size
+	headerSize = 1 + lengthSize // of type and length
 )
 
-// Errors of Next, NextHost and NextStartup. After each of them the framing is lost.
+// Errors of Next, NextHost and NextStartup. After any of them, the start of the next message is unknown.
 var (
 	ErrLength        = errors.New("invalid message length")
 	ErrTooLarge      = errors.New("message too large")
@@ -38,10 +39,10 @@
 type Message struct {
 	Type byte
 	Body []byte
-	Raw  []byte // header and body, as they came
+	Raw  []byte // header and body, as received
 }
 
-// Next splits the first message off b. It returns the rest, and false if the message is not complete yet.
+// Next splits the first message off b and returns the rest. complete is false if the message is still incomplete.
 func Next(b []byte) (m Message, rest []byte, complete bool, err error) {
 	if len(b) < headerSize {
 		return m, b, false, nil
@@ -60,8 +61,8 @@
 	return Message{Type: b[0], Body: b[headerSize:end], Raw: b[:end]}, b[end:], true, nil
 }
 
-// hostLengths holds the bounds of the length field of each message that a host may send. What is outside is rejected at
-// once, and not waited for until it is complete.
+// hostLengths holds the limits of the length field of each message that a host may send. A message outside its limits is
+// rejected at once, before the rest of it has arrived.
 var hostLengths = map[byte]struct{ least, most uint32 }{
 	MsgAuthentication:       {8, 64},
 	MsgBackendKeyData:       {8, 1 << 10},
@@ -77,7 +78,8 @@
 	MsgReadyForQuery:        {5, 5},
 }
 
-// NextHost is Next for messages of a host: it fails as soon as the bytes can't become a message that a host may send.
+// NextHost is Next for messages of a host. It fails as soon as the bytes cannot be the start of a message that a host
+// may send.
 func NextHost(b []byte) (m Message, rest []byte, complete bool, err error) {
 	if len(b) == 0 {
 		return m, b, false, nil
@@ -98,7 +100,7 @@
 	return Next(b)
 }
 
-// CString splits a string that ends in a zero byte off b.
+// CString splits a zero-terminated string off b.
 func CString(b []byte) (s string, rest []byte, ok bool) {
 	for i, ch := range b {
 		if ch == 0 {
--- a/internal/pgwire/message_test.go
+++ b/internal/pgwire/message_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A message that is not complete yet is left alone; one whose length is invalid is an error at once.
+// An incomplete message is left in the input. A message with an invalid length is rejected at once.
 func TestNextSplitsOffOneMessageOrRejectsItsLength(t *testing.T) {
 	for name, c := range map[string]struct {
 		in, body, rest string
@@ -24,12 +24,12 @@
 	} {
 		m, rest, ok, err := Next([]byte(c.in))
 		if string(m.Body) != c.body || string(rest) != c.rest || ok != c.ok || !errors.Is(err, c.err) {
-			t.Errorf("%s: got %q, rest %q, %v, %v", name, m.Body, rest, ok, err)
+			t.Errorf("%s: body %q, rest %q, complete %v, error %v", name, m.Body, rest, ok, err)
 		}
 	}
 }
 
-// What a host sends is rejected as soon as its bytes cannot become one of the messages of an answer.
+// Input of a host is rejected as soon as it cannot be the start of a message that may belong to an answer.
 func TestNextHostRejectsWhatCannotBecomeAnAnswer(t *testing.T) {
 	row := string(AppendRow(nil, "body", "value"))
 	data := row[strings.IndexByte(row, MsgDataRow):]
@@ -56,12 +56,12 @@
 		"larger than the largest": {in: "D\x00\x10\x00\x00", bad: true},
 	} {
 		if _, _, ok, err := NextHost([]byte(c.in)); ok != c.ok || (err != nil) != c.bad {
-			t.Errorf("%s: %v, %v", name, ok, err)
+			t.Errorf("%s: complete %v, error %v", name, ok, err)
 		}
 	}
 }
 
-// No input makes a parser panic.
+// The parsers do not panic on any input.
 func FuzzParsers(f *testing.F) {
 	f.Add([]byte("/* c=a,cluster=1,d=5 */ SELECT 'x'"))
 	f.Add(AppendRow(nil, "body", "v"))
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -9,22 +9,22 @@
 	"strings"
 )
 
-// Query is a statement with the comment at its head.
+// Query is a statement with the comment that precedes it.
 type Query struct {
 	ID      string
 	Class   string
-	Cluster int64 // number of the group of hosts
-	Wait    int64 // microseconds that the client waits for the answer; -1 if it does not state it
-	After   int64 // position that a read must see, in microseconds since 1970; 0 if none
+	Cluster int64 // number of the host group
+	Wait    int64 // microseconds that the client waits for the answer; -1 if not stated
+	After   int64 // log position that a read must include, in microseconds since 1970; 0 if none
 	Key     string
 	HasKey  bool
 
-	text               []byte // as it came
-	waitStart, waitEnd int    // where the wait stands in it
+	text               []byte // as received
+	waitStart, waitEnd int    // offsets of the value of the wait in text
 	command            string
 }
 
-// Names in the comment.
+// Names of values in the comment.
 const (
 	nameID      = "id"
 	nameClass   = "c"
@@ -39,10 +39,10 @@
 	maxWait    = 3600e6 // microseconds
 )
 
-// decimalsOfMicros is the number of decimals of a number of milliseconds that is read in microseconds.
+// decimalsOfMicros is the number of decimals of a value in milliseconds that is read in microseconds.
 const decimalsOfMicros = 3
 
-// Errors of ParseQuery. Their texts are part of the answer to the client.
+// Errors of ParseQuery. Their texts are sent to the client.
 var (
 	ErrNoComment           = errors.New("the statement has no comment in front of it")
 	ErrCommentNotEnded     = errors.New("the comment in front of the statement does not end")
@@ -50,7 +50,7 @@
 	ErrCommentNameMissing  = errors.New("missing")
 )
 
-// CommentError is what is wrong with one name of the comment.
+// CommentError is an error in one value of the comment.
 type CommentError struct {
 	Name string
 	Err  error
@@ -59,14 +59,14 @@
 // Error implements error.
 func (e *CommentError) Error() string { return "comment: " + e.Name + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the underlying error.
 func (e *CommentError) Unwrap() error { return e.Err }
 
-// Command returns the first word of the statement, in capitals.
+// Command returns the first word of the statement, in upper case.
 func (q *Query) Command() string { return q.command }
 
-// ParseQuery parses the text of a query: a comment of names and values, then the statement. The text is kept as it is;
-// unknown names are ignored.
+// ParseQuery parses the text of a query: a comment with names and values, followed by the statement. Unknown names are
+// ignored. The query keeps the text, which must not be changed afterwards.
 func ParseQuery(text []byte) (*Query, error) {
 	start, end, err := findComment(text)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return q, nil
 }
 
-// findComment returns where the content of the comment begins and ends.
+// findComment returns the offsets of the start and end of the comment's content.
 func findComment(text []byte) (start, end int, err error) {
 	start = len(text) - len(bytes.TrimLeft(text, " \t\r\n"))
 	if !bytes.HasPrefix(text[start:], []byte("/*")) {
@@ -96,7 +96,7 @@
 	return start, start + length, nil
 }
 
-// firstLiteral returns the first string in single quotes.
+// firstLiteral returns the content of the first string in single quotes.
 func firstLiteral(statement []byte) (literal string, found bool) {
 	_, quoted, found := bytes.Cut(statement, []byte{'\''})
 	if !found {
@@ -128,7 +128,7 @@
 			continue
 		}
 		if err == nil && seen[name] {
-			err = ErrCommentNameRepeated // a host might read the other one
+			err = ErrCommentNameRepeated // a host might use the other value
 		}
 		if err != nil {
 			return &CommentError{name, err}
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// setValue takes the value of a name; valueAt is where it stands in the text.
+// setValue sets the value of a name; valueAt is the offset of the value in the text.
 func (q *Query) setValue(name string, value []byte, valueAt int) (known bool, err error) {
 	text := string(value)
 	switch name {
@@ -174,7 +174,7 @@
 	return true, err
 }
 
-// isID reports whether s can be an id: letters, digits, hyphens and underscores.
+// isID reports whether s is a valid id: up to maxIDSize letters, digits, hyphens and underscores.
 func isID(s string) bool {
 	if s == "" || len(s) > maxIDSize {
 		return false
@@ -195,8 +195,8 @@
 	return ch == '-' || ch == '_'
 }
 
-// Append appends the query as a message: unchanged, but for the wait, which becomes the given one (microseconds) in
-// milliseconds, at least 1.
+// Append appends the query as a message. The text is unchanged except for the wait, which is replaced by the given one,
+// converted from microseconds to milliseconds, at least 1. A query that states no wait is appended without one.
 func (q *Query) Append(b []byte, wait int64) []byte {
 	b, lengthAt := beginMessage(b, MsgQuery)
 	if q.waitEnd > q.waitStart {
@@ -209,7 +209,7 @@
 	return endMessage(append(b, 0), lengthAt)
 }
 
-// KeyID returns the key as a number: a hexadecimal key is the number itself, any other is hashed.
+// KeyID returns the key as a number. A hexadecimal key is taken as that number; any other key is hashed.
 func (q *Query) KeyID() int64 {
 	if !q.HasKey {
 		return 0
@@ -218,12 +218,12 @@
 		return int64(n)
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(q.Key)) // a hash takes everything
+	_, _ = hash.Write([]byte(q.Key)) // never fails
 	return int64(hash.Sum64())
 }
 
-// Command returns the first word of a statement in capitals; "" for an empty statement, and "/*" for one that begins with
-// a comment.
+// Command returns the first word of a statement in upper case. It returns "" for an empty statement, and "/*" for one
+// that begins with a comment.
 func Command(text string) string {
 	text = strings.TrimLeft(text, " \t\r\n;")
 	if strings.HasPrefix(text, "/*") {
--- a/internal/pgwire/query_test.go
+++ b/internal/pgwire/query_test.go
@@ -8,12 +8,12 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// A query is read from its comment or rejected, and is forwarded unchanged but for the wait.
+// A query is parsed from its comment or rejected. It is forwarded unchanged except for the wait.
 func TestQueryIsForwardedUnchangedButForTheWait(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   string
 		want Query
-		sent string // with 250 ms left; "" if the query is turned down
+		sent string // text sent with 250 ms left; "" if the query is rejected
 	}{
 		"read": {
 			in:   "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT body FROM objects WHERE oid = '7f3a9c21e0b4d655'",
@@ -62,7 +62,7 @@
 	}
 }
 
-// The command is the first word in capitals, or the begin of a comment.
+// The command is the first word in upper case, or the start of a comment.
 func TestCommandIsTheFirstWordInCapitals(t *testing.T) {
 	for in, want := range map[string]string{
 		"": "", " ;\n": "", "set x=1": "SET", "DISCARD ALL;": "DISCARD", "/* c=a */ SET x": "/*", "RESET;": "RESET",
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// ProtocolVersion is 3.0.
+	// ProtocolVersion is the code of version 3.0.
 	ProtocolVersion = 3 << 16
 
-	// CancelRequest stands in place of the version in a request to cancel a query of another connection.
+	// CancelRequest is sent in place of the version to cancel a query of another connection.
 	CancelRequest = 80877102
-	// SSLRequest stands in place of the version in a request for TLS.
+	// SSLRequest is sent in place of the version to request TLS.
 	SSLRequest = 80877103
-	// GSSENCRequest stands in place of the version in a request for GSSAPI encryption.
+	// GSSENCRequest is sent in place of the version to request GSSAPI encryption.
 	GSSENCRequest = 80877104
 )
 
@@ -22,15 +22,15 @@
 	cancelRequestSize = startupHeaderSize + 8
 )
 
-// Startup is the first message of a connection.
+// Startup is the first message of a connection, or a request that is sent in its place.
 type Startup struct {
-	Code   uint32 // the protocol's version, or a request's code
+	Code   uint32 // the protocol version, or the code of a request
 	Params map[string]string
-	PID    uint32  // CancelRequest: the process number of the connection whose query is to be cancelled
-	Secret [4]byte // CancelRequest: that connection's secret
+	PID    uint32  // CancelRequest: process id of the connection whose query is to be canceled
+	Secret [4]byte // CancelRequest: secret of that connection
 }
 
-// NextStartup splits a startup message off b, like Next.
+// NextStartup splits a startup message off b, as Next does for other messages.
 func NextStartup(b []byte) (s Startup, rest []byte, complete bool, err error) {
 	if len(b) < startupHeaderSize {
 		return s, b, false, nil
@@ -62,7 +62,7 @@
 	return s, b[length:], true, nil
 }
 
-// parseParams reads pairs of names and values up to an empty name, or the end.
+// parseParams reads pairs of names and values up to an empty name or the end of the body.
 func parseParams(body []byte, params map[string]string) error {
 	for len(body) > 0 && body[0] != 0 {
 		name, rest, ok := CString(body)
--- a/internal/pgwire/startup_test.go
+++ b/internal/pgwire/startup_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A startup message is a version with parameters, or one of the requests that stand in its place.
+// A startup message contains a version and parameters, or one of the requests that are sent in its place.
 func TestNextStartupReadsVersionsRequestsAndParameters(t *testing.T) {
 	complete := string(AppendStartup(nil, "user", "worker", "database", "catalog"))
 	for name, c := range map[string]struct {
@@ -28,7 +28,7 @@
 	} {
 		s, rest, ok, err := NextStartup([]byte(c.in))
 		if ok != c.ok || (err != nil) != c.er || string(rest) != c.rest {
-			t.Errorf("%s: rest %q, %v, %v", name, rest, ok, err)
+			t.Errorf("%s: rest %q, complete %v, error %v", name, rest, ok, err)
 		}
 		if d := cmp.Diff(c.want, s); ok && d != "" {
 			t.Errorf("%s: %s", name, d)
--- a/internal/pgwire/types.go
+++ b/internal/pgwire/types.go
@@ -12,7 +12,7 @@
 	MsgClose        = 'C'
 	MsgFlush        = 'H'
 	MsgFunctionCall = 'F'
-	MsgCopyData     = 'd' // the two below as well: of no use outside a copy
+	MsgCopyData     = 'd' // this and the next two have no meaning outside a copy
 	MsgCopyDone     = 'c'
 	MsgCopyFail     = 'f'
 )
