--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -22,11 +22,11 @@
 	group.lastDigestAt = now
 	group.hasUnpublished = false
 
-	entries, primaryLeads := s.buildEntries(now, group)
+	entries, primaryFirst := s.buildEntries(now, group)
 	interval := s.nextInterval(now, group, digestHeaderSize+len(entries))
 	group.nextDigestAt = now + interval
 	message := newMessage(now, digestVersion)
-	message = appendDigestHeader(message, group.hash, interval, group.attemptRate, primaryLeads)
+	message = appendDigestHeader(message, group.hash, interval, group.attemptRate, primaryFirst)
 	return append(message, entries...)
 }
 
@@ -43,18 +43,18 @@
 }
 
 // buildEntries returns the entries of a digest, and whether the first of them is the primary's.
-func (s *State) buildEntries(now int64, group *groupState) (entries []byte, primaryLeads bool) {
+func (s *State) buildEntries(now int64, group *groupState) (entries []byte, primaryFirst bool) {
 	primary := group.latestPrimary()
 	if primary != nil {
 		entries = s.appendHost(entries, now, primary, true)
-		primaryLeads = len(entries) > 0
+		primaryFirst = len(entries) > 0
 	}
 	for _, host := range group.hosts {
 		if host != primary {
 			entries = s.appendHost(entries, now, host, false)
 		}
 	}
-	return entries, primaryLeads
+	return entries, primaryFirst
 }
 
 // latestPrimary returns the host that was reported as primary at the highest position, or nil.
@@ -136,8 +136,8 @@
 		group.awaitingSince = 0
 	}
 	coordinator := s.coordinator(now, group)
-	isFollowed := (coordinator == from || coordinator == s.conf.Ordinal) && sentAt > group.digestSentAt
-	if isFollowed {
+	useLoads := (coordinator == from || coordinator == s.conf.Ordinal) && sentAt > group.digestSentAt
+	if useLoads {
 		group.applyHeader(sentAt, &d)
 	}
 	var facts []HostFact
@@ -146,12 +146,12 @@
 		if host == nil {
 			continue
 		}
-		if isFollowed {
+		if useLoads {
 			host.publishedLoad = e.load
 			host.ownInPublishedLoad = host.reportedInFlight
 		}
 		host.recordLatest(now, e.HostFact)
-		if isFollowed && host.latest.Role == Primary { // the entry has no role if the primary has stopped answering
+		if useLoads && host.latest.Role == Primary { // the entry has no role if the primary has stopped answering
 			host.concurrencyCap.adjust(e.LatencyShare, e.load, s.rand.Fraction())
 		}
 		if e.Position > 0 || e.LatencyShare > 0 || e.Failing {
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -104,7 +104,8 @@
 	}
 }
 
-// run simulates a duration: every 5 ms one running gateway, each in turn, records an answer of each host.
+// run simulates a duration. Every 5 ms an answer of each host is recorded by one of the gateways, a different one for
+// each host and each time, unless that gateway is stopped.
 func (f *fleet) run(hosts int, duration int64) {
 	for end := f.now + duration; f.now < end; f.step() {
 		for h := range hosts {
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -58,9 +58,9 @@
 		bands = append(bands, newEntry(goldenNow-int64(i)*4_000, Replica, share, false, uint16(i), float64(i*2)))
 	}
 	tests := []struct {
-		name  string
-		leads bool
-		made  digest
+		name         string
+		primaryFirst bool
+		made         digest
 	}{
 		{"nothing", false, digest{}},
 		{"a primary leads", true, digest{0x010203, 20_000, 8, []entry{
@@ -75,7 +75,7 @@
 	for _, test := range tests {
 		made := &test.made
 		header := newMessage(goldenNow, digestVersion)
-		b := appendDigestHeader(header, made.group, made.interval, made.attemptRate, test.leads)
+		b := appendDigestHeader(header, made.group, made.interval, made.attemptRate, test.primaryFirst)
 		for _, e := range made.entries {
 			b = appendEntry(b, goldenNow, uint32(e.shortHash), e.HostFact, e.load)
 		}
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -38,7 +38,7 @@
 	maxDigestAge    = math.MaxUint8 - 1
 	intervalStep    = 20_000 // microseconds
 	maxInterval     = maxDigestAge * intervalStep
-	primaryLeadsBit = 0x80
+	primaryFirstBit = 0x80
 	maxByteCount    = math.MaxUint8
 
 	// Latency shares and attempt rates are sent as logarithms; code 0 means unknown.
@@ -168,14 +168,14 @@
 	load      float64 // attempts of all gateways in flight
 }
 
-func appendDigestHeader(b []byte, group uint32, interval int64, attemptRate float64, primaryLeads bool) []byte {
+func appendDigestHeader(b []byte, group uint32, interval int64, attemptRate float64, primaryFirst bool) []byte {
 	packedRate := byte(0)
 	if attemptRate > 0 {
 		code := math.Round(codesPerDoubling*math.Log2(attemptRate)) + codeOfRateOne
-		packedRate = byte(min(max(code, 1), primaryLeadsBit-1))
+		packedRate = byte(min(max(code, 1), primaryFirstBit-1))
 	}
-	if primaryLeads {
-		packedRate |= primaryLeadsBit
+	if primaryFirst {
+		packedRate |= primaryFirstBit
 	}
 	steps := min((interval+intervalStep-1)/intervalStep, maxDigestAge+1)
 	return append(appendUint24(b, group), byte(steps), packedRate)
@@ -235,10 +235,10 @@
 		return digest{}, fmt.Errorf("%w: digest of %d bytes", errMalformedMessage, len(b))
 	}
 	d := digest{group: readUint24(b), interval: int64(b[3]) * intervalStep}
-	if packedRate := b[4] &^ primaryLeadsBit; packedRate > 0 {
+	if packedRate := b[4] &^ primaryFirstBit; packedRate > 0 {
 		d.attemptRate = math.Exp2((float64(packedRate) - codeOfRateOne) / codesPerDoubling)
 	}
-	isPrimary := b[4]&primaryLeadsBit != 0
+	isPrimary := b[4]&primaryFirstBit != 0
 	for b = b[bodyHeader:]; len(b) > 0; b = b[entrySize:] {
 		e := readEntry(sentAt, b, isPrimary)
 		if e.Position < 0 {
