--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -67,21 +67,21 @@
 	pgwire.MsgEmptyQueryResponse: 0,
 }
 
-// handleMessage handles one message; more reports whether further data of the host has been received after it.
-func (c *conn) handleMessage(message pgwire.Message, more bool) error {
+// handleMessage handles one message; moreData reports whether further data of the host has been received after it.
+func (c *conn) handleMessage(message pgwire.Message, moreData bool) error {
 	before := c.answer.lastMessage
-	if err := c.dispatchMessage(message, more); err != nil {
+	if err := c.dispatchMessage(message, moreData); err != nil {
 		return fmt.Errorf("message %q after %q: %w", message.Type, before, err)
 	}
 	return nil
 }
 
-func (c *conn) dispatchMessage(message pgwire.Message, more bool) error {
+func (c *conn) dispatchMessage(message pgwire.Message, moreData bool) error {
 	switch message.Type {
 	case pgwire.MsgRowDescription, pgwire.MsgDataRow, pgwire.MsgCommandComplete, pgwire.MsgEmptyQueryResponse:
 		return c.handleResult(message)
 	case pgwire.MsgErrorResponse:
-		return c.handleError(message, more)
+		return c.handleError(message, moreData)
 	case pgwire.MsgParameterStatus:
 		c.answer.setParameter(message.Body)
 	case pgwire.MsgAuthentication:
@@ -93,7 +93,7 @@
 		if !outsideTransaction || c.state == busy && !c.answer.complete() {
 			return errUnexpectedMessage
 		}
-		c.ready(more)
+		c.ready(moreData)
 	case pgwire.MsgBackendKeyData, pgwire.MsgNegotiateVersion:
 		if c.state != dialing {
 			return errUnexpectedMessage
@@ -111,7 +111,7 @@
 	valid := true
 	switch message.Type {
 	case pgwire.MsgRowDescription:
-		valid = pgwire.OneColumn(message.Body)
+		valid = pgwire.HasOneColumn(message.Body)
 	case pgwire.MsgDataRow:
 		a.value, valid = pgwire.OnlyColumn(message.Body)
 	case pgwire.MsgCommandComplete:
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func (c *conn) handleError(message pgwire.Message, more bool) error {
+func (c *conn) handleError(message pgwire.Message, moreData bool) error {
 	hostError, valid := pgwire.ParseError(message.Body)
 	if !valid {
 		return errMalformedMessage
@@ -139,7 +139,7 @@
 		return nil
 	}
 	// The host closes the connection after a fatal error, so no data may follow.
-	if more && c.state == busy {
+	if moreData && c.state == busy {
 		return errUnexpectedMessage
 	}
 	c.end(c.outcome())
@@ -183,7 +183,7 @@
 	// The position in a write's answer is that of its commit. It is rounded up, so that a host whose position is at
 	// least as high has certainly applied the commit.
 	isCommit := c.attempt != nil && c.attempt.Write && a.hostError == nil
-	position, err := pgwire.Decimal(a.position, 3, isCommit)
+	position, err := pgwire.ParseDecimal(a.position, 3, isCommit)
 	if err == nil && position <= latest {
 		outcome.Position = position
 	}
@@ -235,7 +235,7 @@
 		var part string
 		part, text, _ = strings.Cut(text, ",")
 		name, value, _ := strings.Cut(part, "=")
-		micros, err := pgwire.Decimal(strings.TrimSpace(value), 6, false)
+		micros, err := pgwire.ParseDecimal(strings.TrimSpace(value), 6, false)
 		if err != nil {
 			return balance.HostReport{}
 		}
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -123,17 +123,17 @@
 
 // ready handles ReadyForQuery, which ends the startup or an answer. If more data follows it, the answer is valid but the
 // connection is closed, because the data might be taken for the answer to the next request.
-func (c *conn) ready(more bool) {
+func (c *conn) ready(moreData bool) {
 	c.timer.Stop()
 	c.timer = nil
-	more = more || !c.socket.InputDrained()
+	moreData = moreData || !c.socket.InputDrained()
 	switch {
-	case c.state == dialing && !more:
+	case c.state == dialing && !moreData:
 		c.host.dialing--
 		c.release()
 	case c.state == dialing:
 		c.protocolViolation(errDataAfterReady)
-	case more:
+	case moreData:
 		c.logExcessData()
 		c.end(c.outcome())
 	default:
--- a/internal/frontend/client.go
+++ b/internal/frontend/client.go
@@ -163,7 +163,7 @@
 func (c *client) appendStartupResponse(b []byte, version uint32) []byte {
 	b = pgwire.AppendAuthenticationOk(b)
 	if version != pgwire.ProtocolVersion {
-		b = pgwire.AppendNegotiate(b)
+		b = pgwire.AppendNegotiateProtocolVersion(b)
 	}
 	for _, parameter := range serverParameters {
 		b = pgwire.AppendParameterStatus(b, parameter.name, parameter.value)
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -129,7 +129,7 @@
 	if reads == class.Write {
 		return Class{}, fmt.Errorf("a statement of class %q can't begin with %q", query.Class, query.Command())
 	}
-	if query.After > s.loop.Now()+maxCommitLead {
+	if query.MinPosition > s.loop.Now()+maxCommitLead {
 		return Class{}, errCommitInFuture
 	}
 	if _, inUse := s.openRequestIDs[query.ID]; inUse {
@@ -154,8 +154,8 @@
 	c.requestBytes = len(cmd.text)
 	id := c.server.gateway.Accept(gateway.Request{
 		ClientID: query.ID,
-		Class:    class.Index, Group: query.Cluster, Key: query.KeyID(), HasKey: query.HasKey, Write: class.Write,
-		MinPosition: query.After, Deadline: cmd.receivedAt + query.Wait, Body: query, Client: c,
+		Class:    class.Index, Group: query.Group, Key: query.KeyID(), HasKey: query.HasKey, Write: class.Write,
+		MinPosition: query.MinPosition, Deadline: cmd.receivedAt + query.Wait, Body: query, Client: c,
 	})
 	if c.awaitingAnswer {
 		c.requestID = id
--- a/internal/pgwire/column.go
+++ b/internal/pgwire/column.go
@@ -33,11 +33,11 @@
 
 // mayBeOnlyColumn reports whether the received start of a body may belong to a DataRow whose single column fills a
 // message of the given length.
-func mayBeOnlyColumn(begin []byte, messageLength uint32) bool {
-	if len(begin) < dataRowHeadSize {
+func mayBeOnlyColumn(start []byte, messageLength uint32) bool {
+	if len(start) < dataRowHeadSize {
 		return true
 	}
-	length, ok := onlyColumnLength(begin)
+	length, ok := onlyColumnLength(start)
 	return ok && length+dataRowOverhead == uint64(messageLength)
 }
 
@@ -51,8 +51,8 @@
 	return value, length == uint64(len(value))
 }
 
-// OneColumn reports whether the body of a RowDescription describes exactly one column and contains nothing else.
-func OneColumn(body []byte) bool {
+// HasOneColumn reports whether the body of a RowDescription describes exactly one column and contains nothing else.
+func HasOneColumn(body []byte) bool {
 	if columnCount(body) != 1 {
 		return false
 	}
--- a/internal/pgwire/column_test.go
+++ b/internal/pgwire/column_test.go
@@ -31,7 +31,7 @@
 			t.Errorf("%s: value is %q, want none", name, v)
 		}
 	}
-	if !OneColumn(description.Body) {
+	if !HasOneColumn(description.Body) {
 		t.Error("the description of one column was rejected")
 	}
 	for name, body := range map[string][]byte{
@@ -39,7 +39,7 @@
 		"cut off":  description.Body[:len(description.Body)-1],
 		"too long": append(bytes.Clone(description.Body), 0),
 	} {
-		if OneColumn(body) {
+		if HasOneColumn(body) {
 			t.Errorf("%s: accepted as the description of one column", name)
 		}
 	}
--- a/internal/pgwire/decimal.go
+++ b/internal/pgwire/decimal.go
@@ -9,12 +9,12 @@
 // maxDigits is the largest number of decimal digits of which every value fits into an int64.
 const maxDigits = 18
 
-// errNotDecimal is wrapped by the errors of Decimal.
+// errNotDecimal is wrapped by the errors of ParseDecimal.
 var errNotDecimal = errors.New("bad number")
 
-// Decimal parses an unsigned decimal number as a whole number of units of 10^-scale. It rounds up if up is set, and
+// ParseDecimal parses an unsigned decimal number as a whole number of units of 10^-scale. It rounds up if up is set, and
 // otherwise down.
-func Decimal(s string, scale int, up bool) (int64, error) {
+func ParseDecimal(s string, scale int, up bool) (int64, error) {
 	var n int64
 	digits := 0
 	fraction := -1 // digits read after the decimal point; -1 before it
--- a/internal/pgwire/decimal_test.go
+++ b/internal/pgwire/decimal_test.go
@@ -20,8 +20,8 @@
 		{in: "", bad: true}, {in: ".", bad: true}, {in: "-1", bad: true}, {in: "1.2.3", bad: true}, {in: "1e3", bad: true},
 		{in: strings.Repeat("9", 40), bad: true}, {in: "99999999999999999", scale: 6, bad: true},
 	} {
-		down, err := Decimal(c.in, c.scale, false)
-		up, _ := Decimal(c.in, c.scale, true)
+		down, err := ParseDecimal(c.in, c.scale, false)
+		up, _ := ParseDecimal(c.in, c.scale, true)
 		if (err != nil) != c.bad || err == nil && (down != c.down || up != c.up) {
 			t.Errorf("%q: got %d and %d, %v", c.in, down, up, err)
 		}
--- a/internal/pgwire/encode.go
+++ b/internal/pgwire/encode.go
@@ -50,8 +50,9 @@
 	return endMessage(append(b, 0, 0, 0, 0), lengthAt)
 }
 
-// AppendNegotiate appends the message that tells a client that 3.0 is used although it requested a newer minor version.
-func AppendNegotiate(b []byte) []byte {
+// AppendNegotiateProtocolVersion appends the message that tells a client that 3.0 is used although it requested a newer
+// minor version.
+func AppendNegotiateProtocolVersion(b []byte) []byte {
 	b, lengthAt := beginMessage(b, MsgNegotiateVersion)
 	return endMessage(append(b, 0, 0, 0, 0, 0, 0, 0, 0), lengthAt)
 }
--- a/internal/pgwire/golden_test.go
+++ b/internal/pgwire/golden_test.go
@@ -35,7 +35,7 @@
 func encodedMessages(t *testing.T) []golden.Case {
 	t.Helper()
 	query, err := ParseQuery([]byte("/*id=r-1,c=read,d=80.5,cluster=7,after=1.0005*/ GET 'ff'"))
-	if err != nil || query.ID != "r-1" || query.Class != "read" || query.Wait != 80_500 || query.Cluster != 7 || query.After != 1001 || query.KeyID() != 255 {
+	if err != nil || query.ID != "r-1" || query.Class != "read" || query.Wait != 80_500 || query.Group != 7 || query.MinPosition != 1001 || query.KeyID() != 255 {
 		t.Fatalf("the query was parsed as %v, %v, want the values of its comment", query, err)
 	}
 	cases := []golden.Case{
@@ -43,7 +43,7 @@
 		{Name: "Q with another wait", Form: string(query.Append(nil, 12_345))},
 		{Name: "X", Form: string(AppendTerminate(nil))},
 		{Name: "R", Form: string(AppendAuthenticationOk(nil))},
-		{Name: "v", Form: string(AppendNegotiate(nil))},
+		{Name: "v", Form: string(AppendNegotiateProtocolVersion(nil))},
 		{Name: "S", Form: string(AppendParameterStatus(nil, "name", "value"))},
 		{Name: "K", Form: string(AppendBackendKeyData(nil, 1<<32-1, [4]byte{0, 1, 254, 255}))},
 		{Name: "Z", Form: string(AppendReadyForQuery(nil))},
@@ -69,7 +69,7 @@
 		t.Errorf("%s was parsed as %v, complete %v, %v, want one message of that type", name, message, complete, err)
 	}
 	if message.Type == MsgRowDescription {
-		if !OneColumn(message.Body) {
+		if !HasOneColumn(message.Body) {
 			t.Errorf("%s: the description was rejected, want one of one column", name)
 		}
 		rest = wantRow(t, name, rest)
--- a/internal/pgwire/message_test.go
+++ b/internal/pgwire/message_test.go
@@ -73,7 +73,7 @@
 		if m, _, ok, _ := Next(b); ok {
 			ParseError(m.Body)
 			OnlyColumn(m.Body)
-			OneColumn(m.Body)
+			HasOneColumn(m.Body)
 		}
 	})
 }
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -11,13 +11,13 @@
 
 // Query is a statement with the comment that precedes it.
 type Query struct {
-	ID      string
-	Class   string
-	Cluster int64 // number of the host group
-	Wait    int64 // microseconds that the client waits for the answer; -1 if not stated
-	After   int64 // log position that a read must include, in microseconds since 1970; 0 if none
-	Key     string
-	HasKey  bool
+	ID          string
+	Class       string
+	Group       int64 // number of the host group
+	Wait        int64 // microseconds that the client waits for the answer; -1 if not stated
+	MinPosition int64 // log position that a read must include, in microseconds since 1970; 0 if none
+	Key         string
+	HasKey      bool
 
 	text               []byte // as received
 	waitStart, waitEnd int    // offsets of the value of the wait in text
@@ -157,17 +157,17 @@
 	case nameWait:
 		q.waitStart = valueAt
 		q.waitEnd = valueAt + len(value)
-		q.Wait, err = Decimal(text, decimalsOfMicros, false)
+		q.Wait, err = ParseDecimal(text, decimalsOfMicros, false)
 		if err == nil && (q.Wait == 0 || q.Wait > maxWait) {
 			err = fmt.Errorf("nobody waits %s ms", text)
 		}
 	case nameCluster:
-		q.Cluster, err = strconv.ParseInt(text, 10, 64)
-		if err == nil && (q.Cluster < 0 || q.Cluster > maxCluster) {
+		q.Group, err = strconv.ParseInt(text, 10, 64)
+		if err == nil && (q.Group < 0 || q.Group > maxCluster) {
 			err = fmt.Errorf("no group has the number %s", text)
 		}
 	case nameAfter:
-		q.After, err = Decimal(text, decimalsOfMicros, true)
+		q.MinPosition, err = ParseDecimal(text, decimalsOfMicros, true)
 	default:
 		return false, nil
 	}
--- a/internal/pgwire/query_test.go
+++ b/internal/pgwire/query_test.go
@@ -17,7 +17,7 @@
 	}{
 		"read": {
 			in:   "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT body FROM objects WHERE oid = '7f3a9c21e0b4d655'",
-			want: Query{ID: "9b1f", Class: "basket", Cluster: 2, Wait: 480e3, After: 1767225600123e3, Key: "7f3a9c21e0b4d655", HasKey: true},
+			want: Query{ID: "9b1f", Class: "basket", Group: 2, Wait: 480e3, MinPosition: 1767225600123e3, Key: "7f3a9c21e0b4d655", HasKey: true},
 			sent: "/* id=9b1f,c=basket,d=250,cluster=2,after=1767225600123 */ SELECT body FROM objects WHERE oid = '7f3a9c21e0b4d655'",
 		},
 		"other names and order": {
@@ -25,8 +25,8 @@
 			want: Query{ID: "A-1_", Class: "order", Wait: 480e3},
 			sent: "/*cluster=0,k=ab,c=order,new=,odd,d=250 ,id = A-1_ */ INSERT INTO objects VALUES (1)",
 		},
-		"no wait":         {in: "/* id=1,c=a,cluster=1 */ SELECT 'open", want: Query{ID: "1", Class: "a", Cluster: 1, Wait: -1}, sent: "/* id=1,c=a,cluster=1 */ SELECT 'open"},
-		"commit up":       {in: "/* id=1,c=a,cluster=1,after=5.0001 */ S", want: Query{ID: "1", Class: "a", Cluster: 1, Wait: -1, After: 5001}, sent: "/* id=1,c=a,cluster=1,after=5.0001 */ S"},
+		"no wait":         {in: "/* id=1,c=a,cluster=1 */ SELECT 'open", want: Query{ID: "1", Class: "a", Group: 1, Wait: -1}, sent: "/* id=1,c=a,cluster=1 */ SELECT 'open"},
+		"commit up":       {in: "/* id=1,c=a,cluster=1,after=5.0001 */ S", want: Query{ID: "1", Class: "a", Group: 1, Wait: -1, MinPosition: 5001}, sent: "/* id=1,c=a,cluster=1,after=5.0001 */ S"},
 		"no comment":      {in: "SELECT 1"},
 		"open comment":    {in: "/* c=a,cluster=1 SELECT 1"},
 		"no class":        {in: "/* id=1,cluster=1 */ SELECT 1"},
