--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -146,7 +146,8 @@
 	}
 }
 
-// release passes the connection to the next waiting attempt of its host, or keeps it as idle.
+// release passes the connection to the next waiting attempt of its host, or keeps it as idle. If the address of the host
+// has changed or the host was removed, it closes the connection.
 func (c *conn) release() {
 	c.answer = answer{}
 	h := c.host
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -11,9 +11,8 @@
 	minLinger         = 1e5 // before a lingering connection may be cut off to make room for others
 )
 
-// sweep closes the clients whose time is over. It does not close a client with a request in flight, or one whose next
-// bytes have arrived. If the unsent answers of all clients exceed the memory limit, it closes the client with the most
-// unsent bytes.
+// sweep closes the clients whose time is over, except those with a request in flight or whose next bytes have arrived.
+// If the unsent answers of all clients exceed the memory limit, it closes the client with the most unsent bytes.
 func (s *Server) sweep() {
 	now := s.loop.Now()
 	var unsent int64
--- a/internal/gossip/coordinator.go
+++ b/internal/gossip/coordinator.go
@@ -24,7 +24,7 @@
 	hostsByShortHash map[uint16]*hostState
 	candidates       []int // ordinals of the gateways that may coordinate the group, in order of preference
 
-	awaitingSince      int64 // when the oldest report that no digest has followed was sent; 0 if there is none
+	awaitingSince      int64 // sending time of the oldest report that no digest has followed yet; 0 if there is none
 	awaitedCoordinator int   // the receiver of that report
 
 	// Used only on the coordinator.
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// run simulates a duration. Every 5 ms an answer of each host is recorded by one of the gateways, a different one for
-// each host and each time, unless that gateway is stopped.
+// run simulates a duration. Every 5 ms an answer of each host is recorded by a gateway that changes with the host
+// and the time, unless that gateway is stopped.
 func (f *fleet) run(hosts int, duration int64) {
 	for end := f.now + duration; f.now < end; f.step() {
 		for h := range hosts {
--- a/internal/gossip/report.go
+++ b/internal/gossip/report.go
@@ -40,7 +40,8 @@
 	return r
 }
 
-// receiveReport applies a report message of another gateway and returns the facts in it about known hosts.
+// receiveReport applies a report message, which gateways send to the coordinator of the hosts in it, and returns the
+// facts in it about known hosts.
 func (s *State) receiveReport(now, sentAt int64, from int, body []byte) ([]HostFact, error) {
 	if len(body)%reportSize != 0 {
 		return nil, fmt.Errorf("%w: report of %d bytes", errMalformedMessage, len(body))
