--- a/internal/gossip/decisions_test.go
+++ b/internal/gossip/decisions_test.go
@@ -10,13 +10,14 @@
 	"cloverrock/internal/gossip"
 )
 
-// This file compares the decisions of the package with recorded ones: it makes a fixed sequence of random calls and
-// compares a hash of all results with the one in testdata/decisions.txt. A change that must not alter decisions leaves
-// the hashes as they are. One that does alter them runs the test with -update and states why.
+// This file compares the decisions of the package with recorded ones. It makes a fixed sequence of random calls and
+// compares a hash of all results with the one in testdata/decisions.txt. A change that must not alter decisions must
+// leave the hashes as they are. For a change that alters them on purpose, run the test with -update and state the
+// reason.
 
 const goldenFile = "decisions.txt"
 
-// gateway is one gateway and the messages that are on their way to it.
+// gateway is one gateway and the messages that are in transit to it.
 type gateway struct {
 	ordinal int
 	state   *gossip.State
@@ -28,7 +29,7 @@
 	data []byte
 }
 
-// fleet is some gateways with the same hosts.
+// fleet is a set of gateways that have the same hosts.
 type fleet struct {
 	random   *rand.Rand
 	now      int64
@@ -43,7 +44,7 @@
 	for i := range 40 {
 		f.hosts = append(f.hosts, "host"+strconv.Itoa(i))
 	}
-	f.hosts[4], f.hosts[8] = "host249", "host561" // two of one group with the same short hash
+	f.hosts[4], f.hosts[8] = "host249", "host561" // two hosts of one group with the same short hash
 	for _, ordinal := range ordinals {
 		conf.Ordinal = ordinal
 		g := &gateway{ordinal: ordinal, state: gossip.New(conf, seed+uint64(ordinal))}
@@ -74,11 +75,11 @@
 }
 
 func (f *fleet) deliver(g *gateway) {
-	if f.chance(0.03) && len(f.sent) > 0 { // an old one, from a random sender
+	if f.chance(0.03) && len(f.sent) > 0 { // an old message, from a random sender
 		old := f.sent[f.random.IntN(len(f.sent))]
 		g.inbox = append(g.inbox, datagram{f.random.IntN(330) - 10, slices.Clone(old.data)})
 	}
-	if f.chance(0.01) { // a truncated one
+	if f.chance(0.01) { // a truncated message
 		g.inbox = append(g.inbox, datagram{0, []byte{3}})
 	}
 	for _, l := range g.inbox {
@@ -89,7 +90,7 @@
 			l.data = l.data[:f.random.IntN(len(l.data))]
 		}
 		f.receive(g, l)
-		if f.chance(0.1) && len(l.data) > 11 { // as of the same moment, with something else in the first report
+		if f.chance(0.1) && len(l.data) > 11 { // the same sending time, with other contents in the first report
 			l.data[11] ^= 3
 			f.receive(g, l)
 		}
@@ -146,7 +147,7 @@
 	}
 }
 
-func (f *fleet) step(trouble bool) {
+func (f *fleet) step(overloaded bool) {
 	f.now += int64(f.random.IntN(4e3))
 	g := f.gateways[f.random.IntN(len(f.gateways))]
 	i := min(f.random.IntN(len(f.hosts)), f.random.IntN(len(f.hosts)))
@@ -155,13 +156,13 @@
 		f.record(g, i)
 	case 2, 3:
 		share := f.random.Float64() * 0.5
-		if trouble {
+		if overloaded {
 			share *= 3
 		}
-		g.state.RecordLatencyShare(f.hosts[i], share, trouble && f.chance(0.4))
+		g.state.RecordLatencyShare(f.hosts[i], share, overloaded && f.chance(0.4))
 	case 4, 5:
 		n := f.random.IntN(6)
-		if trouble {
+		if overloaded {
 			n = f.random.IntN(60)
 		}
 		g.state.SetInFlight(f.hosts[i], n)
@@ -183,7 +184,7 @@
 	}
 }
 
-func storm(conf gossip.Config, seed uint64, ordinals []int) string {
+func scenarioHash(conf gossip.Config, seed uint64, ordinals []int) string {
 	f := newFleet(conf, seed, ordinals)
 	for i := range 20000 {
 		f.step(i/2000%3 == 1)
@@ -191,13 +192,13 @@
 	return f.answers.String()
 }
 
-// What gateways send, accept and answer is as recorded in the golden file.
+// Compares what gateways send, accept and answer in random scenarios with the golden file.
 func TestDecisionsStayTheSame(t *testing.T) {
-	var everyOne []int
+	var sparseOrdinals []int
 	for ordinal := range 10 {
-		everyOne = append(everyOne, ordinal*30)
+		sparseOrdinals = append(sparseOrdinals, ordinal*30)
 	}
-	storms := []struct {
+	scenarios := []struct {
 		name     string
 		conf     gossip.Config
 		ordinals []int
@@ -205,11 +206,11 @@
 		{"alone", gossip.Config{Gateways: 1, BytesPerRequest: 30, FreshnessWindow: 300e3}, []int{0}},
 		{"few", gossip.Config{Gateways: 3, BytesPerRequest: 30, FreshnessWindow: 300e3}, []int{0, 1, 2}},
 		{"dear", gossip.Config{Gateways: 3, BytesPerRequest: 0.1, FreshnessWindow: 2e6}, []int{0, 1, 2}},
-		{"many", gossip.Config{Gateways: 300, BytesPerRequest: 30, FreshnessWindow: 500e3}, everyOne},
+		{"many", gossip.Config{Gateways: 300, BytesPerRequest: 30, FreshnessWindow: 500e3}, sparseOrdinals},
 	}
 	var lines []string
-	for i, s := range storms {
-		lines = append(lines, s.name+" "+storm(s.conf, uint64(i), s.ordinals))
+	for i, s := range scenarios {
+		lines = append(lines, s.name+" "+scenarioHash(s.conf, uint64(i), s.ordinals))
 	}
 	golden.CheckLines(t, goldenFile, lines)
 }
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -40,10 +40,10 @@
 	}
 	stored := golden.Check(t, "reports.golden", cases)
 	for _, test := range tests {
-		version, sent, body := opened(t, stored[test.name])
+		version, sent, body := decodeHeader(t, stored[test.name])
 		read, err := readReport(sent, body)
 		if version != reportVersion || err != nil || read != test.read {
-			t.Errorf("%s is read as %v (version %d, %v)", test.name, read, version, err)
+			t.Errorf("%s: decoded %v (version %d, %v), want the encoded value", test.name, read, version, err)
 		}
 	}
 }
@@ -58,9 +58,9 @@
 		bands = append(bands, newEntry(goldenNow-int64(i)*4_000, Replica, share, false, uint16(i), float64(i*2)))
 	}
 	tests := []struct {
-		name  string
-		leads bool
-		made  digest
+		name         string
+		primaryFirst bool
+		made         digest
 	}{
 		{"nothing", false, digest{}},
 		{"a primary leads", true, digest{0x010203, 20_000, 8, []entry{
@@ -75,7 +75,7 @@
 	for _, test := range tests {
 		made := &test.made
 		header := newMessage(goldenNow, digestVersion)
-		b := appendDigestHeader(header, made.group, made.interval, made.attemptRate, test.leads)
+		b := appendDigestHeader(header, made.group, made.interval, made.attemptRate, test.primaryFirst)
 		for _, e := range made.entries {
 			b = appendEntry(b, goldenNow, uint32(e.shortHash), e.HostFact, e.load)
 		}
@@ -83,16 +83,16 @@
 	}
 	stored := golden.Check(t, "digests.golden", cases)
 	for _, test := range tests {
-		version, sent, body := opened(t, stored[test.name])
+		version, sent, body := decodeHeader(t, stored[test.name])
 		read, err := readDigest(sent, body)
 		if version != digestVersion || err != nil || !reflect.DeepEqual(read, test.made) {
-			t.Errorf("%s is read as %v (version %d, %v)", test.name, read, version, err)
+			t.Errorf("%s: decoded %v (version %d, %v), want the encoded value", test.name, read, version, err)
 		}
 	}
 }
 
-// Hashes of hosts and the order of a group's candidates do not change: gateways of different versions must agree on
-// them.
+// Hashes of hosts and groups and the order of a group's candidates do not change: gateways of different versions must
+// agree on them.
 func TestGoldenCodesAndOrder(t *testing.T) {
 	cases := []golden.Case{{Name: "bounds", Form: fmt.Sprint(MaxMessage, " ", Broadcast)}}
 	for _, host := range []string{"", "host-a", "10.0.0.1:5432"} {
@@ -102,14 +102,14 @@
 		cases = append(cases, golden.Case{Name: fmt.Sprintf("order for %06x", id), Form: fmt.Sprint(rankCandidates(id, 40))})
 	}
 	for _, group := range []int64{-1, 0, 1 << 31} {
-		circle := New(Config{Gateways: 3, BytesPerRequest: 1, FreshnessWindow: 1}, 1).ensureGroup(group)
-		cases = append(cases, golden.Case{Name: fmt.Sprint("code of group ", group), Form: fmt.Sprintf("%06x", circle.hash)})
+		state := New(Config{Gateways: 3, BytesPerRequest: 1, FreshnessWindow: 1}, 1).ensureGroup(group)
+		cases = append(cases, golden.Case{Name: fmt.Sprint("code of group ", group), Form: fmt.Sprintf("%06x", state.hash)})
 	}
 	golden.Check(t, "codes.golden", cases)
 }
 
-// opened removes the header of a recorded message.
-func opened(t *testing.T, form string) (version byte, sent int64, body []byte) {
+// decodeHeader decodes a recorded message, checks its header and returns its parts.
+func decodeHeader(t *testing.T, form string) (version byte, sent int64, body []byte) {
 	t.Helper()
 	b, err := hex.DecodeString(form)
 	if err != nil {
@@ -117,7 +117,7 @@
 	}
 	version, sent, body, err = readHeader(goldenNow, b)
 	if err != nil || sent != goldenNow {
-		t.Fatalf("sent at %d, %v", sent, err)
+		t.Fatalf("sending time %d, %v, want goldenNow", sent, err)
 	}
 	return version, sent, body
 }
--- a/internal/pgwire/query_test.go
+++ b/internal/pgwire/query_test.go
@@ -8,16 +8,16 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// A query is read from its comment or rejected, and is forwarded unchanged but for the wait.
+// A query is parsed from its comment or rejected. It is forwarded unchanged except for the wait.
 func TestQueryIsForwardedUnchangedButForTheWait(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   string
 		want Query
-		sent string // with 250 ms left; "" if the query is turned down
+		sent string // text sent with 250 ms left; "" if the query is rejected
 	}{
 		"read": {
 			in:   "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT body FROM objects WHERE oid = '7f3a9c21e0b4d655'",
-			want: Query{ID: "9b1f", Class: "basket", Cluster: 2, Wait: 480e3, After: 1767225600123e3, Key: "7f3a9c21e0b4d655", HasKey: true},
+			want: Query{ID: "9b1f", Class: "basket", Group: 2, Wait: 480e3, MinPosition: 1767225600123e3, Key: "7f3a9c21e0b4d655", HasKey: true},
 			sent: "/* id=9b1f,c=basket,d=250,cluster=2,after=1767225600123 */ SELECT body FROM objects WHERE oid = '7f3a9c21e0b4d655'",
 		},
 		"other names and order": {
@@ -25,8 +25,8 @@
 			want: Query{ID: "A-1_", Class: "order", Wait: 480e3},
 			sent: "/*cluster=0,k=ab,c=order,new=,odd,d=250 ,id = A-1_ */ INSERT INTO objects VALUES (1)",
 		},
-		"no wait":         {in: "/* id=1,c=a,cluster=1 */ SELECT 'open", want: Query{ID: "1", Class: "a", Cluster: 1, Wait: -1}, sent: "/* id=1,c=a,cluster=1 */ SELECT 'open"},
-		"commit up":       {in: "/* id=1,c=a,cluster=1,after=5.0001 */ S", want: Query{ID: "1", Class: "a", Cluster: 1, Wait: -1, After: 5001}, sent: "/* id=1,c=a,cluster=1,after=5.0001 */ S"},
+		"no wait":         {in: "/* id=1,c=a,cluster=1 */ SELECT 'open", want: Query{ID: "1", Class: "a", Group: 1, Wait: -1}, sent: "/* id=1,c=a,cluster=1 */ SELECT 'open"},
+		"commit up":       {in: "/* id=1,c=a,cluster=1,after=5.0001 */ S", want: Query{ID: "1", Class: "a", Group: 1, Wait: -1, MinPosition: 5001}, sent: "/* id=1,c=a,cluster=1,after=5.0001 */ S"},
 		"no comment":      {in: "SELECT 1"},
 		"open comment":    {in: "/* c=a,cluster=1 SELECT 1"},
 		"no class":        {in: "/* id=1,cluster=1 */ SELECT 1"},
@@ -62,7 +62,7 @@
 	}
 }
 
-// The command is the first word in capitals, or the begin of a comment.
+// The command is the first word in upper case, or the start of a comment.
 func TestCommandIsTheFirstWordInCapitals(t *testing.T) {
 	for in, want := range map[string]string{
 		"": "", " ;\n": "", "set x=1": "SET", "DISCARD ALL;": "DISCARD", "/* c=a */ SET x": "/*", "RESET;": "RESET",
