--- a/internal/store/node/bench_test.go
+++ b/internal/store/node/bench_test.go
@@ -57,7 +57,7 @@
 	b.ReportMetric(float64(hists[0].ValueAtQuantile(99)), "p99-us")
 }
 
-// startBenchCluster is a store in one process, under real syncs, whose instances talk TLS over loopback.
+// startBenchCluster starts a store in this process that syncs its files. The instances communicate by TLS over loopback.
 func startBenchCluster(b *testing.B, instances int) (*cluster, *Node) {
 	b.Helper()
 	cl := startCluster(b, instances)
@@ -128,7 +128,7 @@
 	}
 }
 
-// filledMachine returns a machine with a number of keys, and the heap in bytes that it takes.
+// filledMachine returns a machine with a number of keys, and the bytes of heap that it occupies.
 func filledMachine(b *testing.B, keys int) (m *machine.Machine, heapBytes uint64) {
 	b.Helper()
 	const keysPerCommand = 500
--- a/internal/store/node/calls.go
+++ b/internal/store/node/calls.go
@@ -9,8 +9,8 @@
 	"cloverrock/internal/store/machine"
 )
 
-// await returns the next result, or an error once the context or the instance ends. Either only ends the wait, not the
-// operation that is waited for.
+// await returns the next result, or an error once the context or the instance ends. An error ends only the wait: the
+// operation whose result is awaited goes on.
 func await[T any](ctx context.Context, n *Node, results <-chan T) (T, error) {
 	var none T
 	select {
@@ -23,8 +23,8 @@
 	}
 }
 
-// expect registers done for the answer to a new token, and returns the token. Only the owner calls it; done runs on the
-// owner's goroutine.
+// registerCallback registers done for the answer to a new token, and returns the token. Only the owner calls it; done
+// runs on the owner's goroutine.
 func (n *Node) expect(done func(core.Answer)) (token uint64) {
 	n.lastToken++
 	n.waiting[n.lastToken] = done
@@ -34,7 +34,7 @@
 // propose is Propose on the owner's goroutine.
 func (n *Node) propose(command *machine.Command, done func(core.Answer)) {
 	if n.stalledWork != nil {
-		done(core.Answer{Err: fmt.Errorf("%w: the disk here is full", core.ErrNoLeader)})
+		done(core.Answer{Err: fmt.Errorf("%w: the disk of this instance is full", core.ErrNoLeader)})
 		return
 	}
 	n.core.Propose(n.expect(done), command)
@@ -61,9 +61,9 @@
 	}
 }
 
-// Read passes the state to look: the result of a linearizable read, or with stale set the local state as it is. It
-// returns an upper bound on how far that state is behind; negative: unknown. look runs on the owner's goroutine and must
-// not retain the machine. Read is safe for concurrent use.
+// Read calls inspect with the state. If stale is set, that is the local state as it is; otherwise the read is
+// linearizable. Read returns an upper bound on how far the state is behind; negative: unknown. inspect runs on the owner's
+// goroutine and must not retain the machine. Read is safe for concurrent use.
 func (n *Node) Read(ctx context.Context, stale bool, look func(*machine.Machine)) (time.Duration, error) {
 	type outcome struct {
 		staleness time.Duration
--- a/internal/store/node/cluster_test.go
+++ b/internal/store/node/cluster_test.go
@@ -20,12 +20,12 @@
 	"cloverrock/internal/store/pki"
 )
 
-// testTimeout ends a test that hangs. No result depends on how fast anything happens.
+// testTimeout ends a test that hangs. The result of a test does not depend on how long anything takes.
 const testTimeout = 60 * time.Second
 
 const (
 	testClusterID = 77
-	firstNodeID   = 10 // of instance n0; the others follow
+	firstNodeID   = 10 // of instance n0; the other instances have the ids after it
 )
 
 // cluster is a store whose instances run in this process.
@@ -71,7 +71,7 @@
 	}
 }
 
-// addInstance prepares the certificate and configuration of another instance, which is not a member yet.
+// addInstance creates the certificate and configuration of another instance, which is not a member yet.
 func (cl *cluster) addInstance(change ...func(*Config)) int {
 	cl.t.Helper()
 	i := len(cl.confs)
@@ -137,7 +137,7 @@
 	<-n.ended
 }
 
-// client returns a client with the certificate of a name, for the given instances or for all.
+// client returns a client that uses the certificate of a name and calls the given instances, or all if none are given.
 func (cl *cluster) client(name string, to ...int) *client.Client {
 	cl.t.Helper()
 	conf := client.Config{TLS: cl.tls(name)}
@@ -163,13 +163,13 @@
 		select {
 		case <-tick.C:
 		case <-cl.ctx.Done():
-			for _, n := range cl.nodes { // the context has ended; they have not
+			for _, n := range cl.nodes { // not cl.ctx, which has ended
 				if n != nil {
 					status, err := n.Status(context.Background())
 					cl.t.Logf("%+v, %v", status, err)
 				}
 			}
-			cl.t.Fatalf("condition not reached: %s", what)
+			cl.t.Fatalf("not reached in time: %s", what)
 		}
 	}
 }
@@ -185,7 +185,7 @@
 	return machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{put}}
 }
 
-// leader waits until an instance knows that it is the leader, and returns its number.
+// leader waits until an instance reports itself as the leader, and returns its number.
 func (cl *cluster) leader() (i int) {
 	cl.t.Helper()
 	cl.waitUntil("a leader", func() bool {
--- a/internal/store/node/join.go
+++ b/internal/store/node/join.go
@@ -24,13 +24,14 @@
 // JoinOptions configures how an instance with an empty directory joins.
 type JoinOptions struct {
 	Addresses []string // HOST:PORT of members; none: it does not join
-	Token     string   // needed for a name that is not a member's yet
-	// Config returns the configuration for one attempt. It is called for each attempt, so that replaced certificates are used.
+	Token     string   // join token; required if no member has the instance's name yet
+	// Config returns the configuration for one attempt. It is called for each attempt, so that certificates that were
+	// replaced meanwhile are used.
 	Config func() (Config, error)
 }
 
-// OpenOrJoin opens an instance's directory and starts it. An instance with an empty directory has no vote, even if a
-// member has its name: it first joins through one of the given addresses, and retries until it is accepted, refused or
+// OpenOrJoin opens an instance's directory and starts it. If the directory is empty, the instance has no vote, even if a
+// member has its name: it first joins through one of the given addresses, and retries until it is accepted or refused or
 // the context ends.
 func OpenOrJoin(ctx context.Context, conf Config, join JoinOptions) (*Node, error) {
 	for {
@@ -45,7 +46,7 @@
 	}
 }
 
-// joinUntilDecided retries until the instance is accepted or refused, or the context ends.
+// joinUntilDecided calls Join until the instance is accepted or refused or the context ends.
 func joinUntilDecided(ctx context.Context, log zerolog.Logger, join JoinOptions) error {
 	for {
 		_, err := Join(ctx, join)
--- a/internal/store/node/membership.go
+++ b/internal/store/node/membership.go
@@ -20,10 +20,10 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// membershipPlan derives a change of the members from the state. It runs on the owner's goroutine.
+// membershipPlan computes a change of the members from the current state. It runs on the owner's goroutine.
 type membershipPlan func() (*raftpb.ConfChangeV2, *machine.Command, error)
 
-// changeMembers proposes a change of the members and waits until it is applied.
+// changeMembers proposes a change of the members and waits until it has been applied.
 func (n *Node) changeMembers(ctx context.Context, plan membershipPlan) error {
 	answers := make(chan core.Answer, 1)
 	done := func(answer core.Answer) { answers <- answer }
@@ -51,11 +51,11 @@
 	return answer.Err
 }
 
-// join adds an instance as a learner. For the name of a member the certificate is sufficient; a new name also needs a
-// token, which can be used once.
+// join adds an instance as a learner. If a member has the name in the certificate, the certificate is sufficient; a new
+// name also needs a join token, which can be used once.
 func (cc *clientConn) join(ctx context.Context, request *frame.Request) error {
 	if cc.role != pki.Instance || request.NodeID == 0 || request.Address == "" {
-		return reject("an instance joins with its own certificate, an id and an address")
+		return reject("joining needs the certificate of an instance, an id and an address")
 	}
 	var token string
 	var refused error
@@ -74,8 +74,8 @@
 	})
 }
 
-// checkJoin returns an error if an instance may not join, or else the key of the token that the join uses up; empty:
-// none.
+// checkJoin returns an error if an instance may not join. Otherwise it returns the key of the token that the join
+// consumes, which is empty if no token is needed.
 func checkJoin(m *machine.Machine, request *frame.Request, name string) (token string, err error) {
 	knownName := false
 	members := core.Members(m)
@@ -85,17 +85,17 @@
 	if !knownName {
 		token = TokenKey(request.Token)
 		if request.Token == "" {
-			return "", rejectedError{fmt.Errorf("store: %s is new here and needs a token", name)}
+			return "", rejectedError{fmt.Errorf("store: no member is named %s yet; to join, a new name needs a token", name)}
 		}
 		if _, found := m.Get(core.TokensNS, token); !found {
-			return "", reject("the token is not known, was used, or has ended")
+			return "", reject("the join token is unknown, used or expired")
 		}
 	}
 	if _, removed := m.Get(core.RemovedNS, core.MemberKey(request.NodeID)); removed {
-		return "", reject("the id was removed")
+		return "", reject("this id was removed and cannot join again")
 	}
 	if _, taken := members[request.NodeID]; taken {
-		return "", reject("the id is taken")
+		return "", reject("this id belongs to a member already")
 	}
 	return token, nil
 }
@@ -106,7 +106,7 @@
 	return n.changeMembers(ctx, func() (*raftpb.ConfChangeV2, *machine.Command, error) {
 		state := n.core.Machine()
 		if _, known := core.Members(state)[id]; !known {
-			return nil, nil, rejectedError{fmt.Errorf("store: %016x is no member", id)}
+			return nil, nil, rejectedError{fmt.Errorf("store: there is no member with the id %016x", id)}
 		}
 		voters := n.core.Status().Voters
 		if len(voters) == 1 && voters[0] == id {
@@ -121,12 +121,12 @@
 	})
 }
 
-// transferLeadership starts a transfer of leadership and does not wait for its end.
+// transferLeadership starts a transfer of leadership and does not wait until it is complete.
 func (n *Node) transferLeadership(ctx context.Context) error {
 	results := make(chan error, 1)
 	posted := n.post(func() {
 		if _, transferring := n.core.TransferLeadership(); !transferring {
-			results <- fmt.Errorf("%w: this instance does not lead", core.ErrNoLeader)
+			results <- fmt.Errorf("%w: this instance is not the leader", core.ErrNoLeader)
 			return
 		}
 		results <- nil
--- a/internal/store/node/membership_test.go
+++ b/internal/store/node/membership_test.go
@@ -20,7 +20,7 @@
 	return err
 }
 
-// awaitEnd waits until an instance has stopped by itself.
+// awaitEnd waits until an instance has stopped without being told to.
 func (cl *cluster) awaitEnd(n *Node, otherwise string) {
 	cl.t.Helper()
 	select {
@@ -36,31 +36,31 @@
 	cl.put(operator, "k", "v")
 	i := cl.addInstance()
 	if _, err := Open(cl.confs[i]); !errors.Is(err, disk.ErrEmpty) {
-		t.Fatalf("an empty directory: %v", err)
+		t.Fatalf("opening an empty directory: %v, want ErrEmpty", err)
 	}
 	if err := cl.join(i, cl.ids[i], "nonsense"); err == nil || !strings.Contains(err.Error(), "token") {
-		t.Fatalf("an unknown token: %v", err)
+		t.Fatalf("joining with an unknown token: %v, want an error about the token", err)
 	}
 	_, err := operator.Transact(cl.ctx, machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{{Kind: machine.Put, NS: core.TokensNS, Key: TokenKey("secret")}}})
 	cl.must(err)
 	cl.must(cl.join(i, cl.ids[i], "secret"))
 	cl.createDirectory(i, 0, nil)
 	n := cl.openNode(i)
-	cl.waitUntil("it is a voter", func() bool {
+	cl.waitUntil("the new instance is a voter", func() bool {
 		s, err := n.Status(cl.ctx)
 		return err == nil && len(s.Voters) == 4
 	})
-	if err := cl.join(i, 99, "secret"); err != nil { // a member's name: no token is needed, and the old id is removed
-		t.Fatalf("the same name with a new id: %v", err)
+	if err := cl.join(i, 99, "secret"); err != nil { // a member's name needs no token; the member's old id is removed
+		t.Fatalf("joining with the same name and a new id: %v", err)
 	}
 	cl.awaitEnd(n, "the replaced instance is still running")
 	if !errors.Is(n.Err(), transport.ErrRemoved) {
-		t.Errorf("it ended with: %v", n.Err())
+		t.Errorf("the replaced instance ended with %v, want ErrRemoved", n.Err())
 	}
 	again, err := Open(cl.confs[i]) // old data, old id
 	cl.must(err)
-	cl.awaitEnd(again, "a removed instance is accepted with its old data")
-	cl.waitUntil("the new id is removed", func() bool { // the outcome may be unknown; then a retry is refused, because the member is gone
+	cl.awaitEnd(again, "a removed instance that restarts with its old data is still running")
+	cl.waitUntil("the new id is removed", func() bool { // a request whose outcome is unknown is repeated; it is refused if the member is already removed
 		_, err := operator.Call(cl.ctx, &frame.Request{Op: frame.OpRemove, NodeID: 99}, client.NotIdempotent)
 		return err == nil || refused(err)
 	})
@@ -70,6 +70,6 @@
 	})
 	_, err = operator.Call(cl.ctx, &frame.Request{Op: frame.OpRemove, NodeID: 12345}, client.NotIdempotent)
 	if !refused(err) {
-		t.Errorf("removal of an unknown member: %v", err)
+		t.Errorf("removing an unknown member: %v, want a refusal", err)
 	}
 }
--- a/internal/store/node/node.go
+++ b/internal/store/node/node.go
@@ -1,7 +1,7 @@
 // Package node runs one instance of the store: it connects a core.Core to a data directory, to the other instances and
 // to clients. One goroutine, the owner, has exclusive use of the core and the log. Goroutines for connections pass it
-// messages and functions through channels, and read the members and the leader from an immutable view. No request of a
-// gateway waits for any of them.
+// messages and functions through channels, and read the members and the leader from an immutable view. The gateway never
+// waits for any of these goroutines while it serves a request.
 package node
 
 import (
@@ -27,30 +27,30 @@
 const (
 	defaultTick         = 50 * time.Millisecond
 	defaultSnapshotRate = 16 << 20 // bytes a second
-	minSnapshotBatch    = 64 << 10 // bytes of snapshots that a tick allows at least
+	minSnapshotBatch    = 64 << 10 // bytes of snapshots that may be sent in each tick even at a low SnapshotRate
 	proposalTimeout     = 3 * time.Second
 	leaveTimeout        = 2 * time.Second // for the transfer of leadership before the instance stops
-	inboxSize           = 4096            // messages of other instances that wait for the owner
-	taskQueueSize       = 4096            // functions that wait for the owner
-	logBurst            = 5               // log lines about connections in each logPeriod
+	inboxSize           = 4096            // messages of other instances that the owner has not processed yet
+	taskQueueSize       = 4096            // functions that the owner has not run yet
+	logBurst            = 5               // log lines about connections that are written at most in each logPeriod
 	logPeriod           = 10 * time.Second
 )
 
 // ErrStopped is the error of calls to an instance that has stopped.
 var ErrStopped = errors.New("store: this instance is stopped")
 
-// Validator checks a document before it is committed. schema is the latest schema document for it in the store; nil:
-// there is none.
+// Validator checks a document before it is committed. schema is the latest schema document for it in the store, or nil
+// if there is none.
 type Validator func(name string, body, schema []byte) error
 
 // Config of a node. Zero values of Tick and SnapshotRate get defaults.
 type Config struct {
-	Name            string // as in the certificate and in the members' records
-	Data            string // directory
+	Name            string // of the instance, as in its certificate and its member record
+	Data            string // path of the data directory
 	Listen          string // HOST:PORT
-	Advertise       string // where the others reach it; empty: the address that it listens on
+	Advertise       string // address at which the other instances reach this one; empty: the address that it listens on
 	TLS             *tls.Config
-	Routes          map[string]string // by name: where to dial a peer instead of its own address
+	Routes          map[string]string // by the peer's name: the address to dial instead of the peer's own
 	Tick            time.Duration
 	ElectionTicks   int    // ticks without a leader before an election; 0: the default of package core
 	SnapshotEntries uint64 // entries between snapshots; 0: the default of package core
@@ -103,9 +103,9 @@
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup // of the listener and the connections
 
-	waiting          map[uint64]func(core.Answer) // by token
+	waiting          map[uint64]func(core.Answer) // callbacks of proposals and reads in progress, by token
 	lastToken        uint64
-	stalledWork      *core.Work // work that found the disk full; nil: none
+	stalledWork      *core.Work // work that could not be saved because the disk is full; nil: none
 	stalledAt        time.Time
 	publishedVersion uint64 // version of the members in the view
 	snapshotWriters  sync.WaitGroup
@@ -116,8 +116,8 @@
 	connections atomic.Int64
 }
 
-// Open opens the directory and starts the instance. The error wraps disk.ErrEmpty for a directory without an identity
-// and is a *disk.CorruptError for a damaged one.
+// Open opens the directory and starts the instance. The error wraps disk.ErrEmpty if the directory has no identity, and
+// is a *disk.CorruptError if its data is damaged.
 func Open(conf Config) (*Node, error) {
 	conf.setDefaults()
 	dir, err := disk.OpenDir(conf.Data)
@@ -232,7 +232,7 @@
 	return n.Err()
 }
 
-// leave transfers leadership if this instance is the leader, and closes done when it no longer is.
+// stepDown transfers leadership if this instance is the leader, and closes done once it is not the leader.
 func (n *Node) leave(done chan struct{}) {
 	if _, transferring := n.core.TransferLeadership(); !transferring {
 		close(done)
@@ -241,7 +241,7 @@
 	n.awaitHandOver(done)
 }
 
-// awaitHandOver closes done when this instance is no longer the leader. It checks once a tick.
+// awaitStepDown closes done once this instance is not the leader. It checks once a tick.
 func (n *Node) awaitHandOver(done chan struct{}) {
 	if !n.core.IsLeader() {
 		close(done)
--- a/internal/store/node/node_test.go
+++ b/internal/store/node/node_test.go
@@ -36,7 +36,7 @@
 	cl := startCluster(t, 3)
 	c := cl.client("operator")
 	cl.put(c, "k", "v")
-	// Its staleness is unknown until its first read index was confirmed.
+	// The staleness is unknown until the first read index was confirmed.
 	cl.waitUntil("n0 has the key, and its staleness is known", func() bool {
 		found := false
 		age, err := cl.nodes[0].Read(cl.ctx, true, func(m *machine.Machine) { _, found = m.Get("n", "k") })
@@ -54,10 +54,10 @@
 		return age > 500*time.Millisecond
 	})
 	if _, err := cl.nodes[0].Propose(cl.ctx, &machine.Command{Kind: machine.OpenSessionKind}); !errors.Is(err, core.ErrNoLeader) && !errors.Is(err, core.ErrOutcomeUnknown) {
-		t.Errorf("a write without a quorum: %v", err)
+		t.Errorf("a write without a quorum: %v, want ErrNoLeader or ErrOutcomeUnknown", err)
 	}
 	if _, err := cl.nodes[0].Read(cl.ctx, false, func(*machine.Machine) {}); !errors.Is(err, core.ErrNoLeader) {
-		t.Errorf("a linearizable read without a quorum: %v", err)
+		t.Errorf("a linearizable read without a quorum: %v, want ErrNoLeader", err)
 	}
 }
 
@@ -80,7 +80,7 @@
 		}
 	}
 	if kv, _, _, err := cl.client("operator").Get(cl.ctx, "n", "k", false); err != nil || kv.Version != 1 {
-		t.Errorf("version %d, %v", kv.Version, err)
+		t.Errorf("version %d, %v, want version 1", kv.Version, err)
 	}
 }
 
@@ -95,7 +95,7 @@
 		cl.put(c, fmt.Sprint("k", i%50), strings.Repeat("x", 1000))
 	}
 	cl.openNode(follower)
-	cl.waitUntil("it has caught up", func() bool {
+	cl.waitUntil("the follower has caught up", func() bool {
 		var kv machine.KV
 		var found bool
 		_, err := cl.nodes[follower].Read(cl.ctx, true, func(m *machine.Machine) { kv, found = m.Get("n", "k49") })
--- a/internal/store/node/raftlog.go
+++ b/internal/store/node/raftlog.go
@@ -6,7 +6,7 @@
 	"github.com/rs/zerolog"
 )
 
-// raftLog passes raft's own log lines to the program's log, its Info as Debug and its Debug as Trace.
+// raftLog implements raft's logger. It writes to the program's log, with raft's Info as Debug and its Debug as Trace.
 type raftLog struct{ log zerolog.Logger }
 
 func (l raftLog) Debug(v ...any)              { l.log.Trace().Msg(fmt.Sprint(v...)) }
--- a/internal/store/node/requests.go
+++ b/internal/store/node/requests.go
@@ -27,7 +27,7 @@
 // errDenied is the error of a request that the certificate's role does not permit.
 var errDenied = errors.New("store: not allowed with this certificate")
 
-// rejectedError marks an error that a retry cannot avoid, at this instance or another.
+// rejectedError marks an error that a retry would only repeat, at this instance or another.
 type rejectedError struct{ error }
 
 func (r rejectedError) Unwrap() error { return r.error }
@@ -39,7 +39,7 @@
 type clientConn struct {
 	node  *Node
 	conn  net.Conn
-	owner string // of the certificate
+	owner string // name in the client's certificate
 	role  pki.Role
 	mu    sync.Mutex // held while a response is written
 }
@@ -123,8 +123,8 @@
 	_ = cc.send(response) // on failure the connection is closed, and the client retries
 }
 
-// allowed returns errDenied if the certificate's role does not permit an operation. All roles may
-// read, only operators may change the store, and observers may not join it.
+// allowed returns errDenied if the role in the client's certificate does not permit an operation. All roles may read,
+// only operators may change the store, and observers may not join it.
 func (cc *clientConn) allowed(op string) error {
 	denied := false
 	switch op {
@@ -134,7 +134,7 @@
 		denied = cc.role == pki.Observer
 	}
 	if denied {
-		return fmt.Errorf("%w: %s is an %s", errDenied, cc.owner, cc.role)
+		return fmt.Errorf("%w: %s has the role %s", errDenied, cc.owner, cc.role)
 	}
 	return nil
 }
@@ -163,18 +163,18 @@
 	case frame.OpDocument:
 		return cc.changeDocument(ctx, request, response)
 	}
-	return rejectedError{fmt.Errorf("store: no operation %q here", request.Op)}
+	return rejectedError{fmt.Errorf("store: unknown operation %q", request.Op)}
 }
 
 func (cc *clientConn) propose(ctx context.Context, request *frame.Request, response *frame.Response) (err error) {
 	command := request.Command
 	if command == nil || command.Kind == machine.AdvanceClockKind || command.Kind == machine.RaiseFormatKind {
-		return reject("no command, or one that only the store gives")
+		return reject("the request has no command, or one that only the store itself may propose")
 	}
 	for _, ops := range [][]machine.Op{command.Then, command.Else} {
 		for _, op := range ops {
 			if op.Kind.Writes() && protected(op.NS) {
-				return rejectedError{fmt.Errorf("store: namespace %s is not written directly", op.NS)}
+				return rejectedError{fmt.Errorf("store: clients may not write to namespace %s", op.NS)}
 			}
 		}
 	}
@@ -182,8 +182,8 @@
 	return err
 }
 
-// protected reports whether clients may not write a namespace directly. Of the store's own namespaces they may write
-// only that of the tokens.
+// protected reports whether clients may not write a namespace directly. Of the store's own namespaces, they may write
+// only core.TokensNS.
 func protected(ns string) bool {
 	internal := len(ns) > 0 && ns[0] == '_' && ns != core.TokensNS
 	return internal || ns == documents.NS
@@ -225,8 +225,8 @@
 	return err
 }
 
-// changeDocument validates and commits a document's next revision, provided that the document is still at the revision
-// on which the operator's change is based.
+// changeDocument validates a document's next revision and commits it, provided that the document is still at the
+// revision on which the operator's change is based.
 func (cc *clientConn) changeDocument(ctx context.Context, request *frame.Request, response *frame.Response) error {
 	change := documents.Change{
 		Name:       request.Name,
--- a/internal/store/node/requests_test.go
+++ b/internal/store/node/requests_test.go
@@ -25,12 +25,12 @@
 	cl.must(pki.Issue(cl.dir, "observer", pki.Observer, time.Now(), time.Hour))
 	_, err := cl.client("observer").Call(cl.ctx, &frame.Request{Op: frame.OpPropose, Command: &machine.Command{Kind: machine.OpenSessionKind}}, client.NotIdempotent)
 	if !refused(err) {
-		t.Errorf("an observer wrote: %v", err)
+		t.Errorf("an observer's write: %v, want a refusal", err)
 	}
 	for _, ns := range []string{core.MembersNS, documents.NS} {
 		_, err = c.Transact(cl.ctx, putCommand(ns, "x", ""))
 		if !refused(err) {
-			t.Errorf("%s was written directly: %v", ns, err)
+			t.Errorf("a client's write to namespace %s: %v, want a refusal", ns, err)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 			t.Errorf("%s: %v", body, err)
 		}
 	}
-	// Two operators change the same revision concurrently, at two instances: exactly one change is committed.
+	// Two operators change the same revision concurrently, at two instances: one change is committed, the other refused.
 	var wg sync.WaitGroup
 	errs := make([]error, 2)
 	for i := range errs {
@@ -66,7 +66,7 @@
 	}
 	wg.Wait()
 	if (errs[0] == nil) == (errs[1] == nil) {
-		t.Errorf("%v and %v", errs[0], errs[1])
+		t.Errorf("two concurrent changes ended with %v and %v, want one error", errs[0], errs[1])
 	}
 	cl.expectRollback(c)
 }
--- a/internal/store/node/run.go
+++ b/internal/store/node/run.go
@@ -16,7 +16,8 @@
 )
 
 // post queues a function to run on the owner's goroutine, and waits for room in the queue. It reports false if the
-// instance is stopping. A function that was queued just before that may never run. The owner itself must not call post.
+// instance is stopping. A function that was queued shortly before the stop may never run. The owner itself must not call
+// post.
 func (n *Node) post(task func()) bool {
 	select {
 	case <-n.stop:
@@ -26,8 +27,8 @@
 	}
 }
 
-// run is the owner's goroutine. Raft panics when an invariant is violated; that stops this instance and not the
-// process.
+// run is the owner's goroutine. Raft panics when one of its invariants is violated; run recovers, so that only this
+// instance stops and not the process.
 func (n *Node) run() {
 	defer close(n.ended)
 	defer n.shutdown()
@@ -36,7 +37,7 @@
 			n.fail(fmt.Errorf("store: internal error (panic): %v", p))
 		}
 	}()
-	tick := time.NewTicker(n.conf.Tick) // monotonic: setting the machine's clock has no effect on it
+	tick := time.NewTicker(n.conf.Tick) // monotonic: not affected when the machine's clock is set
 	defer tick.Stop()
 	if err := n.process(); err != nil { // applies the committed entries of the log before the first read
 		n.fail(err)
@@ -94,7 +95,7 @@
 	n.watchers.close()
 	n.snapshotWriters.Wait()
 	n.wg.Wait()
-	_ = n.store.Close() // everything acknowledged was synced before
+	_ = n.store.Close() // all acknowledged data has been synced
 	_ = n.dir.Close()
 }
 
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// doWork saves and sends until the core has no more work or the disk is full.
+// doWork saves the core's work and sends its messages until the core has no more work or the disk is full.
 func (n *Node) doWork() error {
 	for {
 		if n.core.NeedsSnapshotData() {
@@ -151,8 +152,8 @@
 	}
 }
 
-// nextWork returns the work to save next; nil: none. After a full disk that is the stalled work again, at most once per
-// stallRetry.
+// nextWork returns the work to save next, or nil if there is none. While the disk is full, it returns the stalled work
+// again, at most once per stallRetry.
 func (n *Node) nextWork() *core.Work {
 	if n.stalledWork != nil {
 		if time.Since(n.stalledAt) < stallRetry {
@@ -177,8 +178,8 @@
 	return n.store.Log.Save(work.HardState, work.SnapshotMeta, work.Entries)
 }
 
-// stall keeps work that found the disk full. Until it is saved, the instance acknowledges nothing, does not tick the core
-// and sends no heartbeat, so that the others elect another leader.
+// stall keeps work that could not be saved because the disk is full. Until it is saved, the instance acknowledges
+// nothing, does not tick the core and sends no heartbeat, so that the others elect another leader.
 func (n *Node) stall(work *core.Work, err error) {
 	if n.stalledWork == nil {
 		n.log.Error().Err(err).Msg("store: disk full, instance paused")
--- a/internal/store/node/server.go
+++ b/internal/store/node/server.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	maxConnections = 128             // concurrent, of instances and clients
+	maxConnections = 128             // concurrent connections of instances and clients together
 	helloTimeout   = 3 * time.Second // for the handshake and the hello
-	peerSilence    = 2 * time.Minute // without a message, after which a peer's connection is considered lost
+	peerSilence    = 2 * time.Minute // a peer's connection that carries no message for this long is closed
 	acceptRetry    = 100 * time.Millisecond
 	maxHello       = 4 << 10  // bytes
 	readBuffer     = 32 << 10 // bytes
 	welcomeForm    = 1        // format version of the Welcome
 )
 
-// accept accepts and serves connections until the instance stops. Beyond maxConnections it closes them at once.
+// accept accepts and serves connections until the instance stops. It closes connections beyond maxConnections at once.
 func (n *Node) accept() {
 	log := n.connectionLog()
 	for {
@@ -43,7 +43,7 @@
 		}
 		if n.connections.Add(1) > maxConnections {
 			n.connections.Add(-1)
-			_ = conn.Close() // nothing was sent on it, so nothing can be lost
+			_ = conn.Close() // no data was exchanged yet
 			continue
 		}
 		n.wg.Go(func() {
@@ -108,7 +108,7 @@
 	return hello, frame.DecodeValue(body, hello)
 }
 
-// welcome answers the Hello. It returns an error if the peer is refused.
+// answerHello sends the Welcome for a Hello. It returns an error if the peer is refused.
 func (n *Node) welcome(conn net.Conn, hello *frame.Hello, owner string, role pki.Role) error {
 	view := n.view.Load()
 	welcome := frame.Welcome{Form: welcomeForm, Cluster: view.cluster, Name: n.conf.Name}
@@ -122,29 +122,29 @@
 		return err
 	}
 	if welcome.Error != "" {
-		return fmt.Errorf("%s (%016x) is refused: %s", owner, hello.ID, welcome.Error)
+		return fmt.Errorf("peer %s (%016x) was refused: %s", owner, hello.ID, welcome.Error)
 	}
 	return nil
 }
 
 // checkPeer returns an error if an instance may not send messages here; the error wraps transport.ErrRemoved if no retry
-// can succeed. An instance without a record is accepted only while there are no records at all, which is the case until
-// a new instance has received its first snapshot.
+// can succeed. An id without a member record is accepted only while this instance has no records at all, which is the
+// case until a new instance has received its first snapshot.
 func (v *clusterView) checkPeer(hello *frame.Hello, owner string, role pki.Role) error {
 	switch {
 	case role != pki.Instance:
-		return fmt.Errorf("%s is no instance", owner)
+		return fmt.Errorf("the certificate of %s is not that of an instance", owner)
 	case hello.Cluster != v.cluster:
-		return fmt.Errorf("%w: it is of cluster %016x, this is %016x", transport.ErrRemoved, hello.Cluster, v.cluster)
+		return fmt.Errorf("%w: it belongs to cluster %016x, this instance to %016x", transport.ErrRemoved, hello.Cluster, v.cluster)
 	case v.removed[hello.ID]:
 		return fmt.Errorf("%w: %016x was removed", transport.ErrRemoved, hello.ID)
 	}
 	member, recorded := v.members[hello.ID]
 	if recorded && member.Name != owner {
-		return fmt.Errorf("%016x is %s, and the certificate is of %s", hello.ID, member.Name, owner)
+		return fmt.Errorf("the id %016x belongs to member %s, but the certificate to %s", hello.ID, member.Name, owner)
 	}
 	if !recorded && len(v.members) > 0 {
-		return fmt.Errorf("%016x is not known here yet", hello.ID)
+		return fmt.Errorf("this instance does not know a member with the id %016x yet", hello.ID)
 	}
 	return nil
 }
@@ -179,8 +179,8 @@
 	}
 }
 
-// unlessLost returns the error of a read only if the remote end violated the protocol. The end of a connection is not an
-// error.
+// protocolError returns the error of a read only if the remote end violated the protocol. The end of a connection is not
+// an error.
 func unlessLost(err error) error {
 	if errors.Is(err, frame.ErrTooLong) {
 		return err
--- a/internal/store/node/server_test.go
+++ b/internal/store/node/server_test.go
@@ -31,16 +31,16 @@
 	garbage, err := net.Dial("tcp", at)
 	cl.must(err)
 	_, _ = garbage.Write([]byte(strings.Repeat("\xff\x00garbage", 5000)))
-	_, _ = io.Copy(io.Discard, garbage) // until it is closed
+	_, _ = io.Copy(io.Discard, garbage) // returns when the connection is closed
 	long, _, err := transport.Dial(cl.ctx, at, cl.tls("operator"), frame.Hello{}, "")
 	cl.must(err)
 	_, _ = long.Write([]byte{0xff, 0xff, 0xff, 0xff, 'q'})
 	if _, err := io.Copy(io.Discard, long); err != nil && !errors.Is(err, io.EOF) {
-		cl.t.Logf("a huge length ended with %v", err)
+		cl.t.Logf("the connection with a huge length ended with %v", err)
 	}
 }
 
-// A peer or client without valid credentials is refused, and its connection is released.
+// A peer or client without valid credentials is refused, and the instance releases its connection.
 func TestUnauthorizedConnectionsAreRefusedAndReleased(t *testing.T) {
 	cl := startCluster(t, 1)
 	c := cl.client("operator")
--- a/internal/store/node/view.go
+++ b/internal/store/node/view.go
@@ -8,7 +8,7 @@
 	"cloverrock/internal/store/transport"
 )
 
-// retryRecordTicks is the pause in ticks before an instance tries again to correct its own record.
+// retryRecordTicks is the pause in ticks between an instance's attempts to correct its own member record.
 const retryRecordTicks = 20
 
 // clusterView is the part of the state that goroutines other than the owner read. It is immutable once published.
@@ -39,7 +39,7 @@
 	}
 	n.view.Store(view)
 	if len(view.members) == 0 {
-		return // no snapshot was received yet; the transport keeps the peers that have connected
+		return // no snapshot was received yet; the transport keeps the peers that have connected to this instance
 	}
 	var peers []transport.Member
 	for id, member := range view.members {
@@ -65,7 +65,7 @@
 	n.log.Info().Str("leader", view.members[leader].Name).Msg("store: leader changed")
 }
 
-// checkOwnRecord stops an instance that was removed, and schedules the correction of an outdated record.
+// checkOwnRecord stops an instance that was removed, and schedules the correction of an outdated member record.
 func (n *Node) checkOwnRecord(view *clusterView) {
 	id := n.store.Identity.Node
 	record, known := view.members[id]
@@ -78,12 +78,12 @@
 	}
 }
 
-// outdated reports whether this instance's record has another address or format than the instance.
+// outdated reports whether the address or format in this instance's member record differs from the actual one.
 func (n *Node) outdated(record core.Member) bool {
 	return record.Address != n.conf.Advertise || record.Format != machine.Format
 }
 
-// correctOwnRecord proposes this instance's address and format for its record, and retries until that is applied.
+// correctOwnRecord proposes a record with this instance's address and format, and retries until it has been applied.
 func (n *Node) correctOwnRecord() {
 	id := n.store.Identity.Node
 	record, known := core.Members(n.core.Machine())[id]
--- a/internal/store/node/watch.go
+++ b/internal/store/node/watch.go
@@ -26,7 +26,7 @@
 	return b.ch
 }
 
-// wake announces a change.
+// wake wakes all goroutines that wait for the next change.
 func (b *broadcast) wake() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// close wakes all waiting goroutines for the last time.
+// close wakes all waiting goroutines and makes later calls of next return a closed channel.
 func (b *broadcast) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,12 +46,12 @@
 	}
 }
 
-// Watch passes the events of a namespace and prefix after a revision to handle, in order, until the context or the
-// instance ends or handle returns an error; Watch returns the reason. It reads the local state, which may be stale.
+// Watch passes the events after a revision, of one namespace and key prefix, to handle in order. It ends when the context
+// or the instance ends or handle returns an error, and returns the reason. It reads the local state, which may be stale.
 // handle runs on the caller's goroutine.
 func (n *Node) Watch(ctx context.Context, ns, prefix string, after int64, handle machine.EventHandler) error {
 	for {
-		changed := n.watchers.next() // before the read, so that no change is missed
+		changed := n.watchers.next() // obtained before the read, so that no change is missed
 		var events []machine.Event
 		var upTo int64
 		var complete bool
