--- a/internal/store/disk/fs.go
+++ b/internal/store/disk/fs.go
@@ -1,6 +1,6 @@
 // Package disk stores an instance's log, snapshots and identity in one directory. Data that was reported as saved is
-// later read back completely or reported as damaged (CorruptError). The package accesses files through the interface FS,
-// so that tests can simulate a crash or a failure at any operation.
+// later read back completely, or reading it fails with a CorruptError. The package accesses files through the interface
+// FS, so that tests can simulate a crash or a failure at any operation.
 package disk
 
 import (
@@ -13,7 +13,7 @@
 	"syscall"
 )
 
-// FS is one flat directory. Names that were created, renamed or removed are durable only after SyncDir.
+// FS is one flat directory. The creation, renaming and removal of files are durable only after SyncDir.
 type FS interface {
 	List() ([]string, error) // sorted
 	Read(name string) ([]byte, error)
@@ -23,19 +23,19 @@
 	Rename(from, to string) error
 	Remove(name string) error
 	SyncDir() error
-	Name(name string) string // the path, for messages
+	Name(name string) string // the path of a file, for messages
 }
 
 // File is a file of the directory.
 type File interface {
-	Write(b []byte) (int, error) // at the end
+	Write(b []byte) (int, error) // appends
 	WriteAt(b []byte, off int64) (int, error)
 	Truncate(size int64) error
 	Sync() error
 	Close() error
 }
 
-// ErrFull is the error of a write that found the disk full. It was undone and may be repeated.
+// ErrFull is the error of a write for which the disk has no space. The write was undone and may be repeated.
 var ErrFull = errors.New("store: the disk is full")
 
 // Dir is a directory of the operating system.
@@ -44,7 +44,7 @@
 	lock *os.File
 }
 
-// OpenDir opens a directory, creates it if it is missing, and locks it against other processes until Close.
+// OpenDir opens a directory and creates it if it is missing. It locks the directory against other processes until Close.
 func OpenDir(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("store: data directory: %w", err)
@@ -60,7 +60,7 @@
 	return &Dir{path, lock}, nil
 }
 
-// Close releases the directory for other processes.
+// Close unlocks the directory, so that other processes can open it.
 func (d *Dir) Close() error { return d.lock.Close() }
 
 // Name implements FS.
@@ -125,10 +125,10 @@
 
 type osFile struct {
 	*os.File
-	end int64 // where the next Write goes
+	end int64 // offset of the next Write
 }
 
-// Write appends to the file. A write that finds the disk full is undone and returns ErrFull.
+// Write appends to the file. A write for which the disk has no space is undone and returns ErrFull.
 func (f *osFile) Write(data []byte) (int, error) {
 	n, err := f.WriteAt(data, f.end)
 	if err == nil {
@@ -150,5 +150,5 @@
 	return f.File.Truncate(size)
 }
 
-// Sync returns when the data and the size of the file are on disk.
+// Sync returns once the data and the size of the file are on disk.
 func (f *osFile) Sync() error { return syscall.Fdatasync(int(f.Fd())) }
--- a/internal/store/disk/golden_test.go
+++ b/internal/store/disk/golden_test.go
@@ -14,12 +14,12 @@
 	"cloverrock/internal/golden"
 )
 
-// goldenEntry is an entry of the log with distinctive data.
+// goldenEntry returns a log entry with the given data.
 func goldenEntry(index, term uint64, data string) *raftpb.Entry {
 	return &raftpb.Entry{Index: new(index), Term: new(term), Type: raftpb.EntryNormal.Enum(), Data: []byte(data)}
 }
 
-// goldenSnapshot is an encoded snapshot of an image that is only text.
+// goldenSnapshot returns an encoded snapshot whose image is a text.
 func goldenSnapshot(t *testing.T, index uint64) []byte {
 	t.Helper()
 	var b strings.Builder
@@ -30,7 +30,7 @@
 	return []byte(b.String())
 }
 
-// directoryLines shows each file of a directory.
+// directoryLines returns a line with the content of each file of a directory.
 func directoryLines(t *testing.T, prefix string, fs FS) (lines []string) {
 	t.Helper()
 	names, err := fs.List()
@@ -76,8 +76,8 @@
 	return line
 }
 
-// The bytes stay of every file of a data directory (identity, snapshots, segments with all kinds of
-// records, the note of what is synced), and files of the golden bytes open to the same state.
+// The bytes of every file of a data directory must not change: identity, snapshots, segments with all kinds of records,
+// and the sync position. A directory with the golden bytes must open to the same state.
 func TestDirectoryKeepsItsBytes(t *testing.T) {
 	dir := openTemp(t)
 	must(t, Create(dir, Identity{Cluster: 77, Node: 11, Name: "a", Voters: []uint64{11, 12}}, 1, goldenSnapshot(t, 1), Options{SegmentSize: 300}))
--- a/internal/store/disk/helpers_test.go
+++ b/internal/store/disk/helpers_test.go
@@ -38,7 +38,7 @@
 	return &raftpb.HardState{Term: new(term), Commit: new(commit)}
 }
 
-// writtenLog creates a log with a number of batches of two entries in a new directory.
+// writtenLog returns a new directory with a log of the given number of batches, each of two entries.
 func writtenLog(t *testing.T, o Options, batches int) (*Dir, *Log) {
 	t.Helper()
 	dir := openTemp(t)
@@ -52,7 +52,7 @@
 			t.Fatal(err)
 		}
 	}
-	t.Cleanup(func() { _ = l.Close() }) // most tests have closed it
+	t.Cleanup(func() { _ = l.Close() }) // most tests close the log themselves
 	return dir, l
 }
 
--- a/internal/store/disk/identity.go
+++ b/internal/store/disk/identity.go
@@ -14,12 +14,12 @@
 	identityForm = 1
 )
 
-// Identity identifies an instance. It is written once; an instance whose directory has none may only join.
+// Identity identifies an instance. It is written once. An instance whose directory has no identity must join first.
 type Identity struct {
 	Cluster uint64   `json:"cluster"`
 	Node    uint64   `json:"node"`
 	Name    string   `json:"name"`
-	Voters  []uint64 `json:"voters,omitempty"` // the first members; empty for an instance that joined
+	Voters  []uint64 `json:"voters,omitempty"` // ids of the first members; empty for an instance that joined
 	Form    int      `json:"form"`
 }
 
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// LoadIdentity reads the identity; nil if the directory has none. The error is a *CorruptError for a damaged file.
+// LoadIdentity reads the identity, or returns nil if the directory has none. The error is a *CorruptError if the file is
+// damaged.
 func LoadIdentity(fs FS) (*Identity, error) {
 	b, err := fs.Read(identityName)
 	if errors.Is(err, os.ErrNotExist) {
@@ -50,7 +51,7 @@
 		return nil, &CorruptError{File: fs.Name(identityName), Reason: err.Error()}
 	}
 	if id.Form != identityForm || id.Cluster == 0 || id.Node == 0 {
-		return nil, &CorruptError{File: fs.Name(identityName), Reason: "cluster, node or form is missing"}
+		return nil, &CorruptError{File: fs.Name(identityName), Reason: "cluster or node is missing, or form is not supported"}
 	}
 	return &id, nil
 }
--- a/internal/store/disk/log.go
+++ b/internal/store/disk/log.go
@@ -17,7 +17,7 @@
 
 	syncNoteName  = "synced"
 	segmentForm   = 1       // format version of the segment files
-	maxKeptBuffer = 4 << 20 // bytes; a larger buffer is not kept for the next batch
+	maxKeptBuffer = 4 << 20 // bytes; a larger buffer is released instead of reused for the next batch
 )
 
 // Log is raft's durable log: batches of records in segment files. A batch is durable once it is synced. A Log is not
@@ -31,13 +31,13 @@
 	size        int64  // of the current segment in bytes
 	segments    []segment
 	hard        *raftpb.HardState // as last saved
-	syncNote    File              // see noteSynced; nil until first written
+	syncNote    File              // file of writeSyncPosition; nil until it is first written
 	buf         []byte            // of the encoded batch, reused
 	payload     []byte            // of one encoded record, reused
-	failure     error             // the first failure after which nothing more is written
+	failure     error             // first final error of Save, which all later calls return
 }
 
-// segment is one file of the log. last is the highest index up to its end.
+// segment is one file of the log. last is the highest entry index in this file and the files before it.
 type segment struct {
 	seq, last uint64
 }
@@ -45,9 +45,9 @@
 // Loaded is the content of a log when it was opened.
 type Loaded struct {
 	HardState    *raftpb.HardState
-	SnapshotMeta *raftpb.SnapshotMetadata // the latest snapshot that the log names; nil if none
+	SnapshotMeta *raftpb.SnapshotMetadata // of the latest snapshot that the log records; nil if none
 	Entries      []*raftpb.Entry          // consecutive, following SnapshotMeta
-	TornBytes    int64                    // of an incomplete last batch, which was truncated
+	TornBytes    int64                    // bytes of an incomplete last batch, which was truncated
 }
 
 // Options of a log.
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	if len(seqs) > 0 {
-		return nil, fmt.Errorf("store: %s is there already", fs.Name(segmentName(seqs[0])))
+		return nil, fmt.Errorf("store: create the log: %s exists already", fs.Name(segmentName(seqs[0])))
 	}
 	l := newLog(fs, o)
 	if err := l.beginSegment(1); err != nil {
@@ -102,8 +102,8 @@
 	return &Log{fs: fs, segmentSize: o.SegmentSize, noSync: o.NoSync, hard: &raftpb.HardState{}}
 }
 
-// beginSegment creates a segment and makes it the current one. Its head repeats the hard state, so that older segments
-// can be removed.
+// beginSegment creates a segment and makes it the current one. The segment begins with a copy of the hard state, so that
+// older segments can be removed.
 func (l *Log) beginSegment(seq uint64) error {
 	name := segmentName(seq)
 	file, err := l.fs.Create(name)
@@ -160,9 +160,9 @@
 	return f.Sync()
 }
 
-// noteSynced writes the position up to which the log is synced to a file, which is not synced itself. After a crash of
-// the process the note distinguishes a damaged end of the log from an incomplete write; after a crash of the machine an
-// older note may remain, which covers less of the log.
+// writeSyncPosition writes the position up to which the log is synced to a file, which is not synced itself. After a crash
+// of the process, the position distinguishes a damaged end of the log from an incomplete write. After a crash of the
+// machine, the file may hold an older position, which covers less of the log.
 func (l *Log) noteSynced() error {
 	if l.noSync {
 		return nil
@@ -183,7 +183,8 @@
 	return nil
 }
 
-// readSyncNote returns the segment and the size of it in bytes up to which the log was synced; zeros if unknown.
+// readSyncPosition returns the last segment that is known to be synced, and up to which size in bytes it is; zeros if
+// unknown.
 func readSyncNote(fs FS) (seq uint64, size int64) {
 	data, err := fs.Read(syncNoteName)
 	if err != nil {
@@ -196,9 +197,9 @@
 	return binary.LittleEndian.Uint64(position), int64(binary.LittleEndian.Uint64(position[8:]))
 }
 
-// Save appends a batch of a hard state, the metadata of an installed snapshot and entries, each of which may be missing,
-// and returns when the batch is durable. After ErrFull nothing was written and the call may be repeated. Any other error
-// is final: all later calls return it.
+// Save appends a batch and returns once the batch is durable. A batch consists of a hard state, the metadata of an
+// installed snapshot and entries; each of them may be missing. After ErrFull nothing was written and the call may be
+// repeated. Any other error is final: all later calls return it.
 func (l *Log) Save(hard *raftpb.HardState, snap *raftpb.SnapshotMetadata, entries []*raftpb.Entry) error {
 	if l.failure != nil {
 		return l.failure
@@ -212,7 +213,7 @@
 		}
 	}
 	if err := l.encodeBatch(hard, snap, entries); err != nil {
-		return l.fail(fmt.Errorf("store: encode for the log: %w", err))
+		return l.fail(fmt.Errorf("store: encode a batch for the log: %w", err))
 	}
 	if _, err := l.file.Write(l.buf); err != nil {
 		return l.fail(fmt.Errorf("store: write %s: %w", l.fs.Name(segmentName(l.seq)), err))
@@ -283,8 +284,8 @@
 	return nil
 }
 
-// Release removes the segments before the current one that contain only entries up to an index. The caller must have a
-// snapshot of these entries.
+// Release removes the segments before the current one that contain no entry after upTo. The caller must have a snapshot
+// of the entries up to there.
 func (l *Log) Release(upTo uint64) error {
 	n := 0
 	for n < len(l.segments)-1 && l.segments[n].last <= upTo {
@@ -303,7 +304,7 @@
 // Close closes the files.
 func (l *Log) Close() error {
 	if l.syncNote != nil {
-		_ = l.syncNote.Close() // losing the note is harmless
+		_ = l.syncNote.Close() // the log can be read without the sync position
 	}
 	if l.file != nil {
 		return l.file.Close()
--- a/internal/store/disk/log_test.go
+++ b/internal/store/disk/log_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	if l.Segments() < 4 {
-		t.Fatalf("%d segments", l.Segments())
+		t.Fatalf("%d segments, want at least 4", l.Segments())
 	}
 	must(t, l.Close())
 	again, got, err := OpenLog(dir, Options{})
@@ -21,21 +21,21 @@
 		t.Fatal(err)
 	}
 	if n := len(got.Entries); n != 150 || got.Entries[149].GetTerm() != 2 || got.HardState.GetCommit() != 198 || got.TornBytes != 0 {
-		t.Errorf("%d entries, hard state %v, cut %d", n, got.HardState, got.TornBytes)
+		t.Errorf("%d entries, hard state %v, %d bytes truncated; want 150 entries, commit 198, 0 bytes", n, got.HardState, got.TornBytes)
 	}
 	if err := again.Release(100); err != nil {
 		t.Fatal(err)
 	}
 	must(t, again.Close())
 	if _, got, err = OpenLog(dir, Options{}); err != nil || got.Entries[0].GetIndex() > 101 || got.HardState.GetCommit() != 198 {
-		t.Errorf("after the release: %v, first %v, %v", err, got.Entries[0].GetIndex(), got.HardState)
+		t.Errorf("after Release(100): %v, first entry %v, hard state %v", err, got.Entries[0].GetIndex(), got.HardState)
 	}
 }
 
 func TestWriteCanBeRetriedAfterFullDiskButNotAfterFailedSync(t *testing.T) {
 	dir := openTemp(t)
 	if _, err := OpenDir(dir.path); err == nil {
-		t.Error("two processes in one directory")
+		t.Error("a directory that is in use was opened again")
 	}
 	f := &faultyDir{Dir: dir}
 	l, err := CreateLog(f, Options{SegmentSize: 256})
@@ -45,11 +45,11 @@
 	for i := uint64(1); i < 20; i++ {
 		f.full = true
 		if err := l.Save(nil, nil, []*raftpb.Entry{entry(i, 1)}); !errors.Is(err, ErrFull) {
-			t.Fatalf("a full disk: %v", err)
+			t.Fatalf("a write to a full disk: %v, want ErrFull", err)
 		}
 		f.full = false
 		if err := l.Save(nil, nil, []*raftpb.Entry{entry(i, 1)}); err != nil {
-			t.Fatalf("room again: %v", err)
+			t.Fatalf("the same write after the disk has space again: %v", err)
 		}
 	}
 	f.failSync = true
@@ -62,6 +62,6 @@
 	}
 	must(t, l.Close())
 	if _, got, err := OpenLog(dir, Options{}); err != nil || len(got.Entries) < 19 {
-		t.Errorf("%v, %d entries", err, len(got.Entries))
+		t.Errorf("reopening the log: %v, %d entries, want at least 19", err, len(got.Entries))
 	}
 }
--- a/internal/store/disk/read.go
+++ b/internal/store/disk/read.go
@@ -8,15 +8,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// OpenLog reads a log and opens it for appending. An incomplete last batch is truncated; any other damage is a
-// *CorruptError with its position.
+// OpenLog reads a log and opens it for appending. An incomplete last batch is truncated. For any other damage the error
+// is a *CorruptError with the position.
 func OpenLog(fs FS, o Options) (*Log, *Loaded, error) {
 	l, loaded, err := readLog(fs, o)
 	if err != nil {
 		return nil, nil, err
 	}
 	name := segmentName(l.seq)
-	if l.size == 0 { // not even the segment's head is complete
+	if l.size == 0 { // not even the first records of the segment are complete
 		l.segments = l.segments[:len(l.segments)-1]
 		if err := l.beginSegment(l.seq); err != nil {
 			return nil, nil, err
@@ -31,7 +31,7 @@
 	if l.file, err = fs.Append(name); err != nil {
 		return nil, nil, fmt.Errorf("store: open %s: %w", fs.Name(name), err)
 	}
-	// The data may not have been synced: after a kill of the process it may only be in the page cache.
+	// The data may not be synced: if the previous process was killed, it may be only in the page cache.
 	if err := l.syncFile(l.file); err != nil {
 		return nil, nil, fmt.Errorf("store: sync %s: %w", fs.Name(name), err)
 	}
@@ -48,7 +48,7 @@
 		return nil, nil, err
 	}
 	if len(seqs) == 0 {
-		return nil, nil, fmt.Errorf("store: %s has an identity and no log: it was lost; remove the data directory and join again", fs.Name(""))
+		return nil, nil, fmt.Errorf("store: %s has an identity but no log: the log was lost; remove the data directory and join again", fs.Name(""))
 	}
 	l := newLog(fs, o)
 	loaded := &Loaded{HardState: &raftpb.HardState{}}
@@ -67,14 +67,14 @@
 	}
 	l.seq = seqs[len(seqs)-1]
 	if syncedSeq > l.seq {
-		return nil, nil, &CorruptError{File: fs.Name(segmentName(syncedSeq)), Reason: "the segment is missing, and was synced"}
+		return nil, nil, &CorruptError{File: fs.Name(segmentName(syncedSeq)), Reason: "the segment is missing, but had been synced"}
 	}
 	l.hard = loaded.HardState
 	return l, loaded, nil
 }
 
-// readSegment reads one segment. An incomplete end is tolerated only in the last segment, and only beyond the size
-// synced, up to which the segment is known to have been synced; -1: unknown.
+// readSegment reads one segment. An incomplete end is accepted only in the last segment and only after the first synced
+// bytes, which are known to have been synced; synced is -1 if that is unknown.
 func (l *Log) readSegment(seq uint64, last bool, synced int64, loaded *Loaded) error {
 	name := segmentName(seq)
 	data, err := l.fs.Read(name)
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// segmentReader reads the records of a segment. A batch takes effect only if its end record is there: without it the
-// batch was never acknowledged.
+// segmentReader reads the records of a segment. The records of a batch are used only if its end record is there: without
+// it, the batch was never acknowledged.
 type segmentReader struct {
 	file     string
 	seq      uint64
@@ -109,7 +109,7 @@
 	loaded   *Loaded
 }
 
-// batchRecord is a record of a batch whose end was not read yet. Exactly one of entry, hard and snap is set.
+// batchRecord is a record of a batch whose end was not read yet. Only one of entry, hard and snap is set.
 type batchRecord struct {
 	at    int
 	entry *raftpb.Entry
@@ -121,7 +121,7 @@
 	return &CorruptError{r.file, int64(at), reason}
 }
 
-// readRecords reads up to the end or the first record that does not match its checksum.
+// readRecords reads the records up to the end, or up to the first one that is incomplete or does not match its checksum.
 func (r *segmentReader) readRecords() error {
 	for r.at < len(r.data) {
 		kind, payload, next, ok := nextRecord(r.data, r.at)
@@ -136,12 +136,12 @@
 	return nil
 }
 
-// process processes one record; next is the offset after it.
+// process handles one record; next is the offset after it.
 func (r *segmentReader) process(kind recordKind, payload []byte, next int) error {
 	switch kind {
 	case headRecord:
 		if !r.isOwnHead(payload) {
-			return r.corrupt(r.at, "the head is not that of this segment")
+			return r.corrupt(r.at, "a segment head with the wrong offset, format version or sequence number")
 		}
 	case beginRecord:
 		if len(r.batch) > 0 || len(payload) != 8 || binary.LittleEndian.Uint64(payload) != uint64(r.at) {
@@ -177,13 +177,13 @@
 	return nil
 }
 
-// commitBatch adds the records of a complete batch to what was loaded.
+// commitBatch adds the records of a complete batch to the loaded content.
 func (r *segmentReader) commitBatch() error {
 	for _, record := range r.batch {
 		switch {
 		case record.entry != nil:
 			if !r.loaded.addEntry(record.entry) {
-				reason := fmt.Sprintf("entry %d does not follow the one before it", record.entry.GetIndex())
+				reason := fmt.Sprintf("entry %d leaves a gap after the entries before it", record.entry.GetIndex())
 				return r.corrupt(record.at, reason)
 			}
 		case record.hard != nil:
@@ -197,14 +197,14 @@
 	return nil
 }
 
-// checkTornEnd returns a *CorruptError if the bytes after the complete batches are damage and not a write that was
-// interrupted by a crash.
+// checkTornEnd returns a *CorruptError if the bytes after the complete batches are damaged data. It returns nil if they
+// are a write that a crash interrupted.
 func (r *segmentReader) checkTornEnd(last bool, synced int64) error {
 	switch {
 	case !last:
-		return r.corrupt(r.at, "a record does not match its checksum, and segments follow")
+		return r.corrupt(r.at, "a record does not match its checksum, and further segments follow")
 	case int64(r.complete) < synced:
-		return r.corrupt(r.at, fmt.Sprintf("a record does not match its checksum, and the log was synced up to %d", synced))
+		return r.corrupt(r.at, fmt.Sprintf("a record does not match its checksum, but the segment was synced up to offset %d", synced))
 	case laterBatchFollows(r.data, r.at):
 		return r.corrupt(r.at, "a record does not match its checksum, and a later batch follows")
 	}
@@ -219,7 +219,7 @@
 	return l.SnapshotMeta.GetIndex()
 }
 
-// addEntry appends an entry. An entry with an existing index replaces that one and all later ones, as raft requires.
+// addEntry appends an entry. An entry with an existing index replaces that entry and all later ones, as raft requires.
 // addEntry reports false for an entry that would leave a gap.
 func (l *Loaded) addEntry(entry *raftpb.Entry) bool {
 	index := entry.GetIndex()
@@ -234,8 +234,8 @@
 		first = l.SnapshotMeta.GetIndex() + 1
 	}
 	if l.SnapshotMeta == nil && (len(l.Entries) == 0 || index < first) {
-		// Older segments were removed because a snapshot covers them. The remaining ones may begin with entries that
-		// were later replaced, starting from an index in a removed segment.
+		// Older segments were removed because a snapshot covers their entries. The first remaining entries may be ones
+		// that were later replaced, starting from an index in a removed segment.
 		first = index
 		l.Entries = nil
 	}
--- a/internal/store/disk/read_test.go
+++ b/internal/store/disk/read_test.go
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// A log truncated at any byte of its last batch is read without that batch, and with everything before it.
+// A log that is truncated at any byte of its last batch opens without that batch and with all batches before it.
 func TestIncompleteLastBatchIsTruncatedAtAnyByte(t *testing.T) {
 	dir, l := writtenLog(t, Options{}, 5)
 	complete := mustRead(t, dir, segmentName(1))
@@ -20,14 +20,14 @@
 	}
 	must(t, l.Close())
 	all := mustRead(t, dir, segmentName(1))
-	must(t, dir.Remove(syncNoteName)) // as after a loss of power, when the note is outdated or missing
+	must(t, dir.Remove(syncNoteName)) // as after a loss of power, when the file is outdated or missing
 	for cut := len(complete); cut < len(all); cut++ {
 		if err := os.WriteFile(dir.Name(segmentName(1)), all[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		log, got, err := OpenLog(dir, Options{})
 		if err != nil || len(got.Entries) != 10 || log.size != before {
-			t.Fatalf("cut at %d: %v, %d entries", cut, err, len(got.Entries))
+			t.Fatalf("cut at %d: %v, %d entries, want 10", cut, err, len(got.Entries))
 		}
 		if err := log.Save(nil, nil, []*raftpb.Entry{entry(11, 2)}); err != nil {
 			t.Fatal(err)
@@ -35,13 +35,13 @@
 		must(t, log.Close())
 		must(t, dir.Remove(syncNoteName))
 		if _, got, err = OpenLog(dir, Options{}); err != nil || len(got.Entries) != 11 {
-			t.Fatalf("cut at %d, then appended: %v", cut, err)
+			t.Fatalf("cut at %d, then reopened after another batch: %v, want 11 entries", cut, err)
 		}
 		must(t, dir.Remove(syncNoteName))
 	}
 }
 
-// A flipped bit anywhere in synced data is detected, and the error names the file; only in padding it is harmless.
+// A flipped bit in synced data is detected, and the error names the file. A flipped bit in padding changes nothing.
 func TestFlippedBitsAndMissingSegmentsAreReported(t *testing.T) {
 	dir, l := writtenLog(t, Options{SegmentSize: 1500}, 30)
 	must(t, l.Close())
@@ -66,17 +66,17 @@
 		case err != nil:
 			t.Errorf("a bit at %d of %s: %v", at, name, err)
 		case len(got.Entries) != 60 || got.HardState.GetCommit() != 58:
-			t.Errorf("a bit at %d of %s went unseen: %d entries", at, name, len(got.Entries))
+			t.Errorf("a flipped bit at %d of %s was not detected, but changed the log: %d entries", at, name, len(got.Entries))
 		}
 		b[at] ^= bit
 		must(t, os.WriteFile(dir.Name(name), b, 0o600))
 	}
 	if found < 200 {
-		t.Errorf("%d of 300 flips found", found)
+		t.Errorf("%d of 300 flipped bits were detected, want at least 200", found)
 	}
 	must(t, dir.Remove(segmentName(seqs[1])))
 	if _, _, err := OpenLog(dir, Options{}); err == nil || !strings.Contains(err.Error(), "missing") {
-		t.Errorf("a segment is missing: %v", err)
+		t.Errorf("opening a log without its second segment: %v, want an error about a missing segment", err)
 	}
 	for _, seq := range append(seqs[:1:1], seqs[2:]...) {
 		must(t, dir.Remove(segmentName(seq)))
--- a/internal/store/disk/record.go
+++ b/internal/store/disk/record.go
@@ -6,9 +6,10 @@
 	"hash/crc32"
 )
 
-// A record is a head of headSize bytes, its payload, and zeros up to a multiple of recordAlignment: magic, length of the payload,
-// kind, and a checksum over all three and the payload. The magic lets a reader search for later batches after a
-// damaged record: there are some if the middle of the log is damaged, and none after an interrupted write.
+// A record is a head of headSize bytes, a payload, and zeros up to a multiple of recordAlignment. The head consists of
+// the magic number, the length of the payload, the kind of the record, and a checksum over length, kind and payload.
+// After a damaged record, a reader searches for later batches by the magic number: it finds some if the middle of the log
+// is damaged, and none after an interrupted write.
 const (
 	magic    = 0x6b43526c
 	headSize = 16 // bytes
@@ -21,11 +22,11 @@
 type recordKind uint32
 
 const (
-	headRecord  recordKind = iota + 1 // first of a segment
+	headRecord  recordKind = iota + 1 // head of a segment: format version and sequence number; also holds the sync position
 	entryRecord                       // one raft entry
-	hardRecord                        // term, vote, commit
+	hardRecord                        // raft's hard state: term, vote and commit index
 	snapRecord                        // metadata of an installed snapshot, after which the log continues
-	imageRecord                       // a piece of a snapshot file
+	imageRecord                       // a part of the image in a snapshot file
 	endRecord                         // the end of a snapshot file or of a batch
 	beginRecord                       // the beginning of a batch, with its offset
 )
@@ -51,8 +52,8 @@
 	return b
 }
 
-// nextRecord decodes the record at an offset and returns the offset of the next one. It reports false for a record that
-// is incomplete or does not match its checksum.
+// nextRecord decodes the record at an offset and returns the offset after it. It reports false if the record is
+// incomplete or does not match its checksum.
 func nextRecord(b []byte, at int) (kind recordKind, payload []byte, next int, ok bool) {
 	if at+headSize > len(b) || binary.LittleEndian.Uint32(b[at:]) != magic {
 		return 0, nil, at, false
@@ -71,8 +72,8 @@
 	return kind, payload, min(aligned, len(b)), true
 }
 
-// laterBatchFollows reports whether a batch begins after a damaged record. Each batch is synced before the next is
-// written, so the damaged one was synced and cannot be the result of an interrupted write.
+// laterBatchFollows reports whether a batch begins after a damaged record. Each batch is synced before the next one is
+// written, so in that case the damaged record was synced and is not the result of an interrupted write.
 func laterBatchFollows(b []byte, at int) bool {
 	for at = at&^(recordAlignment-1) + recordAlignment; at+headSize <= len(b); at += recordAlignment {
 		if binary.LittleEndian.Uint32(b[at:]) != magic {
@@ -85,7 +86,7 @@
 	return false
 }
 
-// CorruptError reports damaged data in a file. An instance does not start with damaged data.
+// CorruptError reports damaged data in a file. An instance with damaged data does not start.
 type CorruptError struct {
 	File   string
 	Offset int64 // in bytes
--- a/internal/store/disk/snapshot.go
+++ b/internal/store/disk/snapshot.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// imageRecordSize is the number of bytes of an image in one record.
+// imageRecordSize is the size in bytes of the part of an image that one record holds.
 const imageRecordSize = 1 << 20
 
 func snapshotName(index uint64) string { return fmt.Sprintf("snap-%016x", index) }
@@ -33,7 +33,7 @@
 	return found, nil
 }
 
-// recordWriter writes a stream as image records.
+// recordWriter writes the data that is written to it as image records.
 type recordWriter struct {
 	w io.Writer
 }
@@ -46,7 +46,7 @@
 	return len(b), nil
 }
 
-// EncodeSnapshot writes a snapshot as it is stored and sent: its metadata, then the image in records.
+// EncodeSnapshot writes a snapshot in the form in which it is stored and sent: the metadata, then the image in records.
 func EncodeSnapshot(w io.Writer, meta *raftpb.SnapshotMetadata, image func(io.Writer) error) error {
 	head, err := proto.Marshal(meta)
 	if err != nil {
@@ -66,14 +66,14 @@
 	return err
 }
 
-// DecodeSnapshot verifies a snapshot's checksums and returns its metadata and image. The name is for error messages.
-// Errors are a *CorruptError.
+// DecodeSnapshot verifies a snapshot's checksums and returns its metadata and image. name is for error messages. Errors
+// are of type *CorruptError.
 func DecodeSnapshot(name string, b []byte) (*raftpb.SnapshotMetadata, io.Reader, error) {
 	corrupt := func(at int, why string) error { return &CorruptError{name, int64(at), why} }
 	kind, payload, at, ok := nextRecord(b, 0)
 	meta := &raftpb.SnapshotMetadata{}
 	if !ok || kind != snapRecord || proto.Unmarshal(payload, meta) != nil || meta.GetIndex() == 0 {
-		return nil, nil, corrupt(0, "the head is not that of a snapshot")
+		return nil, nil, corrupt(0, "the first record does not hold valid snapshot metadata")
 	}
 	var pieces []io.Reader
 	for {
@@ -92,7 +92,7 @@
 	}
 }
 
-// SaveSnapshot writes an encoded snapshot under its index: complete and synced, or not at all.
+// SaveSnapshot writes the file of the snapshot with an index. The file is either complete and synced or does not exist.
 func SaveSnapshot(fs FS, index uint64, write func(io.Writer) error) error {
 	name := snapshotName(index)
 	if err := replaceFile(fs, name, write); err != nil {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// replaceFile writes a temporary file and renames it when it is complete and synced.
+// replaceFile writes a temporary file and renames it to name once it is complete and synced.
 func replaceFile(fs FS, name string, write func(io.Writer) error) error {
 	temp := "new-" + name
 	f, err := fs.Create(temp)
@@ -119,14 +119,15 @@
 		err = fs.Rename(temp, name)
 	}
 	if err != nil {
-		_ = fs.Remove(temp) // RemoveObsolete does it later
+		_ = fs.Remove(temp) // if that fails, RemoveObsolete removes the file later
 		return err
 	}
 	return fs.SyncDir()
 }
 
-// LoadSnapshot returns the newest snapshot, still encoded and not verified, and the path of its file; nil if there is
-// none. It never falls back to an older snapshot, because the log that this one needs may have been removed.
+// LoadSnapshot returns the newest snapshot, encoded and not yet verified, and the path of its file; nil if there is no
+// snapshot. It never returns an older snapshot instead, because the log entries that this would need may have been
+// removed.
 func LoadSnapshot(fs FS) ([]byte, string, error) {
 	names, err := listSnapshots(fs)
 	if err != nil || len(names) == 0 {
--- a/internal/store/disk/snapshot_test.go
+++ b/internal/store/disk/snapshot_test.go
@@ -20,7 +20,7 @@
 	if err := SaveSnapshot(dir, 9, write); err != nil {
 		t.Fatal(err)
 	}
-	broken := errors.New("the disk went away")
+	broken := errors.New("injected write error")
 	if err := SaveSnapshot(dir, 10, func(w io.Writer) error { _ = write(w); return broken }); !errors.Is(err, broken) {
 		t.Fatal(err)
 	}
@@ -33,17 +33,17 @@
 		t.Fatalf("%v, %v", got, err)
 	}
 	if read, err := io.ReadAll(reader); err != nil || string(read) != string(image) {
-		t.Error("a different image was read")
+		t.Error("the image that was read differs from the one that was saved")
 	}
 	for _, at := range []int{5, len(b) / 2, len(b) - 3} {
 		damaged := append([]byte(nil), b...)
 		damaged[at] ^= 4
 		var corrupt *CorruptError
 		if _, _, err := DecodeSnapshot(name, damaged); !errors.As(err, &corrupt) {
-			t.Errorf("a bit at %d: %v", at, err)
+			t.Errorf("a flipped bit at %d: %v, want a CorruptError", at, err)
 		}
 		if _, _, err := DecodeSnapshot(name, b[:at]); !errors.As(err, &corrupt) {
-			t.Errorf("cut at %d: %v", at, err)
+			t.Errorf("truncated at %d: %v, want a CorruptError", at, err)
 		}
 	}
 }
--- a/internal/store/disk/store.go
+++ b/internal/store/disk/store.go
@@ -17,17 +17,17 @@
 
 // Opened is the content of a directory when it was opened.
 type Opened struct {
-	Snapshot     []byte // encoded; nil for an instance that has joined and received none yet
-	SnapshotName string // of the snapshot's file
+	Snapshot     []byte // encoded; nil for an instance that has joined and not received one yet
+	SnapshotName string // path of the snapshot's file
 	Loaded       *Loaded
 }
 
-// ErrEmpty is the error for a directory without an identity. Its instance can only join.
+// ErrEmpty is the error for a directory without an identity. Its instance must join first.
 var ErrEmpty = errors.New("store: the data directory is empty")
 
-// Create creates an instance's files in a directory. The identity is written last, since a directory without one counts
-// as empty; files of an earlier incomplete attempt are removed. The snapshot is nil for an instance that joins, and else
-// has the given index.
+// Create creates an instance's files in a directory. It first removes the files of an earlier attempt that was
+// interrupted. It writes the identity last, because a directory without an identity counts as empty. snapshot is nil for
+// an instance that joins; otherwise index is the index of the snapshot.
 func Create(fs FS, id Identity, index uint64, snapshot []byte, o Options) error {
 	owner, err := LoadIdentity(fs)
 	if err != nil {
@@ -40,7 +40,7 @@
 	if err != nil {
 		return fmt.Errorf("store: list the data directory: %w", err)
 	}
-	for _, name := range names { // of an earlier attempt that was interrupted
+	for _, name := range names { // left by an earlier attempt
 		if err := fs.Remove(name); err != nil {
 			return fmt.Errorf("store: remove %s: %w", fs.Name(name), err)
 		}
@@ -85,9 +85,9 @@
 	}
 }
 
-// Open reads a directory and opens its log for appending. A snapshot that is newer than the log's end or contradicts the
-// log was received from the leader just before a crash: the log is continued after it. The error is ErrEmpty for a
-// directory without an identity, and a *CorruptError for damage.
+// Open reads a directory and opens its log for appending. If the snapshot is newer than the end of the log or contradicts
+// the log, it was received from the leader just before a crash, and the log is continued after it. The error is ErrEmpty
+// if the directory has no identity, and a *CorruptError if its data is damaged.
 func Open(fs FS, o Options) (*Store, *Opened, error) {
 	id, err := LoadIdentity(fs)
 	if err != nil {
@@ -117,7 +117,7 @@
 	loaded := opened.Loaded
 	if opened.Snapshot == nil {
 		if loaded.SnapshotMeta != nil || len(loaded.Entries) > 0 {
-			return fmt.Errorf("store: %s has a log and no snapshot: it was lost; remove the data directory and join again", s.FS.Name(""))
+			return fmt.Errorf("store: %s has a log but no snapshot: the snapshot was lost; remove the data directory and join again", s.FS.Name(""))
 		}
 		return nil
 	}
@@ -131,11 +131,11 @@
 	return RemoveObsolete(s.FS, meta.GetIndex())
 }
 
-// reconcile drops the loaded entries that the snapshot covers, or all of them if the log contradicts it.
+// reconcile drops the loaded entries that the snapshot covers, or all entries if the log contradicts the snapshot.
 func (s *Store) reconcile(meta *raftpb.SnapshotMetadata, loaded *Loaded) error {
 	at := meta.GetIndex()
 	if loaded.SnapshotMeta.GetIndex() > at {
-		return fmt.Errorf("store: the log continues after snapshot %d, but the newest snapshot is %d", loaded.SnapshotMeta.GetIndex(), at)
+		return fmt.Errorf("store: the log continues after the snapshot at index %d, but the newest snapshot is at index %d", loaded.SnapshotMeta.GetIndex(), at)
 	}
 	agrees := loaded.SnapshotMeta.GetIndex() == at && loaded.SnapshotMeta.GetTerm() == meta.GetTerm()
 	for _, e := range loaded.Entries {
@@ -172,7 +172,7 @@
 	Segments int
 }
 
-// Inspect reads and verifies a complete directory without changing it. Errors are those of Open.
+// Inspect reads and verifies a directory without changing it. Its errors are those of Open.
 func Inspect(fs FS) (*Inspection, error) {
 	id, err := LoadIdentity(fs)
 	if err != nil {
@@ -200,7 +200,7 @@
 }
 
 // DiscardUnsynced simulates a loss of power: it removes the part of the log that is not known to be synced. No process
-// may be using the directory. Fault-injection tests use it, because a kill of the process alone loses no written data.
+// may be using the directory. Fault-injection tests need it because written data survives a kill of the process.
 func DiscardUnsynced(fs FS) error {
 	seq, size := readSyncNote(fs)
 	seqs, err := listSegments(fs)
