--- a/internal/store/node/calls.go
+++ b/internal/store/node/calls.go
@@ -25,7 +25,7 @@
 
 // registerCallback registers done for the answer to a new token, and returns the token. Only the owner calls it; done
 // runs on the owner's goroutine.
-func (n *Node) expect(done func(core.Answer)) (token uint64) {
+func (n *Node) registerCallback(done func(core.Answer)) (token uint64) {
 	n.lastToken++
 	n.waiting[n.lastToken] = done
 	return n.lastToken
@@ -37,7 +37,7 @@
 		done(core.Answer{Err: fmt.Errorf("%w: the disk of this instance is full", core.ErrNoLeader)})
 		return
 	}
-	n.core.Propose(n.expect(done), command)
+	n.core.Propose(n.registerCallback(done), command)
 }
 
 // Propose replicates a command and returns the result of applying it. When the context ends first, the command may
@@ -64,14 +64,14 @@
 // Read calls inspect with the state. If stale is set, that is the local state as it is; otherwise the read is
 // linearizable. Read returns an upper bound on how far the state is behind; negative: unknown. inspect runs on the owner's
 // goroutine and must not retain the machine. Read is safe for concurrent use.
-func (n *Node) Read(ctx context.Context, stale bool, look func(*machine.Machine)) (time.Duration, error) {
+func (n *Node) Read(ctx context.Context, stale bool, inspect func(*machine.Machine)) (time.Duration, error) {
 	type outcome struct {
 		staleness time.Duration
 		err       error
 	}
 	outcomes := make(chan outcome, 1)
 	posted := n.post(func() {
-		n.read(stale, look, func(staleness time.Duration, err error) { outcomes <- outcome{staleness, err} })
+		n.read(stale, inspect, func(staleness time.Duration, err error) { outcomes <- outcome{staleness, err} })
 	})
 	if !posted {
 		return 0, ErrStopped
@@ -84,10 +84,10 @@
 }
 
 // read is Read on the owner's goroutine; it calls done exactly once unless the instance ends.
-func (n *Node) read(stale bool, look func(*machine.Machine), done func(time.Duration, error)) {
+func (n *Node) read(stale bool, inspect func(*machine.Machine), done func(time.Duration, error)) {
 	if stale {
 		staleness := n.staleness()
-		look(n.core.Machine())
+		inspect(n.core.Machine())
 		done(staleness, nil)
 		return
 	}
@@ -95,9 +95,9 @@
 		done(0, core.ErrNoLeader)
 		return
 	}
-	token := n.expect(func(answer core.Answer) {
+	token := n.registerCallback(func(answer core.Answer) {
 		if answer.Err == nil {
-			look(n.core.Machine())
+			inspect(n.core.Machine())
 		}
 		done(0, answer.Err)
 	})
--- a/internal/store/node/membership.go
+++ b/internal/store/node/membership.go
@@ -36,7 +36,7 @@
 			done(core.Answer{Err: err})
 			return
 		}
-		n.core.ProposeMembershipChange(n.expect(done), change, command)
+		n.core.ProposeMembershipChange(n.registerCallback(done), change, command)
 	})
 	if !posted {
 		return ErrStopped
--- a/internal/store/node/node.go
+++ b/internal/store/node/node.go
@@ -25,15 +25,15 @@
 )
 
 const (
-	defaultTick         = 50 * time.Millisecond
-	defaultSnapshotRate = 16 << 20 // bytes a second
-	minSnapshotBatch    = 64 << 10 // bytes of snapshots that may be sent in each tick even at a low SnapshotRate
-	proposalTimeout     = 3 * time.Second
-	leaveTimeout        = 2 * time.Second // for the transfer of leadership before the instance stops
-	inboxSize           = 4096            // messages of other instances that the owner has not processed yet
-	taskQueueSize       = 4096            // functions that the owner has not run yet
-	logBurst            = 5               // log lines about connections that are written at most in each logPeriod
-	logPeriod           = 10 * time.Second
+	defaultTick             = 50 * time.Millisecond
+	defaultSnapshotRate     = 16 << 20 // bytes a second
+	minSnapshotBytesPerTick = 64 << 10 // bytes of snapshots that may be sent in each tick even at a low SnapshotRate
+	proposalTimeout         = 3 * time.Second
+	stepDownTimeout         = 2 * time.Second // for the transfer of leadership before the instance stops
+	inboxSize               = 4096            // messages of other instances that the owner has not processed yet
+	taskQueueSize           = 4096            // functions that the owner has not run yet
+	logBurst                = 5               // log lines about connections that are written at most in each logPeriod
+	logPeriod               = 10 * time.Second
 )
 
 // ErrStopped is the error of calls to an instance that has stopped.
@@ -79,7 +79,7 @@
 		SnapshotInterval:     c.SnapshotEntries,
 		RetainedEntries:      c.SnapshotEntries / 4,
 		TimeoutTicks:         max(1, int(proposalTimeout/c.Tick)),
-		SnapshotBytesPerTick: max(minSnapshotBatch, bytesPerTick),
+		SnapshotBytesPerTick: max(minSnapshotBytesPerTick, bytesPerTick),
 		Logger:               raftLog{log},
 	}
 }
@@ -220,11 +220,11 @@
 // stopped the instance before, if there was one.
 func (n *Node) Close() error {
 	done := make(chan struct{})
-	if n.post(func() { n.leave(done) }) {
+	if n.post(func() { n.stepDown(done) }) {
 		select {
 		case <-done:
 		case <-n.ended:
-		case <-time.After(leaveTimeout):
+		case <-time.After(stepDownTimeout):
 		}
 	}
 	n.signalStop()
@@ -233,19 +233,19 @@
 }
 
 // stepDown transfers leadership if this instance is the leader, and closes done once it is not the leader.
-func (n *Node) leave(done chan struct{}) {
+func (n *Node) stepDown(done chan struct{}) {
 	if _, transferring := n.core.TransferLeadership(); !transferring {
 		close(done)
 		return
 	}
-	n.awaitHandOver(done)
+	n.awaitStepDown(done)
 }
 
 // awaitStepDown closes done once this instance is not the leader. It checks once a tick.
-func (n *Node) awaitHandOver(done chan struct{}) {
+func (n *Node) awaitStepDown(done chan struct{}) {
 	if !n.core.IsLeader() {
 		close(done)
 		return
 	}
-	time.AfterFunc(n.conf.Tick, func() { n.post(func() { n.awaitHandOver(done) }) })
+	time.AfterFunc(n.conf.Tick, func() { n.post(func() { n.awaitStepDown(done) }) })
 }
--- a/internal/store/node/requests.go
+++ b/internal/store/node/requests.go
@@ -55,7 +55,7 @@
 	for {
 		kind, body, err := frame.Read(reader, nil, maxRequest)
 		if err != nil {
-			return unlessLost(err)
+			return protocolError(err)
 		}
 		if kind != frame.RequestKind {
 			continue
@@ -243,8 +243,8 @@
 	var invalid error
 	_, err := cc.node.Read(ctx, false, func(m *machine.Machine) {
 		command, revision, invalid = documents.Plan(m, change)
-		if form, err := documents.At(m, change.Name+documents.SchemaSuffix, 0); err == nil {
-			schema = form.Body
+		if schemaDocument, err := documents.At(m, change.Name+documents.SchemaSuffix, 0); err == nil {
+			schema = schemaDocument.Body
 		}
 	})
 	if err != nil {
--- a/internal/store/node/server.go
+++ b/internal/store/node/server.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	maxConnections = 128             // concurrent connections of instances and clients together
-	helloTimeout   = 3 * time.Second // for the handshake and the hello
-	peerSilence    = 2 * time.Minute // a peer's connection that carries no message for this long is closed
-	acceptRetry    = 100 * time.Millisecond
-	maxHello       = 4 << 10  // bytes
-	readBuffer     = 32 << 10 // bytes
-	welcomeForm    = 1        // format version of the Welcome
+	maxConnections  = 128             // concurrent connections of instances and clients together
+	helloTimeout    = 3 * time.Second // for the handshake and the hello
+	peerIdleTimeout = 2 * time.Minute // a peer's connection that carries no message for this long is closed
+	acceptRetry     = 100 * time.Millisecond
+	maxHello        = 4 << 10  // bytes
+	readBuffer      = 32 << 10 // bytes
+	welcomeFormat   = 1        // format version of the Welcome
 )
 
 // accept accepts and serves connections until the instance stops. It closes connections beyond maxConnections at once.
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	if err := n.welcome(conn, hello, owner, role); err != nil {
+	if err := n.answerHello(conn, hello, owner, role); err != nil {
 		return err
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
@@ -109,9 +109,9 @@
 }
 
 // answerHello sends the Welcome for a Hello. It returns an error if the peer is refused.
-func (n *Node) welcome(conn net.Conn, hello *frame.Hello, owner string, role pki.Role) error {
+func (n *Node) answerHello(conn net.Conn, hello *frame.Hello, owner string, role pki.Role) error {
 	view := n.view.Load()
-	welcome := frame.Welcome{Form: welcomeForm, Cluster: view.cluster, Name: n.conf.Name}
+	welcome := frame.Welcome{Form: welcomeFormat, Cluster: view.cluster, Name: n.conf.Name}
 	if hello.Peer {
 		if err := view.checkPeer(hello, owner, role); err != nil {
 			welcome.Error = err.Error()
@@ -153,12 +153,12 @@
 func (n *Node) receiveFromPeer(conn net.Conn, reader *bufio.Reader, from uint64) error {
 	var buffer []byte
 	for {
-		if err := conn.SetReadDeadline(time.Now().Add(peerSilence)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(peerIdleTimeout)); err != nil {
 			return err
 		}
 		kind, body, err := frame.Read(reader, buffer, frame.MaxSize)
 		if err != nil {
-			return unlessLost(err)
+			return protocolError(err)
 		}
 		buffer = body
 		message, known, err := frame.DecodeEnvelope(kind, body, from, n.store.Identity.Node)
@@ -181,7 +181,7 @@
 
 // protocolError returns the error of a read only if the remote end violated the protocol. The end of a connection is not
 // an error.
-func unlessLost(err error) error {
+func protocolError(err error) error {
 	if errors.Is(err, frame.ErrTooLong) {
 		return err
 	}
--- a/internal/store/node/server_test.go
+++ b/internal/store/node/server_test.go
@@ -50,13 +50,13 @@
 	cl.must(pki.Issue(other, "n0", pki.Instance, time.Now(), time.Hour))
 	cl.must(pki.Issue(cl.dir, "late", pki.Operator, time.Now().Add(-48*time.Hour), time.Hour))
 	cl.must(pki.Issue(cl.dir, "nobody", pki.Role("guest"), time.Now(), time.Hour))
-	none := cl.tls("operator")
-	none.Certificates = nil
+	noCertificate := cl.tls("operator")
+	noCertificate.Certificates = nil
 	for who, conf := range map[string]*tls.Config{
 		"another authority":  cl.tlsFrom(other, "n0"),
 		"an old certificate": cl.tls("late"),
 		"no role":            cl.tls("nobody"),
-		"no certificate":     none,
+		"no certificate":     noCertificate,
 	} {
 		cl.expectRefused(who, conf, frame.Hello{})
 	}
