--- a/internal/store/client/client.go
+++ b/internal/store/client/client.go
@@ -1,5 +1,5 @@
-// Package client calls the instances of a store over mutual TLS. Calls are retried at the configured endpoints until an
-// instance answers. Writes with Transact run in a session, so that a retried command is applied once.
+// Package client calls the instances of a store over mutual TLS. A call is retried at the configured endpoints until an
+// instance answers. Transact executes writes in a session, so that a retried command is applied once.
 package client
 
 import (
@@ -18,8 +18,8 @@
 
 const (
 	defaultAttemptTimeout = 3 * time.Second
-	minBackoff            = 20 * time.Millisecond
-	maxBackoff            = time.Second            // between attempts of a call
+	minBackoff            = 20 * time.Millisecond  // pause after the first failed attempt of a call, doubled after each further one
+	maxBackoff            = time.Second            // largest pause between attempts of a call
 	watchRetry            = 200 * time.Millisecond // pause before a watch is resumed
 )
 
@@ -27,8 +27,8 @@
 type Config struct {
 	Endpoints      []string // HOST:PORT of instances
 	TLS            *tls.Config
-	AttemptTimeout time.Duration // for a dial, a write and an answer each; 0: defaultAttemptTimeout
-	SingleEndpoint bool          // never leave the first endpoint
+	AttemptTimeout time.Duration // separate limit for each dial, write and wait for an answer; 0: defaultAttemptTimeout
+	SingleEndpoint bool          // use only the first endpoint
 }
 
 // Idempotence states whether a request may be executed more than once.
@@ -36,8 +36,8 @@
 
 // The values of Idempotence.
 const (
-	Idempotent    Idempotence = true  // sent again if the outcome is unknown
-	NotIdempotent Idempotence = false // not sent again once it may have been executed
+	Idempotent    Idempotence = true  // repeated if the outcome is unknown
+	NotIdempotent Idempotence = false // not repeated if it may have been executed
 )
 
 // Error is an error that an instance returned. Code is one of the codes of package frame.
@@ -54,11 +54,11 @@
 	conf Config
 
 	mu       sync.Mutex
-	endpoint int // increases; modulo len(Endpoints) it is the index of the current endpoint
+	endpoint int // number of changes of the endpoint; modulo len(Endpoints) it is the index of the current endpoint
 	conn     *connection
 	lastID   uint64
 
-	sessionMu sync.Mutex // held by Transact: a session runs one command at a time
+	sessionMu sync.Mutex // held by Transact, because a session executes one command at a time
 	session   uint64     // 0: none is open
 	seq       uint64     // of the session's last command
 }
@@ -71,7 +71,7 @@
 	return &Client{conf: conf}
 }
 
-// Close closes the current connection. The caller must end all calls first: one in progress may connect again.
+// Close closes the current connection. All calls must have ended: a call in progress may open a new connection.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +94,7 @@
 		}
 	}
 	if len(c.conf.Endpoints) == 0 {
-		return nil, errors.New("store: no endpoints are given")
+		return nil, errors.New("store: no endpoints are configured")
 	}
 	address := c.conf.Endpoints[c.endpoint%len(c.conf.Endpoints)]
 	conn, _, err := transport.Dial(ctx, address, c.conf.TLS, frame.Hello{}, "")
@@ -105,8 +105,8 @@
 	return c.conn, nil
 }
 
-// nextEndpoint closes the failed connection and advances to the next endpoint, provided that failed is still the current
-// connection; nil: there was none. With SingleEndpoint set it does not advance.
+// nextEndpoint closes a failed connection and advances to the next endpoint, provided that failed is still the current
+// connection; failed is nil if the dial failed. With SingleEndpoint set the endpoint stays the same.
 func (c *Client) nextEndpoint(failed *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,8 +130,8 @@
 }
 
 // attempt sends a request to the current endpoint, passes each response but the last to part, and returns the last. limit
-// bounds the wait for the last response; 0: only the context does. The connection is nil after a failed dial: nothing was
-// sent then. After any error the caller advances the endpoint.
+// bounds the wait for the last response; 0: only the context does. If the dial failed, the returned connection is nil, and
+// the request was not sent. After any error the caller advances to the next endpoint.
 func (c *Client) attempt(ctx context.Context, request *frame.Request, limit time.Duration, part partHandler) (*connection, *frame.Response, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, c.conf.AttemptTimeout)
 	conn, err := c.connect(dialCtx)
@@ -153,7 +153,7 @@
 	return conn, response, err
 }
 
-// pause waits and reports whether the wait was completed before the context ended.
+// pause waits, and reports false if the context ended before that.
 func pause(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -181,7 +181,7 @@
 			if !retryable {
 				return response, err
 			}
-		} else if conn != nil && idempotence == NotIdempotent { // it was sent and may have been executed
+		} else if conn != nil && idempotence == NotIdempotent { // the request may have been executed
 			c.nextEndpoint(conn)
 			return nil, err
 		}
@@ -193,9 +193,9 @@
 	}
 }
 
-// Transact executes a command once, even if requests or responses are lost and retried. If the outcome is unknown, the error
-// is an *Error with frame.CodeOutcomeUnknown or wraps that of the context. A command that was rejected gives an *Error
-// with frame.CodeRefused; conditions that did not hold are no error, see Result.Holds.
+// Transact executes a command once, even if requests or responses are lost and repeated. If the outcome is unknown, the
+// error is an *Error with frame.CodeOutcomeUnknown or wraps the error of the context. For a rejected command it is an
+// *Error with frame.CodeRefused. Conditions that do not hold are not an error; see Result.Holds.
 func (c *Client) Transact(ctx context.Context, command machine.Command) (machine.Result, error) {
 	c.sessionMu.Lock()
 	defer c.sessionMu.Unlock()
@@ -210,7 +210,7 @@
 		command.Seq = c.seq
 		response, err := c.Call(ctx, &frame.Request{Op: frame.OpPropose, Command: &command}, Idempotent)
 		if err != nil {
-			c.session = 0 // its last command may still be applied, so its sequence numbers cannot be continued
+			c.session = 0 // the last command may still be applied, so the session cannot be used for another one
 			return machine.Result{}, err
 		}
 		result := response.Result
@@ -224,7 +224,7 @@
 		if c.seq > 1 {
 			return result, &Error{frame.CodeOutcomeUnknown, "store: the session was dropped; whether the command was applied is not known"}
 		}
-		// The session was dropped before its first command, which was not applied: retry in a new session.
+		// The session was dropped before its first command, which was therefore not applied: retry in a new session.
 	}
 }
 
@@ -240,8 +240,8 @@
 	return nil
 }
 
-// Get reads a key: linearizably, or with stale set from the local state of one instance. stalenessMS is an upper bound in
-// milliseconds on how far that state is behind; -1: unknown. It is 0 unless stale is set.
+// Get reads a key linearizably or, if stale is set, from the local state of one instance. stalenessMS is an upper bound in
+// milliseconds on how far that state is behind; -1: unknown. It is 0 for a linearizable read.
 func (c *Client) Get(ctx context.Context, ns, key string, stale bool) (kv machine.KV, found bool, stalenessMS int64, err error) {
 	response, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: key, Stale: stale}, Idempotent)
 	if err != nil {
@@ -253,7 +253,7 @@
 	return response.Result.KVs[0], true, response.StalenessMS, nil
 }
 
-// List reads at most limit keys with a prefix in ascending order; -1: all. stale and stalenessMS are those of Get.
+// List reads at most limit keys with a prefix in ascending order; -1: all. stale and stalenessMS are as for Get.
 func (c *Client) List(ctx context.Context, ns, prefix string, limit int, stale bool) (kvs []machine.KV, stalenessMS int64, err error) {
 	response, err := c.Call(ctx, &frame.Request{Op: frame.OpRead, NS: ns, Key: prefix, Limit: limit, Stale: stale}, Idempotent)
 	if err != nil {
@@ -262,9 +262,9 @@
 	return response.Result.KVs, response.StalenessMS, nil
 }
 
-// Watch passes the events after a revision to handle, until the context ends or handle returns an error, which Watch
-// returns. After a lost connection it resumes with the revision after the last one handled. A refusal by the store is an
-// *Error.
+// Watch passes the events after a revision to handle until the context ends or handle returns an error, and returns that
+// error. After a lost connection it resumes after the last revision that was handled. If the store refuses the watch, the
+// error is an *Error.
 func (c *Client) Watch(ctx context.Context, ns, prefix string, after int64, handle machine.EventHandler) error {
 	for {
 		request := &frame.Request{Op: frame.OpWatch, NS: ns, Key: prefix, After: after}
@@ -290,8 +290,8 @@
 	}
 }
 
-// Backup writes the latest state to w as an encoded snapshot. It is not retried: after an error, w holds an incomplete
-// snapshot.
+// Backup writes the latest state to w as an encoded snapshot. It is not retried, because after an error an incomplete
+// snapshot has been written to w.
 func (c *Client) Backup(ctx context.Context, w io.Writer) error {
 	conn, response, err := c.attempt(ctx, &frame.Request{Op: frame.OpBackup}, 0, func(part *frame.Response) error {
 		_, err := w.Write(part.Body)
--- a/internal/store/client/client_test.go
+++ b/internal/store/client/client_test.go
@@ -11,11 +11,11 @@
 	"cloverrock/internal/store/frame"
 )
 
-// testTimeout ends a test that hangs; no verdict depends on how soon anything happens.
+// testTimeout ends a test that hangs. The result does not depend on how long anything takes.
 const testTimeout = 30 * time.Second
 
-// listenRefusing listens at an address at which every dial fails after the connection was accepted, and returns a channel
-// with a token for each.
+// listenRefusing listens at an address and closes each connection before the TLS handshake, so that every dial fails. It
+// returns a channel with a value for each of these connections.
 func listenRefusing(t *testing.T) (address string, dialed <-chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -37,7 +37,7 @@
 	return listener.Addr().String(), tokens
 }
 
-// After a failed dial the next endpoint is tried, and none is skipped: of two, the second was never tried.
+// A failed dial advances to the next endpoint. If it advanced by two, the second of two endpoints would never be tried.
 func TestFailedDialAdvancesByOneEndpoint(t *testing.T) {
 	for name, call := range map[string]func(context.Context, *Client) error{
 		"call": func(ctx context.Context, c *Client) error {
@@ -58,12 +58,12 @@
 				select {
 				case <-dialed:
 				case <-time.After(testTimeout):
-					t.Errorf("dial %d did not come", i)
+					t.Errorf("dial %d was not received in time", i)
 				}
 			}
 			cancel()
 			if err := <-ended; !errors.Is(err, context.Canceled) {
-				t.Errorf("ended by %v", err)
+				t.Errorf("ended with %v, want context.Canceled", err)
 			}
 		})
 	}
--- a/internal/store/client/connection.go
+++ b/internal/store/client/connection.go
@@ -11,7 +11,7 @@
 	"cloverrock/internal/store/frame"
 )
 
-// responseBacklog is the number of responses to one request that are buffered for its reader.
+// responseBacklog is the number of responses to one request that are buffered until they are received.
 const responseBacklog = 16
 
 // partHandler handles a response that is not the last one of its request. An error ends the request.
@@ -33,7 +33,7 @@
 	return c
 }
 
-// close closes the connection, which ends all its requests. The error of Close is of no use to them.
+// close closes the connection, which ends all its requests. They do not depend on the error of Close.
 func (c *connection) close() { _ = c.conn.Close() }
 
 // read passes responses to their requests until the connection ends.
@@ -56,7 +56,7 @@
 	}
 }
 
-// waiting returns the channel of a response's request; nil if the request has ended. The last response ends it.
+// responseChannel returns the channel for a response, or nil if its request has ended. The last response ends the request.
 func (c *connection) waiting(response *frame.Response) chan *frame.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +67,7 @@
 	return responses
 }
 
-// register returns a channel for the responses to a request. The caller must call cancel when it stops reading.
+// register returns a channel for the responses to a request. The caller must call cancel when it stops receiving.
 func (c *connection) register(id uint64) (responses chan *frame.Response, cancel func()) {
 	responses = make(chan *frame.Response, responseBacklog)
 	c.mu.Lock()
@@ -77,7 +77,7 @@
 		c.mu.Lock()
 		delete(c.pending, id)
 		c.mu.Unlock()
-		for len(responses) > 0 { // read may be blocked on the full channel
+		for len(responses) > 0 { // read may be blocked because the channel is full
 			<-responses
 		}
 	}
