--- a/internal/store/transport/dial.go
+++ b/internal/store/transport/dial.go
@@ -20,7 +20,8 @@
 )
 
 // Dial connects to an instance, exchanges Hello and Welcome, and verifies that the remote certificate is that of the
-// named instance; an empty name accepts any instance. The error wraps ErrRemoved if the refusal is final.
+// named instance; an empty name accepts any instance. The error wraps ErrRemoved if the remote instance refuses this one
+// permanently.
 func Dial(ctx context.Context, address string, conf *tls.Config, hello frame.Hello, name string) (net.Conn, *frame.Welcome, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
@@ -36,7 +37,7 @@
 	return conn, welcome, nil
 }
 
-// greet runs introduce within helloTimeout, and leaves the connection without a deadline.
+// handshakeWithTimeout calls handshake with a deadline of helloTimeout, and then removes the deadline from the connection.
 func greet(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
 	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return nil, err
@@ -48,7 +49,7 @@
 	return welcome, conn.SetDeadline(time.Time{})
 }
 
-// introduce performs the TLS handshake and exchanges Hello and Welcome.
+// handshake performs the TLS handshake and exchanges Hello and Welcome.
 func introduce(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return nil, err
@@ -58,7 +59,7 @@
 		return nil, err
 	}
 	if role != pki.Instance || name != "" && owner != name {
-		return nil, fmt.Errorf("store: %q (%s) answers where instance %q was expected", owner, role, name)
+		return nil, fmt.Errorf("store: the certificate is of %q with role %s, expected that of instance %q", owner, role, name)
 	}
 	hello.Form = helloForm
 	if err := frame.Write(conn, frame.HelloKind, &hello); err != nil {
@@ -69,7 +70,7 @@
 		return nil, err
 	}
 	if kind != frame.WelcomeKind {
-		return nil, errors.New("store: the first frame is not a welcome")
+		return nil, errors.New("store: the first frame received is not a Welcome")
 	}
 	var welcome frame.Welcome
 	if err := frame.DecodeValue(body, &welcome); err != nil {
--- a/internal/store/transport/golden_test.go
+++ b/internal/store/transport/golden_test.go
@@ -15,14 +15,14 @@
 	"cloverrock/internal/store/pki"
 )
 
-// The bytes that a connection begins with, and what is sent after the welcome.
+// The first frames of a connection, and the first message after them.
 const (
 	goldenHello   = "0000002f6885a166cc01a170c3a163cf000000000000004da169cf000000000000000ba161ae3132372e302e302e313a37303031"
 	goldenWelcome = "000000147783a166cc01a163cf000000000000004da16ea162"
 	goldenAck     = "000000116782a169cf0000000000000003a16fcd012c"
 )
 
-// acceptOne serves one connection as instance b, and reports the first frame, and then the one after the welcome.
+// acceptOne serves one connection as instance b. It reports the first frame, and then the first one after the welcome.
 func acceptOne(t *testing.T, dir string) (address string, received chan string) {
 	t.Helper()
 	ln, err := tls.Listen("tcp", "127.0.0.1:0", loadTLS(t, dir, "b"))
@@ -65,8 +65,8 @@
 	return conf
 }
 
-// An instance's first frame to another, how it reads the golden welcome, and what it sends after that stay the same.
-// Certificates are created by the test.
+// The bytes that an instance sends to another must not change: its first frame, and what it sends after the welcome. It
+// must also decode the golden welcome. The test creates the certificates.
 func TestConnectionBeginsWithTheSameBytes(t *testing.T) {
 	dir := t.TempDir()
 	now := time.Now()
--- a/internal/store/transport/transport.go
+++ b/internal/store/transport/transport.go
@@ -1,6 +1,6 @@
-// Package transport carries messages between the instances of a store over TCP with mutual TLS. Each instance dials
-// the others and sends on its own connections only. A message that cannot be sent is dropped, which raft tolerates;
-// sending never blocks.
+// Package transport sends messages between the instances of a store over TCP with mutual TLS. Each instance dials all
+// others and sends only on the connections that it dialed. A message that cannot be sent is dropped, which raft
+// tolerates. Sending never blocks.
 package transport
 
 import (
@@ -19,25 +19,25 @@
 )
 
 const (
-	queueLength   = 1024                   // envelopes queued for one peer
-	writeTimeout  = 3 * time.Second        // after which a connection that accepts no data is replaced
+	queueLength   = 1024                   // messages queued for one peer
+	writeTimeout  = 3 * time.Second        // a connection that accepts no data for this long is replaced
 	redialMin     = 200 * time.Millisecond // pause before the first attempt to reconnect, doubled for each further one
 	redialMax     = 3 * time.Second
-	stableAfter   = 5 * time.Second // duration of a connection that resets the pause
+	stableAfter   = 5 * time.Second // after a connection that lasted this long, the pause is redialMin again
 	writeBuffer   = 64 << 10        // bytes
 	maxKeptBuffer = 1 << 20         // bytes; a larger encoding buffer is released
 )
 
-// ErrRemoved is the error of an instance that was removed from the cluster, or belongs to another one.
-var ErrRemoved = errors.New("store: the other instances do not take this one")
+// ErrRemoved is the error of an instance that was removed from the cluster, or belongs to another cluster.
+var ErrRemoved = errors.New("store: this instance was removed from the cluster or belongs to another one")
 
 // Config of a transport.
 type Config struct {
 	TLS       *tls.Config
 	Hello     frame.Hello       // sent on each connection
-	Routes    map[string]string // by name: where to dial a peer instead of its own address
+	Routes    map[string]string // by the peer's name: the address to dial instead of the peer's own
 	Log       zerolog.Logger
-	OnRemoved func(error) // called when a peer refuses this instance, with an error that wraps ErrRemoved
+	OnRemoved func(error) // called when a peer refuses this instance permanently; the error wraps ErrRemoved
 }
 
 // Transport sends messages to peers, with one goroutine for each. It is safe for concurrent use.
@@ -86,7 +86,7 @@
 	}
 }
 
-// AddMember adds a peer that has connected before it is recorded in the state. A peer that exists is not changed.
+// AddMember adds a peer that connected before this instance has its member record. An existing peer is not changed.
 func (t *Transport) AddMember(m Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,7 +95,8 @@
 	}
 }
 
-// setMember starts to maintain a connection to a peer, unless there is one to the same address. The caller holds mu.
+// setMember starts a goroutine that maintains a connection to a peer, unless there is one for the same address. The
+// caller holds mu.
 func (t *Transport) setMember(m Member) {
 	if route, ok := t.conf.Routes[m.Name]; ok {
 		m.Address = route
@@ -115,7 +116,7 @@
 	t.wg.Go(func() { t.maintain(ctx, p) })
 }
 
-// Send queues envelopes for their peers. It does not block: envelopes for a full queue or an unknown peer are dropped.
+// Send queues messages for their peers. It does not block: messages for a full queue or an unknown peer are dropped.
 func (t *Transport) Send(envelopes []core.Envelope) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -135,7 +136,7 @@
 	t.wg.Wait()
 }
 
-// maintain connects to one peer, again after each failure, until the context ends.
+// maintain keeps a connection to one peer: it reconnects after each failure, until the context ends.
 func (t *Transport) maintain(ctx context.Context, p *peer) {
 	backoff := redialMin
 	for ctx.Err() == nil {
@@ -168,13 +169,13 @@
 	}
 }
 
-// connect dials a peer and sends queued envelopes until the connection or the context ends. The error is never nil.
+// connect dials a peer and sends queued messages until the connection or the context ends. The error is never nil.
 func (t *Transport) connect(ctx context.Context, p *peer) error {
 	conn, _, err := Dial(ctx, p.address, t.conf.TLS, t.conf.Hello, p.name)
 	if err != nil {
 		return err
 	}
-	closeConn := func() { _ = conn.Close() } // raft sends lost messages again
+	closeConn := func() { _ = conn.Close() } // raft repeats lost messages
 	defer closeConn()
 	stop := context.AfterFunc(ctx, closeConn)
 	defer stop()
@@ -190,7 +191,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-closed:
-			return errors.New("closed by the peer")
+			return errors.New("connection closed by the peer")
 		case first := <-p.queue:
 			if err := w.send(first); err != nil {
 				return err
@@ -199,7 +200,7 @@
 	}
 }
 
-// queueWriter writes envelopes to a connection.
+// queueWriter writes the messages of a queue to a connection.
 type queueWriter struct {
 	conn   net.Conn
 	writer *bufio.Writer
@@ -207,7 +208,7 @@
 	buf    []byte
 }
 
-// send writes an envelope and all those queued after it, and flushes once.
+// send writes a message and all messages that are queued after it, and flushes once.
 func (w *queueWriter) send(envelope core.Envelope) (err error) {
 	if err := w.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
