--- a/internal/store/documents/documents.go
+++ b/internal/store/documents/documents.go
@@ -1,5 +1,6 @@
-// Package documents defines operators' documents in the store: numbered, immutable revisions with author, time and note.
-// It computes the command that commits a change and the condition under which it applies; it does no I/O.
+// Package documents defines the documents that operators keep in the store. A document has numbered, immutable revisions,
+// each with an author, a time and a note. The package computes the command that commits a change and the condition under
+// which it applies; it does no I/O.
 package documents
 
 import (
@@ -15,17 +16,17 @@
 	"cloverrock/internal/store/machine"
 )
 
-// NS is the namespace of documents. It is written only by the commands that Plan returns.
+// NS is the namespace of documents. Only the commands that Plan returns write to it.
 const NS = "config"
 
 const (
 	// Gateway is the name of the document that overrides the configuration of gateways.
 	Gateway = "gateway"
-	// SchemaSuffix ends the name of the document that holds another's schema.
+	// SchemaSuffix ends the name of the document that holds the schema of another document.
 	SchemaSuffix = ".schema"
 	// MaxBody bounds the body of a document in bytes.
 	MaxBody = 256 << 10
-	// KeepRevisions bounds the revisions of a document that are kept; the oldest are dropped.
+	// KeepRevisions is the number of revisions of a document that are kept; older ones are deleted.
 	KeepRevisions = 200
 )
 
@@ -39,7 +40,7 @@
 
 var validName = regexp.MustCompile(`^[a-zA-Z][a-zA-Z0-9.-]{0,63}$`)
 
-// Head is the stored record of a document's range of revisions.
+// Head is the stored record of which revisions of a document exist.
 type Head struct {
 	Number int64 `msgpack:"n"` // latest revision; 0: there is no document
 	First  int64 `msgpack:"f"` // oldest revision that is kept
@@ -50,7 +51,7 @@
 	Name         string          `msgpack:"-" json:"document"`
 	Number       int64           `msgpack:"n" json:"revision"`
 	Author       string          `msgpack:"a" json:"author"`
-	AtMS         int64           `msgpack:"t" json:"at_ms"` // Unix time in milliseconds by the clock of the instance that committed it
+	AtMS         int64           `msgpack:"t" json:"at_ms"` // Unix time in milliseconds, by the clock of the instance that committed the revision
 	Note         string          `msgpack:"m,omitempty" json:"note,omitempty"`
 	RolledBackTo int64           `msgpack:"b,omitempty" json:"rolled_back_to,omitempty"`
 	Body         json.RawMessage `msgpack:"d" json:"body,omitempty"`
@@ -70,7 +71,8 @@
 	List(ns, prefix string, limit int) []machine.KV
 }
 
-// Latest returns the head of a document and the store's revision of that record; both are zero if there is no document.
+// Latest returns the head of a document and the store's revision at which it was written. Both are zero if there is no
+// such document.
 func Latest(r Reader, name string) (head Head, modified int64, err error) {
 	kv, found := r.Get(NS, headKey(name))
 	if !found {
@@ -78,7 +80,7 @@
 	}
 	var h Head
 	if err := msgpack.Unmarshal(kv.Value, &h); err != nil {
-		return Head{}, 0, fmt.Errorf("documents: head of %s: %w", name, err)
+		return Head{}, 0, fmt.Errorf("documents: decode the head of %s: %w", name, err)
 	}
 	return h, kv.Modified, nil
 }
@@ -106,7 +108,7 @@
 func Decode(name string, b []byte) (*Revision, error) {
 	rev := &Revision{}
 	if err := msgpack.Unmarshal(b, rev); err != nil {
-		return nil, fmt.Errorf("documents: %s: %w", name, err)
+		return nil, fmt.Errorf("documents: decode a revision of %s: %w", name, err)
 	}
 	rev.Name = name
 	return rev, nil
@@ -143,13 +145,13 @@
 	Name, Author, Note string
 	AtMS               int64 // Unix time in milliseconds
 	Body               []byte
-	Base               int64 // revision on which the change is based; -1: any, 0: the document must not exist yet
+	Base               int64 // revision on which the change is based; -1: any revision; 0: the document must not exist yet
 	RollBackTo         int64 // revision whose body is used instead of Body; 0: none
 }
 
 // Plan returns the command that commits a change, and the resulting revision. If another change is committed first, the
-// command has no effect and its result's Holds is false. The error wraps ErrName, ErrConflict, ErrMissing or ErrSame, or
-// says that the body is too long or not JSON.
+// command has no effect and Holds is false in its result. The error wraps ErrName, ErrConflict, ErrMissing or ErrSame, or
+// reports that the body is too long or not JSON.
 func Plan(r Reader, change Change) (*machine.Command, *Revision, error) {
 	if !validName.MatchString(change.Name) {
 		return nil, nil, ErrName
@@ -159,7 +161,7 @@
 		return nil, nil, err
 	}
 	if change.Base >= 0 && change.Base != head.Number {
-		return nil, nil, fmt.Errorf("%w: %s stands at revision %d, not %d", ErrConflict, change.Name, head.Number, change.Base)
+		return nil, nil, fmt.Errorf("%w: %s is at revision %d, not %d", ErrConflict, change.Name, head.Number, change.Base)
 	}
 	body, err := newBody(r, &change)
 	if err != nil {
@@ -168,7 +170,7 @@
 	if head.Number > 0 {
 		latest, err := At(r, change.Name, head.Number)
 		if err == nil && bytes.Equal(latest.Body, body) {
-			return nil, nil, fmt.Errorf("%w: %s stands at revision %d", ErrSame, change.Name, head.Number)
+			return nil, nil, fmt.Errorf("%w: %s is at revision %d", ErrSame, change.Name, head.Number)
 		}
 	}
 	revision := &Revision{
@@ -188,7 +190,7 @@
 	return &machine.Command{Kind: machine.TransactionKind, If: []machine.Compare{unchanged}, Then: ops}, revision, nil
 }
 
-// newBody returns the compacted body of a change: its own, or that of the revision to roll back to.
+// newBody returns the compacted body of a change: change.Body, or the body of the revision to roll back to.
 func newBody(r Reader, change *Change) ([]byte, error) {
 	body := change.Body
 	if change.RollBackTo != 0 {
@@ -199,7 +201,7 @@
 		body = old.Body
 	}
 	if len(body) > MaxBody {
-		return nil, fmt.Errorf("documents: %s has %d bytes; %d at most", change.Name, len(body), MaxBody)
+		return nil, fmt.Errorf("documents: %s has %d bytes, but at most %d are allowed", change.Name, len(body), MaxBody)
 	}
 	var compacted bytes.Buffer
 	if err := json.Compact(&compacted, body); err != nil {
@@ -208,7 +210,7 @@
 	return compacted.Bytes(), nil
 }
 
-// writes returns the operations that store this revision as the latest and delete the oldest beyond KeepRevisions.
+// writes returns the operations that store this revision as the latest and delete those older than KeepRevisions.
 func (rev *Revision) writes(head Head) ([]machine.Op, error) {
 	next := Head{Number: rev.Number, First: max(head.First, 1)}
 	var ops []machine.Op
@@ -229,16 +231,16 @@
 		machine.Op{Kind: machine.Put, NS: NS, Key: headKey(rev.Name), Value: headValue}), nil
 }
 
-// StatusNS is the namespace in which instances report which revisions they run. Each key is deleted when its instance's
-// lease ends.
+// StatusNS is the namespace in which instances report which revisions they run. Each report is deleted when the lease of
+// its instance ends.
 const StatusNS = "status"
 
-// Running is an instance's report on which revision of a document it runs.
+// Running is an instance's report on the revision of a document that it runs.
 type Running struct {
 	Instance     string `json:"instance"`
 	Document     string `json:"document"`
-	Revision     int64  `json:"revision"` // the latest that it has evaluated
-	Applied      int64  `json:"applied"`  // the one that it runs
+	Revision     int64  `json:"revision"` // latest revision that the instance has evaluated
+	Applied      int64  `json:"applied"`  // revision that the instance runs
 	State        string `json:"state"`    // applied, restart, failed
 	Detail       string `json:"detail,omitempty"`
 	ReportedAtMS int64  `json:"at_ms"`
--- a/internal/store/documents/golden_test.go
+++ b/internal/store/documents/golden_test.go
@@ -10,8 +10,8 @@
 	"cloverrock/internal/store/machine"
 )
 
-// The commands that change documents, and so the keys and values in the state, stay both ways, and the JSON of revisions
-// and of what instances report.
+// The encoded commands that change documents must not change, and so neither the keys and values in the state. The golden
+// commands must give the same revisions. The JSON of revisions and of the instances' reports must not change either.
 func TestDocumentsKeepTheirBytes(t *testing.T) {
 	m := machine.New()
 	var lines []string
