--- a/internal/store/frame/frame.go
+++ b/internal/store/frame/frame.go
@@ -1,5 +1,6 @@
-// Package frame is the wire format of the store's connections: a length of 4 bytes (big endian), a kind of one byte, and
-// a body. Memory is allocated as bytes arrive, not by the announced length, so that a peer cannot exhaust it cheaply.
+// Package frame defines the wire format of the store's connections: a length of 4 bytes (big endian), a kind of one byte,
+// and a body. Memory is allocated as bytes arrive and not by the announced length, so that a peer must send data to
+// make this process allocate memory.
 package frame
 
 import (
@@ -22,13 +23,13 @@
 	MaxSize = 16 << 20
 
 	headSize = 5        // bytes: length and kind
-	readStep = 64 << 10 // bytes by which the buffer grows at least while a body arrives
+	readStep = 64 << 10 // smallest number of bytes by which the buffer grows while a body arrives
 )
 
-// Kind is the kind of a frame. Readers ignore unknown kinds, which a newer build may send.
+// Kind is the kind of a frame. Readers ignore unknown kinds, which a newer version of the program may send.
 type Kind byte
 
-// The kinds of frames, and what their bodies are.
+// The kinds of frames, each with the type of its body.
 const (
 	HelloKind    Kind = 'h' // Hello
 	WelcomeKind  Kind = 'w' // Welcome
@@ -42,10 +43,10 @@
 // ErrTooLong is the error for a frame whose body is longer than allowed.
 var ErrTooLong = errors.New("store: a frame is longer than allowed")
 
-// Hello is the first frame on a connection, from the end that dialed.
+// Hello is the first frame on a connection, sent by the end that dialed.
 type Hello struct {
 	Form    uint8  `msgpack:"f"` // format version
-	Peer    bool   `msgpack:"p"` // an instance that will send messages; false: a client
+	Peer    bool   `msgpack:"p"` // true: an instance that will send messages; false: a client
 	Cluster uint64 `msgpack:"c"`
 	ID      uint64 `msgpack:"i"` // of a peer
 	Address string `msgpack:"a"` // HOST:PORT at which a peer is reachable
@@ -54,7 +55,7 @@
 // Welcome answers a Hello.
 type Welcome struct {
 	Form    uint8  `msgpack:"f"`           // format version
-	Error   string `msgpack:"e,omitempty"` // why a peer is refused; empty: it is not
+	Error   string `msgpack:"e,omitempty"` // why a peer is refused; empty: it is accepted
 	Final   bool   `msgpack:"x,omitempty"` // a retry cannot succeed: the peer was removed, or is of another cluster
 	Cluster uint64 `msgpack:"c"`
 	Name    string `msgpack:"n"`
@@ -87,8 +88,8 @@
 	return err
 }
 
-// Read reads one frame with a body of at most maxSize bytes; a longer one gives ErrTooLong. The body reuses buf if it is
-// large enough, and is then valid until the next call with the same buffer.
+// Read reads one frame with a body of at most maxSize bytes; for a longer one the error wraps ErrTooLong. The body reuses
+// buf if that is large enough, and is then valid until the next call with the same buffer.
 func Read(r io.Reader, buf []byte, maxSize int) (Kind, []byte, error) {
 	var head [headSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -96,7 +97,7 @@
 	}
 	size := binary.BigEndian.Uint32(head[:4])
 	if size > uint32(maxSize) {
-		return 0, buf, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLong, size, maxSize)
+		return 0, buf, fmt.Errorf("%w: %d bytes, at most %d are allowed", ErrTooLong, size, maxSize)
 	}
 	body, err := readBody(r, buf[:0], int(size))
 	if err != nil {
@@ -105,7 +106,7 @@
 	return Kind(head[4]), body, nil
 }
 
-// readBody appends size bytes to the buffer, which grows as they arrive.
+// readBody appends size bytes to the buffer, which grows as the bytes arrive.
 func readBody(r io.Reader, buf []byte, size int) ([]byte, error) {
 	for left := size; left > 0; {
 		step := min(left, max(readStep, cap(buf)-len(buf)))
@@ -122,7 +123,7 @@
 // DecodeValue decodes a msgpack body into v.
 func DecodeValue(body []byte, v any) error {
 	if err := msgpack.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("store: read frame: %w", err)
+		return fmt.Errorf("store: decode frame: %w", err)
 	}
 	return nil
 }
@@ -142,7 +143,7 @@
 	return Append(b, RaftKind, body), nil
 }
 
-// DecodeEnvelope decodes a message between instances. It reports false for frames of any other kind.
+// DecodeEnvelope decodes a message between instances. It reports false if the frame is of another kind.
 func DecodeEnvelope(kind Kind, body []byte, from, to uint64) (core.Envelope, bool, error) {
 	e := core.Envelope{From: from, To: to}
 	var err error
@@ -162,7 +163,7 @@
 	return e, err == nil, err
 }
 
-// Request is a client's call. Which fields are used depends on Op.
+// Request is a client's call. Op determines which other fields are used.
 type Request struct {
 	ID      uint64           `msgpack:"i"` // unique on the connection
 	Op      string           `msgpack:"o"`
@@ -171,7 +172,7 @@
 	Key     string           `msgpack:"k,omitempty"`
 	Limit   int              `msgpack:"l,omitempty"` // maximum number of keys, -1: all; or the revision to roll a document back to
 	Stale   bool             `msgpack:"s,omitempty"` // read the local state of the instance
-	After   int64            `msgpack:"r,omitempty"` // a revision: of the state, or on which a document's change is based
+	After   int64            `msgpack:"r,omitempty"` // revision of the state, or revision on which a document's change is based
 	NodeID  uint64           `msgpack:"d,omitempty"`
 	Name    string           `msgpack:"m,omitempty"`
 	Address string           `msgpack:"a,omitempty"`
@@ -196,7 +197,7 @@
 const (
 	CodeOK             = ""
 	CodeRetry          = "retry"   // nothing was done; retry at another instance
-	CodeOutcomeUnknown = "unknown" // it may have been done: retry only under the same sequence number
+	CodeOutcomeUnknown = "unknown" // it may have been done: retry only with the same sequence number
 	CodeRefused        = "refused" // not allowed or invalid; a retry cannot succeed
 	CodeFailed         = "failed"
 )
--- a/internal/store/frame/golden_test.go
+++ b/internal/store/frame/golden_test.go
@@ -15,7 +15,7 @@
 	"cloverrock/internal/store/machine"
 )
 
-// goldenCase is a value that goes over a connection, and an empty one of its type to read it into.
+// goldenCase is a value that is sent over a connection, and an empty value of its type to decode it into.
 type goldenCase struct {
 	name        string
 	kind        Kind
@@ -44,7 +44,7 @@
 	}
 }
 
-// frameOf reads a golden frame's kind and body.
+// frameOf returns the kind and body of a golden frame.
 func frameOf(t *testing.T, text string) (Kind, []byte) {
 	t.Helper()
 	b, err := hex.DecodeString(text)
@@ -58,7 +58,7 @@
 	return kind, body
 }
 
-// The frames of connections, both ways, and the words for operations and codes stay.
+// The bytes of frames and the words for operations and codes must not change, and golden frames must be decoded.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	var lines []string
 	for _, c := range goldenCases() {
