--- a/internal/store/pki/golden_test.go
+++ b/internal/store/pki/golden_test.go
@@ -14,9 +14,9 @@
 	"cloverrock/internal/golden"
 )
 
-// The names, modes and kinds of the files, and the content of certificates except keys, stay the same.
+// The names, modes and types of the files, and the content of certificates except for keys, must not change.
 func TestFilesKeepTheirLayout(t *testing.T) {
-	defer syscall.Umask(syscall.Umask(0o022)) // modes are held, so they may not depend on who runs the test
+	defer syscall.Umask(syscall.Umask(0o022)) // the golden file has the modes for this umask
 	dir := filepath.Join(t.TempDir(), "made")
 	now := time.Date(2024, 1, 2, 3, 4, 5, 0, time.UTC)
 	err := CreateAuthority(dir, "blue", now, 48*time.Hour)
--- a/internal/store/pki/pki.go
+++ b/internal/store/pki/pki.go
@@ -1,6 +1,6 @@
 // Package pki creates and loads the certificates by which instances and operators of a store authenticate each other.
-// Each store has its own certificate authority, whose private key stays with the operators, and a certificate for each
-// name. The certificate's role decides what its owner may do.
+// Each store has its own certificate authority, whose private key only the operators keep, and a certificate for each
+// name. The role in a certificate determines what its owner may do.
 package pki
 
 import (
@@ -25,24 +25,24 @@
 // The roles.
 const (
 	Instance Role = "instance" // a member of the store, or one that may join
-	Operator Role = "operator" // reads, writes, and changes members
-	Observer Role = "observer" // reads
+	Operator Role = "operator" // may read, write, and change the members
+	Observer Role = "observer" // may only read
 )
 
 // ErrRole is the error for a certificate without a role, or with an unknown one.
-var ErrRole = errors.New("store: the certificate names no role")
+var ErrRole = errors.New("store: the certificate has no role or an unknown one")
 
 const (
 	authorityName = "authority"
 	fileSuffix    = ".pem"
 	keySuffix     = "-key.pem"
 
-	serialBits     = 120       // of a random serial number
-	clockTolerance = time.Hour // how long before its creation a certificate is already valid
+	serialBits     = 120       // length of a random serial number
+	clockTolerance = time.Hour // a certificate is valid from this long before its creation, since clocks differ
 )
 
-// CreateAuthority creates a certificate authority in a directory: authority.pem and authority-key.pem. Existing files are
-// an error and are not replaced.
+// CreateAuthority creates a certificate authority in a directory: authority.pem and authority-key.pem. It returns an error
+// if one of these files exists; existing files are not replaced.
 func CreateAuthority(dir, cluster string, now time.Time, life time.Duration) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("store: authority: %w", err)
@@ -62,8 +62,8 @@
 	return writePair(dir, authorityName, cert, cert, key, key)
 }
 
-// Issue creates NAME.pem and NAME-key.pem in a directory, signed by the authority in the same directory. Existing files
-// are an error and are not replaced.
+// Issue creates NAME.pem and NAME-key.pem in a directory, signed by the authority in the same directory. It returns an
+// error if one of these files exists; existing files are not replaced.
 func Issue(dir, name string, role Role, now time.Time, life time.Duration) error {
 	parent, signer, err := loadAuthority(dir)
 	if err != nil {
@@ -95,7 +95,7 @@
 	}
 	key, ok := pair.PrivateKey.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, nil, errors.New("store: authority: the key is of another kind than this program makes")
+		return nil, nil, errors.New("store: authority: the private key is not an ECDSA key, as this program creates it")
 	}
 	return cert, key, nil
 }
@@ -139,7 +139,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// Files are the paths of a certificate, its key, and the authority.
+// Files holds the paths of a certificate, its key, and the certificate of the authority.
 type Files struct{ Certificate, Key, Authority string }
 
 // LoadTLS returns a mutual TLS configuration for both ends of a connection: each presents its certificate and accepts
@@ -156,7 +156,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return nil, fmt.Errorf("store: authority %s: no certificate in it", f.Authority)
+		return nil, fmt.Errorf("store: authority %s: the file contains no certificate", f.Authority)
 	}
 	return &tls.Config{
 		Certificates:       []tls.Certificate{pair},
@@ -171,7 +171,7 @@
 // verify returns an error unless the authority has signed the peer's certificate.
 func verify(s tls.ConnectionState, authority *x509.CertPool) error {
 	if len(s.PeerCertificates) == 0 {
-		return errors.New("store: the peer shows no certificate")
+		return errors.New("store: the peer presented no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, cert := range s.PeerCertificates[1:] {
