--- a/internal/store/disk/fs.go
+++ b/internal/store/disk/fs.go
@@ -135,12 +135,12 @@
 		f.end += int64(n)
 		return n, nil
 	}
-	noRoom := errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
-	if !noRoom {
+	diskFull := errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
+	if !diskFull {
 		return n, err
 	}
-	if cut := f.File.Truncate(f.end); cut != nil {
-		return 0, fmt.Errorf("store: undo a write to a full disk: %w", cut)
+	if truncateErr := f.File.Truncate(f.end); truncateErr != nil {
+		return 0, fmt.Errorf("store: undo a write to a full disk: %w", truncateErr)
 	}
 	return 0, fmt.Errorf("%w: %w", ErrFull, err)
 }
--- a/internal/store/disk/golden_test.go
+++ b/internal/store/disk/golden_test.go
@@ -68,11 +68,11 @@
 	line := fmt.Sprintf("opened cluster %d node %d name %s voters %v; snapshot %d/%d of %v and %v: %s; term %d vote %d commit %d; cut %d;", id.Cluster, id.Node, id.Name, id.Voters,
 		meta.GetIndex(), meta.GetTerm(), meta.GetConfState().GetVoters(), meta.GetConfState().GetLearners(), text,
 		loaded.HardState.GetTerm(), loaded.HardState.GetVote(), loaded.HardState.GetCommit(), loaded.TornBytes)
-	var lineSb102 strings.Builder
+	var entries strings.Builder
 	for _, entry := range loaded.Entries {
-		fmt.Fprintf(&lineSb102, " %d/%d %s", entry.GetIndex(), entry.GetTerm(), entry.GetData())
+		fmt.Fprintf(&entries, " %d/%d %s", entry.GetIndex(), entry.GetTerm(), entry.GetData())
 	}
-	line += lineSb102.String()
+	line += entries.String()
 	return line
 }
 
--- a/internal/store/disk/identity.go
+++ b/internal/store/disk/identity.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	identityName = "identity.json"
-	identityForm = 1
+	identityName   = "identity.json"
+	identityFormat = 1
 )
 
 // Identity identifies an instance. It is written once. An instance whose directory has no identity must join first.
@@ -25,7 +25,7 @@
 
 // SaveIdentity writes the identity file, replacing an earlier one atomically.
 func SaveIdentity(fs FS, id Identity) error {
-	id.Form = identityForm
+	id.Form = identityFormat
 	b, err := json.MarshalIndent(id, "", "  ")
 	if err != nil {
 		return fmt.Errorf("store: encode the identity: %w", err)
@@ -50,7 +50,7 @@
 	if err := json.Unmarshal(b, &id); err != nil {
 		return nil, &CorruptError{File: fs.Name(identityName), Reason: err.Error()}
 	}
-	if id.Form != identityForm || id.Cluster == 0 || id.Node == 0 {
+	if id.Form != identityFormat || id.Cluster == 0 || id.Node == 0 {
 		return nil, &CorruptError{File: fs.Name(identityName), Reason: "cluster or node is missing, or form is not supported"}
 	}
 	return &id, nil
--- a/internal/store/disk/log.go
+++ b/internal/store/disk/log.go
@@ -15,31 +15,31 @@
 	// DefaultSegmentSize is the size in bytes after which the log begins a new segment.
 	DefaultSegmentSize = 16 << 20
 
-	syncNoteName  = "synced"
-	segmentForm   = 1       // format version of the segment files
-	maxKeptBuffer = 4 << 20 // bytes; a larger buffer is released instead of reused for the next batch
+	syncPositionName = "synced"
+	segmentFormat    = 1       // format version of the segment files
+	maxKeptBuffer    = 4 << 20 // bytes; a larger buffer is released instead of reused for the next batch
 )
 
 // Log is raft's durable log: batches of records in segment files. A batch is durable once it is synced. A Log is not
 // safe for concurrent use.
 type Log struct {
-	fs          FS
-	segmentSize int64 // bytes after which a new segment is begun
-	noSync      bool
-	file        File   // of the current segment
-	seq         uint64 // of the current segment
-	size        int64  // of the current segment in bytes
-	segments    []segment
-	hard        *raftpb.HardState // as last saved
-	syncNote    File              // file of writeSyncPosition; nil until it is first written
-	buf         []byte            // of the encoded batch, reused
-	payload     []byte            // of one encoded record, reused
-	failure     error             // first final error of Save, which all later calls return
+	fs           FS
+	segmentSize  int64 // bytes after which a new segment is begun
+	noSync       bool
+	file         File   // of the current segment
+	seq          uint64 // of the current segment
+	size         int64  // of the current segment in bytes
+	segments     []segment
+	hard         *raftpb.HardState // as last saved
+	syncPosition File              // file of writeSyncPosition; nil until it is first written
+	buf          []byte            // of the encoded batch, reused
+	payload      []byte            // of one encoded record, reused
+	failure      error             // first final error of Save, which all later calls return
 }
 
 // segment is one file of the log. last is the highest entry index in this file and the files before it.
 type segment struct {
-	seq, last uint64
+	seq, lastIndex uint64
 }
 
 // Loaded is the content of a log when it was opened.
@@ -120,13 +120,13 @@
 	}
 	last := uint64(0)
 	if len(l.segments) > 0 {
-		last = l.segments[len(l.segments)-1].last
+		last = l.segments[len(l.segments)-1].lastIndex
 	}
 	l.file = file
 	l.seq = seq
 	l.size = size
 	l.segments = append(l.segments, segment{seq, last})
-	return l.noteSynced()
+	return l.writeSyncPosition()
 }
 
 // writeHead writes and syncs a segment's first records, and returns their size in bytes.
@@ -136,7 +136,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("store: encode the hard state: %w", err)
 	}
-	records := appendRecord(nil, headRecord, binary.LittleEndian.AppendUint64([]byte{segmentForm}, seq))
+	records := appendRecord(nil, headRecord, binary.LittleEndian.AppendUint64([]byte{segmentFormat}, seq))
 	records = appendRecord(records, hardRecord, hard)
 	records = appendRecord(records, endRecord, nil)
 	if _, err := file.Write(records); err != nil {
@@ -163,30 +163,30 @@
 // writeSyncPosition writes the position up to which the log is synced to a file, which is not synced itself. After a crash
 // of the process, the position distinguishes a damaged end of the log from an incomplete write. After a crash of the
 // machine, the file may hold an older position, which covers less of the log.
-func (l *Log) noteSynced() error {
+func (l *Log) writeSyncPosition() error {
 	if l.noSync {
 		return nil
 	}
-	if l.syncNote == nil {
-		file, err := l.fs.Create(syncNoteName)
+	if l.syncPosition == nil {
+		file, err := l.fs.Create(syncPositionName)
 		if err != nil {
-			return fmt.Errorf("store: %s: %w", l.fs.Name(syncNoteName), err)
+			return fmt.Errorf("store: %s: %w", l.fs.Name(syncPositionName), err)
 		}
-		l.syncNote = file
+		l.syncPosition = file
 	}
 	position := binary.LittleEndian.AppendUint64(nil, l.seq)
 	position = binary.LittleEndian.AppendUint64(position, uint64(l.size))
-	_, err := l.syncNote.WriteAt(appendRecord(nil, headRecord, position), 0)
+	_, err := l.syncPosition.WriteAt(appendRecord(nil, headRecord, position), 0)
 	if err != nil && !errors.Is(err, ErrFull) {
-		return fmt.Errorf("store: %s: %w", l.fs.Name(syncNoteName), err)
+		return fmt.Errorf("store: %s: %w", l.fs.Name(syncPositionName), err)
 	}
 	return nil
 }
 
 // readSyncPosition returns the last segment that is known to be synced, and up to which size in bytes it is; zeros if
 // unknown.
-func readSyncNote(fs FS) (seq uint64, size int64) {
-	data, err := fs.Read(syncNoteName)
+func readSyncPosition(fs FS) (seq uint64, size int64) {
+	data, err := fs.Read(syncPositionName)
 	if err != nil {
 		return 0, 0
 	}
@@ -226,10 +226,10 @@
 	l.size += int64(len(l.buf))
 	current := &l.segments[len(l.segments)-1]
 	if snap != nil {
-		current.last = snap.GetIndex()
+		current.lastIndex = snap.GetIndex()
 	}
 	if len(entries) > 0 {
-		current.last = max(current.last, entries[len(entries)-1].GetIndex())
+		current.lastIndex = max(current.lastIndex, entries[len(entries)-1].GetIndex())
 	}
 	if hard != nil {
 		l.hard = hard
@@ -237,7 +237,7 @@
 	if cap(l.buf) > maxKeptBuffer {
 		l.buf = nil
 	}
-	if err := l.noteSynced(); err != nil {
+	if err := l.writeSyncPosition(); err != nil {
 		l.failure = err
 		return err
 	}
@@ -288,7 +288,7 @@
 // of the entries up to there.
 func (l *Log) Release(upTo uint64) error {
 	n := 0
-	for n < len(l.segments)-1 && l.segments[n].last <= upTo {
+	for n < len(l.segments)-1 && l.segments[n].lastIndex <= upTo {
 		if err := l.fs.Remove(segmentName(l.segments[n].seq)); err != nil {
 			return fmt.Errorf("store: remove an old segment: %w", err)
 		}
@@ -303,8 +303,8 @@
 
 // Close closes the files.
 func (l *Log) Close() error {
-	if l.syncNote != nil {
-		_ = l.syncNote.Close() // the log can be read without the sync position
+	if l.syncPosition != nil {
+		_ = l.syncPosition.Close() // the log can be read without the sync position
 	}
 	if l.file != nil {
 		return l.file.Close()
--- a/internal/store/disk/read.go
+++ b/internal/store/disk/read.go
@@ -35,7 +35,7 @@
 	if err := l.syncFile(l.file); err != nil {
 		return nil, nil, fmt.Errorf("store: sync %s: %w", fs.Name(name), err)
 	}
-	if err := l.noteSynced(); err != nil {
+	if err := l.writeSyncPosition(); err != nil {
 		return nil, nil, err
 	}
 	return l, loaded, nil
@@ -52,7 +52,7 @@
 	}
 	l := newLog(fs, o)
 	loaded := &Loaded{HardState: &raftpb.HardState{}}
-	syncedSeq, syncedSize := readSyncNote(fs)
+	syncedSeq, syncedSize := readSyncPosition(fs)
 	for i, seq := range seqs {
 		if i > 0 && seq != seqs[i-1]+1 {
 			return nil, nil, &CorruptError{File: fs.Name(segmentName(seqs[i-1] + 1)), Reason: "the segment is missing"}
@@ -75,7 +75,7 @@
 
 // readSegment reads one segment. An incomplete end is accepted only in the last segment and only after the first synced
 // bytes, which are known to have been synced; synced is -1 if that is unknown.
-func (l *Log) readSegment(seq uint64, last bool, synced int64, loaded *Loaded) error {
+func (l *Log) readSegment(seq uint64, isLast bool, synced int64, loaded *Loaded) error {
 	name := segmentName(seq)
 	data, err := l.fs.Read(name)
 	if err != nil {
@@ -90,7 +90,7 @@
 	if reader.complete == len(data) && len(data) > 0 {
 		return nil
 	}
-	if err := reader.checkTornEnd(last, synced); err != nil {
+	if err := reader.checkTornEnd(isLast, synced); err != nil {
 		return err
 	}
 	loaded.TornBytes = int64(len(data) - reader.complete)
@@ -166,7 +166,7 @@
 }
 
 func (r *segmentReader) isOwnHead(payload []byte) bool {
-	return r.at == 0 && len(payload) == 9 && payload[0] == segmentForm && binary.LittleEndian.Uint64(payload[1:]) == r.seq
+	return r.at == 0 && len(payload) == 9 && payload[0] == segmentFormat && binary.LittleEndian.Uint64(payload[1:]) == r.seq
 }
 
 func (r *segmentReader) decode(payload []byte, message proto.Message, record batchRecord) error {
@@ -199,9 +199,9 @@
 
 // checkTornEnd returns a *CorruptError if the bytes after the complete batches are damaged data. It returns nil if they
 // are a write that a crash interrupted.
-func (r *segmentReader) checkTornEnd(last bool, synced int64) error {
+func (r *segmentReader) checkTornEnd(isLast bool, synced int64) error {
 	switch {
-	case !last:
+	case !isLast:
 		return r.corrupt(r.at, "a record does not match its checksum, and further segments follow")
 	case int64(r.complete) < synced:
 		return r.corrupt(r.at, fmt.Sprintf("a record does not match its checksum, but the segment was synced up to offset %d", synced))
--- a/internal/store/disk/read_test.go
+++ b/internal/store/disk/read_test.go
@@ -20,7 +20,7 @@
 	}
 	must(t, l.Close())
 	all := mustRead(t, dir, segmentName(1))
-	must(t, dir.Remove(syncNoteName)) // as after a loss of power, when the file is outdated or missing
+	must(t, dir.Remove(syncPositionName)) // as after a loss of power, when the file is outdated or missing
 	for cut := len(complete); cut < len(all); cut++ {
 		if err := os.WriteFile(dir.Name(segmentName(1)), all[:cut], 0o600); err != nil {
 			t.Fatal(err)
@@ -33,11 +33,11 @@
 			t.Fatal(err)
 		}
 		must(t, log.Close())
-		must(t, dir.Remove(syncNoteName))
+		must(t, dir.Remove(syncPositionName))
 		if _, got, err = OpenLog(dir, Options{}); err != nil || len(got.Entries) != 11 {
 			t.Fatalf("cut at %d, then reopened after another batch: %v, want 11 entries", cut, err)
 		}
-		must(t, dir.Remove(syncNoteName))
+		must(t, dir.Remove(syncPositionName))
 	}
 }
 
--- a/internal/store/disk/snapshot_test.go
+++ b/internal/store/disk/snapshot_test.go
@@ -20,8 +20,8 @@
 	if err := SaveSnapshot(dir, 9, write); err != nil {
 		t.Fatal(err)
 	}
-	broken := errors.New("injected write error")
-	if err := SaveSnapshot(dir, 10, func(w io.Writer) error { _ = write(w); return broken }); !errors.Is(err, broken) {
+	writeErr := errors.New("injected write error")
+	if err := SaveSnapshot(dir, 10, func(w io.Writer) error { _ = write(w); return writeErr }); !errors.Is(err, writeErr) {
 		t.Fatal(err)
 	}
 	b, name, err := LoadSnapshot(dir)
--- a/internal/store/disk/store.go
+++ b/internal/store/disk/store.go
@@ -133,24 +133,24 @@
 
 // reconcile drops the loaded entries that the snapshot covers, or all entries if the log contradicts the snapshot.
 func (s *Store) reconcile(meta *raftpb.SnapshotMetadata, loaded *Loaded) error {
-	at := meta.GetIndex()
-	if loaded.SnapshotMeta.GetIndex() > at {
-		return fmt.Errorf("store: the log continues after the snapshot at index %d, but the newest snapshot is at index %d", loaded.SnapshotMeta.GetIndex(), at)
+	index := meta.GetIndex()
+	if loaded.SnapshotMeta.GetIndex() > index {
+		return fmt.Errorf("store: the log continues after the snapshot at index %d, but the newest snapshot is at index %d", loaded.SnapshotMeta.GetIndex(), index)
 	}
-	agrees := loaded.SnapshotMeta.GetIndex() == at && loaded.SnapshotMeta.GetTerm() == meta.GetTerm()
+	agrees := loaded.SnapshotMeta.GetIndex() == index && loaded.SnapshotMeta.GetTerm() == meta.GetTerm()
 	for _, e := range loaded.Entries {
-		agrees = agrees || e.GetIndex() == at && e.GetTerm() == meta.GetTerm()
+		agrees = agrees || e.GetIndex() == index && e.GetTerm() == meta.GetTerm()
 	}
 	if !agrees {
 		// If older segments were removed, the log may begin directly after the snapshot.
-		beginsAfterSnapshot := len(loaded.Entries) > 0 && loaded.Entries[0].GetIndex() == at+1
+		beginsAfterSnapshot := len(loaded.Entries) > 0 && loaded.Entries[0].GetIndex() == index+1
 		if beginsAfterSnapshot && loaded.SnapshotMeta == nil {
 			return nil
 		}
 		loaded.Entries = nil
 		return s.Log.Save(loaded.HardState, meta, nil)
 	}
-	for len(loaded.Entries) > 0 && loaded.Entries[0].GetIndex() <= at {
+	for len(loaded.Entries) > 0 && loaded.Entries[0].GetIndex() <= index {
 		loaded.Entries = loaded.Entries[1:]
 	}
 	return nil
@@ -202,7 +202,7 @@
 // DiscardUnsynced simulates a loss of power: it removes the part of the log that is not known to be synced. No process
 // may be using the directory. Fault-injection tests need it because written data survives a kill of the process.
 func DiscardUnsynced(fs FS) error {
-	seq, size := readSyncNote(fs)
+	seq, size := readSyncPosition(fs)
 	seqs, err := listSegments(fs)
 	if err != nil || seq == 0 {
 		return err
