--- a/internal/store/client/client_test.go
+++ b/internal/store/client/client_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	tokens := make(chan struct{}, 64)
+	connections := make(chan struct{}, 64)
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -31,10 +31,10 @@
 				return
 			}
 			_ = conn.Close() // before the TLS handshake
-			tokens <- struct{}{}
+			connections <- struct{}{}
 		}
 	}()
-	return listener.Addr().String(), tokens
+	return listener.Addr().String(), connections
 }
 
 // A failed dial advances to the next endpoint. If it advanced by two, the second of two endpoints would never be tried.
--- a/internal/store/client/connection.go
+++ b/internal/store/client/connection.go
@@ -50,14 +50,14 @@
 		if kind != frame.ResponseKind || frame.DecodeValue(body, response) != nil {
 			continue
 		}
-		if responses := c.waiting(response); responses != nil {
+		if responses := c.responseChannel(response); responses != nil {
 			responses <- response
 		}
 	}
 }
 
 // responseChannel returns the channel for a response, or nil if its request has ended. The last response ends the request.
-func (c *connection) waiting(response *frame.Response) chan *frame.Response {
+func (c *connection) responseChannel(response *frame.Response) chan *frame.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	responses := c.pending[response.ID]
@@ -96,11 +96,11 @@
 // receive passes each response but the last to part, and returns the last. The error wraps ErrUnavailable after limit (0:
 // no limit) or when the connection ends. An error of part closes the connection, which ends the request at the instance.
 func (c *connection) receive(ctx context.Context, responses <-chan *frame.Response, limit time.Duration, part partHandler) (*frame.Response, error) {
-	var late <-chan time.Time
+	var timedOut <-chan time.Time
 	if limit > 0 {
 		timer := time.NewTimer(limit)
 		defer timer.Stop()
-		late = timer.C
+		timedOut = timer.C
 	}
 	for {
 		select {
@@ -114,7 +114,7 @@
 			}
 		case <-c.closed:
 			return lastResponse(responses)
-		case <-late:
+		case <-timedOut:
 			return nil, fmt.Errorf("%w: no answer in time", ErrUnavailable)
 		case <-ctx.Done():
 			return nil, ctx.Err()
