--- a/internal/store/transport/dial.go
+++ b/internal/store/transport/dial.go
@@ -16,7 +16,7 @@
 	dialTimeout  = 2 * time.Second
 	helloTimeout = 3 * time.Second
 	maxWelcome   = 64 << 10 // bytes
-	helloForm    = 1        // format version of the Hello
+	helloFormat  = 1        // format version of the Hello
 )
 
 // Dial connects to an instance, exchanges Hello and Welcome, and verifies that the remote certificate is that of the
@@ -29,7 +29,7 @@
 		return nil, nil, err
 	}
 	conn := tls.Client(raw, conf)
-	welcome, err := greet(ctx, conn, hello, name)
+	welcome, err := handshakeWithTimeout(ctx, conn, hello, name)
 	if err != nil {
 		_ = raw.Close() // the first error is returned
 		return nil, nil, err
@@ -38,11 +38,11 @@
 }
 
 // handshakeWithTimeout calls handshake with a deadline of helloTimeout, and then removes the deadline from the connection.
-func greet(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
+func handshakeWithTimeout(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
 	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return nil, err
 	}
-	welcome, err := introduce(ctx, conn, hello, name)
+	welcome, err := handshake(ctx, conn, hello, name)
 	if err != nil {
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 }
 
 // handshake performs the TLS handshake and exchanges Hello and Welcome.
-func introduce(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
+func handshake(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 	if role != pki.Instance || name != "" && owner != name {
 		return nil, fmt.Errorf("store: the certificate is of %q with role %s, expected that of instance %q", owner, role, name)
 	}
-	hello.Form = helloForm
+	hello.Form = helloFormat
 	if err := frame.Write(conn, frame.HelloKind, &hello); err != nil {
 		return nil, err
 	}
