--- a/internal/store/documents/documents.go
+++ b/internal/store/documents/documents.go
@@ -1,6 +1,5 @@
-// Package documents defines the documents that operators keep in the store. A document has numbered, immutable revisions,
-// each with an author, a time and a note. The package computes the command that commits a change and the condition under
-// which it applies; it does no I/O.
+// Package documents defines the documents that operators keep in the store: numbered, immutable revisions with author,
+// time and note. It computes the command that commits a change and the condition under which it applies. It does no I/O.
 package documents
 
 import (
--- a/internal/store/frame/frame.go
+++ b/internal/store/frame/frame.go
@@ -1,6 +1,5 @@
-// Package frame defines the wire format of the store's connections: a length of 4 bytes (big endian), a kind of one byte,
-// and a body. Memory is allocated as bytes arrive and not by the announced length, so that a peer must send data to
-// make this process allocate memory.
+// Package frame defines the wire format of the store's connections: a length of 4 bytes (big endian), a kind of 1 byte, and
+// a body. Memory is allocated as bytes arrive, and not by the announced length, so that a peer cannot exhaust it cheaply.
 package frame
 
 import (
