--- a/internal/storecmd/backup.go
+++ b/internal/storecmd/backup.go
@@ -35,7 +35,7 @@
 	return cmd
 }
 
-// backup writes a complete and verified file, or none at all.
+// backup writes the file only if the received backup is complete and passes verification.
 func (s *session) backup(ctx context.Context, file string) (err error) {
 	temp, err := os.CreateTemp(filepath.Dir(file), ".backup-*")
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	found, err := verifyFile(temp.Name())
 	if err != nil {
-		return fmt.Errorf("the received backup is not complete: %w", err)
+		return fmt.Errorf("the received backup is not valid: %w", err)
 	}
 	if err := os.Rename(temp.Name(), file); err != nil {
 		return err
@@ -70,10 +70,10 @@
 	var path, file string
 	cmd := &cobra.Command{
 		Use:   "restore --settings FILE --file BACKUP",
-		Short: "Found a new store, of this instance alone, from a backup or snapshot file",
+		Short: "Create a new store with this instance as its only member, from a backup or snapshot file",
 		Args:  app.NoArgs,
-		Long: `restore is for the permanent loss of a majority. It creates a store with a new identity: instances of the old one are
-refused, and must join it with empty directories. Writes acknowledged after the backup are lost.`,
+		Long: `restore is for the permanent loss of a majority. It creates a store with a new identity. Instances of the old store are
+refused, and must join the new one with empty directories. Writes acknowledged after the backup are lost.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			set, err := loadStore(path)
 			if err != nil {
@@ -97,13 +97,13 @@
 			})
 		},
 	}
-	cmd.Flags().StringVar(&path, "settings", "", "the instance's settings; its data directory has to be empty")
+	cmd.Flags().StringVar(&path, "settings", "", "the instance's settings; its data directory must be empty")
 	cmd.Flags().StringVar(&file, "file", "", "a backup, or a snapshot of a data directory")
 	return cmd
 }
 
-// newClusterFrom returns the identity of a new cluster with this instance as its only member, and the first snapshot of
-// that cluster with its index, which holds the state of a backup.
+// newClusterFrom returns the identity of a new cluster with this instance as its only member, and that cluster's first
+// snapshot with its index. The snapshot holds the state of a backup.
 func newClusterFrom(name string, backup []byte, set *settings.Store) (identity disk.Identity, index uint64, snapshot []byte, err error) {
 	meta, image, err := disk.DecodeSnapshot(name, backup)
 	if err != nil {
@@ -147,7 +147,7 @@
 	return disk.Identity{Cluster: cluster, Node: id, Name: name, Voters: []uint64{id}}, nil
 }
 
-// replaceMembers returns the encoded command that records a new member and all present ones as removed.
+// replaceMembers returns the encoded command that removes all members in the state and adds a new one.
 func replaceMembers(state *machine.Machine, id uint64, member core.Member) ([]byte, error) {
 	record, err := core.MemberOp(id, member)
 	if err != nil {
--- a/internal/storecmd/command.go
+++ b/internal/storecmd/command.go
@@ -43,13 +43,13 @@
 	return app.ExitFailed
 }
 
-// refused returns an error with the exit code of a refusal by the store.
+// refused returns an error that gives the same exit code as a refusal by the store.
 func refused(format string, args ...any) error {
 	return &client.Error{Code: frame.CodeRefused, Message: fmt.Sprintf(format, args...)}
 }
 
-// operator is the operator's file, which "store init" writes: how an operator reaches the store. Relative paths are
-// relative to the file.
+// operator is the content of the operator's file, which "store init" writes. It holds what an operator needs to connect to
+// the store. Relative paths are relative to the file.
 type operator struct {
 	Endpoints   []string `json:"endpoints"`
 	Certificate string   `json:"certificate"`
@@ -61,8 +61,8 @@
 type options struct {
 	operatorFile string
 	output       string        // text or json
-	endpoint     string        // HOST:PORT of the only instance to call; empty: all that the operator's file names
-	timeout      time.Duration // of the command; 0: none
+	endpoint     string        // HOST:PORT of the only instance to call; empty: all endpoints in the operator's file
+	timeout      time.Duration // for the whole command; 0: none
 }
 
 // Command returns the command "store".
@@ -112,8 +112,8 @@
 	client *client.Client
 }
 
-// connected returns a command's function that calls run with a client. The context ends at the timeout and on SIGINT or
-// SIGTERM.
+// connected returns a function for cobra.Command.RunE that calls run with a client. The context ends at the timeout and
+// on SIGINT or SIGTERM.
 func (o *options) connected(run func(ctx context.Context, s *session) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		conf, err := o.clientConfig()
@@ -135,7 +135,7 @@
 
 func (o *options) clientConfig() (client.Config, error) {
 	if o.operatorFile == "" {
-		return client.Config{}, app.Usage("--as or CLOVERROCK_OPERATOR has to name the operator's file")
+		return client.Config{}, app.Usage("needs the path of the operator's file in --as or CLOVERROCK_OPERATOR")
 	}
 	text, err := os.ReadFile(o.operatorFile)
 	if err != nil {
@@ -160,7 +160,7 @@
 	return client.Config{Endpoints: op.Endpoints, TLS: tls, SingleEndpoint: o.endpoint != ""}, nil
 }
 
-// printer writes the text form of a result, in columns separated by tabs. It keeps the first error.
+// printer writes the text form of a result, with columns separated by tabs. After an error it writes nothing more.
 type printer struct {
 	writer *tabwriter.Writer
 	err    error
@@ -179,7 +179,7 @@
 	return p.writer.Flush()
 }
 
-// show prints a result: value as JSON, or else what text prints.
+// show prints a result: value as JSON if the output format is json, and otherwise what text prints.
 func (o *options) show(out io.Writer, value any, text func(p *printer)) error {
 	if o.output == "json" {
 		encoder := json.NewEncoder(out)
--- a/internal/storecmd/command_test.go
+++ b/internal/storecmd/command_test.go
@@ -21,14 +21,14 @@
 		{"store status --output xml", app.ExitUsage, "--output"},
 		{"store verify --data /nowhere", app.ExitFailed, "/nowhere"},
 		{"store serve", app.ExitUsage, "--settings"},
-		{"store rollback gateway none --as x", app.ExitUsage, "no revision"},
+		{"store rollback gateway none --as x", app.ExitUsage, "not a revision number"},
 		{"store init --dir " + t.TempDir() + " --member a", app.ExitUsage, "NAME=HOST:PORT"},
 		{"completion bash", 0, "cloverrock"},
 	} {
 		var out bytes.Buffer
 		code := app.Main(strings.Fields(c.args), func(string) string { return "" }, &out, &out, daemon.Extension{})
 		if code != c.code || !strings.Contains(out.String(), c.want) {
-			t.Errorf("%q: %d, %q", c.args, code, out.String())
+			t.Errorf("%q: exit code %d, output %q", c.args, code, out.String())
 		}
 	}
 }
--- a/internal/storecmd/documents.go
+++ b/internal/storecmd/documents.go
@@ -55,8 +55,8 @@
 	return revision, err
 }
 
-// remoteState implements documents.Reader through a client, for the duration of one command. The interface returns no
-// errors, so they are collected in err, which the caller must check.
+// remoteState implements documents.Reader through a client, for the duration of one command. The methods of the interface
+// return no errors, so they are collected in err, which the caller must check.
 type remoteState struct {
 	ctx    context.Context
 	client *client.Client
@@ -73,14 +73,14 @@
 // List implements documents.Reader.
 func (r *remoteState) List(ns, prefix string, limit int) []machine.KV {
 	if limit == 0 {
-		limit = -1 // all, in the encoding of a request
+		limit = -1 // in a request, -1 means all keys
 	}
 	kvs, _, err := r.client.List(r.ctx, ns, prefix, limit, false)
 	r.err = errors.Join(r.err, err)
 	return kvs
 }
 
-// indented returns JSON with indentation, and other text unchanged.
+// indented returns JSON with indentation, and any other text unchanged.
 func indented(body []byte) string {
 	var out bytes.Buffer
 	if json.Indent(&out, body, "", "  ") != nil {
@@ -145,7 +145,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			number, err := strconv.Atoi(args[1])
 			if err != nil || number < 1 {
-				return app.Usage("%q is no revision", args[1])
+				return app.Usage("%q is not a revision number", args[1])
 			}
 			return o.changeDocument(cmd, &frame.Request{Op: frame.OpDocument, Name: args[0], Limit: number, After: -1, Token: note})
 		},
@@ -208,7 +208,7 @@
 			for i, arg := range args[1:] {
 				number, err := strconv.ParseInt(arg, 10, 64)
 				if err != nil || number < 1 {
-					return app.Usage("%q is no revision", arg)
+					return app.Usage("%q is not a revision number", arg)
 				}
 				numbers[i] = number
 			}
--- a/internal/storecmd/found.go
+++ b/internal/storecmd/found.go
@@ -24,12 +24,12 @@
 const (
 	authorityLife   = 10 * 365 * 24 * time.Hour
 	certificateLife = 365 * 24 * time.Hour
-	probeTimeout    = 2 * time.Second // for the status of one member, to find out whether the store is running
+	probeTimeout    = 2 * time.Second // of the request that finds out whether the store is already running
 	filePermissions = 0o600
-	foundingIndex   = 1 // of the log entry that the initial snapshot covers
+	foundingIndex   = 1 // index of the last log entry that the initial snapshot covers
 )
 
-// founding is the file founding.json: the id of a new cluster and its first members.
+// founding is the content of the file founding.json: the id of a new cluster and its first members.
 type founding struct {
 	Cluster uint64           `json:"cluster"`
 	Members []foundingMember `json:"members"`
@@ -55,10 +55,10 @@
 	return errors.Join(err, file.Close())
 }
 
-// newStore is the work of the command "init".
+// newStore is the store that the command "init" creates.
 type newStore struct {
 	dir      string
-	cluster  string   // name of the authority
+	cluster  string   // name for the authority
 	members  []string // NAME=HOST:PORT
 	founding founding
 	operator operator
@@ -69,11 +69,11 @@
 	var local bool
 	cmd := &cobra.Command{
 		Use:   "init --dir DIR --member NAME=HOST:PORT ...",
-		Short: "Prepare a new store of one, three or five: authority, certificates, settings",
+		Short: "Prepare a new store of one, three or five instances: authority, certificates, settings",
 		Args:  app.NoArgs,
 		Long: `init writes into DIR: the authority (keep authority-key.pem away from the gateways), a certificate and a settings
-file for each member, founding.json, and operator.json with the operator's certificate. Each member's machine gets its
-own files, authority.pem and founding.json, and runs "store found" once. --local does that here for all of them.`,
+file for each member, founding.json, and operator.json with the operator's certificate. Copy to each member's machine its
+own files, authority.pem and founding.json, and run "store found" there once. --local runs it here for all members.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if store.dir == "" || len(store.members) == 0 {
 				return app.Usage("needs --dir and at least one --member")
@@ -96,7 +96,7 @@
 	}
 	cmd.Flags().StringVar(&store.dir, "dir", "", "the directory to write to")
 	cmd.Flags().StringVar(&store.cluster, "cluster", "store", "a name for the authority")
-	cmd.Flags().StringArrayVar(&store.members, "member", nil, "NAME=HOST:PORT of a first member; once for each")
+	cmd.Flags().StringArrayVar(&store.members, "member", nil, "NAME=HOST:PORT of a first member; repeat it for each one")
 	cmd.Flags().BoolVar(&local, "local", false, "also create the members' data directories here")
 	return cmd
 }
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// found creates a first member's data directory. It fails if the directory belongs to an instance.
+// found creates the data directory of a first member. It fails if the directory already belongs to an instance.
 func found(set *settings.Store, f *founding) error {
 	var voters []uint64
 	var records []machine.Op
@@ -195,7 +195,7 @@
 		}
 	}
 	if identity.Node == 0 {
-		return fmt.Errorf("%s is not among the founding members", set.Name)
+		return fmt.Errorf("the name %s is not among the members in the founding file", set.Name)
 	}
 	identity.Voters = voters
 	first, err := core.InitialSnapshot(voters, records)
@@ -235,8 +235,9 @@
 	return cmd
 }
 
-// checkNotRunning returns an error if another first member answers and the store is already in use. A member that lost
-// its directory and was founded a second time could otherwise vote without the entries that it had acknowledged.
+// checkNotRunning returns an error if another first member answers and the store has already been written to. Otherwise a
+// member that lost its data directory could be created a second time, and would vote without the entries that it had
+// acknowledged.
 func checkNotRunning(set *settings.Store, f *founding) error {
 	conf, err := set.NodeConfig()
 	if err != nil {
@@ -247,7 +248,7 @@
 			continue
 		}
 		if hasCommits(client.Config{Endpoints: []string{m.Address}, TLS: conf.TLS, SingleEndpoint: true}) {
-			return refused("the store is already running: %s answers. Start this instance with its empty directory, and it will join", m.Name)
+			return refused("the store is already running: member %s answers. Start this instance with an empty data directory, and it joins the store", m.Name)
 		}
 	}
 	return nil
@@ -280,6 +281,6 @@
 	}
 	cmd.Flags().StringVar(&dir, "dir", ".", "the authority's directory")
 	cmd.Flags().StringVar(&role, "role", "instance", "instance, operator or observer")
-	cmd.Flags().DurationVar(&life, "life", certificateLife, "how long it is valid")
+	cmd.Flags().DurationVar(&life, "life", certificateLife, "how long the certificate is valid")
 	return cmd
 }
--- a/internal/storecmd/golden_test.go
+++ b/internal/storecmd/golden_test.go
@@ -31,10 +31,11 @@
 	return &fixture{storetest.New(t, daemon.Extension{})}
 }
 
-// foundAnew is separate from -update, because the directory is most useful when an older build has written it.
-var foundAnew = flag.Bool("update-founded", false, "write the founded data directory again")
+// foundAnew is separate from -update, because the directory tests compatibility only if an older version of the
+// program has written it.
+var foundAnew = flag.Bool("update-founded", false, "write the data directory in testdata again")
 
-// serve opens the instance's directory as "store serve" does; 0 entries between snapshots is the default.
+// serve opens the instance's directory as "store serve" does. With 0 snapshotEntries the default applies.
 func (f *fixture) serve(snapshotEntries uint64) *node.Node {
 	f.T.Helper()
 	set, err := settings.Load(f.Path("store", "a.json"))
@@ -51,11 +52,11 @@
 	if err != nil {
 		f.T.Fatal(err)
 	}
-	f.T.Cleanup(func() { _ = instance.Close() }) // stop reports a failure
+	f.T.Cleanup(func() { _ = instance.Close() }) // stop checks the error
 	return instance
 }
 
-// stop ends the instance and its files.
+// stop closes the instance and checks for an error.
 func (f *fixture) stop(instance *node.Node) {
 	f.T.Helper()
 	if err := instance.Close(); err != nil {
@@ -63,7 +64,7 @@
 	}
 }
 
-// copyFiles copies a flat directory without the lock.
+// copyFiles copies the files of a directory, except for the lock file.
 func copyFiles(t *testing.T, from, to string) {
 	t.Helper()
 	entries, err := os.ReadDir(from)
@@ -81,7 +82,7 @@
 	}
 }
 
-// notes lists the test's own keys, one line each.
+// notes returns a line for each key in the namespace "notes".
 func (f *fixture) notes() (lines []string) {
 	f.T.Helper()
 	var listed struct{ Keys []machine.KV }
@@ -94,8 +95,8 @@
 	return lines
 }
 
-// writeFounded founds a store of one, writes until snapshots are taken, stops, writes more after them, and keeps the
-// directory: its content is restored partly from a snapshot and partly from the log.
+// writeFounded creates a store of one instance, writes until snapshots are taken, restarts the instance, writes more, and
+// copies the data directory. The content of that directory is partly in a snapshot and partly in the log.
 func writeFounded(t *testing.T, to string) {
 	t.Helper()
 	f := newFixture(t)
@@ -115,8 +116,8 @@
 	copyFiles(t, f.Path("store", "a-data"), to)
 }
 
-// A data directory which an earlier build founded and wrote is read by this one, which continues from it.
-// The certificates are created by the test and are not in the directory, so that the result does not depend on the date.
+// A data directory that an older version of the program has written must be readable, and writable from then on. The test
+// creates the certificates, which are not part of the directory, so that the result does not depend on the date.
 func TestFoundedDirectoryOpens(t *testing.T) {
 	kept := filepath.Join("testdata", "founded")
 	if *foundAnew {
@@ -133,23 +134,23 @@
 	golden.CheckLines(t, "founded.txt", lines)
 
 	if out := f.PutDocument(`{"discovery":"127.0.0.1:10"}`, 0); !strings.Contains(out, "gateway is at revision 4") {
-		t.Errorf("the next document: %s", out)
+		t.Errorf("the next revision of the document: %s", out)
 	}
 	f.Run(0, "store key put notes fourth five --version 0")
 	before := f.notes()
 	if len(before) != 4 {
-		t.Errorf("keys: %q", before)
+		t.Errorf("keys: %q, want 4", before)
 	}
 	f.stop(instance)
 	f.serve(0)
 	if after := f.notes(); strings.Join(after, "\n") != strings.Join(before, "\n") {
-		t.Errorf("opened again: %q, before %q", after, before)
+		t.Errorf("keys after reopening: %q, before %q", after, before)
 	}
 }
 
-// The names, modes and text of what "store init" writes stay; identities and keys are random.
+// The names, modes and text of the files that "store init" writes must not change, except for random ids and keys.
 func TestInitWritesTheSameFiles(t *testing.T) {
-	defer syscall.Umask(syscall.Umask(0o022)) // modes are held, so they may not depend on who runs the test
+	defer syscall.Umask(syscall.Umask(0o022)) // the golden file has the modes for this umask
 	f := &fixture{storetest.Empty(t, daemon.Extension{})}
 	dir := f.Path("store")
 	f.Run(0, "store init --dir "+dir+" --member a=127.0.0.1:7001 --member b=127.0.0.1:7002 --member c=127.0.0.1:7003")
--- a/internal/storecmd/keys.go
+++ b/internal/storecmd/keys.go
@@ -30,7 +30,8 @@
 	return cmd
 }
 
-// watch prints the events after a revision, negative: after the current one, until the context ends.
+// watch prints the events after a revision until the context ends. If after is negative, it begins after the current
+// revision.
 func (s *session) watch(ctx context.Context, after int64) error {
 	if after < 0 {
 		status, err := fetchStatus(ctx, s.client)
@@ -53,7 +54,7 @@
 	}
 	err := s.client.Watch(ctx, s.args[0], strings.Join(s.args[1:], ""), after, printEvents)
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
-		return nil // the end of the context is the ordinary end of a watch
+		return nil // a watch is ended by its context
 	}
 	return err
 }
@@ -92,7 +93,7 @@
 				return err
 			}
 			if !found {
-				return refused("there is no such key")
+				return refused("the key does not exist in the namespace")
 			}
 			return s.printKeys([]machine.KV{kv}, stalenessMS)
 		}),
@@ -119,7 +120,7 @@
 }
 
 func addVersionFlag(cmd *cobra.Command, version *int64) {
-	cmd.Flags().Int64Var(version, "version", -1, "only if the key is at this version; 0: only if it is not there")
+	cmd.Flags().Int64Var(version, "version", -1, "write only if the key has this version; 0: only if it does not exist")
 }
 
 func (o *options) keyPutCommand() *cobra.Command {
@@ -149,8 +150,8 @@
 	return cmd
 }
 
-// writeKey executes a write, and prints the resulting revision. With a version of 0 or more it is conditional on the key
-// being at that version.
+// writeKey executes a write and prints the resulting revision. If version is not negative, the write applies only if the
+// key has that version.
 func (s *session) writeKey(ctx context.Context, op machine.Op, version int64) error {
 	command := machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{op}}
 	if version >= 0 {
@@ -161,7 +162,7 @@
 		return err
 	}
 	if !result.Holds {
-		return refused("the key is at another version")
+		return refused("the key does not have the version that --version requires")
 	}
 	return s.print(map[string]int64{"revision": result.Revision}, func(p *printer) { p.printf("revision %d\n", result.Revision) })
 }
--- a/internal/storecmd/members.go
+++ b/internal/storecmd/members.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// fetchRunning returns the reports of all instances; those that cannot be decoded are skipped.
+// fetchRunning returns the reports of all instances. It skips reports that cannot be decoded.
 func fetchRunning(ctx context.Context, c *client.Client) ([]documents.Running, error) {
 	kvs, _, err := c.List(ctx, documents.StatusNS, "running/", -1, true)
 	if err != nil {
@@ -83,7 +83,7 @@
 	}
 }
 
-// fetchStatus returns the status of the instance that answers first.
+// fetchStatus returns the status of the first instance that answers.
 func fetchStatus(ctx context.Context, c *client.Client) (*node.Status, error) {
 	response, err := c.Call(ctx, &frame.Request{Op: frame.OpStatus}, client.Idempotent)
 	if err != nil {
@@ -158,7 +158,7 @@
 			}
 			id := findMember(status, s.args[0])
 			if id == 0 {
-				return refused("no member is called %q", s.args[0])
+				return refused("no member has the name or id %q", s.args[0])
 			}
 			if _, err := s.client.Call(ctx, &frame.Request{Op: frame.OpRemove, NodeID: id}, client.NotIdempotent); err != nil {
 				return err
@@ -171,7 +171,7 @@
 	}
 }
 
-// findMember returns the id of the member with a name or id; 0: there is none.
+// findMember returns the id of the member with a name or id, or 0 if there is none.
 func findMember(status *node.Status, nameOrID string) (id uint64) {
 	for key, record := range status.Members {
 		if key != nameOrID && record.Name != nameOrID {
@@ -219,6 +219,6 @@
 			return s.print(map[string]string{"token": token}, func(p *printer) { p.printf("%s\n", token) })
 		}),
 	}
-	cmd.Flags().DurationVar(&life, "life", time.Hour, "how long it is valid")
+	cmd.Flags().DurationVar(&life, "life", time.Hour, "how long the token is valid")
 	return cmd
 }
--- a/internal/storecmd/serve.go
+++ b/internal/storecmd/serve.go
@@ -20,7 +20,8 @@
 	noSync   bool
 }
 
-// serveCommand runs an instance without a gateway, for example as the third member beside two gateways.
+// serveCommand returns the command that runs an instance without a gateway, for example as the third member beside two
+// gateways.
 func (o *options) serveCommand() *cobra.Command {
 	flags := &serveFlags{}
 	cmd := &cobra.Command{
@@ -90,11 +91,11 @@
 			}
 			key := core.MemberKey(id)
 			return o.show(cmd.OutOrStdout(), map[string]string{"id": key}, func(p *printer) {
-				p.printf("%s joins as %s; start it, and it becomes a voter when it has caught up\n", set.Name, key)
+				p.printf("%s joins with the id %s; once started, it becomes a voter when it has caught up\n", set.Name, key)
 			})
 		},
 	}
 	cmd.Flags().StringVar(&path, "settings", "", "the instance's settings; its key join lists the members to call")
-	cmd.Flags().StringVar(&token, "token", "", "join token; required for a name that is not a member's yet")
+	cmd.Flags().StringVar(&token, "token", "", "join token; required if no member has the instance's name yet")
 	return cmd
 }
--- a/internal/storecmd/storetest/storetest.go
+++ b/internal/storecmd/storetest/storetest.go
@@ -1,4 +1,4 @@
-// Package storetest provides tests with a store of one instance on this machine, and runs its commands. Only tests import
+// Package storetest creates a store of one instance on this machine for tests, and runs store commands. Only tests import
 // it.
 package storetest
 
@@ -19,12 +19,12 @@
 // Fixture is a store whose only instance is "a", with a gateway's configuration.
 type Fixture struct {
 	T         *testing.T
-	Dir       string // the store's files are in the directory "store" below it
+	Dir       string // the subdirectory "store" holds the files of the store
 	Getenv    func(string) string
 	extension app.Extension
 }
 
-// New creates a store with its certificates, settings and data directory. It starts nothing.
+// New creates a store with its certificates, settings and data directory. It does not start the instance.
 func New(t *testing.T, extension app.Extension) *Fixture {
 	t.Helper()
 	f := Empty(t, extension)
@@ -70,7 +70,7 @@
 	return data
 }
 
-// Run runs a command as the operator and returns its output. Another exit code than the given one fails the test.
+// Run runs a command as the operator and returns its output. If the exit code is not the given one, the test fails.
 func (f *Fixture) Run(code int, line string) string {
 	f.T.Helper()
 	var out bytes.Buffer
@@ -79,7 +79,7 @@
 		args = append(args, "--as", f.Path("store", "operator.json"))
 	}
 	if got := app.Main(args, f.Getenv, &out, &out, f.extension); got != code {
-		f.T.Fatalf("%s: %d, %s", line, got, out.String())
+		f.T.Fatalf("%s: exit code %d, output %s", line, got, out.String())
 	}
 	return out.String()
 }
