--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -19,8 +19,8 @@
 
 const (
 	minThreads = 2
-	// maxThreads bounds GOMAXPROCS. With fewer threads than cores, requests wait for those that the store's goroutines
-	// hold; see docs/store.md.
+	// maxThreads bounds GOMAXPROCS. With fewer threads than cores, requests wait for threads that the store's goroutines
+	// occupy; see docs/store.md.
 	maxThreads = 8
 )
 
@@ -35,12 +35,12 @@
 	opened  chan struct{}             // closed when opening the instance has succeeded or failed
 	node    atomic.Pointer[node.Node] // nil until the instance is open
 	gateway app.Gateway
-	cache   *warmstart.Cache // nil: warm start is off
+	cache   *warmstart.Cache // nil if warm start is off
 
 	mu       sync.Mutex
-	status   documents.Running // which revision of the document this instance runs
-	document []byte            // body of the last revision that was evaluated; nil: none
-	changed  chan struct{}     // holds a value when status is to be reported
+	status   documents.Running // report on the revision of the gateway document that this instance runs
+	document []byte            // body of the last revision that was evaluated; nil if there is none
+	changed  chan struct{}     // holds a value while a changed status waits to be reported
 }
 
 // start opens the store instance in the background, and waits for it at most Store.StartWait. It also sets GOMAXPROCS
@@ -92,12 +92,12 @@
 func (d *daemon) Close() {
 	d.cancel()
 	if n := d.node.Load(); n != nil {
-		_ = n.Close() // the node has logged what ended it
+		_ = n.Close() // the node has logged its failure
 	}
 	d.wg.Wait()
 }
 
-// readLocal passes the local state to look, however far it is behind. It reports false if there is none.
+// readLocal calls look with the local state, even if that is out of date. It reports false if the state cannot be read.
 func (d *daemon) readLocal(look func(*machine.Machine)) bool {
 	n := d.node.Load()
 	if n == nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -23,10 +23,10 @@
 	"cloverrock/internal/warmstart"
 )
 
-// testTimeout ends a test that hangs. No result depends on how fast anything happens.
+// testTimeout ends a test that hangs. The result of a test does not depend on how long anything takes.
 const testTimeout = 30 * time.Second
 
-// gateway is a fake app.Gateway that records what the daemon does to it.
+// gateway is a fake app.Gateway that records the daemon's calls.
 type gateway struct {
 	mu       sync.Mutex
 	snapshot balance.Snapshot
@@ -102,7 +102,7 @@
 	}
 }
 
-// awaitStatus waits until the store has the gateway's report on a revision.
+// awaitStatus waits until the gateway's report on a revision is in the store.
 func (f *fixture) awaitStatus(revision int64) documents.Running {
 	f.T.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -118,12 +118,12 @@
 			}
 		}
 		if ctx.Err() != nil {
-			f.T.Fatalf("revision %d is not reported: %+v", revision, status)
+			f.T.Fatalf("revision %d was not reported in time: %+v", revision, status)
 		}
 	}
 }
 
-// expectStatus waits for the status of a revision, which must be as given. The detail need only be contained.
+// expectStatus waits for the report on a revision and checks it. The reported detail must contain the given one.
 func (f *fixture) expectStatus(revision int64, state string, applied int64, detail string) {
 	f.T.Helper()
 	status := f.awaitStatus(revision)
@@ -132,7 +132,7 @@
 	}
 }
 
-// expectReload waits for the gateway's next reload, which must have a configuration with this discovery address.
+// expectReload waits for the gateway's next reload and checks the discovery address of its configuration.
 func expectReload(t *testing.T, g *gateway, address string) *config.Config {
 	t.Helper()
 	conf := next(t, g.reloads)
@@ -151,14 +151,14 @@
 	expectReload(t, g, "127.0.0.1:7")
 	f.expectStatus(1, "applied", 1, "")
 	if out := f.PutDocument(`{"discovery":"nowhere"}`, app.ExitRejected); !strings.Contains(out, "discovery") {
-		t.Errorf("a document that does not fit the schema: %s", out)
+		t.Errorf("a document that is not valid by its schema: %s", out)
 	}
 	f.PutDocument(`{"limits":{"memory_mb":64},"instances":{"a":{"discovery":"127.0.0.1:8"},"b":{"discovery":"127.0.0.1:9"}}}`, 0)
 	if c := expectReload(t, g, "127.0.0.1:8"); c.MemoryMB != 64 {
-		t.Errorf("memory %d", c.MemoryMB)
+		t.Errorf("memory limit of %d MB, want 64", c.MemoryMB)
 	}
 	f.expectStatus(2, "restart", 1, "limits")
-	// The document fits the schema but cannot be applied: the instance reports that and keeps its configuration.
+	// The document is valid by its schema but cannot be applied: the instance reports that and keeps its configuration.
 	f.PutDocument(`{"settings":{"tickMs":5}}`, 0)
 	if c := next(t, g.reloads); c != nil {
 		t.Errorf("reload with %+v", c)
@@ -167,7 +167,7 @@
 	f.Run(0, "store rollback gateway 2")
 	expectReload(t, g, "127.0.0.1:8")
 	if c, err := d.ReloadConfig(); err != nil || c.Discovery != "127.0.0.1:8" {
-		t.Errorf("on a signal: %+v, %v", c, err)
+		t.Errorf("configuration of a reload by signal: %+v, %v", c, err)
 	}
 	// A restarted gateway starts with the local copy of the document.
 	d.Close()
@@ -177,7 +177,7 @@
 		t.Fatal(err)
 	}
 	if c := d.OverlayConfig(conf); c.Discovery != "127.0.0.1:8" || c.MemoryMB != 64 {
-		t.Errorf("at the start: %+v", c)
+		t.Errorf("configuration at the start: %+v", c)
 	}
 }
 
@@ -200,7 +200,7 @@
 	}
 	d := f.start(g)
 	next(t, g.restored)
-	for !strings.Contains(f.Run(0, "store key list "+warmstart.NS), "host/h2") { // until it is written
+	for !strings.Contains(f.Run(0, "store key list "+warmstart.NS), "host/h2") { // until the state is written
 	}
 	d.Close()
 	fresh := newGateway()
@@ -208,7 +208,7 @@
 	defer d.Close()
 	snapshot := next(t, fresh.restored)
 	if len(snapshot.Groups) != 1 || snapshot.Groups[0].Primary != "h1" || len(snapshot.Hosts) != 2 || !snapshot.Hosts[1].Down {
-		t.Errorf("restored: %+v", snapshot)
+		t.Errorf("restored snapshot: %+v", snapshot)
 	}
 	if fresh.list.Generation != 8 || fresh.list.Addresses["h1"] != "127.0.0.1:9" {
 		t.Errorf("restored list: %+v", fresh.list)
@@ -241,8 +241,8 @@
 	}
 }
 
-// After the loss of a majority a backup is restored as a new cluster with one member. It has the documents, another
-// cluster id, and none of the old members.
+// After the loss of a majority, a backup is restored as a new cluster with one member. The new cluster has the documents,
+// another cluster id, and none of the old members.
 func TestRestoreCreatesNewClusterWithTheDocuments(t *testing.T) {
 	f := newFixture(t)
 	g := newGateway()
@@ -253,7 +253,7 @@
 	f.Run(0, "store backup --file "+backup)
 	before := f.Run(0, "store status --output json")
 	d.Close()
-	out := f.Run(app.ExitFailed, "store restore --settings "+settingsFile+" --file "+backup) // its directory is not empty
+	out := f.Run(app.ExitFailed, "store restore --settings "+settingsFile+" --file "+backup) // refused, because the data directory is not empty
 	if !strings.Contains(out, "belongs to instance a already") {
 		t.Errorf("%s", out)
 	}
@@ -276,7 +276,7 @@
 		t.Fatal(err)
 	}
 	if is.Instance.Cluster == was.Instance.Cluster || is.Instance.Cluster == "" || len(is.Instance.Members) != 1 {
-		t.Errorf("%+v, and before %+v", is, was)
+		t.Errorf("the restored cluster is %+v, the lost one was %+v", is, was)
 	}
 	if out := f.Run(0, "store get gateway --output json"); !strings.Contains(out, "127.0.0.1:7") || !strings.Contains(out, `"revision":1`) {
 		t.Errorf("%s", out)
--- a/internal/daemon/document.go
+++ b/internal/daemon/document.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	statusTTL     = 15 * time.Second // lease of a report, which is removed this long after a crash
-	reportTimeout = 3 * time.Second  // of one attempt
+	statusTTL     = 15 * time.Second // duration of the lease of a status report, which is deleted this long after a crash
+	reportTimeout = 3 * time.Second  // for one attempt to write the report
 	reportRetry   = time.Second
 
-	keepAlivesPerTTL = 4 // extensions of the lease during its duration
+	keepAlivesPerTTL = 4 // how often the lease is extended within its duration
 )
 
-// readDocument returns the latest revision of the gateway document; nil: there is none.
+// readDocument returns the latest revision of the gateway document, or nil if there is none.
 func readDocument(m *machine.Machine) *documents.Revision {
 	revision, err := documents.At(m, documents.Gateway, 0)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return revision
 }
 
-// OverlayConfig implements app.Component: it returns the configuration with the values of the local gateway document.
-// If there is no document or it cannot be applied, conf is returned.
+// OverlayConfig implements app.Component. It returns the configuration with the values of the local copy of the gateway
+// document. If there is no document or it cannot be applied, it returns conf.
 func (d *daemon) OverlayConfig(conf *config.Config) *config.Config {
 	var revision *documents.Revision
 	if !d.readLocal(func(m *machine.Machine) { revision = readDocument(m) }) || revision == nil {
@@ -47,7 +47,7 @@
 	return overlaid
 }
 
-// ReloadConfig implements app.Component: it returns the configuration for a reload by signal, including the values of
+// ReloadConfig implements app.Component. It returns the configuration for a reload by signal, which includes the values of
 // the gateway document.
 func (d *daemon) ReloadConfig() (*config.Config, error) {
 	if _, document := d.currentStatus(); document != nil {
@@ -56,8 +56,8 @@
 	return config.Reload(d.getenv)
 }
 
-// setStatus records the outcome of applying a revision, and triggers a report. restart lists the keys whose change needs
-// a restart.
+// setStatus records the outcome of applying a revision and triggers a report. restart lists the keys whose changes take
+// effect only after a restart.
 func (d *daemon) setStatus(revision *documents.Revision, restart []string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,11 +87,11 @@
 	d.document = revision.Body
 	select {
 	case d.changed <- struct{}{}:
-	default: // a report is due already
+	default: // a report is already due
 	}
 }
 
-// currentStatus returns the status and the body of the last revision that was evaluated.
+// currentStatus returns the status, and the body of the last revision that was evaluated.
 func (d *daemon) currentStatus() (documents.Running, []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,7 +108,7 @@
 	_ = n.Watch(d.ctx, documents.NS, "head/"+documents.Gateway, 0, apply) // ends only with the daemon or the node
 }
 
-// applyDocument reloads the gateway with the latest revision, unless that was already tried.
+// applyDocument reloads the gateway with the latest revision, unless that revision was already tried.
 func (d *daemon) applyDocument(n *node.Node) {
 	var revision *documents.Revision
 	_, err := n.Read(d.ctx, true, func(m *machine.Machine) { revision = readDocument(m) })
@@ -124,14 +124,14 @@
 	}
 }
 
-// statusReport is the state of this instance's report in the store.
+// statusReport holds what this instance has written to the store about its status.
 type statusReport struct {
 	lease    uint64            // 0: none
 	reported documents.Running // as last written
 }
 
-// reportStatus writes this instance's status to the store under a lease, after each change and after failures, and keeps
-// the lease alive, until the daemon or the node ends.
+// reportStatus writes this instance's status to the store under a lease, and keeps the lease alive until the daemon or the
+// node ends. It writes after each change, and retries after failures.
 func (d *daemon) reportStatus(n *node.Node) {
 	report := &statusReport{}
 	for {
@@ -152,8 +152,8 @@
 	}
 }
 
-// send extends the lease or gets a new one, and writes the status if it has changed. After a failure the next call
-// retries.
+// send extends the lease or obtains a new one, and writes the status if it has changed. A failure is retried by the next
+// call.
 func (r *statusReport) send(ctx context.Context, n *node.Node, status documents.Running) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
--- a/internal/daemon/extension.go
+++ b/internal/daemon/extension.go
@@ -1,6 +1,6 @@
 // Package daemon runs the optional components beside a gateway in the same process: an instance of the replicated store,
-// the routing state kept in it for a warm start, and the gateway's membership in a fleet. The gateway's start waits for
-// the store only briefly (Store.StartWait), and its requests never do.
+// the routing state that is stored there for a warm start, and the gateway's membership in a fleet. The start of the
+// gateway waits for the store only briefly (Store.StartWait), and requests never wait for it.
 package daemon
 
 import (
--- a/internal/daemon/warmstart.go
+++ b/internal/daemon/warmstart.go
@@ -18,7 +18,7 @@
 	eventBacklog   = 16 // batches of events that are buffered for keepState
 )
 
-// restoreGateway initializes the gateway with the routing state of the local copy, as far as that is recent enough.
+// restoreGateway restores the gateway from those parts of the locally stored routing state that are recent enough.
 func (d *daemon) restoreGateway(n *node.Node) {
 	ctx, cancel := context.WithTimeout(d.ctx, restoreTimeout)
 	defer cancel()
@@ -47,7 +47,7 @@
 	d.gateway.Restore(restored.Snapshot, endpointList(restored.List))
 }
 
-// endpointList converts a stored list to the type of package discovery; nil for nil.
+// endpointList converts a stored list to the type of package discovery. It returns nil for nil.
 func endpointList(stored *warmstart.EndpointList) *discovery.EndpointList {
 	if stored == nil {
 		return nil
@@ -60,7 +60,7 @@
 	return list
 }
 
-// storedList converts a list of package discovery to its stored form, without removed hosts.
+// storedList converts a list of package discovery to its stored form, which omits removed hosts.
 func storedList(list *discovery.EndpointList) warmstart.EndpointList {
 	stored := warmstart.EndpointList{Generation: list.Generation}
 	for _, endpoint := range list.Endpoints {
@@ -116,7 +116,7 @@
 	_ = n.Watch(d.ctx, warmstart.NS, "", 0, pass) // ends only with the daemon or the node
 }
 
-// write proposes transactions one after another, and drops the remaining ones when one fails.
+// write proposes transactions one after another. After a failure it drops the remaining ones.
 func (d *daemon) write(n *node.Node, commands []machine.Command) {
 	for i := range commands {
 		ctx, cancel := context.WithTimeout(d.ctx, writeTimeout)
