--- a/internal/storecmd/backup.go
+++ b/internal/storecmd/backup.go
@@ -27,7 +27,7 @@
 			if file == "" {
 				return app.Usage("needs --file")
 			}
-			backup := o.connected(func(ctx context.Context, s *session) error { return s.backup(ctx, file) })
+			backup := o.withClient(func(ctx context.Context, s *session) error { return s.backup(ctx, file) })
 			return backup(cmd, nil)
 		},
 	}
--- a/internal/storecmd/command.go
+++ b/internal/storecmd/command.go
@@ -94,8 +94,8 @@
 	return root
 }
 
-// exactly requires one argument for each name.
-func exactly(names ...string) cobra.PositionalArgs {
+// exactArgs requires one argument for each name.
+func exactArgs(names ...string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != len(names) {
 			return app.Usage("needs %s", strings.Join(names, " "))
@@ -112,9 +112,9 @@
 	client *client.Client
 }
 
-// connected returns a function for cobra.Command.RunE that calls run with a client. The context ends at the timeout and
+// withClient returns a function for cobra.Command.RunE that calls run with a client. The context ends at the timeout and
 // on SIGINT or SIGTERM.
-func (o *options) connected(run func(ctx context.Context, s *session) error) func(*cobra.Command, []string) error {
+func (o *options) withClient(run func(ctx context.Context, s *session) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		conf, err := o.clientConfig()
 		if err != nil {
--- a/internal/storecmd/documents.go
+++ b/internal/storecmd/documents.go
@@ -29,8 +29,8 @@
 	cmd := &cobra.Command{
 		Use:   "get DOCUMENT",
 		Short: "Print a document, or one of its earlier revisions",
-		Args:  exactly("DOCUMENT"),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		Args:  exactArgs("DOCUMENT"),
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			revision, err := fetchRevision(ctx, s.client, s.args[0], number)
 			if err != nil {
 				return err
@@ -95,7 +95,7 @@
 	cmd := &cobra.Command{
 		Use:   "put DOCUMENT --file FILE",
 		Short: "Commit a new revision of a document, validated by its schema",
-		Args:  exactly("DOCUMENT"),
+		Args:  exactArgs("DOCUMENT"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if file == "" {
 				return app.Usage("needs --file; - is standard input")
@@ -122,7 +122,7 @@
 
 // changeDocument sends a change of a document and prints the resulting revision.
 func (o *options) changeDocument(cmd *cobra.Command, request *frame.Request) error {
-	change := o.connected(func(ctx context.Context, s *session) error {
+	change := o.withClient(func(ctx context.Context, s *session) error {
 		response, err := s.client.Call(ctx, request, client.NotIdempotent)
 		if err != nil {
 			return err
@@ -141,7 +141,7 @@
 	cmd := &cobra.Command{
 		Use:   "rollback DOCUMENT REVISION",
 		Short: "Commit the body of an earlier revision as a new revision",
-		Args:  exactly("DOCUMENT", "REVISION"),
+		Args:  exactArgs("DOCUMENT", "REVISION"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			number, err := strconv.Atoi(args[1])
 			if err != nil || number < 1 {
@@ -159,7 +159,7 @@
 		Use:   "history [DOCUMENT]",
 		Short: "List a document's revisions, or all documents",
 		Args:  cobra.MaximumNArgs(1),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			if len(s.args) == 0 {
 				return s.printNames(ctx)
 			}
@@ -212,7 +212,7 @@
 				}
 				numbers[i] = number
 			}
-			show := o.connected(func(ctx context.Context, s *session) error { return s.printDiff(ctx, numbers[0], numbers[1]) })
+			show := o.withClient(func(ctx context.Context, s *session) error { return s.printDiff(ctx, numbers[0], numbers[1]) })
 			return show(cmd, args)
 		},
 	}
--- a/internal/storecmd/found.go
+++ b/internal/storecmd/found.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	authorityLife   = 10 * 365 * 24 * time.Hour
-	certificateLife = 365 * 24 * time.Hour
-	probeTimeout    = 2 * time.Second // of the request that finds out whether the store is already running
-	filePermissions = 0o600
-	foundingIndex   = 1 // index of the last log entry that the initial snapshot covers
+	authorityValidity    = 10 * 365 * 24 * time.Hour
+	certificateValidity  = 365 * 24 * time.Hour
+	probeTimeout         = 2 * time.Second // of the request that finds out whether the store is already running
+	filePermissions      = 0o600
+	initialSnapshotIndex = 1 // index of the last log entry that the initial snapshot covers
 )
 
 // founding is the content of the file founding.json: the id of a new cluster and its first members.
@@ -82,7 +82,7 @@
 				return err
 			}
 			if local {
-				if err := store.foundAll(); err != nil {
+				if err := store.createDataDirs(); err != nil {
 					return err
 				}
 			}
@@ -110,7 +110,7 @@
 		return err
 	}
 	n.founding.Cluster = cluster
-	if err := pki.CreateAuthority(n.dir, n.cluster, time.Now(), authorityLife); err != nil {
+	if err := pki.CreateAuthority(n.dir, n.cluster, time.Now(), authorityValidity); err != nil {
 		return err
 	}
 	for _, member := range n.members {
@@ -122,7 +122,7 @@
 			return err
 		}
 	}
-	if err := pki.Issue(n.dir, "operator", pki.Operator, time.Now(), certificateLife); err != nil {
+	if err := pki.Issue(n.dir, "operator", pki.Operator, time.Now(), certificateValidity); err != nil {
 		return err
 	}
 	if err := writeJSON(n.path("operator.json"), &n.operator); err != nil {
@@ -151,7 +151,7 @@
 			set.Join = append(set.Join, otherAddress)
 		}
 	}
-	if err := pki.Issue(n.dir, name, pki.Instance, time.Now(), certificateLife); err != nil {
+	if err := pki.Issue(n.dir, name, pki.Instance, time.Now(), certificateValidity); err != nil {
 		return err
 	}
 	path := n.path(name + ".json")
@@ -164,22 +164,22 @@
 	return nil
 }
 
-// foundAll creates the data directories of all members on this machine.
-func (n *newStore) foundAll() error {
+// createDataDirs creates the data directories of all members on this machine.
+func (n *newStore) createDataDirs() error {
 	for _, member := range n.founding.Members {
 		set, err := settings.Load(n.path(member.Name + ".json"))
 		if err != nil {
 			return err
 		}
-		if err := found(set.Store, &n.founding); err != nil {
+		if err := createDataDir(set.Store, &n.founding); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// found creates the data directory of a first member. It fails if the directory already belongs to an instance.
-func found(set *settings.Store, f *founding) error {
+// createDataDir creates the data directory of a first member. It fails if the directory already belongs to an instance.
+func createDataDir(set *settings.Store, f *founding) error {
 	var voters []uint64
 	var records []machine.Op
 	identity := disk.Identity{Cluster: f.Cluster, Name: set.Name}
@@ -202,7 +202,7 @@
 	if err != nil {
 		return err
 	}
-	return disk.CreateDir(set.Data, identity, foundingIndex, first)
+	return disk.CreateDir(set.Data, identity, initialSnapshotIndex, first)
 }
 
 func (o *options) foundCommand() *cobra.Command {
@@ -227,7 +227,7 @@
 			if err := checkNotRunning(set, f); err != nil {
 				return err
 			}
-			return found(set, f)
+			return createDataDir(set, f)
 		},
 	}
 	cmd.Flags().StringVar(&path, "settings", "", "the member's settings")
@@ -261,7 +261,7 @@
 	c := client.New(conf)
 	defer c.Close()
 	status, err := fetchStatus(ctx, c)
-	return err == nil && status.Commit > foundingIndex
+	return err == nil && status.Commit > initialSnapshotIndex
 }
 
 func (o *options) certificateCommand() *cobra.Command {
@@ -270,7 +270,7 @@
 	cmd := &cobra.Command{
 		Use:   "certificate NAME",
 		Short: "Issue a certificate with the authority's key",
-		Args:  exactly("NAME"),
+		Args:  exactArgs("NAME"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			switch r := pki.Role(role); r {
 			case pki.Instance, pki.Operator, pki.Observer:
@@ -281,6 +281,6 @@
 	}
 	cmd.Flags().StringVar(&dir, "dir", ".", "the authority's directory")
 	cmd.Flags().StringVar(&role, "role", "instance", "instance, operator or observer")
-	cmd.Flags().DurationVar(&life, "life", certificateLife, "how long the certificate is valid")
+	cmd.Flags().DurationVar(&life, "life", certificateValidity, "how long the certificate is valid")
 	return cmd
 }
--- a/internal/storecmd/golden_test.go
+++ b/internal/storecmd/golden_test.go
@@ -31,9 +31,9 @@
 	return &fixture{storetest.New(t, daemon.Extension{})}
 }
 
-// foundAnew is separate from -update, because the directory tests compatibility only if an older version of the
+// updateFounded is separate from -update, because the directory tests compatibility only if an older version of the
 // program has written it.
-var foundAnew = flag.Bool("update-founded", false, "write the data directory in testdata again")
+var updateFounded = flag.Bool("update-founded", false, "write the data directory in testdata again")
 
 // serve opens the instance's directory as "store serve" does. With 0 snapshotEntries the default applies.
 func (f *fixture) serve(snapshotEntries uint64) *node.Node {
@@ -120,7 +120,7 @@
 // creates the certificates, which are not part of the directory, so that the result does not depend on the date.
 func TestFoundedDirectoryOpens(t *testing.T) {
 	kept := filepath.Join("testdata", "founded")
-	if *foundAnew {
+	if *updateFounded {
 		writeFounded(t, kept)
 	}
 	f := newFixture(t)
--- a/internal/storecmd/keys.go
+++ b/internal/storecmd/keys.go
@@ -22,7 +22,7 @@
 			if !cmd.Flags().Changed("timeout") {
 				o.timeout = 0
 			}
-			watch := o.connected(func(ctx context.Context, s *session) error { return s.watch(ctx, after) })
+			watch := o.withClient(func(ctx context.Context, s *session) error { return s.watch(ctx, after) })
 			return watch(cmd, args)
 		},
 	}
@@ -86,8 +86,8 @@
 	var stale bool
 	cmd := &cobra.Command{
 		Use:  "get NAMESPACE KEY",
-		Args: exactly("NAMESPACE", "KEY"),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		Args: exactArgs("NAMESPACE", "KEY"),
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			kv, found, stalenessMS, err := s.client.Get(ctx, s.args[0], s.args[1], stale)
 			if err != nil {
 				return err
@@ -107,7 +107,7 @@
 	cmd := &cobra.Command{
 		Use:  "list NAMESPACE [PREFIX]",
 		Args: cobra.RangeArgs(1, 2),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			kvs, stalenessMS, err := s.client.List(ctx, s.args[0], strings.Join(s.args[1:], ""), -1, stale)
 			if err != nil {
 				return err
@@ -127,8 +127,8 @@
 	var version int64
 	cmd := &cobra.Command{
 		Use:  "put NAMESPACE KEY VALUE",
-		Args: exactly("NAMESPACE", "KEY", "VALUE"),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		Args: exactArgs("NAMESPACE", "KEY", "VALUE"),
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			op := machine.Op{Kind: machine.Put, NS: s.args[0], Key: s.args[1], Value: []byte(s.args[2])}
 			return s.writeKey(ctx, op, version)
 		}),
@@ -141,8 +141,8 @@
 	var version int64
 	cmd := &cobra.Command{
 		Use:  "delete NAMESPACE KEY",
-		Args: exactly("NAMESPACE", "KEY"),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		Args: exactArgs("NAMESPACE", "KEY"),
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			return s.writeKey(ctx, machine.Op{Kind: machine.Delete, NS: s.args[0], Key: s.args[1]}, version)
 		}),
 	}
--- a/internal/storecmd/members.go
+++ b/internal/storecmd/members.go
@@ -26,7 +26,7 @@
 		Use:   "status",
 		Short: "Show an instance's state, and the document revisions that all instances run",
 		Args:  app.NoArgs,
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			status, err := fetchStatus(ctx, s.client)
 			if err != nil {
 				return err
@@ -109,7 +109,7 @@
 		Use:   "members",
 		Short: "List the instances",
 		Args:  app.NoArgs,
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			status, err := fetchStatus(ctx, s.client)
 			if err != nil {
 				return err
@@ -150,8 +150,8 @@
 	return &cobra.Command{
 		Use:   "remove NAME|ID",
 		Short: "Remove an instance permanently: its data directory cannot be used again",
-		Args:  exactly("NAME or ID"),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		Args:  exactArgs("NAME or ID"),
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			status, err := fetchStatus(ctx, s.client)
 			if err != nil {
 				return err
@@ -189,7 +189,7 @@
 		Use:   "transfer",
 		Short: "Transfer leadership to another instance, before the leader's machine is stopped",
 		Args:  app.NoArgs,
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			_, err := s.client.Call(ctx, &frame.Request{Op: frame.OpTransfer}, client.Idempotent)
 			return err
 		}),
@@ -202,7 +202,7 @@
 		Use:   "token",
 		Short: "Create a token with which one new instance may join",
 		Args:  app.NoArgs,
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			random, err := disk.NewID()
 			if err != nil {
 				return err
