--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -97,15 +97,15 @@
 	d.wg.Wait()
 }
 
-// readLocal calls look with the local state, even if that is out of date. It reports false if the state cannot be read.
-func (d *daemon) readLocal(look func(*machine.Machine)) bool {
+// readLocal calls inspect with the local state, even if that is out of date. It reports false if the state cannot be read.
+func (d *daemon) readLocal(inspect func(*machine.Machine)) bool {
 	n := d.node.Load()
 	if n == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, d.set.Store.StartWait()+time.Second)
 	defer cancel()
-	_, err := n.Read(ctx, true, look)
+	_, err := n.Read(ctx, true, inspect)
 	return err == nil
 }
 
--- a/internal/daemon/extension.go
+++ b/internal/daemon/extension.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var component app.Component = idle{getenv}
+	var component app.Component = noStore{getenv}
 	if set.Store != nil {
 		component = start(set, getenv, log)
 	}
@@ -48,17 +48,17 @@
 	return component, nil
 }
 
-// idle is the component for a settings file without a store.
-type idle struct{ getenv func(string) string }
+// noStore is the component for a settings file without a store.
+type noStore struct{ getenv func(string) string }
 
 // OverlayConfig implements app.Component.
-func (idle) OverlayConfig(conf *config.Config) *config.Config { return conf }
+func (noStore) OverlayConfig(conf *config.Config) *config.Config { return conf }
 
 // Attach implements app.Component.
-func (idle) Attach(app.Gateway) {}
+func (noStore) Attach(app.Gateway) {}
 
 // ReloadConfig implements app.Component.
-func (i idle) ReloadConfig() (*config.Config, error) { return config.Reload(i.getenv) }
+func (i noStore) ReloadConfig() (*config.Config, error) { return config.Reload(i.getenv) }
 
 // Close implements app.Component.
-func (idle) Close() {}
+func (noStore) Close() {}
