--- a/internal/store/disk/log.go
+++ b/internal/store/disk/log.go
@@ -31,13 +31,13 @@
 	size         int64  // of the current segment in bytes
 	segments     []segment
 	hard         *raftpb.HardState // as last saved
-	syncPosition File              // file of writeSyncPosition; nil until it is first written
+	syncPosition File              // written by writeSyncPosition; nil until then
 	buf          []byte            // of the encoded batch, reused
 	payload      []byte            // of one encoded record, reused
 	failure      error             // first final error of Save, which all later calls return
 }
 
-// segment is one file of the log. last is the highest entry index in this file and the files before it.
+// segment is one file of the log. lastIndex is the highest index of an entry or snapshot up to the end of the file.
 type segment struct {
 	seq, lastIndex uint64
 }
@@ -108,7 +108,7 @@
 	name := segmentName(seq)
 	file, err := l.fs.Create(name)
 	if err != nil {
-		return fmt.Errorf("store: begin %s: %w", l.fs.Name(name), err)
+		return fmt.Errorf("store: create segment %s: %w", l.fs.Name(name), err)
 	}
 	size, err := l.writeHead(file, seq)
 	if err != nil {
@@ -140,7 +140,7 @@
 	records = appendRecord(records, hardRecord, hard)
 	records = appendRecord(records, endRecord, nil)
 	if _, err := file.Write(records); err != nil {
-		return 0, fmt.Errorf("store: begin %s: %w", name, err)
+		return 0, fmt.Errorf("store: write the head of %s: %w", name, err)
 	}
 	if err := l.syncFile(file); err != nil {
 		return 0, fmt.Errorf("store: sync %s: %w", name, err)
--- a/internal/store/disk/read_test.go
+++ b/internal/store/disk/read_test.go
@@ -61,10 +61,10 @@
 		case errors.As(err, &corrupt):
 			found++
 			if corrupt.File != dir.Name(name) || corrupt.Offset > int64(at) || !strings.Contains(err.Error(), "offset") {
-				t.Errorf("a bit at %d of %s: %v", at, name, err)
+				t.Errorf("a flipped bit at %d of %s was reported at another position: %v", at, name, err)
 			}
 		case err != nil:
-			t.Errorf("a bit at %d of %s: %v", at, name, err)
+			t.Errorf("a flipped bit at %d of %s: %v, want a CorruptError", at, name, err)
 		case len(got.Entries) != 60 || got.HardState.GetCommit() != 58:
 			t.Errorf("a flipped bit at %d of %s was not detected, but changed the log: %d entries", at, name, len(got.Entries))
 		}
--- a/internal/store/disk/snapshot_test.go
+++ b/internal/store/disk/snapshot_test.go
@@ -30,7 +30,7 @@
 	}
 	got, reader, err := DecodeSnapshot(name, b)
 	if err != nil || got.GetIndex() != 9 {
-		t.Fatalf("%v, %v", got, err)
+		t.Fatalf("decoding the snapshot: %v, %v, want index 9", got, err)
 	}
 	if read, err := io.ReadAll(reader); err != nil || string(read) != string(image) {
 		t.Error("the image that was read differs from the one that was saved")
--- a/internal/store/documents/golden_test.go
+++ b/internal/store/documents/golden_test.go
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		if res, _, err := m.Apply(uint64(i+1), b); err != nil || !res.Holds {
-			t.Fatalf("%+v, %v", res, err)
+			t.Fatalf("applying the command: %+v, %v", res, err)
 		}
 		lines = append(lines, fmt.Sprintf("change/%d %x", i+1, b))
 		show(fmt.Sprint("revision/", i+1), revision)
--- a/internal/store/node/node_test.go
+++ b/internal/store/node/node_test.go
@@ -25,7 +25,7 @@
 	for i := range cl.nodes {
 		kv, found, _, err := cl.client("operator", i).Get(cl.ctx, "n", "after", false)
 		if err != nil || !found || string(kv.Value) != "v" {
-			t.Errorf("n%d: %v, %t, %v", i, kv, found, err)
+			t.Errorf("key at n%d: %v, found %t, error %v", i, kv, found, err)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 		found := false
 		age, err := cl.nodes[0].Read(cl.ctx, true, func(m *machine.Machine) { _, found = m.Get("n", "k") })
 		if err != nil || !found {
-			t.Fatalf("found %t, %v", found, err)
+			t.Fatalf("a stale read without a quorum: found %t, error %v", found, err)
 		}
 		return age > 500*time.Millisecond
 	})
@@ -76,7 +76,7 @@
 			continue
 		}
 		if err != nil || again.Code != machine.OK {
-			t.Errorf("n%d: %+v, %v", i, again, err)
+			t.Errorf("retry at n%d: result %+v, error %v", i, again, err)
 		}
 	}
 	if kv, _, _, err := cl.client("operator").Get(cl.ctx, "n", "k", false); err != nil || kv.Version != 1 {
--- a/internal/store/node/requests_test.go
+++ b/internal/store/node/requests_test.go
@@ -98,10 +98,10 @@
 	cl.must(err)
 	rev, err := documents.Decode("gateway", kvs[len(kvs)-1].Value)
 	if err != nil || rev.Number != 3 || rev.RolledBackTo != 1 || string(rev.Body) != `{"a":1}` || rev.Author != "operator" {
-		cl.t.Errorf("%+v, %v", rev, err)
+		cl.t.Errorf("revision after the rollback: %+v, %v", rev, err)
 	}
 	encoded, err := json.Marshal(rev)
 	if err != nil || !strings.Contains(string(encoded), `"rolled_back_to":1`) {
-		cl.t.Errorf("%s, %v", encoded, err)
+		cl.t.Errorf("revision as JSON: %s, %v", encoded, err)
 	}
 }
--- a/internal/store/pki/pki.go
+++ b/internal/store/pki/pki.go
@@ -95,7 +95,7 @@
 	}
 	key, ok := pair.PrivateKey.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, nil, errors.New("store: authority: the private key is not an ECDSA key, as this program creates it")
+		return nil, nil, errors.New("store: authority: the private key is not an ECDSA key")
 	}
 	return cert, key, nil
 }
