--- a/internal/daemon/document.go
+++ b/internal/daemon/document.go
@@ -23,7 +23,7 @@
 
 // readDocument returns the latest revision of the gateway document, or nil if there is none.
 func readDocument(m *machine.Machine) *documents.Revision {
-	revision, err := documents.At(m, documents.Gateway, 0)
+	revision, err := documents.ReadRevision(m, documents.Gateway, 0)
 	if err != nil {
 		return nil
 	}
--- a/internal/store/disk/identity.go
+++ b/internal/store/disk/identity.go
@@ -20,12 +20,12 @@
 	Node    uint64   `json:"node"`
 	Name    string   `json:"name"`
 	Voters  []uint64 `json:"voters,omitempty"` // ids of the first members; empty for an instance that joined
-	Form    int      `json:"form"`
+	Format  int      `json:"form"`
 }
 
 // SaveIdentity writes the identity file, replacing an earlier one atomically.
 func SaveIdentity(fs FS, id Identity) error {
-	id.Form = identityFormat
+	id.Format = identityFormat
 	b, err := json.MarshalIndent(id, "", "  ")
 	if err != nil {
 		return fmt.Errorf("store: encode the identity: %w", err)
@@ -50,7 +50,7 @@
 	if err := json.Unmarshal(b, &id); err != nil {
 		return nil, &CorruptError{File: fs.Name(identityName), Reason: err.Error()}
 	}
-	if id.Form != identityFormat || id.Cluster == 0 || id.Node == 0 {
+	if id.Format != identityFormat || id.Cluster == 0 || id.Node == 0 {
 		return nil, &CorruptError{File: fs.Name(identityName), Reason: "cluster or node is missing, or form is not supported"}
 	}
 	return &id, nil
--- a/internal/store/disk/log.go
+++ b/internal/store/disk/log.go
@@ -30,7 +30,7 @@
 	seq          uint64 // of the current segment
 	size         int64  // of the current segment in bytes
 	segments     []segment
-	hard         *raftpb.HardState // as last saved
+	hardState    *raftpb.HardState // as last saved
 	syncPosition File              // written by writeSyncPosition; nil until then
 	buf          []byte            // of the encoded batch, reused
 	payload      []byte            // of one encoded record, reused
@@ -99,7 +99,7 @@
 	if o.SegmentSize == 0 {
 		o.SegmentSize = DefaultSegmentSize
 	}
-	return &Log{fs: fs, segmentSize: o.SegmentSize, noSync: o.NoSync, hard: &raftpb.HardState{}}
+	return &Log{fs: fs, segmentSize: o.SegmentSize, noSync: o.NoSync, hardState: &raftpb.HardState{}}
 }
 
 // beginSegment creates a segment and makes it the current one. The segment begins with a copy of the hard state, so that
@@ -132,12 +132,12 @@
 // writeHead writes and syncs a segment's first records, and returns their size in bytes.
 func (l *Log) writeHead(file File, seq uint64) (int64, error) {
 	name := l.fs.Name(segmentName(seq))
-	hard, err := proto.Marshal(l.hard)
+	hard, err := proto.Marshal(l.hardState)
 	if err != nil {
 		return 0, fmt.Errorf("store: encode the hard state: %w", err)
 	}
 	records := appendRecord(nil, headRecord, binary.LittleEndian.AppendUint64([]byte{segmentFormat}, seq))
-	records = appendRecord(records, hardRecord, hard)
+	records = appendRecord(records, hardStateRecord, hard)
 	records = appendRecord(records, endRecord, nil)
 	if _, err := file.Write(records); err != nil {
 		return 0, fmt.Errorf("store: write the head of %s: %w", name, err)
@@ -232,7 +232,7 @@
 		current.lastIndex = max(current.lastIndex, entries[len(entries)-1].GetIndex())
 	}
 	if hard != nil {
-		l.hard = hard
+		l.hardState = hard
 	}
 	if cap(l.buf) > maxKeptBuffer {
 		l.buf = nil
@@ -256,7 +256,7 @@
 func (l *Log) encodeBatch(hard *raftpb.HardState, snap *raftpb.SnapshotMetadata, entries []*raftpb.Entry) error {
 	l.buf = appendRecord(l.buf[:0], beginRecord, binary.LittleEndian.AppendUint64(nil, uint64(l.size)))
 	if snap != nil {
-		if err := l.encode(snapRecord, snap); err != nil {
+		if err := l.encode(snapshotMetaRecord, snap); err != nil {
 			return err
 		}
 	}
@@ -266,7 +266,7 @@
 		}
 	}
 	if hard != nil {
-		if err := l.encode(hardRecord, hard); err != nil {
+		if err := l.encode(hardStateRecord, hard); err != nil {
 			return err
 		}
 	}
--- a/internal/store/disk/read.go
+++ b/internal/store/disk/read.go
@@ -69,7 +69,7 @@
 	if syncedSeq > l.seq {
 		return nil, nil, &CorruptError{File: fs.Name(segmentName(syncedSeq)), Reason: "the segment is missing, but had been synced"}
 	}
-	l.hard = loaded.HardState
+	l.hardState = loaded.HardState
 	return l, loaded, nil
 }
 
@@ -109,12 +109,12 @@
 	loaded   *Loaded
 }
 
-// batchRecord is a record of a batch whose end was not read yet. Only one of entry, hard and snap is set.
+// batchRecord is a record of a batch whose end was not read yet. Only one of entry, hardState and snapshotMeta is set.
 type batchRecord struct {
-	at    int
-	entry *raftpb.Entry
-	hard  *raftpb.HardState
-	snap  *raftpb.SnapshotMetadata
+	at           int
+	entry        *raftpb.Entry
+	hardState    *raftpb.HardState
+	snapshotMeta *raftpb.SnapshotMetadata
 }
 
 func (r *segmentReader) corrupt(at int, reason string) error {
@@ -150,12 +150,12 @@
 	case entryRecord:
 		entry := &raftpb.Entry{}
 		return r.decode(payload, entry, batchRecord{at: r.at, entry: entry})
-	case hardRecord:
+	case hardStateRecord:
 		hard := &raftpb.HardState{}
-		return r.decode(payload, hard, batchRecord{at: r.at, hard: hard})
-	case snapRecord:
+		return r.decode(payload, hard, batchRecord{at: r.at, hardState: hard})
+	case snapshotMetaRecord:
 		snap := &raftpb.SnapshotMetadata{}
-		return r.decode(payload, snap, batchRecord{at: r.at, snap: snap})
+		return r.decode(payload, snap, batchRecord{at: r.at, snapshotMeta: snap})
 	case endRecord:
 		r.complete = next
 		return r.commitBatch()
@@ -186,10 +186,10 @@
 				reason := fmt.Sprintf("entry %d leaves a gap after the entries before it", record.entry.GetIndex())
 				return r.corrupt(record.at, reason)
 			}
-		case record.hard != nil:
-			r.loaded.HardState = record.hard
-		case record.snap != nil:
-			r.loaded.SnapshotMeta = record.snap
+		case record.hardState != nil:
+			r.loaded.HardState = record.hardState
+		case record.snapshotMeta != nil:
+			r.loaded.SnapshotMeta = record.snapshotMeta
 			r.loaded.Entries = nil
 		}
 	}
--- a/internal/store/disk/record.go
+++ b/internal/store/disk/record.go
@@ -22,13 +22,13 @@
 type recordKind uint32
 
 const (
-	headRecord  recordKind = iota + 1 // head of a segment: format version and sequence number; also holds the sync position
-	entryRecord                       // one raft entry
-	hardRecord                        // raft's hard state: term, vote and commit index
-	snapRecord                        // metadata of an installed snapshot, after which the log continues
-	imageRecord                       // a part of the image in a snapshot file
-	endRecord                         // the end of a snapshot file or of a batch
-	beginRecord                       // the beginning of a batch, with its offset
+	headRecord         recordKind = iota + 1 // head of a segment: format version and sequence number; also holds the sync position
+	entryRecord                              // one raft entry
+	hardStateRecord                          // raft's hard state: term, vote and commit index
+	snapshotMetaRecord                       // metadata of an installed snapshot, after which the log continues
+	imageRecord                              // a part of the image in a snapshot file
+	endRecord                                // the end of a snapshot file or of a batch
+	beginRecord                              // the beginning of a batch, with its offset
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
--- a/internal/store/disk/snapshot.go
+++ b/internal/store/disk/snapshot.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return fmt.Errorf("store: encode snapshot: %w", err)
 	}
-	if _, err := w.Write(appendRecord(nil, snapRecord, head)); err != nil {
+	if _, err := w.Write(appendRecord(nil, snapshotMetaRecord, head)); err != nil {
 		return err
 	}
 	pieces := bufio.NewWriterSize(&recordWriter{w: w}, imageRecordSize)
@@ -72,7 +72,7 @@
 	corrupt := func(at int, why string) error { return &CorruptError{name, int64(at), why} }
 	kind, payload, at, ok := nextRecord(b, 0)
 	meta := &raftpb.SnapshotMetadata{}
-	if !ok || kind != snapRecord || proto.Unmarshal(payload, meta) != nil || meta.GetIndex() == 0 {
+	if !ok || kind != snapshotMetaRecord || proto.Unmarshal(payload, meta) != nil || meta.GetIndex() == 0 {
 		return nil, nil, corrupt(0, "the first record does not hold valid snapshot metadata")
 	}
 	var pieces []io.Reader
--- a/internal/store/documents/documents.go
+++ b/internal/store/documents/documents.go
@@ -84,8 +84,8 @@
 	return h, kv.Modified, nil
 }
 
-// At returns a revision of a document; number 0 is the latest. The error wraps ErrName or ErrMissing.
-func At(r Reader, name string, number int64) (*Revision, error) {
+// ReadRevision returns a revision of a document; number 0 is the latest. The error wraps ErrName or ErrMissing.
+func ReadRevision(r Reader, name string, number int64) (*Revision, error) {
 	if !validName.MatchString(name) {
 		return nil, ErrName
 	}
@@ -100,11 +100,11 @@
 	if !found {
 		return nil, fmt.Errorf("%w: %s, revision %d", ErrMissing, name, number)
 	}
-	return Decode(name, kv.Value)
+	return DecodeRevision(name, kv.Value)
 }
 
-// Decode decodes a stored revision of a document.
-func Decode(name string, b []byte) (*Revision, error) {
+// DecodeRevision decodes a stored revision of a document.
+func DecodeRevision(name string, b []byte) (*Revision, error) {
 	rev := &Revision{}
 	if err := msgpack.Unmarshal(b, rev); err != nil {
 		return nil, fmt.Errorf("documents: decode a revision of %s: %w", name, err)
@@ -118,7 +118,7 @@
 func History(r Reader, name string) ([]*Revision, error) {
 	var all []*Revision
 	for _, kv := range r.List(NS, "body/"+name+"/", 0) {
-		rev, err := Decode(name, kv.Value)
+		rev, err := DecodeRevision(name, kv.Value)
 		if err != nil {
 			return nil, err
 		}
@@ -167,7 +167,7 @@
 		return nil, nil, err
 	}
 	if head.Number > 0 {
-		latest, err := At(r, change.Name, head.Number)
+		latest, err := ReadRevision(r, change.Name, head.Number)
 		if err == nil && bytes.Equal(latest.Body, body) {
 			return nil, nil, fmt.Errorf("%w: %s is at revision %d", ErrSame, change.Name, head.Number)
 		}
@@ -193,7 +193,7 @@
 func newBody(r Reader, change *Change) ([]byte, error) {
 	body := change.Body
 	if change.RollBackTo != 0 {
-		old, err := At(r, change.Name, change.RollBackTo)
+		old, err := ReadRevision(r, change.Name, change.RollBackTo)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/store/documents/golden_test.go
+++ b/internal/store/documents/golden_test.go
@@ -54,7 +54,7 @@
 		if _, _, err := again.Apply(i, b); err != nil {
 			t.Fatal(err)
 		}
-		revision, err := At(again, "gateway", 0)
+		revision, err := ReadRevision(again, "gateway", 0)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/store/frame/frame.go
+++ b/internal/store/frame/frame.go
@@ -44,7 +44,7 @@
 
 // Hello is the first frame on a connection, sent by the end that dialed.
 type Hello struct {
-	Form    uint8  `msgpack:"f"` // format version
+	Format  uint8  `msgpack:"f"` // format version
 	Peer    bool   `msgpack:"p"` // true: an instance that will send messages; false: a client
 	Cluster uint64 `msgpack:"c"`
 	ID      uint64 `msgpack:"i"` // of a peer
@@ -53,7 +53,7 @@
 
 // Welcome answers a Hello.
 type Welcome struct {
-	Form    uint8  `msgpack:"f"`           // format version
+	Format  uint8  `msgpack:"f"`           // format version
 	Error   string `msgpack:"e,omitempty"` // why a peer is refused; empty: it is accepted
 	Final   bool   `msgpack:"x,omitempty"` // a retry cannot succeed: the peer was removed, or is of another cluster
 	Cluster uint64 `msgpack:"c"`
--- a/internal/store/frame/golden_test.go
+++ b/internal/store/frame/golden_test.go
@@ -29,10 +29,10 @@
 		Then: []machine.Op{{Kind: machine.Put, NS: "config", Key: "one", Value: []byte("w"), Lease: 9, Limit: 10}},
 		Else: []machine.Op{{Kind: machine.Delete, NS: "config", Key: "one"}}, Lease: 11, Amount: 12}
 	return []goldenCase{
-		{"hello", HelloKind, &Hello{Form: 1, Peer: true, Cluster: 77, ID: 11, Address: "127.0.0.1:7001"}, &Hello{}},
-		{"hello-client", HelloKind, &Hello{Form: 1}, &Hello{}},
-		{"welcome", WelcomeKind, &Welcome{Form: 1, Cluster: 77, Name: "a"}, &Welcome{}},
-		{"welcome-refused", WelcomeKind, &Welcome{Form: 1, Error: "removed", Final: true, Cluster: 77, Name: "a"}, &Welcome{}},
+		{"hello", HelloKind, &Hello{Format: 1, Peer: true, Cluster: 77, ID: 11, Address: "127.0.0.1:7001"}, &Hello{}},
+		{"hello-client", HelloKind, &Hello{Format: 1}, &Hello{}},
+		{"welcome", WelcomeKind, &Welcome{Format: 1, Cluster: 77, Name: "a"}, &Welcome{}},
+		{"welcome-refused", WelcomeKind, &Welcome{Format: 1, Error: "removed", Final: true, Cluster: 77, Name: "a"}, &Welcome{}},
 		{"request", RequestKind, &Request{ID: 1, Op: OpPropose, Command: &command, NS: "config", Key: "one", Limit: -1, Stale: true, After: 2, NodeID: 3,
 			Name: "gateway", Address: "127.0.0.1:7002", Token: "note", Body: []byte("{}")}, &Request{}},
 		{"request-least", RequestKind, &Request{ID: 2, Op: OpStatus}, &Request{}},
--- a/internal/store/node/calls.go
+++ b/internal/store/node/calls.go
@@ -27,7 +27,7 @@
 // runs on the owner's goroutine.
 func (n *Node) registerCallback(done func(core.Answer)) (token uint64) {
 	n.lastToken++
-	n.waiting[n.lastToken] = done
+	n.callbacks[n.lastToken] = done
 	return n.lastToken
 }
 
--- a/internal/store/node/node.go
+++ b/internal/store/node/node.go
@@ -103,7 +103,7 @@
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup // of the listener and the connections
 
-	waiting          map[uint64]func(core.Answer) // callbacks of proposals and reads in progress, by token
+	callbacks        map[uint64]func(core.Answer) // callbacks of proposals and reads in progress, by token
 	lastToken        uint64
 	stalledWork      *core.Work // work that could not be saved because the disk is full; nil: none
 	stalledAt        time.Time
@@ -129,16 +129,16 @@
 		return nil, errors.Join(err, dir.Close())
 	}
 	n := &Node{
-		conf:     conf,
-		log:      conf.Log.With().Str("store", conf.Name).Logger(),
-		dir:      dir,
-		store:    store,
-		inbox:    make(chan core.Envelope, inboxSize),
-		tasks:    make(chan func(), taskQueueSize),
-		stop:     make(chan struct{}),
-		ended:    make(chan struct{}),
-		waiting:  map[uint64]func(core.Answer){},
-		watchers: newBroadcast(),
+		conf:      conf,
+		log:       conf.Log.With().Str("store", conf.Name).Logger(),
+		dir:       dir,
+		store:     store,
+		inbox:     make(chan core.Envelope, inboxSize),
+		tasks:     make(chan func(), taskQueueSize),
+		stop:      make(chan struct{}),
+		ended:     make(chan struct{}),
+		callbacks: map[uint64]func(core.Answer){},
+		watchers:  newBroadcast(),
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	if err := n.start(opened); err != nil {
--- a/internal/store/node/requests.go
+++ b/internal/store/node/requests.go
@@ -243,7 +243,7 @@
 	var invalid error
 	_, err := cc.node.Read(ctx, false, func(m *machine.Machine) {
 		command, revision, invalid = documents.Plan(m, change)
-		if schemaDocument, err := documents.At(m, change.Name+documents.SchemaSuffix, 0); err == nil {
+		if schemaDocument, err := documents.ReadRevision(m, change.Name+documents.SchemaSuffix, 0); err == nil {
 			schema = schemaDocument.Body
 		}
 	})
--- a/internal/store/node/requests_test.go
+++ b/internal/store/node/requests_test.go
@@ -96,7 +96,7 @@
 	}
 	kvs, _, err := c.List(cl.ctx, documents.NS, "body/gateway/", -1, false)
 	cl.must(err)
-	rev, err := documents.Decode("gateway", kvs[len(kvs)-1].Value)
+	rev, err := documents.DecodeRevision("gateway", kvs[len(kvs)-1].Value)
 	if err != nil || rev.Number != 3 || rev.RolledBackTo != 1 || string(rev.Body) != `{"a":1}` || rev.Author != "operator" {
 		cl.t.Errorf("revision after the rollback: %+v, %v", rev, err)
 	}
--- a/internal/store/node/run.go
+++ b/internal/store/node/run.go
@@ -88,8 +88,8 @@
 	n.cancel()
 	_ = n.listener.Close() // a listener has no data to lose
 	n.transport.Close()
-	for token, done := range n.waiting {
-		delete(n.waiting, token)
+	for token, done := range n.callbacks {
+		delete(n.callbacks, token)
 		done(core.Answer{Err: fmt.Errorf("%w: %w", core.ErrOutcomeUnknown, ErrStopped)})
 	}
 	n.watchers.close()
@@ -107,8 +107,8 @@
 		return err
 	}
 	for _, answer := range n.core.Answers() {
-		if done := n.waiting[answer.Token]; done != nil {
-			delete(n.waiting, answer.Token)
+		if done := n.callbacks[answer.Token]; done != nil {
+			delete(n.callbacks, answer.Token)
 			done(answer)
 		}
 	}
--- a/internal/store/node/server.go
+++ b/internal/store/node/server.go
@@ -111,7 +111,7 @@
 // answerHello sends the Welcome for a Hello. It returns an error if the peer is refused.
 func (n *Node) answerHello(conn net.Conn, hello *frame.Hello, owner string, role pki.Role) error {
 	view := n.view.Load()
-	welcome := frame.Welcome{Form: welcomeFormat, Cluster: view.cluster, Name: n.conf.Name}
+	welcome := frame.Welcome{Format: welcomeFormat, Cluster: view.cluster, Name: n.conf.Name}
 	if hello.Peer {
 		if err := view.checkPeer(hello, owner, role); err != nil {
 			welcome.Error = err.Error()
--- a/internal/store/transport/dial.go
+++ b/internal/store/transport/dial.go
@@ -61,7 +61,7 @@
 	if role != pki.Instance || name != "" && owner != name {
 		return nil, fmt.Errorf("store: the certificate is of %q with role %s, expected that of instance %q", owner, role, name)
 	}
-	hello.Form = helloFormat
+	hello.Format = helloFormat
 	if err := frame.Write(conn, frame.HelloKind, &hello); err != nil {
 		return nil, err
 	}
--- a/internal/store/transport/golden_test.go
+++ b/internal/store/transport/golden_test.go
@@ -95,7 +95,7 @@
 		t.Error(err)
 	}
 	expect(received, goldenHello)
-	if *welcome != (frame.Welcome{Form: 1, Cluster: 77, Name: "b"}) {
+	if *welcome != (frame.Welcome{Format: 1, Cluster: 77, Name: "b"}) {
 		t.Errorf("the welcome is read as %+v", *welcome)
 	}
 
--- a/internal/storecmd/documents.go
+++ b/internal/storecmd/documents.go
@@ -45,7 +45,7 @@
 // fetchRevision reads a revision of a document; number 0 is the latest.
 func fetchRevision(ctx context.Context, c *client.Client, name string, number int64) (*documents.Revision, error) {
 	state := &remoteState{ctx: ctx, client: c}
-	revision, err := documents.At(state, name, number)
+	revision, err := documents.ReadRevision(state, name, number)
 	if state.err != nil {
 		return nil, state.err
 	}
