--- a/internal/store/documents/golden_test.go
+++ b/internal/store/documents/golden_test.go
@@ -10,8 +10,8 @@
 	"cloverrock/internal/store/machine"
 )
 
-// The encoded commands that change documents must not change, and so neither the keys and values in the state. The golden
-// commands must give the same revisions. The JSON of revisions and of the instances' reports must not change either.
+// The encoded commands that change documents, and with them the keys and values in the state, must not change. Applying
+// the golden commands must give the same revisions. The JSON of revisions and of the instances' reports must not change.
 func TestDocumentsKeepTheirBytes(t *testing.T) {
 	m := machine.New()
 	var lines []string
--- a/internal/store/node/calls.go
+++ b/internal/store/node/calls.go
@@ -31,7 +31,7 @@
 	return n.lastToken
 }
 
-// propose is Propose on the owner's goroutine.
+// propose does the work of Propose on the owner's goroutine.
 func (n *Node) propose(command *machine.Command, done func(core.Answer)) {
 	if n.stalledWork != nil {
 		done(core.Answer{Err: fmt.Errorf("%w: the disk of this instance is full", core.ErrNoLeader)})
@@ -83,7 +83,7 @@
 	return result.staleness, result.err
 }
 
-// read is Read on the owner's goroutine; it calls done exactly once unless the instance ends.
+// read does the work of Read on the owner's goroutine. It calls done exactly once unless the instance ends.
 func (n *Node) read(stale bool, inspect func(*machine.Machine), done func(time.Duration, error)) {
 	if stale {
 		staleness := n.staleness()
--- a/internal/store/node/node.go
+++ b/internal/store/node/node.go
@@ -98,12 +98,12 @@
 	tasks    chan func()   // run by the owner
 	stop     chan struct{} // closed to make the instance stop
 	stopOnce sync.Once
-	ended    chan struct{} // closed when it has stopped
+	ended    chan struct{} // closed when the instance has stopped
 	ctx      context.Context
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup // of the listener and the connections
 
-	callbacks        map[uint64]func(core.Answer) // callbacks of proposals and reads in progress, by token
+	callbacks        map[uint64]func(core.Answer) // of proposals and reads in progress, by token
 	lastToken        uint64
 	stalledWork      *core.Work // work that could not be saved because the disk is full; nil: none
 	stalledAt        time.Time
@@ -216,8 +216,8 @@
 
 func (n *Node) signalStop() { n.stopOnce.Do(func() { close(n.stop) }) }
 
-// Close transfers leadership, waiting at most leaveTimeout, and stops the instance. It returns the failure that had
-// stopped the instance before, if there was one.
+// Close transfers leadership, for which it waits at most stepDownTimeout, and stops the instance. It returns the failure that
+// had stopped the instance before, if there was one.
 func (n *Node) Close() error {
 	done := make(chan struct{})
 	if n.post(func() { n.stepDown(done) }) {
