--- a/internal/store/documents/documents.go
+++ b/internal/store/documents/documents.go
@@ -15,7 +15,7 @@
 	"cloverrock/internal/store/machine"
 )
 
-// NS is the namespace of documents. Only the commands that Plan returns write to it.
+// NS is the namespace of documents. Only the commands that PlanChange returns write to it.
 const NS = "config"
 
 const (
@@ -70,9 +70,9 @@
 	List(ns, prefix string, limit int) []machine.KV
 }
 
-// Latest returns the head of a document and the store's revision at which it was written. Both are zero if there is no
+// ReadHead returns the head of a document and the store's revision at which it was written. Both are zero if there is no
 // such document.
-func Latest(r Reader, name string) (head Head, modified int64, err error) {
+func ReadHead(r Reader, name string) (head Head, modified int64, err error) {
 	kv, found := r.Get(NS, headKey(name))
 	if !found {
 		return Head{}, 0, nil
@@ -90,7 +90,7 @@
 		return nil, ErrName
 	}
 	if number == 0 {
-		h, _, err := Latest(r, name)
+		h, _, err := ReadHead(r, name)
 		if err != nil {
 			return nil, err
 		}
@@ -148,14 +148,14 @@
 	RollBackTo         int64 // revision whose body is used instead of Body; 0: none
 }
 
-// Plan returns the command that commits a change, and the resulting revision. If another change is committed first, the
-// command has no effect and Holds is false in its result. The error wraps ErrName, ErrConflict, ErrMissing or ErrSame, or
-// reports that the body is too long or not JSON.
-func Plan(r Reader, change Change) (*machine.Command, *Revision, error) {
+// PlanChange returns the command that commits a change, and the resulting revision. If another change is committed first,
+// the command has no effect and Holds is false in its result. The error wraps ErrName, ErrConflict, ErrMissing or ErrSame,
+// or reports that the body is too long or not JSON.
+func PlanChange(r Reader, change Change) (*machine.Command, *Revision, error) {
 	if !validName.MatchString(change.Name) {
 		return nil, nil, ErrName
 	}
-	head, modified, err := Latest(r, change.Name)
+	head, modified, err := ReadHead(r, change.Name)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -181,7 +181,7 @@
 		RolledBackTo: change.RollBackTo,
 		Body:         body,
 	}
-	ops, err := revision.writes(head)
+	ops, err := revision.storeOps(head)
 	if err != nil {
 		return nil, nil, fmt.Errorf("documents: encode %s: %w", change.Name, err)
 	}
@@ -209,8 +209,8 @@
 	return compacted.Bytes(), nil
 }
 
-// writes returns the operations that store this revision as the latest and delete those older than KeepRevisions.
-func (rev *Revision) writes(head Head) ([]machine.Op, error) {
+// storeOps returns the operations that store this revision as the latest and delete those older than KeepRevisions.
+func (rev *Revision) storeOps(head Head) ([]machine.Op, error) {
 	next := Head{Number: rev.Number, First: max(head.First, 1)}
 	var ops []machine.Op
 	for next.Number-next.First >= KeepRevisions {
--- a/internal/store/documents/golden_test.go
+++ b/internal/store/documents/golden_test.go
@@ -27,7 +27,7 @@
 		{Name: "gateway", Author: "other", AtMS: 1700000000002, Body: []byte(`{}`), Base: 1},
 		{Name: "gateway", Author: "operator", Note: "back", AtMS: 1700000000003, Base: -1, RollBackTo: 1},
 	} {
-		command, revision, err := Plan(m, change)
+		command, revision, err := PlanChange(m, change)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/store/node/cluster_test.go
+++ b/internal/store/node/cluster_test.go
@@ -38,7 +38,7 @@
 	ids   []uint64
 }
 
-func startCluster(tb testing.TB, instances int, change ...func(*Config)) *cluster {
+func startCluster(tb testing.TB, instances int, changes ...func(*Config)) *cluster {
 	tb.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	tb.Cleanup(cancel)
@@ -48,7 +48,7 @@
 	var voters []uint64
 	var records []machine.Op
 	for i := range instances {
-		cl.addInstance(change...)
+		cl.addInstance(changes...)
 		voters = append(voters, cl.ids[i])
 		member := core.Member{Name: cl.confs[i].Name, Address: cl.confs[i].Listen, Format: machine.Format}
 		record, err := core.MemberOp(cl.ids[i], member)
@@ -72,7 +72,7 @@
 }
 
 // addInstance creates the certificate and configuration of another instance, which is not a member yet.
-func (cl *cluster) addInstance(change ...func(*Config)) int {
+func (cl *cluster) addInstance(changes ...func(*Config)) int {
 	cl.t.Helper()
 	i := len(cl.confs)
 	name := fmt.Sprint("n", i)
@@ -87,7 +87,7 @@
 		Tick:   10 * time.Millisecond,
 		Log:    zerolog.New(zerolog.NewTestWriter(cl.t)).Level(zerolog.ErrorLevel),
 	}
-	for _, f := range change {
+	for _, f := range changes {
 		f(&conf)
 	}
 	cl.confs = append(cl.confs, conf)
--- a/internal/store/node/membership_test.go
+++ b/internal/store/node/membership_test.go
@@ -21,12 +21,12 @@
 }
 
 // awaitEnd waits until an instance has stopped without being told to.
-func (cl *cluster) awaitEnd(n *Node, otherwise string) {
+func (cl *cluster) awaitEnd(n *Node, failure string) {
 	cl.t.Helper()
 	select {
 	case <-n.Ended():
 	case <-cl.ctx.Done():
-		cl.t.Fatal(otherwise)
+		cl.t.Fatal(failure)
 	}
 }
 
--- a/internal/store/node/requests.go
+++ b/internal/store/node/requests.go
@@ -242,7 +242,7 @@
 	var schema []byte
 	var invalid error
 	_, err := cc.node.Read(ctx, false, func(m *machine.Machine) {
-		command, revision, invalid = documents.Plan(m, change)
+		command, revision, invalid = documents.PlanChange(m, change)
 		if schemaDocument, err := documents.ReadRevision(m, change.Name+documents.SchemaSuffix, 0); err == nil {
 			schema = schemaDocument.Body
 		}
--- a/internal/storecmd/golden_test.go
+++ b/internal/storecmd/golden_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// notes returns a line for each key in the namespace "notes".
-func (f *fixture) notes() (lines []string) {
+// noteLines returns a line for each key in the namespace "notes".
+func (f *fixture) noteLines() (lines []string) {
 	f.T.Helper()
 	var listed struct{ Keys []machine.KV }
 	if err := json.Unmarshal([]byte(f.Run(0, "store key list notes --output json")), &listed); err != nil {
@@ -126,7 +126,7 @@
 	f := newFixture(t)
 	copyFiles(t, kept, f.Path("store", "a-data"))
 	instance := f.serve(0)
-	lines := f.notes()
+	lines := f.noteLines()
 	lines = append(lines, "history "+strings.TrimSpace(f.Run(0, "store history gateway --output json")))
 	for _, number := range []string{"1", "2", "3"} {
 		lines = append(lines, "gateway/"+number+" "+strings.TrimSpace(f.Run(0, "store get gateway --output json --revision "+number)))
@@ -137,13 +137,13 @@
 		t.Errorf("the next revision of the document: %s", out)
 	}
 	f.Run(0, "store key put notes fourth five --version 0")
-	before := f.notes()
+	before := f.noteLines()
 	if len(before) != 4 {
 		t.Errorf("keys: %q, want 4", before)
 	}
 	f.stop(instance)
 	f.serve(0)
-	if after := f.notes(); strings.Join(after, "\n") != strings.Join(before, "\n") {
+	if after := f.noteLines(); strings.Join(after, "\n") != strings.Join(before, "\n") {
 		t.Errorf("keys after reopening: %q, before %q", after, before)
 	}
 }
