--- a/internal/store/disk/read.go
+++ b/internal/store/disk/read.go
@@ -109,7 +109,7 @@
 	loaded   *Loaded
 }
 
-// batchRecord is a record of a batch whose end was not read yet. Only one of entry, hardState and snapshotMeta is set.
+// batchRecord is a record of a batch whose end was not read yet. Exactly one of entry, hardState and snapshotMeta is set.
 type batchRecord struct {
 	at           int
 	entry        *raftpb.Entry
--- a/internal/store/disk/snapshot.go
+++ b/internal/store/disk/snapshot.go
@@ -125,9 +125,8 @@
 	return fs.SyncDir()
 }
 
-// LoadSnapshot returns the newest snapshot, encoded and not yet verified, and the path of its file; nil if there is no
-// snapshot. It never returns an older snapshot instead, because the log entries that this would need may have been
-// removed.
+// LoadSnapshot returns the newest snapshot, encoded and not yet verified, and the path of its file; nil if there is none.
+// It never falls back to an older snapshot, because the log entries that follow the older one may have been removed.
 func LoadSnapshot(fs FS) ([]byte, string, error) {
 	names, err := listSnapshots(fs)
 	if err != nil || len(names) == 0 {
--- a/internal/store/node/cluster_test.go
+++ b/internal/store/node/cluster_test.go
@@ -163,7 +163,7 @@
 		select {
 		case <-tick.C:
 		case <-cl.ctx.Done():
-			for _, n := range cl.nodes { // not cl.ctx, which has ended
+			for _, n := range cl.nodes { // with context.Background, because cl.ctx has ended
 				if n != nil {
 					status, err := n.Status(context.Background())
 					cl.t.Logf("%+v, %v", status, err)
