--- a/internal/store/disk/log.go
+++ b/internal/store/disk/log.go
@@ -15,39 +15,39 @@
 	// DefaultSegmentSize is the size in bytes after which the log begins a new segment.
 	DefaultSegmentSize = 16 << 20
 
-	syncNoteName  = "synced"
-	segmentForm   = 1       // format version of the segment files
-	maxKeptBuffer = 4 << 20 // bytes; a larger buffer is not kept for the next batch
+	syncPositionName = "synced"
+	segmentFormat    = 1       // format version of the segment files
+	maxKeptBuffer    = 4 << 20 // bytes; a larger buffer is released instead of reused for the next batch
 )
 
 // Log is raft's durable log: batches of records in segment files. A batch is durable once it is synced. A Log is not
 // safe for concurrent use.
 type Log struct {
-	fs          FS
-	segmentSize int64 // bytes after which a new segment is begun
-	noSync      bool
-	file        File   // of the current segment
-	seq         uint64 // of the current segment
-	size        int64  // of the current segment in bytes
-	segments    []segment
-	hard        *raftpb.HardState // as last saved
-	syncNote    File              // see noteSynced; nil until first written
-	buf         []byte            // of the encoded batch, reused
-	payload     []byte            // of one encoded record, reused
-	failure     error             // the first failure after which nothing more is written
+	fs           FS
+	segmentSize  int64 // bytes after which a new segment is begun
+	noSync       bool
+	file         File   // of the current segment
+	seq          uint64 // of the current segment
+	size         int64  // of the current segment in bytes
+	segments     []segment
+	hardState    *raftpb.HardState // as last saved
+	syncPosition File              // written by writeSyncPosition; nil until then
+	buf          []byte            // of the encoded batch, reused
+	payload      []byte            // of one encoded record, reused
+	failure      error             // first final error of Save, which all later calls return
 }
 
-// segment is one file of the log. last is the highest index up to its end.
+// segment is one file of the log. lastIndex is the highest index of an entry or snapshot up to the end of the file.
 type segment struct {
-	seq, last uint64
+	seq, lastIndex uint64
 }
 
 // Loaded is the content of a log when it was opened.
 type Loaded struct {
 	HardState    *raftpb.HardState
-	SnapshotMeta *raftpb.SnapshotMetadata // the latest snapshot that the log names; nil if none
+	SnapshotMeta *raftpb.SnapshotMetadata // of the latest snapshot that the log records; nil if none
 	Entries      []*raftpb.Entry          // consecutive, following SnapshotMeta
-	TornBytes    int64                    // of an incomplete last batch, which was truncated
+	TornBytes    int64                    // bytes of an incomplete last batch, which was truncated
 }
 
 // Options of a log.
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	if len(seqs) > 0 {
-		return nil, fmt.Errorf("store: %s is there already", fs.Name(segmentName(seqs[0])))
+		return nil, fmt.Errorf("store: create the log: %s exists already", fs.Name(segmentName(seqs[0])))
 	}
 	l := newLog(fs, o)
 	if err := l.beginSegment(1); err != nil {
@@ -99,16 +99,16 @@
 	if o.SegmentSize == 0 {
 		o.SegmentSize = DefaultSegmentSize
 	}
-	return &Log{fs: fs, segmentSize: o.SegmentSize, noSync: o.NoSync, hard: &raftpb.HardState{}}
+	return &Log{fs: fs, segmentSize: o.SegmentSize, noSync: o.NoSync, hardState: &raftpb.HardState{}}
 }
 
-// beginSegment creates a segment and makes it the current one. Its head repeats the hard state, so that older segments
-// can be removed.
+// beginSegment creates a segment and makes it the current one. The segment begins with a copy of the hard state, so that
+// older segments can be removed.
 func (l *Log) beginSegment(seq uint64) error {
 	name := segmentName(seq)
 	file, err := l.fs.Create(name)
 	if err != nil {
-		return fmt.Errorf("store: begin %s: %w", l.fs.Name(name), err)
+		return fmt.Errorf("store: create segment %s: %w", l.fs.Name(name), err)
 	}
 	size, err := l.writeHead(file, seq)
 	if err != nil {
@@ -120,27 +120,27 @@
 	}
 	last := uint64(0)
 	if len(l.segments) > 0 {
-		last = l.segments[len(l.segments)-1].last
+		last = l.segments[len(l.segments)-1].lastIndex
 	}
 	l.file = file
 	l.seq = seq
 	l.size = size
 	l.segments = append(l.segments, segment{seq, last})
-	return l.noteSynced()
+	return l.writeSyncPosition()
 }
 
 // writeHead writes and syncs a segment's first records, and returns their size in bytes.
 func (l *Log) writeHead(file File, seq uint64) (int64, error) {
 	name := l.fs.Name(segmentName(seq))
-	hard, err := proto.Marshal(l.hard)
+	hard, err := proto.Marshal(l.hardState)
 	if err != nil {
 		return 0, fmt.Errorf("store: encode the hard state: %w", err)
 	}
-	records := appendRecord(nil, headRecord, binary.LittleEndian.AppendUint64([]byte{segmentForm}, seq))
-	records = appendRecord(records, hardRecord, hard)
+	records := appendRecord(nil, headRecord, binary.LittleEndian.AppendUint64([]byte{segmentFormat}, seq))
+	records = appendRecord(records, hardStateRecord, hard)
 	records = appendRecord(records, endRecord, nil)
 	if _, err := file.Write(records); err != nil {
-		return 0, fmt.Errorf("store: begin %s: %w", name, err)
+		return 0, fmt.Errorf("store: write the head of %s: %w", name, err)
 	}
 	if err := l.syncFile(file); err != nil {
 		return 0, fmt.Errorf("store: sync %s: %w", name, err)
@@ -160,32 +160,33 @@
 	return f.Sync()
 }
 
-// noteSynced writes the position up to which the log is synced to a file, which is not synced itself. After a crash of
-// the process the note distinguishes a damaged end of the log from an incomplete write; after a crash of the machine an
-// older note may remain, which covers less of the log.
-func (l *Log) noteSynced() error {
+// writeSyncPosition writes the position up to which the log is synced to a file, which is not synced itself. After a crash
+// of the process, the position distinguishes a damaged end of the log from an incomplete write. After a crash of the
+// machine, the file may hold an older position, which covers less of the log.
+func (l *Log) writeSyncPosition() error {
 	if l.noSync {
 		return nil
 	}
-	if l.syncNote == nil {
-		file, err := l.fs.Create(syncNoteName)
+	if l.syncPosition == nil {
+		file, err := l.fs.Create(syncPositionName)
 		if err != nil {
-			return fmt.Errorf("store: %s: %w", l.fs.Name(syncNoteName), err)
+			return fmt.Errorf("store: %s: %w", l.fs.Name(syncPositionName), err)
 		}
-		l.syncNote = file
+		l.syncPosition = file
 	}
 	position := binary.LittleEndian.AppendUint64(nil, l.seq)
 	position = binary.LittleEndian.AppendUint64(position, uint64(l.size))
-	_, err := l.syncNote.WriteAt(appendRecord(nil, headRecord, position), 0)
+	_, err := l.syncPosition.WriteAt(appendRecord(nil, headRecord, position), 0)
 	if err != nil && !errors.Is(err, ErrFull) {
-		return fmt.Errorf("store: %s: %w", l.fs.Name(syncNoteName), err)
+		return fmt.Errorf("store: %s: %w", l.fs.Name(syncPositionName), err)
 	}
 	return nil
 }
 
-// readSyncNote returns the segment and the size of it in bytes up to which the log was synced; zeros if unknown.
-func readSyncNote(fs FS) (seq uint64, size int64) {
-	data, err := fs.Read(syncNoteName)
+// readSyncPosition returns the last segment that is known to be synced, and up to which size in bytes it is; zeros if
+// unknown.
+func readSyncPosition(fs FS) (seq uint64, size int64) {
+	data, err := fs.Read(syncPositionName)
 	if err != nil {
 		return 0, 0
 	}
@@ -196,9 +197,9 @@
 	return binary.LittleEndian.Uint64(position), int64(binary.LittleEndian.Uint64(position[8:]))
 }
 
-// Save appends a batch of a hard state, the metadata of an installed snapshot and entries, each of which may be missing,
-// and returns when the batch is durable. After ErrFull nothing was written and the call may be repeated. Any other error
-// is final: all later calls return it.
+// Save appends a batch and returns once the batch is durable. A batch consists of a hard state, the metadata of an
+// installed snapshot and entries; each of them may be missing. After ErrFull nothing was written and the call may be
+// repeated. Any other error is final: all later calls return it.
 func (l *Log) Save(hard *raftpb.HardState, snap *raftpb.SnapshotMetadata, entries []*raftpb.Entry) error {
 	if l.failure != nil {
 		return l.failure
@@ -212,7 +213,7 @@
 		}
 	}
 	if err := l.encodeBatch(hard, snap, entries); err != nil {
-		return l.fail(fmt.Errorf("store: encode for the log: %w", err))
+		return l.fail(fmt.Errorf("store: encode a batch for the log: %w", err))
 	}
 	if _, err := l.file.Write(l.buf); err != nil {
 		return l.fail(fmt.Errorf("store: write %s: %w", l.fs.Name(segmentName(l.seq)), err))
@@ -225,18 +226,18 @@
 	l.size += int64(len(l.buf))
 	current := &l.segments[len(l.segments)-1]
 	if snap != nil {
-		current.last = snap.GetIndex()
+		current.lastIndex = snap.GetIndex()
 	}
 	if len(entries) > 0 {
-		current.last = max(current.last, entries[len(entries)-1].GetIndex())
+		current.lastIndex = max(current.lastIndex, entries[len(entries)-1].GetIndex())
 	}
 	if hard != nil {
-		l.hard = hard
+		l.hardState = hard
 	}
 	if cap(l.buf) > maxKeptBuffer {
 		l.buf = nil
 	}
-	if err := l.noteSynced(); err != nil {
+	if err := l.writeSyncPosition(); err != nil {
 		l.failure = err
 		return err
 	}
@@ -255,7 +256,7 @@
 func (l *Log) encodeBatch(hard *raftpb.HardState, snap *raftpb.SnapshotMetadata, entries []*raftpb.Entry) error {
 	l.buf = appendRecord(l.buf[:0], beginRecord, binary.LittleEndian.AppendUint64(nil, uint64(l.size)))
 	if snap != nil {
-		if err := l.encode(snapRecord, snap); err != nil {
+		if err := l.encode(snapshotMetaRecord, snap); err != nil {
 			return err
 		}
 	}
@@ -265,7 +266,7 @@
 		}
 	}
 	if hard != nil {
-		if err := l.encode(hardRecord, hard); err != nil {
+		if err := l.encode(hardStateRecord, hard); err != nil {
 			return err
 		}
 	}
@@ -283,11 +284,11 @@
 	return nil
 }
 
-// Release removes the segments before the current one that contain only entries up to an index. The caller must have a
-// snapshot of these entries.
+// Release removes the segments before the current one that contain no entry after upTo. The caller must have a snapshot
+// of the entries up to there.
 func (l *Log) Release(upTo uint64) error {
 	n := 0
-	for n < len(l.segments)-1 && l.segments[n].last <= upTo {
+	for n < len(l.segments)-1 && l.segments[n].lastIndex <= upTo {
 		if err := l.fs.Remove(segmentName(l.segments[n].seq)); err != nil {
 			return fmt.Errorf("store: remove an old segment: %w", err)
 		}
@@ -302,8 +303,8 @@
 
 // Close closes the files.
 func (l *Log) Close() error {
-	if l.syncNote != nil {
-		_ = l.syncNote.Close() // losing the note is harmless
+	if l.syncPosition != nil {
+		_ = l.syncPosition.Close() // the log can be read without the sync position
 	}
 	if l.file != nil {
 		return l.file.Close()
--- a/internal/store/documents/documents.go
+++ b/internal/store/documents/documents.go
@@ -1,5 +1,5 @@
-// Package documents defines operators' documents in the store: numbered, immutable revisions with author, time and note.
-// It computes the command that commits a change and the condition under which it applies; it does no I/O.
+// Package documents defines the documents that operators keep in the store: numbered, immutable revisions with author,
+// time and note. It computes the command that commits a change and the condition under which it applies. It does no I/O.
 package documents
 
 import (
@@ -15,17 +15,17 @@
 	"cloverrock/internal/store/machine"
 )
 
-// NS is the namespace of documents. It is written only by the commands that Plan returns.
+// NS is the namespace of documents. Only the commands that PlanChange returns write to it.
 const NS = "config"
 
 const (
 	// Gateway is the name of the document that overrides the configuration of gateways.
 	Gateway = "gateway"
-	// SchemaSuffix ends the name of the document that holds another's schema.
+	// SchemaSuffix ends the name of the document that holds the schema of another document.
 	SchemaSuffix = ".schema"
 	// MaxBody bounds the body of a document in bytes.
 	MaxBody = 256 << 10
-	// KeepRevisions bounds the revisions of a document that are kept; the oldest are dropped.
+	// KeepRevisions is the number of revisions of a document that are kept; older ones are deleted.
 	KeepRevisions = 200
 )
 
@@ -39,7 +39,7 @@
 
 var validName = regexp.MustCompile(`^[a-zA-Z][a-zA-Z0-9.-]{0,63}$`)
 
-// Head is the stored record of a document's range of revisions.
+// Head is the stored record of which revisions of a document exist.
 type Head struct {
 	Number int64 `msgpack:"n"` // latest revision; 0: there is no document
 	First  int64 `msgpack:"f"` // oldest revision that is kept
@@ -50,7 +50,7 @@
 	Name         string          `msgpack:"-" json:"document"`
 	Number       int64           `msgpack:"n" json:"revision"`
 	Author       string          `msgpack:"a" json:"author"`
-	AtMS         int64           `msgpack:"t" json:"at_ms"` // Unix time in milliseconds by the clock of the instance that committed it
+	AtMS         int64           `msgpack:"t" json:"at_ms"` // Unix time in milliseconds, by the clock of the instance that committed the revision
 	Note         string          `msgpack:"m,omitempty" json:"note,omitempty"`
 	RolledBackTo int64           `msgpack:"b,omitempty" json:"rolled_back_to,omitempty"`
 	Body         json.RawMessage `msgpack:"d" json:"body,omitempty"`
@@ -70,26 +70,27 @@
 	List(ns, prefix string, limit int) []machine.KV
 }
 
-// Latest returns the head of a document and the store's revision of that record; both are zero if there is no document.
-func Latest(r Reader, name string) (head Head, modified int64, err error) {
+// ReadHead returns the head of a document and the store's revision at which it was written. Both are zero if there is no
+// such document.
+func ReadHead(r Reader, name string) (head Head, modified int64, err error) {
 	kv, found := r.Get(NS, headKey(name))
 	if !found {
 		return Head{}, 0, nil
 	}
 	var h Head
 	if err := msgpack.Unmarshal(kv.Value, &h); err != nil {
-		return Head{}, 0, fmt.Errorf("documents: head of %s: %w", name, err)
+		return Head{}, 0, fmt.Errorf("documents: decode the head of %s: %w", name, err)
 	}
 	return h, kv.Modified, nil
 }
 
-// At returns a revision of a document; number 0 is the latest. The error wraps ErrName or ErrMissing.
-func At(r Reader, name string, number int64) (*Revision, error) {
+// ReadRevision returns a revision of a document; number 0 is the latest. The error wraps ErrName or ErrMissing.
+func ReadRevision(r Reader, name string, number int64) (*Revision, error) {
 	if !validName.MatchString(name) {
 		return nil, ErrName
 	}
 	if number == 0 {
-		h, _, err := Latest(r, name)
+		h, _, err := ReadHead(r, name)
 		if err != nil {
 			return nil, err
 		}
@@ -99,14 +100,14 @@
 	if !found {
 		return nil, fmt.Errorf("%w: %s, revision %d", ErrMissing, name, number)
 	}
-	return Decode(name, kv.Value)
+	return DecodeRevision(name, kv.Value)
 }
 
-// Decode decodes a stored revision of a document.
-func Decode(name string, b []byte) (*Revision, error) {
+// DecodeRevision decodes a stored revision of a document.
+func DecodeRevision(name string, b []byte) (*Revision, error) {
 	rev := &Revision{}
 	if err := msgpack.Unmarshal(b, rev); err != nil {
-		return nil, fmt.Errorf("documents: %s: %w", name, err)
+		return nil, fmt.Errorf("documents: decode a revision of %s: %w", name, err)
 	}
 	rev.Name = name
 	return rev, nil
@@ -117,7 +118,7 @@
 func History(r Reader, name string) ([]*Revision, error) {
 	var all []*Revision
 	for _, kv := range r.List(NS, "body/"+name+"/", 0) {
-		rev, err := Decode(name, kv.Value)
+		rev, err := DecodeRevision(name, kv.Value)
 		if err != nil {
 			return nil, err
 		}
@@ -143,32 +144,32 @@
 	Name, Author, Note string
 	AtMS               int64 // Unix time in milliseconds
 	Body               []byte
-	Base               int64 // revision on which the change is based; -1: any, 0: the document must not exist yet
+	Base               int64 // revision on which the change is based; -1: any revision; 0: the document must not exist yet
 	RollBackTo         int64 // revision whose body is used instead of Body; 0: none
 }
 
-// Plan returns the command that commits a change, and the resulting revision. If another change is committed first, the
-// command has no effect and its result's Holds is false. The error wraps ErrName, ErrConflict, ErrMissing or ErrSame, or
-// says that the body is too long or not JSON.
-func Plan(r Reader, change Change) (*machine.Command, *Revision, error) {
+// PlanChange returns the command that commits a change, and the resulting revision. If another change is committed first,
+// the command has no effect and Holds is false in its result. The error wraps ErrName, ErrConflict, ErrMissing or ErrSame,
+// or reports that the body is too long or not JSON.
+func PlanChange(r Reader, change Change) (*machine.Command, *Revision, error) {
 	if !validName.MatchString(change.Name) {
 		return nil, nil, ErrName
 	}
-	head, modified, err := Latest(r, change.Name)
+	head, modified, err := ReadHead(r, change.Name)
 	if err != nil {
 		return nil, nil, err
 	}
 	if change.Base >= 0 && change.Base != head.Number {
-		return nil, nil, fmt.Errorf("%w: %s stands at revision %d, not %d", ErrConflict, change.Name, head.Number, change.Base)
+		return nil, nil, fmt.Errorf("%w: %s is at revision %d, not %d", ErrConflict, change.Name, head.Number, change.Base)
 	}
 	body, err := newBody(r, &change)
 	if err != nil {
 		return nil, nil, err
 	}
 	if head.Number > 0 {
-		latest, err := At(r, change.Name, head.Number)
+		latest, err := ReadRevision(r, change.Name, head.Number)
 		if err == nil && bytes.Equal(latest.Body, body) {
-			return nil, nil, fmt.Errorf("%w: %s stands at revision %d", ErrSame, change.Name, head.Number)
+			return nil, nil, fmt.Errorf("%w: %s is at revision %d", ErrSame, change.Name, head.Number)
 		}
 	}
 	revision := &Revision{
@@ -180,7 +181,7 @@
 		RolledBackTo: change.RollBackTo,
 		Body:         body,
 	}
-	ops, err := revision.writes(head)
+	ops, err := revision.storeOps(head)
 	if err != nil {
 		return nil, nil, fmt.Errorf("documents: encode %s: %w", change.Name, err)
 	}
@@ -188,18 +189,18 @@
 	return &machine.Command{Kind: machine.TransactionKind, If: []machine.Compare{unchanged}, Then: ops}, revision, nil
 }
 
-// newBody returns the compacted body of a change: its own, or that of the revision to roll back to.
+// newBody returns the compacted body of a change: change.Body, or the body of the revision to roll back to.
 func newBody(r Reader, change *Change) ([]byte, error) {
 	body := change.Body
 	if change.RollBackTo != 0 {
-		old, err := At(r, change.Name, change.RollBackTo)
+		old, err := ReadRevision(r, change.Name, change.RollBackTo)
 		if err != nil {
 			return nil, err
 		}
 		body = old.Body
 	}
 	if len(body) > MaxBody {
-		return nil, fmt.Errorf("documents: %s has %d bytes; %d at most", change.Name, len(body), MaxBody)
+		return nil, fmt.Errorf("documents: %s has %d bytes, but at most %d are allowed", change.Name, len(body), MaxBody)
 	}
 	var compacted bytes.Buffer
 	if err := json.Compact(&compacted, body); err != nil {
@@ -208,8 +209,8 @@
 	return compacted.Bytes(), nil
 }
 
-// writes returns the operations that store this revision as the latest and delete the oldest beyond KeepRevisions.
-func (rev *Revision) writes(head Head) ([]machine.Op, error) {
+// storeOps returns the operations that store this revision as the latest and delete those older than KeepRevisions.
+func (rev *Revision) storeOps(head Head) ([]machine.Op, error) {
 	next := Head{Number: rev.Number, First: max(head.First, 1)}
 	var ops []machine.Op
 	for next.Number-next.First >= KeepRevisions {
@@ -229,16 +230,16 @@
 		machine.Op{Kind: machine.Put, NS: NS, Key: headKey(rev.Name), Value: headValue}), nil
 }
 
-// StatusNS is the namespace in which instances report which revisions they run. Each key is deleted when its instance's
-// lease ends.
+// StatusNS is the namespace in which instances report which revisions they run. Each report is deleted when the lease of
+// its instance ends.
 const StatusNS = "status"
 
-// Running is an instance's report on which revision of a document it runs.
+// Running is an instance's report on the revision of a document that it runs.
 type Running struct {
 	Instance     string `json:"instance"`
 	Document     string `json:"document"`
-	Revision     int64  `json:"revision"` // the latest that it has evaluated
-	Applied      int64  `json:"applied"`  // the one that it runs
+	Revision     int64  `json:"revision"` // latest revision that the instance has evaluated
+	Applied      int64  `json:"applied"`  // revision that the instance runs
 	State        string `json:"state"`    // applied, restart, failed
 	Detail       string `json:"detail,omitempty"`
 	ReportedAtMS int64  `json:"at_ms"`
--- a/internal/store/documents/golden_test.go
+++ b/internal/store/documents/golden_test.go
@@ -10,8 +10,8 @@
 	"cloverrock/internal/store/machine"
 )
 
-// The commands that change documents, and so the keys and values in the state, stay both ways, and the JSON of revisions
-// and of what instances report.
+// The encoded commands that change documents, and with them the keys and values in the state, must not change. Applying
+// the golden commands must give the same revisions. The JSON of revisions and of the instances' reports must not change.
 func TestDocumentsKeepTheirBytes(t *testing.T) {
 	m := machine.New()
 	var lines []string
@@ -27,7 +27,7 @@
 		{Name: "gateway", Author: "other", AtMS: 1700000000002, Body: []byte(`{}`), Base: 1},
 		{Name: "gateway", Author: "operator", Note: "back", AtMS: 1700000000003, Base: -1, RollBackTo: 1},
 	} {
-		command, revision, err := Plan(m, change)
+		command, revision, err := PlanChange(m, change)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		if res, _, err := m.Apply(uint64(i+1), b); err != nil || !res.Holds {
-			t.Fatalf("%+v, %v", res, err)
+			t.Fatalf("applying the command: %+v, %v", res, err)
 		}
 		lines = append(lines, fmt.Sprintf("change/%d %x", i+1, b))
 		show(fmt.Sprint("revision/", i+1), revision)
@@ -54,7 +54,7 @@
 		if _, _, err := again.Apply(i, b); err != nil {
 			t.Fatal(err)
 		}
-		revision, err := At(again, "gateway", 0)
+		revision, err := ReadRevision(again, "gateway", 0)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/store/frame/golden_test.go
+++ b/internal/store/frame/golden_test.go
@@ -15,7 +15,7 @@
 	"cloverrock/internal/store/machine"
 )
 
-// goldenCase is a value that goes over a connection, and an empty one of its type to read it into.
+// goldenCase is a value that is sent over a connection, and an empty value of its type to decode it into.
 type goldenCase struct {
 	name        string
 	kind        Kind
@@ -29,10 +29,10 @@
 		Then: []machine.Op{{Kind: machine.Put, NS: "config", Key: "one", Value: []byte("w"), Lease: 9, Limit: 10}},
 		Else: []machine.Op{{Kind: machine.Delete, NS: "config", Key: "one"}}, Lease: 11, Amount: 12}
 	return []goldenCase{
-		{"hello", HelloKind, &Hello{Form: 1, Peer: true, Cluster: 77, ID: 11, Address: "127.0.0.1:7001"}, &Hello{}},
-		{"hello-client", HelloKind, &Hello{Form: 1}, &Hello{}},
-		{"welcome", WelcomeKind, &Welcome{Form: 1, Cluster: 77, Name: "a"}, &Welcome{}},
-		{"welcome-refused", WelcomeKind, &Welcome{Form: 1, Error: "removed", Final: true, Cluster: 77, Name: "a"}, &Welcome{}},
+		{"hello", HelloKind, &Hello{Format: 1, Peer: true, Cluster: 77, ID: 11, Address: "127.0.0.1:7001"}, &Hello{}},
+		{"hello-client", HelloKind, &Hello{Format: 1}, &Hello{}},
+		{"welcome", WelcomeKind, &Welcome{Format: 1, Cluster: 77, Name: "a"}, &Welcome{}},
+		{"welcome-refused", WelcomeKind, &Welcome{Format: 1, Error: "removed", Final: true, Cluster: 77, Name: "a"}, &Welcome{}},
 		{"request", RequestKind, &Request{ID: 1, Op: OpPropose, Command: &command, NS: "config", Key: "one", Limit: -1, Stale: true, After: 2, NodeID: 3,
 			Name: "gateway", Address: "127.0.0.1:7002", Token: "note", Body: []byte("{}")}, &Request{}},
 		{"request-least", RequestKind, &Request{ID: 2, Op: OpStatus}, &Request{}},
@@ -44,7 +44,7 @@
 	}
 }
 
-// frameOf reads a golden frame's kind and body.
+// frameOf returns the kind and body of a golden frame.
 func frameOf(t *testing.T, text string) (Kind, []byte) {
 	t.Helper()
 	b, err := hex.DecodeString(text)
@@ -58,7 +58,7 @@
 	return kind, body
 }
 
-// The frames of connections, both ways, and the words for operations and codes stay.
+// The bytes of frames and the words for operations and codes must not change, and golden frames must be decoded.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	var lines []string
 	for _, c := range goldenCases() {
--- a/internal/store/node/node.go
+++ b/internal/store/node/node.go
@@ -1,7 +1,7 @@
 // Package node runs one instance of the store: it connects a core.Core to a data directory, to the other instances and
 // to clients. One goroutine, the owner, has exclusive use of the core and the log. Goroutines for connections pass it
-// messages and functions through channels, and read the members and the leader from an immutable view. No request of a
-// gateway waits for any of them.
+// messages and functions through channels, and read the members and the leader from an immutable view. The gateway never
+// waits for any of these goroutines while it serves a request.
 package node
 
 import (
@@ -25,32 +25,32 @@
 )
 
 const (
-	defaultTick         = 50 * time.Millisecond
-	defaultSnapshotRate = 16 << 20 // bytes a second
-	minSnapshotBatch    = 64 << 10 // bytes of snapshots that a tick allows at least
-	proposalTimeout     = 3 * time.Second
-	leaveTimeout        = 2 * time.Second // for the transfer of leadership before the instance stops
-	inboxSize           = 4096            // messages of other instances that wait for the owner
-	taskQueueSize       = 4096            // functions that wait for the owner
-	logBurst            = 5               // log lines about connections in each logPeriod
-	logPeriod           = 10 * time.Second
+	defaultTick             = 50 * time.Millisecond
+	defaultSnapshotRate     = 16 << 20 // bytes a second
+	minSnapshotBytesPerTick = 64 << 10 // bytes of snapshots that may be sent in each tick even at a low SnapshotRate
+	proposalTimeout         = 3 * time.Second
+	stepDownTimeout         = 2 * time.Second // for the transfer of leadership before the instance stops
+	inboxSize               = 4096            // messages of other instances that the owner has not processed yet
+	taskQueueSize           = 4096            // functions that the owner has not run yet
+	logBurst                = 5               // log lines about connections that are written at most in each logPeriod
+	logPeriod               = 10 * time.Second
 )
 
 // ErrStopped is the error of calls to an instance that has stopped.
 var ErrStopped = errors.New("store: this instance is stopped")
 
-// Validator checks a document before it is committed. schema is the latest schema document for it in the store; nil:
-// there is none.
+// Validator checks a document before it is committed. schema is the latest schema document for it in the store, or nil
+// if there is none.
 type Validator func(name string, body, schema []byte) error
 
 // Config of a node. Zero values of Tick and SnapshotRate get defaults.
 type Config struct {
-	Name            string // as in the certificate and in the members' records
-	Data            string // directory
+	Name            string // of the instance, as in its certificate and its member record
+	Data            string // path of the data directory
 	Listen          string // HOST:PORT
-	Advertise       string // where the others reach it; empty: the address that it listens on
+	Advertise       string // address at which the other instances reach this one; empty: the address that it listens on
 	TLS             *tls.Config
-	Routes          map[string]string // by name: where to dial a peer instead of its own address
+	Routes          map[string]string // by the peer's name: the address to dial instead of the peer's own
 	Tick            time.Duration
 	ElectionTicks   int    // ticks without a leader before an election; 0: the default of package core
 	SnapshotEntries uint64 // entries between snapshots; 0: the default of package core
@@ -79,7 +79,7 @@
 		SnapshotInterval:     c.SnapshotEntries,
 		RetainedEntries:      c.SnapshotEntries / 4,
 		TimeoutTicks:         max(1, int(proposalTimeout/c.Tick)),
-		SnapshotBytesPerTick: max(minSnapshotBatch, bytesPerTick),
+		SnapshotBytesPerTick: max(minSnapshotBytesPerTick, bytesPerTick),
 		Logger:               raftLog{log},
 	}
 }
@@ -98,14 +98,14 @@
 	tasks    chan func()   // run by the owner
 	stop     chan struct{} // closed to make the instance stop
 	stopOnce sync.Once
-	ended    chan struct{} // closed when it has stopped
+	ended    chan struct{} // closed when the instance has stopped
 	ctx      context.Context
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup // of the listener and the connections
 
-	waiting          map[uint64]func(core.Answer) // by token
+	callbacks        map[uint64]func(core.Answer) // of proposals and reads in progress, by token
 	lastToken        uint64
-	stalledWork      *core.Work // work that found the disk full; nil: none
+	stalledWork      *core.Work // work that could not be saved because the disk is full; nil: none
 	stalledAt        time.Time
 	publishedVersion uint64 // version of the members in the view
 	snapshotWriters  sync.WaitGroup
@@ -116,8 +116,8 @@
 	connections atomic.Int64
 }
 
-// Open opens the directory and starts the instance. The error wraps disk.ErrEmpty for a directory without an identity
-// and is a *disk.CorruptError for a damaged one.
+// Open opens the directory and starts the instance. The error wraps disk.ErrEmpty if the directory has no identity, and
+// is a *disk.CorruptError if its data is damaged.
 func Open(conf Config) (*Node, error) {
 	conf.setDefaults()
 	dir, err := disk.OpenDir(conf.Data)
@@ -129,16 +129,16 @@
 		return nil, errors.Join(err, dir.Close())
 	}
 	n := &Node{
-		conf:     conf,
-		log:      conf.Log.With().Str("store", conf.Name).Logger(),
-		dir:      dir,
-		store:    store,
-		inbox:    make(chan core.Envelope, inboxSize),
-		tasks:    make(chan func(), taskQueueSize),
-		stop:     make(chan struct{}),
-		ended:    make(chan struct{}),
-		waiting:  map[uint64]func(core.Answer){},
-		watchers: newBroadcast(),
+		conf:      conf,
+		log:       conf.Log.With().Str("store", conf.Name).Logger(),
+		dir:       dir,
+		store:     store,
+		inbox:     make(chan core.Envelope, inboxSize),
+		tasks:     make(chan func(), taskQueueSize),
+		stop:      make(chan struct{}),
+		ended:     make(chan struct{}),
+		callbacks: map[uint64]func(core.Answer){},
+		watchers:  newBroadcast(),
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	if err := n.start(opened); err != nil {
@@ -216,15 +216,15 @@
 
 func (n *Node) signalStop() { n.stopOnce.Do(func() { close(n.stop) }) }
 
-// Close transfers leadership, waiting at most leaveTimeout, and stops the instance. It returns the failure that had
-// stopped the instance before, if there was one.
+// Close transfers leadership, for which it waits at most stepDownTimeout, and stops the instance. It returns the failure that
+// had stopped the instance before, if there was one.
 func (n *Node) Close() error {
 	done := make(chan struct{})
-	if n.post(func() { n.leave(done) }) {
+	if n.post(func() { n.stepDown(done) }) {
 		select {
 		case <-done:
 		case <-n.ended:
-		case <-time.After(leaveTimeout):
+		case <-time.After(stepDownTimeout):
 		}
 	}
 	n.signalStop()
@@ -232,20 +232,20 @@
 	return n.Err()
 }
 
-// leave transfers leadership if this instance is the leader, and closes done when it no longer is.
-func (n *Node) leave(done chan struct{}) {
+// stepDown transfers leadership if this instance is the leader, and closes done once it is not the leader.
+func (n *Node) stepDown(done chan struct{}) {
 	if _, transferring := n.core.TransferLeadership(); !transferring {
 		close(done)
 		return
 	}
-	n.awaitHandOver(done)
+	n.awaitStepDown(done)
 }
 
-// awaitHandOver closes done when this instance is no longer the leader. It checks once a tick.
-func (n *Node) awaitHandOver(done chan struct{}) {
+// awaitStepDown closes done once this instance is not the leader. It checks once a tick.
+func (n *Node) awaitStepDown(done chan struct{}) {
 	if !n.core.IsLeader() {
 		close(done)
 		return
 	}
-	time.AfterFunc(n.conf.Tick, func() { n.post(func() { n.awaitHandOver(done) }) })
+	time.AfterFunc(n.conf.Tick, func() { n.post(func() { n.awaitStepDown(done) }) })
 }
--- a/internal/store/node/server_test.go
+++ b/internal/store/node/server_test.go
@@ -31,16 +31,16 @@
 	garbage, err := net.Dial("tcp", at)
 	cl.must(err)
 	_, _ = garbage.Write([]byte(strings.Repeat("\xff\x00garbage", 5000)))
-	_, _ = io.Copy(io.Discard, garbage) // until it is closed
+	_, _ = io.Copy(io.Discard, garbage) // returns when the connection is closed
 	long, _, err := transport.Dial(cl.ctx, at, cl.tls("operator"), frame.Hello{}, "")
 	cl.must(err)
 	_, _ = long.Write([]byte{0xff, 0xff, 0xff, 0xff, 'q'})
 	if _, err := io.Copy(io.Discard, long); err != nil && !errors.Is(err, io.EOF) {
-		cl.t.Logf("a huge length ended with %v", err)
+		cl.t.Logf("the connection with a huge length ended with %v", err)
 	}
 }
 
-// A peer or client without valid credentials is refused, and its connection is released.
+// A peer or client without valid credentials is refused, and the instance releases its connection.
 func TestUnauthorizedConnectionsAreRefusedAndReleased(t *testing.T) {
 	cl := startCluster(t, 1)
 	c := cl.client("operator")
@@ -50,13 +50,13 @@
 	cl.must(pki.Issue(other, "n0", pki.Instance, time.Now(), time.Hour))
 	cl.must(pki.Issue(cl.dir, "late", pki.Operator, time.Now().Add(-48*time.Hour), time.Hour))
 	cl.must(pki.Issue(cl.dir, "nobody", pki.Role("guest"), time.Now(), time.Hour))
-	none := cl.tls("operator")
-	none.Certificates = nil
+	noCertificate := cl.tls("operator")
+	noCertificate.Certificates = nil
 	for who, conf := range map[string]*tls.Config{
 		"another authority":  cl.tlsFrom(other, "n0"),
 		"an old certificate": cl.tls("late"),
 		"no role":            cl.tls("nobody"),
-		"no certificate":     none,
+		"no certificate":     noCertificate,
 	} {
 		cl.expectRefused(who, conf, frame.Hello{})
 	}
--- a/internal/store/transport/dial.go
+++ b/internal/store/transport/dial.go
@@ -16,11 +16,12 @@
 	dialTimeout  = 2 * time.Second
 	helloTimeout = 3 * time.Second
 	maxWelcome   = 64 << 10 // bytes
-	helloForm    = 1        // format version of the Hello
+	helloFormat  = 1        // format version of the Hello
 )
 
 // Dial connects to an instance, exchanges Hello and Welcome, and verifies that the remote certificate is that of the
-// named instance; an empty name accepts any instance. The error wraps ErrRemoved if the refusal is final.
+// named instance; an empty name accepts any instance. The error wraps ErrRemoved if the remote instance refuses this one
+// permanently.
 func Dial(ctx context.Context, address string, conf *tls.Config, hello frame.Hello, name string) (net.Conn, *frame.Welcome, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
@@ -28,7 +29,7 @@
 		return nil, nil, err
 	}
 	conn := tls.Client(raw, conf)
-	welcome, err := greet(ctx, conn, hello, name)
+	welcome, err := handshakeWithTimeout(ctx, conn, hello, name)
 	if err != nil {
 		_ = raw.Close() // the first error is returned
 		return nil, nil, err
@@ -36,20 +37,20 @@
 	return conn, welcome, nil
 }
 
-// greet runs introduce within helloTimeout, and leaves the connection without a deadline.
-func greet(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
+// handshakeWithTimeout calls handshake with a deadline of helloTimeout, and then removes the deadline from the connection.
+func handshakeWithTimeout(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
 	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return nil, err
 	}
-	welcome, err := introduce(ctx, conn, hello, name)
+	welcome, err := handshake(ctx, conn, hello, name)
 	if err != nil {
 		return nil, err
 	}
 	return welcome, conn.SetDeadline(time.Time{})
 }
 
-// introduce performs the TLS handshake and exchanges Hello and Welcome.
-func introduce(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
+// handshake performs the TLS handshake and exchanges Hello and Welcome.
+func handshake(ctx context.Context, conn *tls.Conn, hello frame.Hello, name string) (*frame.Welcome, error) {
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return nil, err
 	}
@@ -58,9 +59,9 @@
 		return nil, err
 	}
 	if role != pki.Instance || name != "" && owner != name {
-		return nil, fmt.Errorf("store: %q (%s) answers where instance %q was expected", owner, role, name)
+		return nil, fmt.Errorf("store: the certificate is of %q with role %s, expected that of instance %q", owner, role, name)
 	}
-	hello.Form = helloForm
+	hello.Format = helloFormat
 	if err := frame.Write(conn, frame.HelloKind, &hello); err != nil {
 		return nil, err
 	}
@@ -69,7 +70,7 @@
 		return nil, err
 	}
 	if kind != frame.WelcomeKind {
-		return nil, errors.New("store: the first frame is not a welcome")
+		return nil, errors.New("store: the first frame received is not a Welcome")
 	}
 	var welcome frame.Welcome
 	if err := frame.DecodeValue(body, &welcome); err != nil {
--- a/internal/storecmd/documents.go
+++ b/internal/storecmd/documents.go
@@ -29,8 +29,8 @@
 	cmd := &cobra.Command{
 		Use:   "get DOCUMENT",
 		Short: "Print a document, or one of its earlier revisions",
-		Args:  exactly("DOCUMENT"),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		Args:  exactArgs("DOCUMENT"),
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			revision, err := fetchRevision(ctx, s.client, s.args[0], number)
 			if err != nil {
 				return err
@@ -45,7 +45,7 @@
 // fetchRevision reads a revision of a document; number 0 is the latest.
 func fetchRevision(ctx context.Context, c *client.Client, name string, number int64) (*documents.Revision, error) {
 	state := &remoteState{ctx: ctx, client: c}
-	revision, err := documents.At(state, name, number)
+	revision, err := documents.ReadRevision(state, name, number)
 	if state.err != nil {
 		return nil, state.err
 	}
@@ -55,8 +55,8 @@
 	return revision, err
 }
 
-// remoteState implements documents.Reader through a client, for the duration of one command. The interface returns no
-// errors, so they are collected in err, which the caller must check.
+// remoteState implements documents.Reader through a client, for the duration of one command. The methods of the interface
+// return no errors, so they are collected in err, which the caller must check.
 type remoteState struct {
 	ctx    context.Context
 	client *client.Client
@@ -73,14 +73,14 @@
 // List implements documents.Reader.
 func (r *remoteState) List(ns, prefix string, limit int) []machine.KV {
 	if limit == 0 {
-		limit = -1 // all, in the encoding of a request
+		limit = -1 // in a request, -1 means all keys
 	}
 	kvs, _, err := r.client.List(r.ctx, ns, prefix, limit, false)
 	r.err = errors.Join(r.err, err)
 	return kvs
 }
 
-// indented returns JSON with indentation, and other text unchanged.
+// indented returns JSON with indentation, and any other text unchanged.
 func indented(body []byte) string {
 	var out bytes.Buffer
 	if json.Indent(&out, body, "", "  ") != nil {
@@ -95,7 +95,7 @@
 	cmd := &cobra.Command{
 		Use:   "put DOCUMENT --file FILE",
 		Short: "Commit a new revision of a document, validated by its schema",
-		Args:  exactly("DOCUMENT"),
+		Args:  exactArgs("DOCUMENT"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if file == "" {
 				return app.Usage("needs --file; - is standard input")
@@ -122,7 +122,7 @@
 
 // changeDocument sends a change of a document and prints the resulting revision.
 func (o *options) changeDocument(cmd *cobra.Command, request *frame.Request) error {
-	change := o.connected(func(ctx context.Context, s *session) error {
+	change := o.withClient(func(ctx context.Context, s *session) error {
 		response, err := s.client.Call(ctx, request, client.NotIdempotent)
 		if err != nil {
 			return err
@@ -141,11 +141,11 @@
 	cmd := &cobra.Command{
 		Use:   "rollback DOCUMENT REVISION",
 		Short: "Commit the body of an earlier revision as a new revision",
-		Args:  exactly("DOCUMENT", "REVISION"),
+		Args:  exactArgs("DOCUMENT", "REVISION"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			number, err := strconv.Atoi(args[1])
 			if err != nil || number < 1 {
-				return app.Usage("%q is no revision", args[1])
+				return app.Usage("%q is not a revision number", args[1])
 			}
 			return o.changeDocument(cmd, &frame.Request{Op: frame.OpDocument, Name: args[0], Limit: number, After: -1, Token: note})
 		},
@@ -159,7 +159,7 @@
 		Use:   "history [DOCUMENT]",
 		Short: "List a document's revisions, or all documents",
 		Args:  cobra.MaximumNArgs(1),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			if len(s.args) == 0 {
 				return s.printNames(ctx)
 			}
@@ -208,11 +208,11 @@
 			for i, arg := range args[1:] {
 				number, err := strconv.ParseInt(arg, 10, 64)
 				if err != nil || number < 1 {
-					return app.Usage("%q is no revision", arg)
+					return app.Usage("%q is not a revision number", arg)
 				}
 				numbers[i] = number
 			}
-			show := o.connected(func(ctx context.Context, s *session) error { return s.printDiff(ctx, numbers[0], numbers[1]) })
+			show := o.withClient(func(ctx context.Context, s *session) error { return s.printDiff(ctx, numbers[0], numbers[1]) })
 			return show(cmd, args)
 		},
 	}
--- a/internal/storecmd/found.go
+++ b/internal/storecmd/found.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	authorityLife   = 10 * 365 * 24 * time.Hour
-	certificateLife = 365 * 24 * time.Hour
-	probeTimeout    = 2 * time.Second // for the status of one member, to find out whether the store is running
-	filePermissions = 0o600
-	foundingIndex   = 1 // of the log entry that the initial snapshot covers
+	authorityValidity    = 10 * 365 * 24 * time.Hour
+	certificateValidity  = 365 * 24 * time.Hour
+	probeTimeout         = 2 * time.Second // of the request that finds out whether the store is already running
+	filePermissions      = 0o600
+	initialSnapshotIndex = 1 // index of the last log entry that the initial snapshot covers
 )
 
-// founding is the file founding.json: the id of a new cluster and its first members.
+// founding is the content of the file founding.json: the id of a new cluster and its first members.
 type founding struct {
 	Cluster uint64           `json:"cluster"`
 	Members []foundingMember `json:"members"`
@@ -55,10 +55,10 @@
 	return errors.Join(err, file.Close())
 }
 
-// newStore is the work of the command "init".
+// newStore is the store that the command "init" creates.
 type newStore struct {
 	dir      string
-	cluster  string   // name of the authority
+	cluster  string   // name for the authority
 	members  []string // NAME=HOST:PORT
 	founding founding
 	operator operator
@@ -69,11 +69,11 @@
 	var local bool
 	cmd := &cobra.Command{
 		Use:   "init --dir DIR --member NAME=HOST:PORT ...",
-		Short: "Prepare a new store of one, three or five: authority, certificates, settings",
+		Short: "Prepare a new store of one, three or five instances: authority, certificates, settings",
 		Args:  app.NoArgs,
 		Long: `init writes into DIR: the authority (keep authority-key.pem away from the gateways), a certificate and a settings
-file for each member, founding.json, and operator.json with the operator's certificate. Each member's machine gets its
-own files, authority.pem and founding.json, and runs "store found" once. --local does that here for all of them.`,
+file for each member, founding.json, and operator.json with the operator's certificate. Copy to each member's machine its
+own files, authority.pem and founding.json, and run "store found" there once. --local runs it here for all members.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if store.dir == "" || len(store.members) == 0 {
 				return app.Usage("needs --dir and at least one --member")
@@ -82,7 +82,7 @@
 				return err
 			}
 			if local {
-				if err := store.foundAll(); err != nil {
+				if err := store.createDataDirs(); err != nil {
 					return err
 				}
 			}
@@ -96,7 +96,7 @@
 	}
 	cmd.Flags().StringVar(&store.dir, "dir", "", "the directory to write to")
 	cmd.Flags().StringVar(&store.cluster, "cluster", "store", "a name for the authority")
-	cmd.Flags().StringArrayVar(&store.members, "member", nil, "NAME=HOST:PORT of a first member; once for each")
+	cmd.Flags().StringArrayVar(&store.members, "member", nil, "NAME=HOST:PORT of a first member; repeat it for each one")
 	cmd.Flags().BoolVar(&local, "local", false, "also create the members' data directories here")
 	return cmd
 }
@@ -110,7 +110,7 @@
 		return err
 	}
 	n.founding.Cluster = cluster
-	if err := pki.CreateAuthority(n.dir, n.cluster, time.Now(), authorityLife); err != nil {
+	if err := pki.CreateAuthority(n.dir, n.cluster, time.Now(), authorityValidity); err != nil {
 		return err
 	}
 	for _, member := range n.members {
@@ -122,7 +122,7 @@
 			return err
 		}
 	}
-	if err := pki.Issue(n.dir, "operator", pki.Operator, time.Now(), certificateLife); err != nil {
+	if err := pki.Issue(n.dir, "operator", pki.Operator, time.Now(), certificateValidity); err != nil {
 		return err
 	}
 	if err := writeJSON(n.path("operator.json"), &n.operator); err != nil {
@@ -151,7 +151,7 @@
 			set.Join = append(set.Join, otherAddress)
 		}
 	}
-	if err := pki.Issue(n.dir, name, pki.Instance, time.Now(), certificateLife); err != nil {
+	if err := pki.Issue(n.dir, name, pki.Instance, time.Now(), certificateValidity); err != nil {
 		return err
 	}
 	path := n.path(name + ".json")
@@ -164,22 +164,22 @@
 	return nil
 }
 
-// foundAll creates the data directories of all members on this machine.
-func (n *newStore) foundAll() error {
+// createDataDirs creates the data directories of all members on this machine.
+func (n *newStore) createDataDirs() error {
 	for _, member := range n.founding.Members {
 		set, err := settings.Load(n.path(member.Name + ".json"))
 		if err != nil {
 			return err
 		}
-		if err := found(set.Store, &n.founding); err != nil {
+		if err := createDataDir(set.Store, &n.founding); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// found creates a first member's data directory. It fails if the directory belongs to an instance.
-func found(set *settings.Store, f *founding) error {
+// createDataDir creates the data directory of a first member. It fails if the directory already belongs to an instance.
+func createDataDir(set *settings.Store, f *founding) error {
 	var voters []uint64
 	var records []machine.Op
 	identity := disk.Identity{Cluster: f.Cluster, Name: set.Name}
@@ -195,14 +195,14 @@
 		}
 	}
 	if identity.Node == 0 {
-		return fmt.Errorf("%s is not among the founding members", set.Name)
+		return fmt.Errorf("the name %s is not among the members in the founding file", set.Name)
 	}
 	identity.Voters = voters
 	first, err := core.InitialSnapshot(voters, records)
 	if err != nil {
 		return err
 	}
-	return disk.CreateDir(set.Data, identity, foundingIndex, first)
+	return disk.CreateDir(set.Data, identity, initialSnapshotIndex, first)
 }
 
 func (o *options) foundCommand() *cobra.Command {
@@ -227,7 +227,7 @@
 			if err := checkNotRunning(set, f); err != nil {
 				return err
 			}
-			return found(set, f)
+			return createDataDir(set, f)
 		},
 	}
 	cmd.Flags().StringVar(&path, "settings", "", "the member's settings")
@@ -235,8 +235,9 @@
 	return cmd
 }
 
-// checkNotRunning returns an error if another first member answers and the store is already in use. A member that lost
-// its directory and was founded a second time could otherwise vote without the entries that it had acknowledged.
+// checkNotRunning returns an error if another first member answers and the store has already been written to. Otherwise a
+// member that lost its data directory could be created a second time, and would vote without the entries that it had
+// acknowledged.
 func checkNotRunning(set *settings.Store, f *founding) error {
 	conf, err := set.NodeConfig()
 	if err != nil {
@@ -247,7 +248,7 @@
 			continue
 		}
 		if hasCommits(client.Config{Endpoints: []string{m.Address}, TLS: conf.TLS, SingleEndpoint: true}) {
-			return refused("the store is already running: %s answers. Start this instance with its empty directory, and it will join", m.Name)
+			return refused("the store is already running: member %s answers. Start this instance with an empty data directory, and it joins the store", m.Name)
 		}
 	}
 	return nil
@@ -260,7 +261,7 @@
 	c := client.New(conf)
 	defer c.Close()
 	status, err := fetchStatus(ctx, c)
-	return err == nil && status.Commit > foundingIndex
+	return err == nil && status.Commit > initialSnapshotIndex
 }
 
 func (o *options) certificateCommand() *cobra.Command {
@@ -269,7 +270,7 @@
 	cmd := &cobra.Command{
 		Use:   "certificate NAME",
 		Short: "Issue a certificate with the authority's key",
-		Args:  exactly("NAME"),
+		Args:  exactArgs("NAME"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			switch r := pki.Role(role); r {
 			case pki.Instance, pki.Operator, pki.Observer:
@@ -280,6 +281,6 @@
 	}
 	cmd.Flags().StringVar(&dir, "dir", ".", "the authority's directory")
 	cmd.Flags().StringVar(&role, "role", "instance", "instance, operator or observer")
-	cmd.Flags().DurationVar(&life, "life", certificateLife, "how long it is valid")
+	cmd.Flags().DurationVar(&life, "life", certificateValidity, "how long the certificate is valid")
 	return cmd
 }
--- a/internal/storecmd/keys.go
+++ b/internal/storecmd/keys.go
@@ -22,7 +22,7 @@
 			if !cmd.Flags().Changed("timeout") {
 				o.timeout = 0
 			}
-			watch := o.connected(func(ctx context.Context, s *session) error { return s.watch(ctx, after) })
+			watch := o.withClient(func(ctx context.Context, s *session) error { return s.watch(ctx, after) })
 			return watch(cmd, args)
 		},
 	}
@@ -30,7 +30,8 @@
 	return cmd
 }
 
-// watch prints the events after a revision, negative: after the current one, until the context ends.
+// watch prints the events after a revision until the context ends. If after is negative, it begins after the current
+// revision.
 func (s *session) watch(ctx context.Context, after int64) error {
 	if after < 0 {
 		status, err := fetchStatus(ctx, s.client)
@@ -53,7 +54,7 @@
 	}
 	err := s.client.Watch(ctx, s.args[0], strings.Join(s.args[1:], ""), after, printEvents)
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
-		return nil // the end of the context is the ordinary end of a watch
+		return nil // a watch is ended by its context
 	}
 	return err
 }
@@ -85,14 +86,14 @@
 	var stale bool
 	cmd := &cobra.Command{
 		Use:  "get NAMESPACE KEY",
-		Args: exactly("NAMESPACE", "KEY"),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		Args: exactArgs("NAMESPACE", "KEY"),
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			kv, found, stalenessMS, err := s.client.Get(ctx, s.args[0], s.args[1], stale)
 			if err != nil {
 				return err
 			}
 			if !found {
-				return refused("there is no such key")
+				return refused("the key does not exist in the namespace")
 			}
 			return s.printKeys([]machine.KV{kv}, stalenessMS)
 		}),
@@ -106,7 +107,7 @@
 	cmd := &cobra.Command{
 		Use:  "list NAMESPACE [PREFIX]",
 		Args: cobra.RangeArgs(1, 2),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			kvs, stalenessMS, err := s.client.List(ctx, s.args[0], strings.Join(s.args[1:], ""), -1, stale)
 			if err != nil {
 				return err
@@ -119,15 +120,15 @@
 }
 
 func addVersionFlag(cmd *cobra.Command, version *int64) {
-	cmd.Flags().Int64Var(version, "version", -1, "only if the key is at this version; 0: only if it is not there")
+	cmd.Flags().Int64Var(version, "version", -1, "write only if the key has this version; 0: only if it does not exist")
 }
 
 func (o *options) keyPutCommand() *cobra.Command {
 	var version int64
 	cmd := &cobra.Command{
 		Use:  "put NAMESPACE KEY VALUE",
-		Args: exactly("NAMESPACE", "KEY", "VALUE"),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		Args: exactArgs("NAMESPACE", "KEY", "VALUE"),
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			op := machine.Op{Kind: machine.Put, NS: s.args[0], Key: s.args[1], Value: []byte(s.args[2])}
 			return s.writeKey(ctx, op, version)
 		}),
@@ -140,8 +141,8 @@
 	var version int64
 	cmd := &cobra.Command{
 		Use:  "delete NAMESPACE KEY",
-		Args: exactly("NAMESPACE", "KEY"),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		Args: exactArgs("NAMESPACE", "KEY"),
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			return s.writeKey(ctx, machine.Op{Kind: machine.Delete, NS: s.args[0], Key: s.args[1]}, version)
 		}),
 	}
@@ -149,8 +150,8 @@
 	return cmd
 }
 
-// writeKey executes a write, and prints the resulting revision. With a version of 0 or more it is conditional on the key
-// being at that version.
+// writeKey executes a write and prints the resulting revision. If version is not negative, the write applies only if the
+// key has that version.
 func (s *session) writeKey(ctx context.Context, op machine.Op, version int64) error {
 	command := machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{op}}
 	if version >= 0 {
@@ -161,7 +162,7 @@
 		return err
 	}
 	if !result.Holds {
-		return refused("the key is at another version")
+		return refused("the key does not have the version that --version requires")
 	}
 	return s.print(map[string]int64{"revision": result.Revision}, func(p *printer) { p.printf("revision %d\n", result.Revision) })
 }
--- a/internal/storecmd/members.go
+++ b/internal/storecmd/members.go
@@ -26,7 +26,7 @@
 		Use:   "status",
 		Short: "Show an instance's state, and the document revisions that all instances run",
 		Args:  app.NoArgs,
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			status, err := fetchStatus(ctx, s.client)
 			if err != nil {
 				return err
@@ -47,7 +47,7 @@
 	}
 }
 
-// fetchRunning returns the reports of all instances; those that cannot be decoded are skipped.
+// fetchRunning returns the reports of all instances. It skips reports that cannot be decoded.
 func fetchRunning(ctx context.Context, c *client.Client) ([]documents.Running, error) {
 	kvs, _, err := c.List(ctx, documents.StatusNS, "running/", -1, true)
 	if err != nil {
@@ -83,7 +83,7 @@
 	}
 }
 
-// fetchStatus returns the status of the instance that answers first.
+// fetchStatus returns the status of the first instance that answers.
 func fetchStatus(ctx context.Context, c *client.Client) (*node.Status, error) {
 	response, err := c.Call(ctx, &frame.Request{Op: frame.OpStatus}, client.Idempotent)
 	if err != nil {
@@ -109,7 +109,7 @@
 		Use:   "members",
 		Short: "List the instances",
 		Args:  app.NoArgs,
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			status, err := fetchStatus(ctx, s.client)
 			if err != nil {
 				return err
@@ -150,15 +150,15 @@
 	return &cobra.Command{
 		Use:   "remove NAME|ID",
 		Short: "Remove an instance permanently: its data directory cannot be used again",
-		Args:  exactly("NAME or ID"),
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		Args:  exactArgs("NAME or ID"),
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			status, err := fetchStatus(ctx, s.client)
 			if err != nil {
 				return err
 			}
 			id := findMember(status, s.args[0])
 			if id == 0 {
-				return refused("no member is called %q", s.args[0])
+				return refused("no member has the name or id %q", s.args[0])
 			}
 			if _, err := s.client.Call(ctx, &frame.Request{Op: frame.OpRemove, NodeID: id}, client.NotIdempotent); err != nil {
 				return err
@@ -171,7 +171,7 @@
 	}
 }
 
-// findMember returns the id of the member with a name or id; 0: there is none.
+// findMember returns the id of the member with a name or id, or 0 if there is none.
 func findMember(status *node.Status, nameOrID string) (id uint64) {
 	for key, record := range status.Members {
 		if key != nameOrID && record.Name != nameOrID {
@@ -189,7 +189,7 @@
 		Use:   "transfer",
 		Short: "Transfer leadership to another instance, before the leader's machine is stopped",
 		Args:  app.NoArgs,
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			_, err := s.client.Call(ctx, &frame.Request{Op: frame.OpTransfer}, client.Idempotent)
 			return err
 		}),
@@ -202,7 +202,7 @@
 		Use:   "token",
 		Short: "Create a token with which one new instance may join",
 		Args:  app.NoArgs,
-		RunE: o.connected(func(ctx context.Context, s *session) error {
+		RunE: o.withClient(func(ctx context.Context, s *session) error {
 			random, err := disk.NewID()
 			if err != nil {
 				return err
@@ -219,6 +219,6 @@
 			return s.print(map[string]string{"token": token}, func(p *printer) { p.printf("%s\n", token) })
 		}),
 	}
-	cmd.Flags().DurationVar(&life, "life", time.Hour, "how long it is valid")
+	cmd.Flags().DurationVar(&life, "life", time.Hour, "how long the token is valid")
 	return cmd
 }
