--- a/balance/api.go
+++ b/balance/api.go
@@ -178,8 +178,8 @@
 	Request         int64 // id of the request, unique among those that have no final answer yet
 	Class           int   // index into Settings.Classes
 	Group           int64
-	Key             int64 // of the session, if HasKey
-	HasKey          bool
+	SessionKey      int64 // of the session, if HasSession
+	HasSession      bool
 	SessionWriteAge int64 // age of the session's last write; 0: none; negative if it is ahead of the clock
 	Deadline        int64 // when the client gives up; with ShutdownEvent, when all answers are due
 	WorkHint        int64 // expected work, µs; 0 if unknown
--- a/balance/decisionsevents_test.go
+++ b/balance/decisionsevents_test.go
@@ -35,13 +35,13 @@
 func (sim *simulation) sendRequest(gateway *simulatedGateway) {
 	sim.requests++
 	event := balance.Event{
-		Kind:     balance.RequestEvent,
-		Request:  sim.requests,
-		Class:    sim.random.IntN(len(sim.classes)),
-		Group:    int64(sim.random.IntN(3) + 1),
-		Key:      int64(sim.random.IntN(5)),
-		HasKey:   sim.chance(0.7),
-		WorkHint: int64(sim.random.IntN(2) * 50e3),
+		Kind:       balance.RequestEvent,
+		Request:    sim.requests,
+		Class:      sim.random.IntN(len(sim.classes)),
+		Group:      int64(sim.random.IntN(3) + 1),
+		SessionKey: int64(sim.random.IntN(5)),
+		HasSession: sim.chance(0.7),
+		WorkHint:   int64(sim.random.IntN(2) * 50e3),
 	}
 	if sim.chance(0.5) {
 		event.SessionWriteAge = int64(sim.random.IntN(400e3)) - 50e3
--- a/balance/decisionsrig_test.go
+++ b/balance/decisionsrig_test.go
@@ -43,7 +43,7 @@
 		h.Text(host.Host)
 		h.Numbers(host.Group, host.Position, host.PositionAt, host.SlowStartUntil)
 		h.Bool(host.Primary)
-		h.Bool(host.Down)
+		h.Bool(host.Unhealthy)
 		h.Float(host.ConcurrencyLimit)
 	}
 }
--- a/balance/rig_test.go
+++ b/balance/rig_test.go
@@ -167,8 +167,8 @@
 		Kind:            RequestEvent,
 		Request:         rig.lastRequest,
 		Class:           class,
-		Key:             session,
-		HasKey:          session != 0,
+		SessionKey:      session,
+		HasSession:      session != 0,
 		SessionWriteAge: writeAge,
 		Deadline:        rig.now + rig.class(class).Deadline,
 	})
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -169,12 +169,12 @@
 	deadline := c.rig.now + class.Deadline
 	request := &checkedRequest{class: class, classIndex: index, deadline: deadline}
 	event := Event{
-		Kind:     RequestEvent,
-		Request:  id,
-		Class:    index,
-		Key:      session,
-		HasKey:   true,
-		Deadline: deadline,
+		Kind:       RequestEvent,
+		Request:    id,
+		Class:      index,
+		SessionKey: session,
+		HasSession: true,
+		Deadline:   deadline,
 	}
 	if class.Consistency == ReadYourWrites && c.commits[session] > 0 {
 		request.minPosition = c.commits[session]
--- a/balance/sessions.go
+++ b/balance/sessions.go
@@ -41,7 +41,7 @@
 // recordCommit remembers the commit of a successful write, unless requests carry the age of their session's
 // last write.
 func (r *Router) recordCommit(req *pendingRequest, position int64) {
-	if req.isWrite() && req.hasKey && position > 0 && !r.settings.RequestsCarrySessionAge {
+	if req.isWrite() && req.hasSession && position > 0 && !r.settings.RequestsCarrySessionAge {
 		r.sessions.record(req.sessionKey, position)
 	}
 }
@@ -53,7 +53,7 @@
 	case class.Consistency != ReadYourWrites:
 		return 0
 	case !r.settings.RequestsCarrySessionAge:
-		return r.sessions.position(event.Key)
+		return r.sessions.position(event.SessionKey)
 	case event.SessionWriteAge != 0:
 		return r.now - event.SessionWriteAge
 	default:
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -10,7 +10,7 @@
 	Position         int64   // the host has applied its log at least up to here
 	PositionAt       int64   // when Position was received
 	Primary          bool    // its last known role was primary
-	Down             bool    // the host was unhealthy
+	Unhealthy        bool    // the host was unhealthy
 	SlowStartUntil   int64   // end of its slow start; 0 if it was in none
 	ConcurrencyLimit float64 // attempts of one gateway allowed in flight
 }
@@ -56,7 +56,7 @@
 		Position:   host.position,
 		PositionAt: host.positionReceivedAt,
 		Primary:    host.role == Primary,
-		Down:       host.health == unhealthy,
+		Unhealthy:  host.health == unhealthy,
 	}
 	if host.warmingUp {
 		snapshot.SlowStartUntil = host.slowStartAt + r.settings.SlowStartDuration
@@ -101,7 +101,7 @@
 	if saved.SlowStartUntil > r.now && !host.warmingUp {
 		r.beginSlowStart(host, saved.SlowStartUntil-r.settings.SlowStartDuration)
 	}
-	if saved.Down && host.health == healthy {
+	if saved.Unhealthy && host.health == healthy {
 		r.markUnhealthy(host, false)
 	}
 }
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -36,8 +36,8 @@
 			{Group: 9, Primary: "b"},
 		},
 		Hosts: []HostSnapshot{
-			{Host: "a", Down: true, ConcurrencyLimit: 99},
-			{Host: "nobody", Down: true},
+			{Host: "a", Unhealthy: true, ConcurrencyLimit: 99},
+			{Host: "nobody", Unhealthy: true},
 			{Host: "b", Group: 5, Position: rig.now + 9},
 		},
 	}
@@ -55,7 +55,7 @@
 func TestRestoredHostsStayUnhealthyOrInSlowStart(t *testing.T) {
 	rig := newRig(t, testSettings(), threeHosts()...)
 	rig.router.Restore(rig.now, Snapshot{Hosts: []HostSnapshot{
-		{Host: "a", Down: true},
+		{Host: "a", Unhealthy: true},
 		{Host: "b", Position: rig.now, SlowStartUntil: rig.now + 10000*ms},
 		{Host: "c", Position: rig.now},
 	}}, nil)
--- a/balance/state.go
+++ b/balance/state.go
@@ -33,7 +33,7 @@
 	class      *Class
 	classIndex int
 	group      *groupState
-	sessionKey int64 // of its session, if hasKey
+	sessionKey int64 // of its session, if hasSession
 
 	objectiveAt int64 // an answer by then meets the latency objective
 	halfTimeAt  int64 // half of the time to the deadline has passed
@@ -53,7 +53,7 @@
 	executedAt   int64 // when the first attempt that may have been executed was sent; 0 if none
 	executedZone int   // zone of the host of that attempt
 
-	hasKey      bool
+	hasSession  bool
 	dialed      bool // the attempt in flight needed a new connection
 	reachedHost bool // a host has received the request
 	shed        bool // load shedding withheld a host with capacity from it
--- a/internal/app/hosts_test.go
+++ b/internal/app/hosts_test.go
@@ -67,7 +67,7 @@
 }
 
 // Bytes that a host sends on an idle connection are discarded. The answer to the next request does not contain them.
-func TestBytesOnAnIdleConnectionAreNobodysAnswer(t *testing.T) {
+func TestBytesOnAnIdleConnectionAreDiscarded(t *testing.T) {
 	gw := startGateway(t, 0)
 	client := gw.connect()
 	client.query(queryText(writeFormat, 1))
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -37,7 +37,7 @@
 
 // If the reader of the log stalls, logging does not block: lines are dropped and counted, and the other lines are
 // written in order.
-func TestStalledReaderCostsLinesAndNoTime(t *testing.T) {
+func TestStalledReaderDropsLinesWithoutBlocking(t *testing.T) {
 	const lines = 3 * maxLines
 	stalled := newStallingLog()
 	w := New(stalled, "g")
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -189,7 +189,7 @@
 		Groups: []balance.GroupSnapshot{{Group: 1, Primary: "h1", ObservedAt: now}},
 		Hosts: []balance.HostSnapshot{
 			{Host: "h1", Group: 1, Position: now, PositionAt: now, Primary: true},
-			{Host: "h2", Group: 1, Position: now - 9, PositionAt: now, Down: true},
+			{Host: "h2", Group: 1, Position: now - 9, PositionAt: now, Unhealthy: true},
 		},
 	}
 	g.list = discovery.EndpointList{
@@ -207,7 +207,7 @@
 	d = f.start(fresh)
 	defer d.Close()
 	snapshot := next(t, fresh.restored)
-	if len(snapshot.Groups) != 1 || snapshot.Groups[0].Primary != "h1" || len(snapshot.Hosts) != 2 || !snapshot.Hosts[1].Down {
+	if len(snapshot.Groups) != 1 || snapshot.Groups[0].Primary != "h1" || len(snapshot.Hosts) != 2 || !snapshot.Hosts[1].Unhealthy {
 		t.Errorf("restored snapshot: %+v", snapshot)
 	}
 	if fresh.list.Generation != 8 || fresh.list.Addresses["h1"] != "127.0.0.1:9" {
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -154,7 +154,7 @@
 	c.requestBytes = len(cmd.text)
 	id := c.server.gateway.Accept(gateway.Request{
 		ClientID: query.ID,
-		Class:    class.Index, Group: query.Group, Key: query.KeyID(), HasKey: query.HasKey, Write: class.Write,
+		Class:    class.Index, Group: query.Group, SessionKey: query.KeyID(), HasSession: query.HasKey, Write: class.Write,
 		MinPosition: query.MinPosition, Deadline: cmd.receivedAt + query.Wait, Body: query, Client: c,
 	})
 	if c.awaitingAnswer {
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -11,7 +11,7 @@
 	g.traceAccepted(id, &request)
 	g.handle(balance.Event{
 		Kind: balance.RequestEvent, Request: id, Class: request.Class, Group: request.Group,
-		Key: request.Key, HasKey: request.HasKey, Deadline: request.Deadline,
+		SessionKey: request.SessionKey, HasSession: request.HasSession, Deadline: request.Deadline,
 		SessionWriteAge: g.sessionWriteAge(request.MinPosition),
 	})
 	return id
@@ -107,10 +107,10 @@
 	g.handle(balance.Event{Kind: balance.GossipEvent, Peer: peer, Data: data})
 }
 
-// Shutdown makes the router answer every request, including those that are accepted later, before answersDueAt, a time
+// Shutdown makes the router answer every request, including those that are accepted later, before deadline, a time
 // in microseconds on the loop's clock.
-func (g *Gateway) Shutdown(answersDueAt int64) {
-	g.handle(balance.Event{Kind: balance.ShutdownEvent, Deadline: answersDueAt})
+func (g *Gateway) Shutdown(deadline int64) {
+	g.handle(balance.Event{Kind: balance.ShutdownEvent, Deadline: deadline})
 }
 
 // handle passes events to the router one at a time. An event that is caused by an action is queued until all actions of
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -19,8 +19,8 @@
 	ClientID    string // id that the client has set; only for the log
 	Class       int
 	Group       int64
-	Key         int64
-	HasKey      bool
+	SessionKey  int64
+	HasSession  bool
 	Write       bool
 	MinPosition int64 // log position that a read must include; 0 if none
 	Deadline    int64 // when the client stops waiting
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -191,8 +191,8 @@
 	ev.Request = r.int("ticket")
 	ev.Class = int(r.int("service"))
 	ev.Group = r.int("shard")
-	ev.HasKey = r.line.Get("session") != nil
-	ev.Key = r.int("session")
+	ev.HasSession = r.line.Get("session") != nil
+	ev.SessionKey = r.int("session")
 	ev.SessionWriteAge = r.milliseconds("lastWriteMs")
 	ev.Deadline = r.milliseconds("dropDeadMs")
 	ev.WorkHint = r.milliseconds("weightHintMs")
--- a/internal/simprotocol/events_test.go
+++ b/internal/simprotocol/events_test.go
@@ -30,7 +30,7 @@
 	if err := codec.ParseEvent(ParseLine([]byte(line)), 0, &ev); err != nil {
 		t.Fatal(err)
 	}
-	if ev.Kind != balance.RequestEvent || ev.Class != 2 || ev.Group != 11 || ev.Key != 4569004829183723 || !ev.HasKey ||
+	if ev.Kind != balance.RequestEvent || ev.Class != 2 || ev.Group != 11 || ev.SessionKey != 4569004829183723 || !ev.HasSession ||
 		ev.SessionWriteAge != 412500 || ev.Deadline != 8652250 || ev.Request != 9 {
 		t.Errorf("call read as %+v", ev)
 	}
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -51,7 +51,7 @@
 		{"topology who=0 scope=1 buffer=2", balance.Event{Kind: balance.EndpointsEvent, Endpoints: entries, Complete: true}},
 		{"topology who=0 scope=3", balance.Event{Kind: balance.EndpointsEvent, PollFailed: true}},
 		{"call ticket=9223372036854775807 service=1 shard=2 session=3 lastWriteMs=-4.5 dropDeadMs=5.001 weightHintMs=6", balance.Event{Kind: balance.RequestEvent,
-			Request: 1<<63 - 1, Class: 1, Group: 2, Key: 3, HasKey: true, SessionWriteAge: -4500, Deadline: 5001, WorkHint: 6000}},
+			Request: 1<<63 - 1, Class: 1, Group: 2, SessionKey: 3, HasSession: true, SessionWriteAge: -4500, Deadline: 5001, WorkHint: 6000}},
 		{"call ticket=1", balance.Event{Kind: balance.RequestEvent, Request: 1}},
 		{"completed ticket=1 try=2 over=1 note=9 host=h timeTakenMs=0.5 status=done feedback=x0:1.5,x1:1", balance.Event{Kind: balance.OutcomeEvent,
 			Request: 1, Attempt: 2, Finished: true, Role: balance.Primary, Position: 2007, Host: "h", Latency: 500, Result: balance.Succeeded, Report: report}},
--- a/internal/store/client/client.go
+++ b/internal/store/client/client.go
@@ -271,7 +271,7 @@
 		var handleErr error
 		conn, response, err := c.attempt(ctx, request, 0, func(part *frame.Response) error {
 			after = part.Result.Revision
-			handleErr = handle(part.Events, after, part.Result.Code != machine.IsCompacted)
+			handleErr = handle(part.Events, after, part.Result.Code != machine.RevisionCompacted)
 			return handleErr
 		})
 		if handleErr != nil {
--- a/internal/store/machine/command.go
+++ b/internal/store/machine/command.go
@@ -109,14 +109,14 @@
 
 // The codes of results. Their numbers are part of the format.
 const (
-	OK              Code = iota
-	NoSession            // unknown session: never opened, or dropped because there were too many
-	OldSeq               // a later command of the session was already applied
-	NoLease              // the lease has ended
-	Malformed            // an unknown operation, or an invalid name
-	IsCompacted          // the revision is one that was compacted already
-	BadAmount            // a time, revision or format out of bounds
-	LeaseNotAllowed      // a lease in an operation other than Put
+	OK                Code = iota
+	NoSession              // unknown session: never opened, or dropped because there were too many
+	OldSeq                 // a later command of the session was already applied
+	NoLease                // the lease has ended
+	Malformed              // an unknown operation, or an invalid name
+	RevisionCompacted      // the revision is one that was compacted already
+	BadAmount              // a time, revision or format out of bounds
+	LeaseNotAllowed        // a lease in an operation other than Put
 )
 
 var codes = [...]string{"ok", "unknown session", "an old sequence number", "unknown lease", "malformed command",
--- a/internal/store/machine/events.go
+++ b/internal/store/machine/events.go
@@ -30,7 +30,7 @@
 	case revision > m.revision:
 		return BadAmount
 	case revision <= m.compactedTo:
-		return IsCompacted
+		return RevisionCompacted
 	}
 	m.dropEvents(revision)
 	return OK
--- a/internal/store/machine/golden_test.go
+++ b/internal/store/machine/golden_test.go
@@ -45,7 +45,7 @@
 		}
 		lines = append(lines, fmt.Sprintf("command/%d %x", i+1, b))
 	}
-	for code, name := range []Code{OK, NoSession, OldSeq, NoLease, Malformed, IsCompacted, BadAmount, LeaseNotAllowed} {
+	for code, name := range []Code{OK, NoSession, OldSeq, NoLease, Malformed, RevisionCompacted, BadAmount, LeaseNotAllowed} {
 		lines = append(lines, fmt.Sprintf("code/%d %d %s", code, uint8(name), name))
 	}
 	stored := golden.CheckLines(t, "commands.txt", lines)
--- a/internal/store/node/requests.go
+++ b/internal/store/node/requests.go
@@ -209,7 +209,7 @@
 	send := func(events []machine.Event, upTo int64, complete bool) error {
 		part := &frame.Response{ID: request.ID, More: true, Events: events, Result: machine.Result{Revision: upTo}}
 		if !complete {
-			part.Result.Code = machine.IsCompacted
+			part.Result.Code = machine.RevisionCompacted
 		}
 		return cc.send(part)
 	}
--- a/internal/warmstart/golden_test.go
+++ b/internal/warmstart/golden_test.go
@@ -16,7 +16,7 @@
 // goldenState returns a snapshot and an endpoint list in which every field is set at least once.
 func goldenState() (balance.Snapshot, EndpointList) {
 	snapshot := snapshotOf("p", start, balance.HostSnapshot{Host: "p", Group: 1, Position: start, PositionAt: start - 1, Primary: true, ConcurrencyLimit: 4.5},
-		balance.HostSnapshot{Host: "down/ü", Group: 1 << 31, Position: 1, PositionAt: 2, Down: true, SlowStartUntil: start + second, ConcurrencyLimit: math.MaxFloat64})
+		balance.HostSnapshot{Host: "down/ü", Group: 1 << 31, Position: 1, PositionAt: 2, Unhealthy: true, SlowStartUntil: start + second, ConcurrencyLimit: math.MaxFloat64})
 	snapshot.Groups = append(snapshot.Groups, balance.GroupSnapshot{Group: math.MaxInt64, Primary: "q", ObservedAt: start})
 	snapshot.SessionFloor = start - second
 	return snapshot, EndpointList{Generation: 9, Endpoints: []Endpoint{
--- a/internal/warmstart/plan.go
+++ b/internal/warmstart/plan.go
@@ -138,7 +138,7 @@
 		Position:         observed.Position,
 		PositionAt:       observed.PositionAt,
 		Primary:          observed.Primary,
-		Down:             observed.Down,
+		Down:             observed.Unhealthy,
 		SlowStartUntil:   observed.SlowStartUntil,
 		ConcurrencyLimit: observed.ConcurrencyLimit,
 		At:               now,
@@ -148,7 +148,7 @@
 		next.Position = stored.Position // a position never decreases
 		next.PositionAt = stored.PositionAt
 	}
-	roleChanged := observed.Down != stored.Down || observed.Primary != stored.Primary
+	roleChanged := observed.Unhealthy != stored.Down || observed.Primary != stored.Primary
 	slowStartChanged := (observed.SlowStartUntil > now) != (stored.SlowStartUntil > now)
 	write = hostWrite{observed.Host, next, roleChanged || slowStartChanged}
 	writtenByAnother := stored.At > now-MaxClockSkew && stored.By != c.conf.Name
@@ -165,7 +165,7 @@
 
 // isUnobserved reports whether the router has no information about a host yet.
 func isUnobserved(host *balance.HostSnapshot) bool {
-	return host.Position == 0 && !host.Down && host.SlowStartUntil == 0 && host.ConcurrencyLimit == 0
+	return host.Position == 0 && !host.Unhealthy && host.SlowStartUntil == 0 && host.ConcurrencyLimit == 0
 }
 
 // limitChanged reports whether a concurrency limit differs from the stored one by more than minLimitChange.
--- a/internal/warmstart/restore.go
+++ b/internal/warmstart/restore.go
@@ -73,7 +73,7 @@
 		restored.discard("host %s: its position was observed when it was still the primary, or is in the future", id)
 	}
 	if c.recent(now, stored.At) {
-		host.Down = stored.Down
+		host.Unhealthy = stored.Down
 		host.ConcurrencyLimit = stored.ConcurrencyLimit
 	}
 	if stored.SlowStartUntil > now && stored.SlowStartUntil < now+maxSlowStart {
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -131,7 +131,7 @@
 	for i := range 200 {
 		snapshot.Hosts = append(snapshot.Hosts, balance.HostSnapshot{Host: fmt.Sprintf("h%03d", i), Group: 1, Position: start, PositionAt: start})
 	}
-	snapshot.Hosts[199].Down = true
+	snapshot.Hosts[199].Unhealthy = true
 	h.apply(cache.Plan(start, snapshot, EndpointList{}))
 	if !cache.hosts["h199"].Down {
 		t.Error("a host that is down was not written first")
@@ -159,7 +159,7 @@
 	h := newHarness(t, "a")
 	known := snapshotOf("p", start,
 		balance.HostSnapshot{Host: "p", Group: 1, Position: start, PositionAt: start, Primary: true},
-		balance.HostSnapshot{Host: "d", Group: 1, Position: start - second, PositionAt: start, Down: true, ConcurrencyLimit: 9},
+		balance.HostSnapshot{Host: "d", Group: 1, Position: start - second, PositionAt: start, Unhealthy: true, ConcurrencyLimit: 9},
 		balance.HostSnapshot{Host: "c", Group: 1, Position: start - 2*second, PositionAt: start, SlowStartUntil: start + 16*second})
 	h.apply(h.caches[0].Plan(start, known, EndpointList{Generation: 9, Endpoints: []Endpoint{{Address: "1:1"}}}))
 	fresh := h.restarted()
@@ -169,7 +169,7 @@
 		t.Errorf("after 5 s: %+v", recent)
 	}
 	hosts := hostsByID(recent)
-	if !hosts["d"].Down || hosts["d"].ConcurrencyLimit != 9 || hosts["c"].SlowStartUntil == 0 || hosts["p"].Position != start {
+	if !hosts["d"].Unhealthy || hosts["d"].ConcurrencyLimit != 9 || hosts["c"].SlowStartUntil == 0 || hosts["p"].Position != start {
 		t.Errorf("hosts after 5 s: %+v", hosts)
 	}
 
@@ -178,7 +178,7 @@
 		t.Errorf("after 100 s: %+v", later)
 	}
 	hosts = hostsByID(later)
-	if hosts["d"].Down || hosts["d"].ConcurrencyLimit != 0 || hosts["c"].SlowStartUntil != 0 || hosts["d"].Position != start-second {
+	if hosts["d"].Unhealthy || hosts["d"].ConcurrencyLimit != 0 || hosts["c"].SlowStartUntil != 0 || hosts["d"].Position != start-second {
 		t.Errorf("hosts after 100 s: %+v", hosts)
 	}
 
@@ -194,7 +194,7 @@
 	h := newHarness(t, "a")
 	known := snapshotOf("p", start,
 		balance.HostSnapshot{Host: "p", Group: 1, Position: start, PositionAt: start, Primary: true},
-		balance.HostSnapshot{Host: "d", Group: 1, Position: start - second, PositionAt: start, Down: true, ConcurrencyLimit: 9})
+		balance.HostSnapshot{Host: "d", Group: 1, Position: start - second, PositionAt: start, Unhealthy: true, ConcurrencyLimit: 9})
 	h.apply(h.caches[0].Plan(start, known, EndpointList{}))
 	h.apply(h.caches[0].Plan(start+2*second, snapshotOf("q", start+2*second), EndpointList{}))
 	hosts := hostsByID(h.restarted().Restore(start+5*second, 9))
