--- a/internal/simprotocol/options.go
+++ b/internal/simprotocol/options.go
@@ -153,7 +153,7 @@
 	}
 	for i := range o.Classes {
 		if consistencies.value(o.Extra.Consistency[i]) == balance.BoundedStaleness && !o.hasMaxStaleness(i) {
-			err := errors.New("must be given, and not below 0, if classRead is recent")
+			err := errors.New("must be there, and not below 0, where classRead is recent")
 			return &OptionError{fmt.Sprintf("extra.stalenessBoundMs[%d]", i), err}
 		}
 	}
