--- a/internal/lab/processrig/configuration.go
+++ b/internal/lab/processrig/configuration.go
@@ -19,11 +19,13 @@
 	fullGeneration    = 7
 )
 
-// endpointLists are the lists that discovery publishes, in the form of the wire.
+// endpointLists holds the endpoint lists that the emulated discovery services publish, encoded as JSON.
 type endpointLists struct {
-	full          string
-	initial       string // lacks the last host of each group, where the run wants that
-	ofOddGateways string // published after initial to gateways of odd numbers
+	full string
+	// initial lacks the last host of each group in plan "join" and with BreakSubsetFixed; otherwise it equals full.
+	initial string
+	// ofOddGateways is published after initial to the gateways with odd numbers.
+	ofOddGateways string
 }
 
 func (r *rig) makeLists() (endpointLists, error) {
@@ -79,7 +81,7 @@
 	return string(text), err
 }
 
-// zoneName is the zone of a host or gateway.
+// zoneName returns the name of the zone of host i, and also of gateway i: both are assigned to the zones in turn.
 func (r *rig) zoneName(i int) string {
 	if r.Zoned == nil {
 		return ""
@@ -87,7 +89,7 @@
 	return "z" + strconv.Itoa(i%r.Zoned.Zones)
 }
 
-// writeFiles writes the files that gateway i starts with.
+// writeFiles writes the configuration file and, if the gateways take joint decisions, the settings file of gateway i.
 func (r *rig) writeFiles(i int) error {
 	if r.Zoned != nil && !r.Zoned.Alone {
 		r.gateways[i].settingsFile = filepath.Join(r.directory, fmt.Sprintf("%d-settings.json", i))
@@ -143,7 +145,7 @@
 	return settings
 }
 
-// fleetSettings turn on the decisions that gateways take together.
+// fleetSettings returns the settings by which gateway i takes part in the joint decisions on zones.
 func (r *rig) fleetSettings(i int) object {
 	const joinAtMost = 3
 	zones := object{"away_ms": 3000, "step_ms": r.Zoned.StepMS, "delay_ms": 500}
--- a/internal/lab/processrig/datagrams.go
+++ b/internal/lab/processrig/datagrams.go
@@ -11,22 +11,23 @@
 )
 
 const (
-	maxDatagram  = 2048
-	readBuffer   = 1 << 20
-	broadcast    = -1 // stands for all gateways as the receiver
-	loseOneOf    = 5  // on a lossy link, one datagram in five is lost
-	doubleOneOf  = 20 // and one in twenty of the others is duplicated
-	relayRandoms = 5  // stream of the relay's random numbers, apart from others of the same seed
+	maxDatagram  = 2048    // bytes
+	readBuffer   = 1 << 20 // bytes
+	broadcast    = -1      // receiver number that stands for all gateways
+	loseOneOf    = 5       // on a lossy link, one datagram in five is lost
+	doubleOneOf  = 20      // and one in twenty of the others is duplicated
+	relayRandoms = 5       // random stream of the relay, which separates it from other users of the same seed
 )
 
-// datagramRelay forwards the datagrams between gateways. The others' configuration names a socket of the relay in place of
-// each gateway's own address, so each direction of each pair can be delayed, cut or made lossy separately.
+// datagramRelay forwards the gossip datagrams between gateways. Each gateway's configuration names sockets of the relay
+// instead of the addresses of the other gateways. The relay can therefore delay, drop or duplicate the datagrams from and
+// to each gateway separately.
 type datagramRelay struct {
-	all     *net.UDPConn           // receives what is sent to all
-	sockets []*net.UDPConn         // by gateway: receive what is sent to it, and forward what it sends
+	all     *net.UDPConn           // receives the datagrams that are sent to all gateways
+	sockets []*net.UDPConn         // by gateway: receives the datagrams sent to it, and forwards those that it sends
 	to      []netip.AddrPort       // by gateway: the address at which it listens
-	numbers map[netip.AddrPort]int // gateways by the address at which they listen
-	spoil   func(datagram []byte)  // changes each datagram; nil: none is changed
+	numbers map[netip.AddrPort]int // gateway numbers by the address at which the gateway listens
+	spoil   func(datagram []byte)  // modifies each datagram in place; nil: datagrams are not modified
 	wait    sync.WaitGroup
 
 	mu        sync.Mutex
@@ -37,11 +38,11 @@
 	lost      int
 }
 
-// link is what happens to the datagrams of a gateway.
+// link holds the faults of the datagrams from and to one gateway.
 type link struct {
-	cutFrom, cutTo bool
-	lossy          bool
-	delay          time.Duration // of what goes to it
+	cutFrom, cutTo bool          // datagrams from it, or to it, are dropped
+	lossy          bool          // of the datagrams to it, some are dropped and some duplicated
+	delay          time.Duration // of the datagrams to it
 }
 
 // newDatagramRelay returns a relay for the gateways that listen at the given addresses.
@@ -85,11 +86,11 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = socket.SetReadBuffer(readBuffer) // a smaller one is sufficient
+	_ = socket.SetReadBuffer(readBuffer) // best effort: the kernel may grant a smaller buffer, which is sufficient
 	return socket, nil
 }
 
-// addresses returns the addresses that the gateways' configurations name as peers.
+// addresses returns the relay's address for each gateway, which the gateways' configurations name as peers.
 func (r *datagramRelay) addresses() []string {
 	var addresses []string
 	for _, socket := range r.sockets {
@@ -103,13 +104,14 @@
 func (r *datagramRelay) close() {
 	for _, socket := range append(r.sockets, r.all) {
 		if socket != nil {
-			_ = socket.Close() // the run is over
+			_ = socket.Close() // an error does not matter at the end of the run
 		}
 	}
 	r.wait.Wait()
 }
 
-// carry forwards the datagrams that arrive at one socket to a gateway, or to all.
+// carry receives datagrams at one socket until it is closed, and forwards them to gateway to, or to all other gateways.
+// It ignores datagrams from unknown senders.
 func (r *datagramRelay) carry(socket *net.UDPConn, to int) {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -137,11 +139,11 @@
 	}
 }
 
-// pass forwards one datagram, subject to the faults of the links.
+// pass forwards one datagram, subject to the faults of its sender and receiver.
 func (r *datagramRelay) pass(from, to int, datagram []byte) {
 	copies, delay := r.fate(from, to, len(datagram))
 	send := func() {
-		_, _ = r.sockets[from].WriteToUDPAddrPort(datagram, r.to[to]) // a datagram may be lost
+		_, _ = r.sockets[from].WriteToUDPAddrPort(datagram, r.to[to]) // UDP gives no guarantee of delivery
 	}
 	for range copies {
 		if delay == 0 {
@@ -152,7 +154,8 @@
 	}
 }
 
-// fate decides how many copies of a datagram arrive, and how late.
+// fate applies the faults of the sender and the receiver to one datagram, and counts it. It returns how many copies to
+// forward (0: it is dropped) and after which delay. A delay is lengthened by a random amount of up to a quarter.
 func (r *datagramRelay) fate(from, to, size int) (copies int, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/processrig/evaluate.go
+++ b/internal/lab/processrig/evaluate.go
@@ -8,7 +8,7 @@
 	"cloverrock/internal/lab/emulator"
 )
 
-// killTimeout is how long a killed process may take to end.
+// killTimeout is how long a process may take to end after SIGKILL.
 const killTimeout = 5 * time.Second
 
 // evaluate fills in the result of a run from the clients' samples, the hosts' logs and the processes.
@@ -63,19 +63,20 @@
 		r.result.Disturbed++
 	default:
 		r.result.Lost++
-		r.Log("lost at gateway %d, sent at %v: %v after %v",
+		r.Log("request lost at gateway %d, sent at %v: %v after %v",
 			sample.Gateway, sample.At.Sub(r.start), sample.Err, sample.Latency)
 		r.logRequest(sample.Gateway, sample.ID)
 	}
 }
 
-// wasDisturbed reports whether the gateway was stopped or dead while the request was with it.
+// wasDisturbed reports whether the gateway was stopped, or killed and not yet started again, at any time during the
+// request.
 func (r *rig) wasDisturbed(sample emulator.Sample) bool {
 	request := interval{sample.At, sample.At.Add(sample.Latency)}
 	return slices.ContainsFunc(r.gateways[sample.Gateway].disturbed, request.overlaps)
 }
 
-// countConnections returns the numbers of open connections at the hosts, sorted.
+// countConnections returns the number of open connections at each host, in ascending order.
 func (r *rig) countConnections() []int {
 	var connections []int
 	for _, host := range r.hosts {
@@ -85,13 +86,14 @@
 	return connections
 }
 
-// endGateways kills all gateways, and counts those that had already ended and those that don't end.
+// endGateways kills all gateways. It counts the gateways that had already ended, and those that do not end within
+// killTimeout.
 func (r *rig) endGateways() {
 	for _, gateway := range r.gateways {
 		if gateway.hasEnded() {
 			r.result.EndedByThemselves++
 		}
-		_ = gateway.command.Process.Kill() // it may have ended already
+		_ = gateway.command.Process.Kill() // fails only if the process has already ended
 		select {
 		case <-gateway.ended:
 		case <-time.After(killTimeout):
@@ -100,8 +102,8 @@
 	}
 }
 
-// replicaLogs returns the logs of all replicas, sorted by time. Hosts that join are compared from settlingTime after the
-// last gateway has them in its list.
+// replicaLogs returns the logs of all replicas, each sorted by time. Hosts that are added to the endpoint lists during the
+// run are compared only from settlingTime after the last gateway has received the list with them.
 func (r *rig) replicaLogs() []hostLog {
 	joined := time.Duration(0)
 	for _, event := range r.events {
--- a/internal/lab/processrig/evidence.go
+++ b/internal/lab/processrig/evidence.go
@@ -11,13 +11,15 @@
 )
 
 const (
-	// maxTraced is the number of gateways up to which each logs the way of every request; more would disturb one another.
+	// maxTraced is the greatest number of gateways for which each logs every step of every request. With more gateways,
+	// the logging would slow the processes down.
 	maxTraced = 8
-	// maxEvidenceLines bounds the log lines that are shown of one request or host.
+	// maxEvidenceLines is the maximum number of lines of one gateway's log that are shown for one request or host.
 	maxEvidenceLines = 30
 )
 
-// logFile is the file to which gateway i logs, over all its restarts. In a run with zones all log to one file.
+// logFile returns the file to which gateway i logs, including after restarts. In a run with zones all gateways log to the
+// same file.
 func (r *rig) logFile(i int) string {
 	if r.Zoned != nil {
 		return filepath.Join(r.directory, "log")
@@ -25,16 +27,17 @@
 	return filepath.Join(r.directory, strconv.Itoa(i)+".log")
 }
 
-// removeDirectory removes the files of the run. Where requests were lost the logs stay, and it says where.
+// removeDirectory removes the files of the run. If requests were lost, it keeps them and logs where the gateways' logs are.
 func (r *rig) removeDirectory() {
 	if r.result.Lost > 0 {
 		r.Log("the gateways' logs are in %s", r.directory)
 		return
 	}
-	_ = os.RemoveAll(r.directory) // a directory that is left behind does no harm
+	_ = os.RemoveAll(r.directory) // a remaining temporary directory does no harm
 }
 
-// logRequest shows what a gateway logged of a request, by the id in its statement.
+// logRequest shows the lines that a gateway logged of a request, and its lines on its own lifecycle. The lines of the
+// request are found by the id in its statement: one line has this id and the number by which the gateway logs the request.
 func (r *rig) logRequest(gateway, id int) {
 	number := ""
 	r.showLines(gateway, func(line string) bool {
@@ -48,13 +51,13 @@
 	})
 }
 
-// showLines logs the lines of a gateway's log that are wanted.
+// showLines shows the lines of a gateway's log that match, at most maxEvidenceLines of them.
 func (r *rig) showLines(gateway int, wanted func(line string) bool) {
 	file, err := os.Open(r.logFile(gateway))
 	if err != nil {
 		return
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	shown := 0
 	for lines := bufio.NewScanner(file); lines.Scan() && shown < maxEvidenceLines; {
 		if wanted(lines.Text()) {
@@ -64,7 +67,7 @@
 	}
 }
 
-// logIdleHosts shows each second in which a host was idle, and what the gateways logged of that host until then.
+// logIdleHosts shows each second in which a host was idle, and the lines that the gateways logged about this host.
 func (r *rig) logIdleHosts() {
 	groups := map[int][]hostLog{}
 	for _, host := range r.replicaLogs() {
@@ -84,7 +87,7 @@
 
 func (r *rig) logIdle(group, replica int, at time.Duration, window groupWindow) {
 	host := r.hosts[group*r.Members+1+replica].ID
-	r.Log("%s idle from %v to %v: the replicas of group %d got %v; late at the most by ms: %v",
+	r.Log("%s idle from %v to %v: requests at the replicas of group %d: %v; longest delays of processes in ms: %v",
 		host, at, at+longWindow, group, window.counts, r.result.Stalls)
 	for i := range r.gateways {
 		r.showLines(i, func(line string) bool {
--- a/internal/lab/processrig/faults.go
+++ b/internal/lab/processrig/faults.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	reconnectTime     = 100 * time.Millisecond // from a gateway's return until it accepts connections
+	reconnectTime     = 100 * time.Millisecond // from the return of a gateway until it accepts connections
 	restartReadyLimit = 10 * time.Second
-	shutdownMargin    = 700 * time.Millisecond // beyond the longest deadline, for a graceful shutdown
+	shutdownMargin    = 700 * time.Millisecond // for a graceful shutdown, beyond the longest deadline of a request
 )
 
-// beginFaults schedules the faults of the run.
+// beginFaults starts a goroutine for each fault and each outage of the run, which waits until its time.
 func (r *rig) beginFaults(ctx context.Context, wait *sync.WaitGroup) {
 	for _, event := range r.events {
 		wait.Go(func() { r.carryOut(ctx, event) })
@@ -28,7 +28,7 @@
 	}
 }
 
-// carryOut begins a fault of a gateway at its time and ends it.
+// carryOut waits until the time of the event, begins its fault and ends it after the event's duration.
 func (r *rig) carryOut(ctx context.Context, event Event) {
 	if !r.sleepUntil(ctx, event.AtMS) {
 		return
@@ -49,11 +49,11 @@
 			r.Log("%v", err)
 		}
 		r.noteDisturbed(gateway, from)
-	case Restart: // no disturbance: requests that the gateway has accepted must be answered
+	case Restart: // not a disturbance: requests that the gateway has accepted must be answered
 		r.restart(ctx, event.Gateway, duration)
 	case Join:
 		r.discoveries[event.Gateway].Publish(r.lists.full)
-	case Cut, Late, Lossy: // no disturbance of requests
+	case Cut, Late, Lossy: // not a disturbance: the gateway goes on serving requests
 		r.datagrams.setLink(event.Gateway, linkOf(event))
 		sleep(ctx, duration)
 		r.datagrams.setLink(event.Gateway, link{})
@@ -73,8 +73,9 @@
 	gateway.disturbed = append(gateway.disturbed, interval{from, time.Now().Add(reconnectTime)})
 }
 
-// restart restarts a gateway gracefully. Clients open new connections to it until frontDelay after the signal, as through a
-// load balancer, and use open ones until it has ended. The restart completes even if the run ends meanwhile.
+// restart restarts a gateway gracefully, as behind a load balancer that reacts to the shutdown after frontDelay: until
+// then clients still open new connections to the gateway. They use their open connections until the process has ended.
+// The restart completes even if the run ends in the meantime.
 func (r *rig) restart(ctx context.Context, i int, frontDelay time.Duration) {
 	ctx = context.WithoutCancel(ctx)
 	gateway := r.gateways[i]
@@ -100,7 +101,7 @@
 	gateway.draining.Store(false)
 }
 
-// waitShutdown waits until the gateway has ended, and kills it if it has not by the limit.
+// waitShutdown waits until the gateway has ended. If it has not ended by the limit, it is killed and counted.
 func (r *rig) waitShutdown(gateway *gatewayProcess, limit time.Time) {
 	select {
 	case <-gateway.ended:
@@ -120,12 +121,12 @@
 	return longest
 }
 
-// sleepUntil waits until the given time after the start, and returns false if the run ends before.
+// sleepUntil waits until the given time after the start of the run. It returns false if the run ends earlier.
 func (r *rig) sleepUntil(ctx context.Context, milliseconds int64) bool {
 	return sleep(ctx, time.Until(r.start.Add(time.Duration(milliseconds)*time.Millisecond)))
 }
 
-// sleep waits, and returns false if the run ends before.
+// sleep waits for the duration. It returns false if the run ends earlier.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/processrig/fleetrelay.go
+++ b/internal/lab/processrig/fleetrelay.go
@@ -10,15 +10,15 @@
 	"sync/atomic"
 )
 
-const maxFleetDatagram = 64 << 10
+const maxFleetDatagram = 64 << 10 // bytes
 
-// fleetRelay forwards the messages by which gateways decide together. Each gateway sends all of them to an address of its
-// own at the relay. The receiver's address precedes the contents: in a datagram as a length byte and the address, on a
-// stream as a line. Messages are forwarded unless the two gateways are cut off from each other.
+// fleetRelay forwards the messages by which gateways take joint decisions. Each gateway sends all its messages to its own
+// address at the relay. The receiver's address precedes the contents: in a datagram as a length byte and the address, on
+// a TCP stream as a line. The relay does not forward messages between gateways that are cut off from each other.
 type fleetRelay struct {
-	numbers   map[string]int // by the address at which a gateway listens
+	numbers   map[string]int // gateway numbers by the address at which the gateway listens
 	cut       func(from, to int) bool
-	lossy     bool // one datagram in loseOneOf is lost
+	lossy     bool // one datagram in loseOneOf is dropped
 	bytes     atomic.Int64
 	sockets   []*net.UDPConn
 	listeners []net.Listener
@@ -43,7 +43,7 @@
 	return r, nil
 }
 
-// listen opens a gateway's address, for datagrams and streams alike.
+// listen opens the relay's address for one gateway: the same port for datagrams and for TCP streams.
 func (r *fleetRelay) listen(from int) error {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// address returns the address to which a gateway sends.
+// address returns the relay's address to which a gateway sends its messages.
 func (r *fleetRelay) address(gateway int) string { return r.listeners[gateway].Addr().String() }
 
 func (r *fleetRelay) carryDatagrams(from int, socket *net.UDPConn) {
@@ -81,11 +81,11 @@
 			continue
 		}
 		r.bytes.Add(int64(n))
-		_, _ = socket.WriteToUDP(buffer[body:n], address) // a datagram may be lost
+		_, _ = socket.WriteToUDP(buffer[body:n], address) // UDP gives no guarantee of delivery
 	}
 }
 
-// connected reports whether the gateway at an address can be reached from another.
+// connected reports whether messages of gateway from are forwarded to the gateway that listens at the address.
 func (r *fleetRelay) connected(from int, address string) bool {
 	to, known := r.numbers[address]
 	return known && !r.cut(from, to)
@@ -117,23 +117,23 @@
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
-		n, _ := io.Copy(dialed, reader) // either side may end the stream
+		n, _ := io.Copy(dialed, reader) // an error ends the stream, as the end of the input does
 		r.bytes.Add(n)
-		_ = dialed.(*net.TCPConn).CloseWrite() // as above
+		_ = dialed.(*net.TCPConn).CloseWrite() // fails only if the stream has already ended
 	}()
-	n, _ := io.Copy(accepted, dialed) // as above
+	n, _ := io.Copy(accepted, dialed) // an error ends the stream, as the end of the input does
 	r.bytes.Add(n)
-	_ = accepted.Close() // ends the copy above
+	_ = accepted.Close() // ends the copy in the goroutine
 	<-sent
 }
 
-// track has the connection closed at the end of the run, and returns a function that closes it now.
+// track registers a connection to be closed at the end of the run. The returned function closes it earlier.
 func (r *fleetRelay) track(connection net.Conn) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open[connection] = struct{}{}
 	return func() {
-		_ = connection.Close() // the stream is over
+		_ = connection.Close() // an error does not matter at the end of the stream
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		delete(r.open, connection)
@@ -142,14 +142,14 @@
 
 func (r *fleetRelay) close() {
 	for _, socket := range r.sockets {
-		_ = socket.Close() // the run is over
+		_ = socket.Close() // an error does not matter at the end of the run
 	}
 	for _, listener := range r.listeners {
-		_ = listener.Close() // the run is over
+		_ = listener.Close() // as above
 	}
 	r.mu.Lock()
 	for connection := range r.open {
-		_ = connection.Close() // the run is over
+		_ = connection.Close() // as above
 	}
 	r.mu.Unlock()
 	r.wait.Wait()
--- a/internal/lab/processrig/gateway.go
+++ b/internal/lab/processrig/gateway.go
@@ -15,40 +15,40 @@
 // gatewayProcess is one process of the gateway.
 type gatewayProcess struct {
 	listen, peer string
-	fleet        string // address for the messages of joint decisions
+	fleet        string // address at which it receives the messages of joint decisions
 	configFile   string
-	settingsFile string // empty: it takes no joint decisions
+	settingsFile string // empty: it takes no part in joint decisions
 	command      *exec.Cmd
-	ended        chan struct{}
-	draining     atomic.Bool // clients open no new connections to it
-	disturbed    []interval  // when it was stopped or down
+	ended        chan struct{} // closed when the process has ended
+	draining     atomic.Bool   // clients open no new connections to it
+	disturbed    []interval    // when it was stopped, or killed and not yet accepting connections again
 }
 
 type interval struct{ from, to time.Time }
 
-// overlaps reports whether the interval shares a moment with another.
+// overlaps reports whether two intervals have some time in common.
 func (i interval) overlaps(other interval) bool {
 	return i.from.Before(other.to) && i.to.After(other.from)
 }
 
-// errEndedAtStart reports a gateway that ended before it accepted connections.
-var errEndedAtStart = errors.New("ended at its start")
+// errEndedAtStart is returned for a gateway process that ended before it accepted connections.
+var errEndedAtStart = errors.New("the process ended before it accepted connections")
 
-// readyPoll is the pause between tries to connect to a gateway that starts.
+// readyPoll is the pause between attempts to connect to a gateway that is starting.
 const readyPoll = 5 * time.Millisecond
 
-// kill ends the process, if it was started, and waits for its end.
+// kill sends SIGKILL to the process, if it was started, and waits for its end.
 func (g *gatewayProcess) kill() {
 	if g.command == nil {
 		return
 	}
-	_ = g.command.Process.Kill() // it may have ended already
+	_ = g.command.Process.Kill() // fails only if the process has already ended
 	<-g.ended
 }
 
 // signal sends a signal to the process.
 func (g *gatewayProcess) signal(signal syscall.Signal) {
-	_ = g.command.Process.Signal(signal) // it may have ended already
+	_ = g.command.Process.Signal(signal) // fails only if the process has already ended
 }
 
 // hasEnded reports whether the process has ended.
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // the process has its own copy of the descriptor
 	args := []string{"serve"}
 	if r.Zoned == nil && r.Gateways <= maxTraced {
 		args = append(args, "--log", "trace")
@@ -78,7 +78,7 @@
 	command := exec.Command(r.Program, args...)
 	command.Env = append(os.Environ(), "EDGE_CONFIG="+gateway.configFile)
 	command.Stderr = log
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the run
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process ends with this one
 	if err := command.Start(); err != nil {
 		return fmt.Errorf("gateway %d: %w", i, err)
 	}
@@ -87,7 +87,7 @@
 	gateway.ended = ended
 	go func() {
 		defer close(ended)
-		_ = command.Wait() // how it ended is seen from outside
+		_ = command.Wait() // the exit status is not evaluated
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.endedCPU += command.ProcessState.UserTime() + command.ProcessState.SystemTime()
@@ -101,12 +101,12 @@
 	for {
 		connection, err := net.DialTimeout("tcp4", gateway.listen, time.Second)
 		if err == nil {
-			_ = connection.Close() // it has served its purpose
+			_ = connection.Close() // it was opened only to see that it is accepted
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("gateway %d does not come up: %w", i, ctx.Err())
+			return fmt.Errorf("gateway %d does not accept connections: %w", i, ctx.Err())
 		case <-gateway.ended:
 			return fmt.Errorf("gateway %d: %w", i, errEndedAtStart)
 		case <-time.After(readyPoll):
--- a/internal/lab/processrig/herd.go
+++ b/internal/lab/processrig/herd.go
@@ -1,23 +1,23 @@
 package processrig
 
-// Layout of a gossip digest, as far as spoilDigest needs it (internal/gossip, message.go).
+// Layout of a gossip digest as far as spoilDigest needs it. Package gossip defines it in message.go.
 const (
 	digestVersion  = 4
-	digestHead     = 10
-	digestRate     = 9 // byte of the rate of attempts
-	digestLeads    = 0x80
+	digestHead     = 10   // size of the header, in bytes
+	digestRate     = 9    // offset of the byte with the rate of attempts and the bit below
+	digestLeads    = 0x80 // set if the first entry is the primary
 	entryBytes     = 4
-	entryAge       = 2 // byte of a host's age
-	entryLoad      = 3 // byte of a host's load and share
-	loadShift      = 3
-	unknownAge     = 255
+	entryAge       = 2         // offset, within an entry, of the age of the host's position
+	entryLoad      = 3         // offset, within an entry, of the host's load (high 5 bits) and latency share (low 3 bits)
+	loadShift      = 3         // bits
+	unknownAge     = 255       // the host's position is unknown
 	idleAndFast    = 1         // load 0, shortest latency
-	fullAndLate    = 31<<3 | 6 // greatest load, longest latency
-	slowestAttempt = 1         // the lowest rate of attempts that a digest can state
+	fullAndLate    = 31<<3 | 6 // highest load, longest latency
+	slowestAttempt = 1         // lowest rate of attempts that a digest can encode
 )
 
-// spoilDigest changes a digest to report one replica as idle and all others as overloaded, so that every gateway uses the
-// one that was last reported as least loaded.
+// spoilDigest modifies a digest so that it reports the least loaded replica as idle and all others as overloaded. Every
+// gateway that receives it then sends its requests to that one replica.
 func spoilDigest(digest []byte) {
 	if len(digest) < digestHead || digest[0] != digestVersion {
 		return
@@ -38,7 +38,8 @@
 	digest[digestRate] = leads | slowestAttempt
 }
 
-// leastLoaded returns the offset of the least loaded replica with a known position, or 0.
+// leastLoaded returns the offset of the entry of the least loaded replica with a known position, or 0 if there is none.
+// The replicas' entries begin at offset first.
 func leastLoaded(digest []byte, first int) int {
 	least := 0
 	for entry := first; entry+entryBytes <= len(digest); entry += entryBytes {
--- a/internal/lab/processrig/options.go
+++ b/internal/lab/processrig/options.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Options of a run.
+// Options describes a run.
 type Options struct {
 	Program  string // path of the gateway's program
 	Gateways int
-	Hosts    int // in groups of Members
-	Members  int
+	Hosts    int // in groups of Members; a remainder is not started
+	Members  int // hosts of a group, including its primary
 	For      time.Duration
 	Seed     uint64
-	Plan     string                           // of faults
-	Use      float64                          // load as a part of the hosts' capacity
+	Plan     string                           // name of a fault plan, from Plans, or from ZonePlans if Zoned is set
+	Use      float64                          // load as a fraction of the capacity of all hosts
 	Policy   string                           // one of the Policy constants
 	Break    string                           // one of the Break constants
 	Zoned    *Zoned                           // nil: one zone
 	Log      func(format string, args ...any) // nil: nothing is logged
 }
 
-// Policies.
+// Values of Options.Policy.
 const (
 	PolicyNormal = ""       // the program as it is
 	PolicyRandom = "random" // gateways send no gossip
 	PolicyBefore = "before" // Program is another version, which the result records
 )
 
-// Deliberate defects of a run, to show that the checks find them.
+// Values of Options.Break: deliberate defects, which show that the checks of a run detect them.
 const (
 	BreakNothing     = ""
-	BreakBlindHerd   = "blind-herd"   // all gateways use the host reported as least loaded
-	BreakSubsetFixed = "subset-fixed" // all gateways have the same part of the hosts in their lists
-	BreakAbrupt      = "abrupt"       // a planned restart allows no graceful shutdown
+	BreakBlindHerd   = "blind-herd"   // gossip reports all replicas but one as overloaded, so all gateways use that one
+	BreakSubsetFixed = "subset-fixed" // the endpoint lists of all gateways lack the same hosts
+	BreakAbrupt      = "abrupt"       // planned restarts use SIGKILL instead of a graceful shutdown
 )
 
 // OptionError reports an option with an invalid value.
@@ -43,28 +43,28 @@
 func (e *OptionError) Error() string { return e.Name + ": " + e.Problem }
 
 const (
-	workTime     = 40 * time.Millisecond // of a request at a host, on the mean
+	workTime     = 40 * time.Millisecond // mean time that a host works on a request
 	replicaLag   = 15 * time.Millisecond
 	coresPerHost = 2
-	settlingTime = 3 * time.Second // from the first request on, until connections are open and hosts have reported
-	// answerSlack is how long after its deadline an answer is still awaited; it earns nothing. A request without an answer
-	// by then is lost.
+	settlingTime = 3 * time.Second // after the first request, until connections are open and hosts have reported
+	// answerSlack is how long after its deadline an answer is still awaited. Such an answer earns no weight. A request that
+	// has no answer by then is lost.
 	answerSlack = 500 * time.Millisecond
-	// nearCapacity is the use of plan "full", at which the other zones cannot bear the load of one that is left.
+	// nearCapacity is Options.Use in plan "full": too much for the remaining zones to serve without the failed zone.
 	nearCapacity = 0.8
 )
 
 func (o *Options) check() error {
 	enough := o.Gateways >= 1 && o.Members >= 2 && o.Hosts >= o.Members && o.For >= 2*settlingTime && o.Use > 0
 	if !enough {
-		problem := fmt.Sprintf("a run wants a gateway, groups of two hosts, %v and some load", 2*settlingTime)
+		problem := fmt.Sprintf("expected at least 1 gateway, 1 group of 2 hosts, %v and a load above 0", 2*settlingTime)
 		return &OptionError{"options", problem}
 	}
 	if !slices.Contains([]string{BreakNothing, BreakBlindHerd, BreakSubsetFixed, BreakAbrupt}, o.Break) {
-		return &OptionError{"break", fmt.Sprintf("%q: there are blind-herd, subset-fixed and abrupt", o.Break)}
+		return &OptionError{"break", fmt.Sprintf("%q is unknown; expected blind-herd, subset-fixed or abrupt", o.Break)}
 	}
 	if !slices.Contains([]string{PolicyNormal, PolicyRandom, PolicyBefore}, o.Policy) {
-		return &OptionError{"policy", fmt.Sprintf("%q: there are random and before", o.Policy)}
+		return &OptionError{"policy", fmt.Sprintf("%q is unknown; expected random or before", o.Policy)}
 	}
 	return nil
 }
--- a/internal/lab/processrig/plan.go
+++ b/internal/lab/processrig/plan.go
@@ -1,6 +1,6 @@
-// Package processrig runs many real processes of the gateway in front of emulated hosts, with faults of the processes and of
-// the network between them. It measures from outside how evenly their load is spread over the hosts and whether requests
-// are lost.
+// Package processrig runs many real gateway processes in front of emulated hosts, and injects faults into the processes
+// and into the network between them. It measures at the hosts how evenly the gateways spread their load, and at the
+// clients whether requests are lost.
 package processrig
 
 import (
@@ -19,42 +19,42 @@
 
 // The faults.
 const (
-	Stop    Fault = "stop"    // SIGSTOP, and SIGCONT at its end
-	Kill    Fault = "kill"    // SIGKILL, and a start at its end
-	Restart Fault = "restart" // SIGTERM, SIGKILL if the shutdown takes too long, and a start
-	Cut     Fault = "cut"     // datagrams from the gateway, or to it, or both, are lost
+	Stop    Fault = "stop"    // SIGSTOP at the beginning, SIGCONT at the end
+	Kill    Fault = "kill"    // SIGKILL at the beginning, a new process at the end
+	Restart Fault = "restart" // SIGTERM, SIGKILL if the shutdown takes too long, and a new process
+	Cut     Fault = "cut"     // datagrams from the gateway, or to it, or both, are dropped
 	Late    Fault = "late"    // datagrams to the gateway are delayed
-	Lossy   Fault = "lossy"   // of the datagrams to the gateway one in five is lost and one in twenty duplicated
+	Lossy   Fault = "lossy"   // of the datagrams to the gateway, 1 in 5 is dropped and 1 in 20 of the others duplicated
 	Join    Fault = "join"    // the last host of each group, missing before, is added to the gateway's endpoint list
 )
 
-// Event is one fault.
+// Event is one fault of one gateway. Its time is relative to the start of the run.
 type Event struct {
 	AtMS    int64 `json:"at_ms"`
 	ForMS   int64 `json:"for_ms"`
 	Gateway int   `json:"gateway"`
 	Fault   Fault `json:"fault"`
-	From    bool  `json:"from,omitempty"` // a cut of the datagrams from the gateway
-	To      bool  `json:"to,omitempty"`   // a cut of those to it
-	Delay   int64 `json:"delay_ms,omitempty"`
+	From    bool  `json:"from,omitempty"`     // for Cut: datagrams from the gateway are dropped
+	To      bool  `json:"to,omitempty"`       // for Cut: datagrams to the gateway are dropped
+	Delay   int64 `json:"delay_ms,omitempty"` // for Late
 }
 
-// Plans are the names that MakePlan takes.
+// Plans lists the plan names that MakePlan accepts.
 var Plans = []string{"none", "stall", "late", "cut", "loss", "kill", "roll", "restart", "join"}
 
 // randomStream separates a plan's random numbers from those of other users of the same seed.
 const randomStream = 23
 
-// planner makes the events of a plan. Faults begin in the middle half of the run. Times are milliseconds.
+// planner creates the events of a plan. Faults begin in the middle half of the run. Times are in milliseconds.
 type planner struct {
 	random *rand.Rand
 	order  []int // all gateways, in random order
-	from   int64 // when the first fault may begin
-	span   int64 // of the faults
+	from   int64 // earliest beginning of a fault
+	span   int64 // length of the part of the run in which there are faults
 }
 
-// MakePlan returns the faults of a run by the plan's name, in order of time. The same arguments give the same events. The
-// error is an *OptionError for an unknown name.
+// MakePlan returns the events of the plan with the given name, sorted by time. The same arguments give the same events.
+// For an unknown name the error is an *OptionError.
 func MakePlan(name string, seed uint64, gateways int, run time.Duration) ([]Event, error) {
 	random := rand.New(rand.NewPCG(seed, randomStream))
 	p := &planner{
@@ -67,7 +67,7 @@
 	}
 	makeEvents, known := makers[name]
 	if !known {
-		return nil, &OptionError{"plan", fmt.Sprintf("%q is none of %v", name, Plans)}
+		return nil, &OptionError{"plan", fmt.Sprintf("%q is unknown; expected one of %v", name, Plans)}
 	}
 	events := makeEvents()
 	slices.SortStableFunc(events, func(a, b Event) int {
@@ -76,10 +76,10 @@
 	return events, nil
 }
 
-// part returns a random 1/n of the gateways, at least one of them.
+// part returns one gateway in n, chosen at random, and at least one.
 func (p *planner) part(n int) []int { return p.order[:max(len(p.order)/n, 1)] }
 
-// stall stops a third of the gateways together for 3 s, or as long as fits.
+// stall stops a third of the gateways at the same time, for 3 s or the length of the faults if that is shorter.
 func (p *planner) stall() []Event {
 	var events []Event
 	for _, gateway := range p.part(3) {
@@ -88,7 +88,7 @@
 	return events
 }
 
-// late delays the datagrams to half of the gateways by a second.
+// late delays the datagrams to half of the gateways by one second.
 func (p *planner) late() []Event {
 	var events []Event
 	for _, gateway := range p.part(2) {
@@ -97,7 +97,7 @@
 	return events
 }
 
-// cut cuts off a third of the gateways, in one direction or both.
+// cut drops the datagrams from a third of the gateways, or to them, or both.
 func (p *planner) cut() []Event {
 	const fromOnly, toOnly, ways = 0, 1, 3
 	var events []Event
@@ -111,7 +111,7 @@
 	return events
 }
 
-// loss loses datagrams of all gateways.
+// loss drops and duplicates some of the datagrams to every gateway.
 func (p *planner) loss() []Event {
 	var events []Event
 	for _, gateway := range p.order {
@@ -120,7 +120,7 @@
 	return events
 }
 
-// kill kills a third of the gateways at once.
+// kill kills a third of the gateways at the same time.
 func (p *planner) kill() []Event {
 	var events []Event
 	for _, gateway := range p.part(3) {
@@ -144,8 +144,8 @@
 	return events
 }
 
-// restart restarts all gateways gracefully, a tenth at a time. The load balancer in front still sends new connections to a
-// gateway for ForMS after the signal.
+// restart restarts all gateways gracefully, a tenth of them at a time. ForMS is how long after the signal the load balancer
+// in front of a gateway still sends new connections to it.
 func (p *planner) restart() []Event {
 	var events []Event
 	for i, gateway := range p.order {
@@ -157,7 +157,7 @@
 	return events
 }
 
-// join adds hosts to the endpoint lists of all gateways, for each at another time.
+// join adds hosts to the endpoint lists of all gateways, at a different time for each gateway.
 func (p *planner) join() []Event {
 	var events []Event
 	for _, gateway := range p.order {
@@ -168,7 +168,7 @@
 	return events
 }
 
-// Hash identifies a plan: two runs with the same hash had the same faults.
+// Hash returns a hash of the events: two runs with the same hash had the same faults.
 func Hash(events []Event) (string, error) {
 	b, err := json.Marshal(events)
 	if err != nil {
--- a/internal/lab/processrig/plan_test.go
+++ b/internal/lab/processrig/plan_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The same name and seed give the same faults; another seed gives others.
+// The same plan name and seed must give the same faults, so that a run can be repeated. A different seed must give
+// different faults.
 func TestPlanIsDecidedByNameAndSeed(t *testing.T) {
 	for _, name := range Plans {
 		first := hashOfPlan(t, name, 1)
@@ -13,7 +14,7 @@
 		other := hashOfPlan(t, name, 2)
 		random := name != "none" && name != "loss"
 		if first != again || random && first == other {
-			t.Errorf("plan %s is not decided by its seed", name)
+			t.Errorf("plan %s: the same seed must give the same faults, and another seed different ones", name)
 		}
 	}
 	if _, err := MakePlan("storm", 1, 3, time.Second); err == nil {
@@ -34,7 +35,7 @@
 		inTime := event.AtMS >= 0 && event.ForMS > 0 && event.AtMS+event.ForMS <= run.Milliseconds()
 		effective := event.Fault != Cut || event.From || event.To
 		if !known || !inTime || !effective {
-			t.Errorf("%s: %+v", name, event)
+			t.Errorf("plan %s: event outside the run or without effect: %+v", name, event)
 		}
 	}
 	hash, err := Hash(events)
--- a/internal/lab/processrig/processes_test.go
+++ b/internal/lab/processrig/processes_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// Of four real processes one is stopped for a while, or one is cut off in one direction, or all get new hosts at different
-// times, or all are restarted in turn while clients send: no request is lost and no host is idle. The checks find a host
-// that is in no gateway's list, and the requests lost by restarts without a graceful shutdown.
+// Guards against lost requests and idle hosts under faults. While clients send, four real gateway processes have a fault:
+// one is stopped for a while, one is cut off in one direction, all get new hosts at different times, or all are restarted
+// in turn. The last two cases have a deliberate defect, which the checks must detect: a host that is in no gateway's list,
+// and requests lost by restarts without a graceful shutdown.
 func TestFourProcessesLoseNoRequestUnderFaults(t *testing.T) {
 	dir := build(t, "cloverrock/cmd/cloverrock")
 	for _, c := range []struct {
@@ -36,7 +37,7 @@
 	}
 }
 
-// build builds programs into a directory of the test and returns its path.
+// build compiles programs into a temporary directory and returns its path.
 func build(t *testing.T, programs ...string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -46,9 +47,9 @@
 	return dir
 }
 
-// The hosts of a zone stop answering: six real processes leave the zone together and return by the same steps, also if the
-// gateways of the zone are cut off with it. Cut into two halves none leaves it. Without the quorum rule some do, which the
-// checks find.
+// Guards against gateways that decide differently on a zone whose hosts stop answering. Six real processes must leave the
+// zone and return to it by the same steps, also if the gateways of the zone are cut off from the others. If the gateways
+// are cut into two halves, no gateway may leave the zone. Without the quorum rule some do, which the checks must detect.
 func TestSixProcessesLeaveAndReturnTogether(t *testing.T) {
 	dir := build(t, "cloverrock/cmd/cloverrock", "cloverrock/cmd/cloverrockd")
 	for _, c := range []struct {
@@ -66,7 +67,7 @@
 			}
 			faults := slices.DeleteFunc(result.ZoneFaults(false), func(f string) bool { return f == FaultFarApart })
 			if (len(faults) > 0) != c.found {
-				t.Errorf("found %v: %+v", faults, result.Zone)
+				t.Errorf("failed checks: %v; zone: %+v", faults, result.Zone)
 			}
 		})
 	}
--- a/internal/lab/processrig/result.go
+++ b/internal/lab/processrig/result.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Result of a run.
+// Result is the result of a run.
 type Result struct {
 	Gateways int    `json:"gateways"`
 	Hosts    int    `json:"hosts"`
@@ -11,35 +11,35 @@
 	PlanHash string `json:"plan_hash"`
 	Policy   string `json:"policy"`
 	Requests int    `json:"requests"`
-	// Lost requests got no answer from a gateway that was neither stopped nor killed meanwhile, Disturbed ones none from a
-	// gateway that was.
+	// Lost counts requests without an answer from a gateway that was neither stopped nor killed during the request.
+	// Disturbed counts requests without an answer from a gateway that was.
 	Lost        int `json:"lost"`
 	Disturbed   int `json:"disturbed"`
-	LateAnswers int `json:"late"` // after their deadline
-	// ClosedNewConnections were closed before their first answer; their requests count as rejected.
+	LateAnswers int `json:"late"` // answers after the deadline of their request
+	// ClosedNewConnections counts connections that were closed before their first answer. Their requests count as rejected.
 	ClosedNewConnections int     `json:"closed_new"`
-	Resent               int     `json:"sent_again"` // requests that crossed the close of an idle connection
+	Resent               int     `json:"sent_again"` // requests sent again because an idle connection closed meanwhile
 	Killed               int     `json:"killed"`     // gateways whose graceful shutdown took too long
-	InTime               float64 `json:"in_time"`    // of all, by weight
+	InTime               float64 `json:"in_time"`    // fraction of the requests' weight that was earned
 	Rejected             int     `json:"refused"`
 	Spread               Spread  `json:"spread"`
 	PeerBytes            float64 `json:"peer_bytes_per_request"`
 	PeerMessages         int     `json:"peer_messages"`
 	PeerLost             int     `json:"peer_lost"`
 	CPU                  float64 `json:"cpu_ms_per_request"`
-	StillRunning         int     `json:"gateways_left"` // after they were killed
-	EndedByThemselves    int     `json:"gateways_died"`
+	StillRunning         int     `json:"gateways_left"` // gateways that did not end after SIGKILL
+	EndedByThemselves    int     `json:"gateways_died"` // gateways that had ended before the end of the run
 	Events               []Event `json:"events"`
 	SettlingMS           int64   `json:"settling_ms"`
-	// Stalls are by how many milliseconds processes were late at the most: this one, and each gateway that is traced.
+	// Stalls are the longest delays of processes, in milliseconds: of this process ("rig") and of each traced gateway.
 	Stalls map[string]int64 `json:"stalls_ms"`
 
 	Zone        *ZoneResult `json:"zone,omitempty"`
-	HerdsAtMost int         `json:"herd_windows_at_most"`
-	CVAtMost    float64     `json:"cv_1s_at_most"`
+	HerdsAtMost int         `json:"herd_windows_at_most"` // limit of the check of Spread.HerdWindows
+	CVAtMost    float64     `json:"cv_1s_at_most"`        // limit of the check of Spread.CV1s
 }
 
-// newConnectionsPerClose is the least number of requests for each new connection that was closed without an answer.
+// newConnectionsPerClose is the least number of requests per new connection that was closed without an answer.
 const newConnectionsPerClose = 200
 
 // Faults returns the names of the checks that the run failed, sorted.
@@ -55,8 +55,8 @@
 	})
 }
 
-// ZoneFaults returns the names of the checks that a run with zones failed. With alone set, the checks of joint decisions
-// are left out.
+// ZoneFaults returns the names of the checks that a run with zones failed. If alone is set, gateways decide for themselves,
+// and the checks of joint decisions are left out.
 func (r *Result) ZoneFaults(alone bool) []string {
 	var faults []string
 	if r.Lost > 0 {
@@ -71,7 +71,7 @@
 	return append(faults, r.Zone.faultsOfPlan(r.Plan, r.Gateways)...)
 }
 
-// faultsOf returns the names of the checks that are true.
+// faultsOf returns the names of the failed checks, whose value is true, sorted.
 func faultsOf(checks map[string]bool) []string {
 	var faults []string
 	for name, found := range checks {
--- a/internal/lab/processrig/rig.go
+++ b/internal/lab/processrig/rig.go
@@ -12,7 +12,7 @@
 	"cloverrock/internal/lab/loopback"
 )
 
-// rig holds the processes and emulated parts of one run.
+// rig holds the gateway processes and the emulated hosts, discovery services and relays of one run.
 type rig struct {
 	Options
 	directory   string
@@ -27,19 +27,19 @@
 	gateways    []*gatewayProcess
 	stallWatch  *stallWatch
 
-	mu       sync.Mutex // of what follows
-	start    time.Time  // of the requests
-	logs     []hostLog
-	endedCPU time.Duration // processor time of processes that have ended
+	mu       sync.Mutex    // protects the fields below
+	start    time.Time     // when the first requests may be sent
+	logs     []hostLog     // by host
+	endedCPU time.Duration // CPU time of the gateway processes that have ended
 }
 
-// cutFunc reports whether two gateways are cut off from each other, at a time since the start.
+// cutFunc reports whether two gateways are cut off from each other at a time after the start of the run.
 type cutFunc func(at time.Duration, from, to int) bool
 
-// readyTimeout is how long all gateways together may take to come up.
+// readyTimeout is how long all gateways together may take until they accept connections.
 const readyTimeout = 30 * time.Second
 
-// Run makes one run. It ends only the processes that it started.
+// Run makes one run. It ends only the processes that it has started.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	if options.Log == nil {
 		options.Log = func(string, ...any) {}
@@ -63,7 +63,7 @@
 	return r.result, r.play(ctx)
 }
 
-// plan decides the faults of the run.
+// plan determines the faults of the run and begins its result.
 func (r *rig) plan() error {
 	var err error
 	if r.Zoned != nil {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// open starts the hosts, discovery and relays, and then the gateways.
+// open starts the hosts, the discovery services and the relays, and then the gateways.
 func (r *rig) open() error {
 	if err := r.openHosts(); err != nil {
 		return err
@@ -137,7 +137,7 @@
 
 func (r *rig) isLastOfGroup(host int) bool { return host%r.Members == r.Members-1 }
 
-// openDiscoveries gives each gateway a discovery service of its own, which publishes the list to begin with.
+// openDiscoveries starts a discovery service for each gateway, and publishes its first endpoint list.
 func (r *rig) openDiscoveries() error {
 	var err error
 	if r.lists, err = r.makeLists(); err != nil {
@@ -195,7 +195,7 @@
 	return err
 }
 
-// elapsed is the time since the requests began; far below 0 until they do.
+// elapsed returns the time since the start of the run, or -1 h before the start.
 func (r *rig) elapsed() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -239,7 +239,7 @@
 	return err
 }
 
-// newLoad is a load of the given part of what all hosts can do.
+// newLoad returns a load that uses the fraction Use of the capacity of all hosts.
 func (r *rig) newLoad() *emulator.Load {
 	load := &emulator.Load{
 		Address: r.gateways[0].listen, Groups: r.result.Hosts / r.Members, Seed: r.Seed, AnswerSlack: answerSlack,
@@ -252,7 +252,7 @@
 	return load
 }
 
-// close ends all that was started and still runs.
+// close ends all processes, relays, discovery services and hosts that still run.
 func (r *rig) close() {
 	for _, gateway := range r.gateways {
 		gateway.kill()
--- a/internal/lab/processrig/spread.go
+++ b/internal/lab/processrig/spread.go
@@ -7,43 +7,46 @@
 	"time"
 )
 
-// Spread is how evenly requests fell on the hosts that are compared: the replicas of each group.
+// Spread describes how evenly requests were spread over the replicas of each group. The requests at each host are counted
+// in windows of 100 ms and of 1 s. A fair value is the one that is expected if each request goes to a random host of its
+// group, with the same means.
 type Spread struct {
-	CV100          float64 `json:"cv_100ms"` // coefficient of variation over the hosts of a group, mean of all windows
+	CV100          float64 `json:"cv_100ms"` // coefficient of variation over the hosts of a group, mean over all windows
 	CV1s           float64 `json:"cv_1s"`
-	Fair100        float64 `json:"fair_cv_100ms"` // the same of random draws with the same means
+	Fair100        float64 `json:"fair_cv_100ms"`
 	Fair1s         float64 `json:"fair_cv_1s"`
-	MaxOverMean    float64 `json:"max_over_mean_1s"` // of a second's counts in a group, median of windows
-	P99OverMedian  float64 `json:"p99_over_median_queue"`
-	IdleSeconds    int     `json:"idle_host_seconds"`
-	HerdWindows    int     `json:"herd_windows"`
-	FairHerds      float64 `json:"fair_herd_windows"` // number expected by chance
-	Windows        int     `json:"windows"`
-	ConnectionsP50 int     `json:"connections_p50"`
-	ConnectionsMax int     `json:"connections_max"`
+	MaxOverMean    float64 `json:"max_over_mean_1s"`      // highest count over mean count in a group, median over all windows
+	P99OverMedian  float64 `json:"p99_over_median_queue"` // of the queue lengths that requests found
+	IdleSeconds    int     `json:"idle_host_seconds"`     // windows of 1 s in which a host was idle (see isIdle)
+	HerdWindows    int     `json:"herd_windows"`          // windows of 100 ms in which a host got a herd (see herdFactor)
+	FairHerds      float64 `json:"fair_herd_windows"`
+	Windows        int     `json:"windows"`         // windows of 100 ms, counted for each host
+	ConnectionsP50 int     `json:"connections_p50"` // open connections at a host, median over the hosts
+	ConnectionsMax int     `json:"connections_max"` // open connections at the host with the most
 }
 
 const (
 	shortWindow = 100 * time.Millisecond
 	longWindow  = time.Second
 
-	herdFactor = 3.0     // a window with more than herdFactor times its group's mean is a herd
-	idlePart   = 1.0 / 4 // a host with less than this part of the mean may be idle
-	// rareChance is the probability below which it is: random draws would leave none of a run's thousands of windows so.
+	herdFactor = 3.0     // a count above herdFactor times the mean of the group is a herd
+	idlePart   = 1.0 / 4 // a host that gets less than this fraction of the mean may be idle
+	// rareChance is the probability of a count below which a host is idle. A run has thousands of windows; with random
+	// draws, not one of them would have so low a count.
 	rareChance = 1e-5
 )
 
-// arrival is one request at a host, as the host saw it.
+// arrival is the arrival of one request at a host.
 type arrival struct {
-	at    time.Duration // since the start
-	queue int           // requests there before it
+	at    time.Duration // since the start of the run
+	queue int           // requests that were waiting or being executed there
 }
 
-// hostLog is what one host saw.
+// hostLog holds the requests that one host received.
 type hostLog struct {
 	group          int
-	comparableFrom time.Duration // from when on it should get its share
-	arrivals       []arrival     // sorted by time once the run is over
+	comparableFrom time.Duration // since the start of the run: from when it is compared with the others of its group
+	arrivals       []arrival     // sorted by time by replicaLogs
 }
 
 // count returns the number of arrivals in a window.
@@ -54,13 +57,13 @@
 	return end - first
 }
 
-// groupWindow is what the hosts of one group got in one window.
+// groupWindow holds the number of requests that each host of one group got in one window of time.
 type groupWindow struct {
 	counts []int
 	mean   float64
 }
 
-// measureSpread compares the replicas of each group within a span of time.
+// measureSpread compares the hosts of each group between two times.
 func measureSpread(hosts []hostLog, from, to time.Duration) Spread {
 	var spread Spread
 	groups := map[int][]hostLog{}
@@ -73,7 +76,7 @@
 	return spread
 }
 
-// windowsOf returns the windows of a length in which a group got any request.
+// windowsOf divides the time into windows of the given length. It returns those in which a group got any request.
 func windowsOf(groups map[int][]hostLog, length, from, to time.Duration) []groupWindow {
 	var windows []groupWindow
 	for _, members := range groups {
@@ -86,6 +89,7 @@
 	return windows
 }
 
+// windowOf counts the requests of the hosts of one group. It returns false if there were none.
 func windowOf(members []hostLog, from, to time.Duration) (groupWindow, bool) {
 	var window groupWindow
 	sum := 0
@@ -142,7 +146,8 @@
 	}
 }
 
-// queueRatio compares the longest queues that requests met with the median one; 0 without requests.
+// queueRatio returns the ratio of the 99th percentile to the median of the queue lengths that requests found, both counted
+// with the request itself. It returns 0 if there were no requests.
 func queueRatio(hosts []hostLog, from, to time.Duration) float64 {
 	var queues []int
 	for _, host := range hosts {
@@ -159,7 +164,7 @@
 	return float64(queues[len(queues)*99/100]+1) / float64(queues[len(queues)/2]+1)
 }
 
-// variation is the coefficient of variation of the counts.
+// variation returns the coefficient of variation of the counts.
 func (w groupWindow) variation() float64 {
 	sum := 0.0
 	for _, count := range w.counts {
@@ -169,18 +174,19 @@
 	return math.Sqrt(sum/float64(len(w.counts))) / w.mean
 }
 
-// fairVariation is the coefficient of variation of requests that are each drawn for a host at random: their number is
-// given, so each count is binomial with the variance mean x (1 - 1/n).
+// fairVariation returns the coefficient of variation that is expected if each request goes to a random host. The total
+// number of requests is given, so each count is binomial with the variance mean x (1 - 1/n).
 func (w groupWindow) fairVariation() float64 {
 	return math.Sqrt(w.mean*(1-1/float64(len(w.counts)))) / w.mean
 }
 
-// isIdle reports whether a host with a count of requests was idle in the window.
+// isIdle reports whether a host with the given count of requests was idle in the window.
 func (w groupWindow) isIdle(count int) bool {
 	return float64(count) < idlePart*w.mean && 1-w.chanceOfMoreThan(count) < rareChance
 }
 
-// chanceOfMoreThan is the probability that a host gets more than k of the window's requests, were they drawn at random.
+// chanceOfMoreThan returns the probability that a host gets more than k of the window's requests if each request goes to
+// a random host.
 func (w groupWindow) chanceOfMoreThan(k int) float64 {
 	hosts := float64(len(w.counts))
 	return binomialTail(w.mean*hosts, 1/hosts, k)
--- a/internal/lab/processrig/spread_test.go
+++ b/internal/lab/processrig/spread_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Random draws are as even as expected of chance. A host without requests is found, and so is one that gets the requests of
-// all hosts for a tenth of a second.
+// Guards against checks that miss uneven load or report random variation. Random draws must be about as uneven as
+// calculated. A host without requests must be found, and so must hosts that take turns in getting all requests, for a
+// tenth of a second each.
 func TestSpreadFindsIdleHostsAndHerds(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	const run = 20 * time.Second
@@ -21,14 +22,14 @@
 	}
 	fair := spreadOf(func(time.Duration) int { return random.IntN(4) })
 	if d := fair.CV1s / fair.Fair1s; d < 0.8 || d > 1.2 || fair.IdleSeconds > 0 || float64(fair.HerdWindows) > 2*fair.FairHerds+5 {
-		t.Errorf("draws at random: %+v", fair)
+		t.Errorf("requests to random hosts: %+v", fair)
 	}
 	idle := spreadOf(func(time.Duration) int { return random.IntN(3) })
 	if idle.IdleSeconds != 20 || idle.CV1s < 2*idle.Fair1s {
-		t.Errorf("a host that gets nothing: %+v", idle)
+		t.Errorf("one host without requests: %+v", idle)
 	}
 	herd := spreadOf(func(at time.Duration) int { return int(at/(100*time.Millisecond)) % 4 })
 	if herd.HerdWindows != 200 || herd.CV1s > 0.3 || herd.CV100 < 1.5 {
-		t.Errorf("all go to one host for a tenth of a second: %+v", herd)
+		t.Errorf("all requests to one host for a tenth of a second: %+v", herd)
 	}
 }
--- a/internal/lab/processrig/stalls.go
+++ b/internal/lab/processrig/stalls.go
@@ -12,13 +12,14 @@
 	"cloverrock/internal/app"
 )
 
-// watchInterval is the time between two looks at the clock.
+// watchInterval is the time between two measurements of the delay of this process.
 const watchInterval = 10 * time.Millisecond
 
-// stallWatch watches how late this process, which plays hosts and clients, runs what is due.
+// stallWatch measures the longest delay of timers in this process, in milliseconds. This process runs the hosts and the
+// clients, so its delays add to the latency of requests.
 type stallWatch struct{ longest atomic.Int64 }
 
-// watchStalls watches until the context ends.
+// watchStalls measures until the context ends.
 func watchStalls(ctx context.Context) *stallWatch {
 	w := &stallWatch{}
 	go func() {
@@ -30,8 +31,8 @@
 	return w
 }
 
-// stalls returns by how many milliseconds the rig and each gateway were late at the most. A gateway that is traced logs its
-// counts once a second.
+// stalls returns the longest delay of the rig and of each traced gateway, in milliseconds. A traced gateway logs its counts
+// once a second.
 func (r *rig) stalls() map[string]int64 {
 	stalls := map[string]int64{"rig": r.stallWatch.longest.Load()}
 	for i := range r.gateways {
@@ -42,13 +43,14 @@
 	return stalls
 }
 
-// gatewayStall returns the longest delay of a gateway's line of counts; false if there are no two of them.
+// gatewayStall returns the longest delay of a gateway's log lines with counts, in milliseconds. It returns false if there
+// is no such line.
 func (r *rig) gatewayStall(i int) (late int64, ok bool) {
 	file, err := os.Open(r.logFile(i))
 	if err != nil {
 		return 0, false
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	last := int64(0)
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		var line struct {
@@ -59,7 +61,7 @@
 			continue
 		}
 		switch line.Message {
-		case "app: serving": // a process begins anew
+		case "app: serving": // a process has started
 			last = line.Time
 		case app.CountsMessage:
 			late = max(late, line.Time-last-time.Second.Milliseconds())
--- a/internal/lab/processrig/zoneplan.go
+++ b/internal/lab/processrig/zoneplan.go
@@ -8,35 +8,36 @@
 	"cloverrock/internal/lab/emulator"
 )
 
-// Zoned describes a run with zones: each host and gateway is in a zone, and the gateways decide together which zones to
-// use.
+// Zoned describes a run with zones. Each host and each gateway is in a zone. The gateways decide together which zones to
+// use, unless Alone is set.
 type Zoned struct {
 	Zones   int
 	Alone   bool     // each gateway decides for itself
-	StepMS  int      // of the return to a zone
-	Break   string   // "quorum", "pace", "capacity": the rule that the gateways skip; empty: none
+	StepMS  int      // time between two steps of the return to a zone
+	Break   string   // rule that the gateways skip: "quorum", "pace" or "capacity"; empty: none
 	Outages []Outage // of zones; set by the plan
-	// SilentHosts is the number of hosts of the first group that stop answering instead of a zone; set by the plan.
+	// SilentHosts is the number of replicas of the first group that stop answering, instead of the hosts of a zone; set by
+	// the plan.
 	SilentHosts int
-	// SecondAddresses gives every second gateway other addresses of the hosts; only at those the hosts stop answering. Set
-	// by the plan.
+	// SecondAddresses gives the gateways with odd numbers a second address of each host. During the outage the hosts stop
+	// answering at the second addresses only. Set by the plan.
 	SecondAddresses bool
 }
 
-// Outage is a zone's: its hosts take requests and answer none, and come back in slow start.
+// Outage is an outage of a zone: its hosts receive requests but do not answer them. Afterwards they are in slow start.
 type Outage struct {
 	Zone  int   `json:"zone"`
 	AtMS  int64 `json:"at_ms"`
 	ForMS int64 `json:"for_ms"`
 }
 
-// ZonePlans are the names of the plans for runs with zones.
+// ZonePlans lists the plan names for runs with zones.
 var ZonePlans = []string{
 	"none", "host", "group", "lost", "loss", "flap", "two", "stall", "split", "cutoff", "partial", "full",
 }
 
 const (
-	// warmingTime is how long the slow start of a host that came back takes.
+	// warmingTime is the duration of the slow start of a host after an outage.
 	warmingTime = 4 * time.Second
 
 	slowStartShare  = 0.25
@@ -47,13 +48,13 @@
 	stallMS         = 5000
 	cutBeforeMS     = 500 // from the beginning of a cut to the outage
 	stallBeforeMS   = 200 // from the beginning of a stall to the outage
-	stalledOneOf    = 3   // one gateway in three of each zone is stalled
+	stalledOneOf    = 3   // one gateway in three of each zone is stopped
 	outageStartPart = 6   // an outage begins after a sixth of the run
-	outagePart      = 5   // and takes a fifth of it
-	splitPart       = 2   // or half of it in a split: long enough for each half to consider the other down
+	outagePart      = 5   // an outage lasts a fifth of the run,
+	splitPart       = 2   // or half of it in plan "split", so that each half of the gateways considers the other down
 )
 
-// planZones sets the outages, the faults of gateways and the cuts between gateways by the plan's name.
+// planZones sets the outages, the faults of gateways and the cuts between gateways for the plan.
 func (r *rig) planZones() error {
 	zoned := r.Zoned
 	from := r.For.Milliseconds() / outageStartPart
@@ -76,7 +77,7 @@
 	case "full":
 		zoned.Outages = []Outage{lost}
 		r.Use = nearCapacity
-	case "flap": // the zone fails again in the middle of the return
+	case "flap": // the zone fails again in the middle of the return to it
 		zoned.Outages = []Outage{lost, {0, from + duration + returnMiddleMS, secondOutageMS}}
 	case "two":
 		zoned.Outages = []Outage{lost, {1, from, duration}}
@@ -86,16 +87,16 @@
 	case "split": // the two halves of the gateways are cut off from each other
 		zoned.Outages = []Outage{lost}
 		r.cut = cutBetween(lost, func(gateway int) bool { return gateway%2 == 0 })
-	case "cutoff": // the gateways of the zone are cut off with it
+	case "cutoff": // the gateways of the failed zone are cut off from the others
 		zoned.Outages = []Outage{lost}
 		r.cut = cutBetween(lost, func(gateway int) bool { return gateway%zoned.Zones == 0 })
 	default:
-		return &OptionError{"plan", fmt.Sprintf("%q is none of %v", r.Plan, ZonePlans)}
+		return &OptionError{"plan", fmt.Sprintf("%q is unknown; expected one of %v", r.Plan, ZonePlans)}
 	}
 	return nil
 }
 
-// stallAcross stops a third of the gateways, of each zone alike, across the moment at which the zone is left.
+// stallAcross stops a third of the gateways of each zone, from before the outage until after the others have left the zone.
 func stallAcross(from int64, gateways, zones int) []Event {
 	var events []Event
 	for gateway := range gateways {
@@ -106,7 +107,7 @@
 	return events
 }
 
-// cutBetween cuts the gateways of a side off from the others during an outage.
+// cutBetween cuts the gateways of one side off from the others, from cutBeforeMS before the outage until its end.
 func cutBetween(outage Outage, side func(gateway int) bool) cutFunc {
 	return func(at time.Duration, from, to int) bool {
 		begun := at.Milliseconds() >= outage.AtMS-cutBeforeMS
@@ -115,7 +116,7 @@
 	}
 }
 
-// hostOutages returns the outages that the hosts play: those of zones, or the one of single hosts or addresses.
+// hostOutages returns the outages of hosts: those of zones, or the single one of some hosts or of the second addresses.
 func (r *rig) hostOutages() []Outage {
 	if r.Zoned.SilentHosts > 0 || r.Zoned.SecondAddresses {
 		return []Outage{{0, r.For.Milliseconds() / outageStartPart, r.For.Milliseconds() / outagePart}}
@@ -123,7 +124,8 @@
 	return r.Zoned.Outages
 }
 
-// playOutage has hosts stop answering, at all addresses or at the second ones, and recover.
+// playOutage makes the affected hosts stop answering, at all their addresses or only at the second ones, and makes them
+// answer again after the outage.
 func (r *rig) playOutage(ctx context.Context, outage Outage) {
 	if !r.sleepUntil(ctx, outage.AtMS) {
 		return
--- a/internal/lab/processrig/zoneresult.go
+++ b/internal/lab/processrig/zoneresult.go
@@ -12,43 +12,47 @@
 	"cloverrock/internal/lab/emulator"
 )
 
-// ZoneResult describes how the gateways left a zone that failed and returned to it. Times are milliseconds after the
-// beginning of the outage.
+// ZoneResult describes how the gateways left a failed zone and returned to it. Times are in milliseconds after the
+// beginning of the first outage.
 type ZoneResult struct {
-	FirstMS            int64   `json:"first"`
-	P99MS              int64   `json:"p99"`
-	LastMS             int64   `json:"last"`
-	Gateways           int     `json:"gateways"` // that left it
-	Steps              []int   `json:"steps"`    // of the return, as the first gateway took them
-	ReturnMS           int64   `json:"return_ms"`
-	InTime             float64 `json:"in_time"` // of the requests from the outage to the end
-	Reads              int     `json:"reads_while_left"`
-	Agreed             int     `json:"epochs"`
-	LateAtMS           int64   `json:"late_at_most_ms"`
-	Kept               int     `json:"kept"` // share of the zone, in hundredths, that remained in use when it was left
-	SlowStartOverloads int     `json:"cold_falls"`
-	// FalseLeaves counts departures from zones that did not fail, or by gateways without a majority.
+	FirstMS  int64 `json:"first"`    // when the first gateway left the zone
+	P99MS    int64 `json:"p99"`      // when 99 % of the gateways that left the zone had left it
+	LastMS   int64 `json:"last"`     // when the last gateway left the zone
+	Gateways int   `json:"gateways"` // number of gateways that left the zone
+	// Steps are the shares of the zone, in hundredths, as the first gateway changed them: from leaving the zone to the
+	// full return.
+	Steps    []int   `json:"steps"`
+	ReturnMS int64   `json:"return_ms"`        // when the last gateway used the full share again
+	InTime   float64 `json:"in_time"`          // fraction of weight that was earned since the outage began
+	Reads    int     `json:"reads_while_left"` // at the zone's replicas while no gateway used the zone
+	Agreed   int     `json:"epochs"`           // highest epoch of a decision in force
+	// LateAtMS is the longest delay from the time at which a gateway was to leave the zone until it left it.
+	LateAtMS int64 `json:"late_at_most_ms"`
+	// Kept is the highest share of the zone, in hundredths, that remained in use when a gateway left the zone.
+	Kept               int `json:"kept"`
+	SlowStartOverloads int `json:"cold_falls"` // hosts that were overloaded in slow start
+	// FalseLeaves counts departures from zones that did not fail, and departures without a majority of the gateways.
 	FalseLeaves int     `json:"false_leaves"`
-	Bytes       float64 `json:"fleet_bytes_per_gateway_s"`
+	Bytes       float64 `json:"fleet_bytes_per_gateway_s"` // of messages of joint decisions, per gateway and second
 
-	leftAt []int64 // when each gateway left the zone, sorted at the end
+	leftAt []int64 // when each gateway left the zone; sorted by summarizeLeaving
 }
 
-// inForceLine is the log line of a gateway on the zone shares that are in force.
+// inForceLine is the line that a gateway logs when other zone shares come into force.
 type inForceLine struct {
 	Gateway string `json:"gateway"`
 	Time    int64  `json:"time"` // Unix milliseconds
 	Message string `json:"message"`
 	Shares  []int  `json:"shares"` // by zone, in hundredths
 	Epoch   int    `json:"epoch"`
-	LateMS  int64  `json:"late_ms"`
+	LateMS  int64  `json:"late_ms"` // time since the shares were to be in force
 }
 
 const (
 	inForceMessage = "fleet: zone shares in force"
 	fullShare      = 100
 	firstGateway   = "n0"
-	settledMS      = 1000 // after the last gateway has left a zone: reads that were sent before may still arrive
+	settledMS      = 1000 // after the last gateway has left a zone: reads that were sent earlier may still arrive
 )
 
 // evaluateZones evaluates the gateways' log lines, the requests at the hosts and the clients' samples.
@@ -76,7 +80,7 @@
 	return result, nil
 }
 
-// readInForceLines returns the lines of each gateway, in order.
+// readInForceLines returns the lines of a log file about shares in force, by gateway and in the order of the file.
 func readInForceLines(path string) (map[string][]inForceLine, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -107,7 +111,7 @@
 		outage := r.Zoned.Outages[0]
 		at := line.Time - r.start.UnixMilli() - outage.AtMS
 		if r.Plan == "split" && at < outage.ForMS-cutBeforeMS {
-			result.FalseLeaves++ // neither half is a majority
+			result.FalseLeaves++ // neither half has a majority
 		}
 		share := line.Shares[outage.Zone]
 		if share < fullShare && !left {
@@ -123,7 +127,7 @@
 	}
 }
 
-// falseLeaves counts the zones that a line leaves though they don't fail in this run.
+// falseLeaves counts the zones whose share is reduced by a line although they do not fail in this run.
 func (r *rig) falseLeaves(line inForceLine) int {
 	count := 0
 	for zone, share := range line.Shares {
@@ -155,7 +159,7 @@
 	z.LastMS = z.leftAt[z.Gateways-1]
 }
 
-// inTimeSince is the part of the weight that was earned from the outage to the end of the run.
+// inTimeSince returns the fraction of the requests' weight that was earned from the outage to the end of the run.
 func (r *rig) inTimeSince(outage Outage, samples []emulator.Sample) float64 {
 	var earned, possible float64
 	for _, sample := range samples {
@@ -167,8 +171,8 @@
 	return earned / max(possible, 1)
 }
 
-// readsWhileLeft counts the requests at the zone's replicas from a while after the last gateway has left it to the end of
-// the outage.
+// readsWhileLeft counts the requests that arrive at the zone's replicas from settledMS after the last gateway has left the
+// zone to the end of the outage.
 func (r *rig) readsWhileLeft(result *ZoneResult, outage Outage) int {
 	if result.Gateways == 0 {
 		return 0
@@ -188,15 +192,15 @@
 	return reads
 }
 
-// FaultFarApart is the only fault that depends on the machine's speed.
+// FaultFarApart is the name of the only check whose outcome depends on the speed of the machine.
 const FaultFarApart = "gateways left the zone far apart"
 
-// farApartMS is the longest time between the first gateway's departure from a zone and the 99th percentile.
+// farApartMS is the maximum time between FirstMS and P99MS.
 const farApartMS = 500
 
-// faultsOfPlan returns the names of the checks that the gateways of a run by the plan failed, sorted.
+// faultsOfPlan returns the names of the checks that a run with the plan failed, sorted.
 func (z *ZoneResult) faultsOfPlan(plan string, gateways int) []string {
-	// After a split has healed, the halves may find that the outage is over.
+	// Plan "split" is not listed because after the cut the gateways may find that the outage is over.
 	leaves := !slices.Contains([]string{"none", "host", "group", "partial", "split"}, plan)
 	inStep := slices.Contains([]string{"lost", "flap", "two"}, plan)
 	returned := len(z.Steps) > 0 && z.Steps[len(z.Steps)-1] == fullShare
