--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay forwards TCP connections between two processes and can interrupt them: bytes stop without a notice to
-// either end, as when a cable is pulled, or both ends are reset.
+// Package relay forwards TCP connections between two processes and can interrupt them in two ways: it stops forwarding
+// without notice to either end, as when a cable is pulled, or it resets both ends.
 package relay
 
 import (
@@ -14,7 +14,7 @@
 type Relay struct {
 	listener net.Listener
 	target   string
-	wait     sync.WaitGroup // for the goroutines
+	wait     sync.WaitGroup // counts the running goroutines
 
 	mu          sync.Mutex
 	changed     *sync.Cond // signaled when cut or ended changes
@@ -23,7 +23,7 @@
 	connections map[net.Conn]struct{} // both ends of each forwarded connection
 }
 
-// New returns a relay to an address.
+// New starts a relay that forwards connections to the target address.
 func New(target string) (*Relay, error) {
 	free, err := loopback.Reserve(1)
 	if err != nil {
@@ -42,10 +42,11 @@
 // Address returns the address at which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Cut stops all bytes until Mend. New connections are accepted, but no bytes arrive on them.
+// Cut stops the forwarding of bytes until Mend is called. New connections are still accepted, but nothing is forwarded on
+// them.
 func (r *Relay) Cut() { r.setCut(true) }
 
-// Mend ends a cut: the bytes that were held back are forwarded.
+// Mend resumes the forwarding after Cut, including the bytes that were held back.
 func (r *Relay) Mend() { r.setCut(false) }
 
 func (r *Relay) setCut(cut bool) {
@@ -55,29 +56,29 @@
 	r.changed.Broadcast()
 }
 
-// Reset closes the open connections by a TCP reset.
+// Reset closes all open connections with a TCP reset.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for connection := range r.connections {
 		if tcp, ok := connection.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // fails only on a closed connection
+			_ = tcp.SetLinger(0) // fails only if the connection is already closed
 		}
 		closeConnection(connection)
 	}
 }
 
 func closeConnection(connection net.Conn) {
-	_ = connection.Close() // the connection is over either way
+	_ = connection.Close() // fails only if the connection is already closed
 }
 
-// Close resets the connections, ends the relay and waits for its goroutines.
+// Close resets the connections, stops the relay and waits until its goroutines have ended.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.ended = true
 	r.mu.Unlock()
 	r.changed.Broadcast()
-	_ = r.listener.Close() // the listener is over either way
+	_ = r.listener.Close() // an error does not matter, since the relay is not used again
 	r.Reset()
 	r.wait.Wait()
 }
@@ -98,7 +99,7 @@
 		r.connections[dialed] = struct{}{}
 		ended := r.ended
 		r.mu.Unlock()
-		if ended { // Close may have reset the others before
+		if ended { // Close may have reset the other connections before these two were added
 			closeConnection(accepted)
 			closeConnection(dialed)
 		}
@@ -109,7 +110,7 @@
 
 const bufferSize = 32 << 10 // bytes
 
-// forward copies one direction of a connection until either end or the relay ends.
+// forward copies one direction of a connection until one of its ends is closed or the relay is closed.
 func (r *Relay) forward(from, to net.Conn) {
 	defer func() {
 		closeConnection(from)
@@ -133,7 +134,7 @@
 	}
 }
 
-// waitWhileCut waits until the relay is not cut, and reports whether it has ended.
+// waitWhileCut waits until the relay forwards bytes again or is closed, and reports whether it is closed.
 func (r *Relay) waitWhileCut() (ended bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
