--- a/internal/lab/processrig/configuration.go
+++ b/internal/lab/processrig/configuration.go
@@ -140,7 +140,7 @@
 		}
 		settings["zones"] = names
 		settings["zone"] = i % r.Zoned.Zones
-		settings["obligations"].(object)["coldMs"] = warmingTime.Milliseconds()
+		settings["obligations"].(object)["coldMs"] = slowStartTime.Milliseconds()
 	}
 	return settings
 }
--- a/internal/lab/processrig/datagrams.go
+++ b/internal/lab/processrig/datagrams.go
@@ -11,54 +11,54 @@
 )
 
 const (
-	maxDatagram  = 2048    // bytes
-	readBuffer   = 1 << 20 // bytes
-	broadcast    = -1      // receiver number that stands for all gateways
-	loseOneOf    = 5       // on a lossy link, one datagram in five is lost
-	doubleOneOf  = 20      // and one in twenty of the others is duplicated
-	relayRandoms = 5       // random stream of the relay, which separates it from other users of the same seed
+	maxDatagramSize   = 2048    // bytes
+	readBufferSize    = 1 << 20 // bytes
+	toAllGateways     = -1      // receiver number that stands for all gateways
+	dropOneIn         = 5       // with datagramFaults.lossy, one datagram in five is dropped
+	duplicateOneIn    = 20      // and one in twenty of the others is duplicated
+	relayRandomStream = 5       // random stream of the relay, which separates it from other users of the same seed
 )
 
 // datagramRelay forwards the gossip datagrams between gateways. Each gateway's configuration names sockets of the relay
-// instead of the addresses of the other gateways. The relay can therefore delay, drop or duplicate the datagrams from and
-// to each gateway separately.
+// instead of the addresses of the other gateways. The relay can therefore delay, drop or duplicate the datagrams from
+// and to each gateway separately.
 type datagramRelay struct {
-	all     *net.UDPConn           // receives the datagrams that are sent to all gateways
-	sockets []*net.UDPConn         // by gateway: receives the datagrams sent to it, and forwards those that it sends
-	to      []netip.AddrPort       // by gateway: the address at which it listens
-	numbers map[netip.AddrPort]int // gateway numbers by the address at which the gateway listens
-	spoil   func(datagram []byte)  // modifies each datagram in place; nil: datagrams are not modified
-	wait    sync.WaitGroup
+	broadcastSocket  *net.UDPConn           // receives the datagrams that are sent to all gateways
+	sockets          []*net.UDPConn         // by gateway: receives the datagrams to it, and forwards those from it
+	gatewayAddresses []netip.AddrPort       // by gateway: the address at which it listens
+	gatewayNumbers   map[netip.AddrPort]int // gateway numbers by the address at which the gateway listens
+	modify           func(datagram []byte)  // modifies each datagram in place; nil: datagrams are not modified
+	wait             sync.WaitGroup
 
 	mu        sync.Mutex
 	random    *rand.Rand
-	links     []link // by gateway
+	faults    []datagramFaults // by gateway
 	delivered int
 	bytes     int
-	lost      int
+	dropped   int
 }
 
-// link holds the faults of the datagrams from and to one gateway.
-type link struct {
+// datagramFaults holds the faults of the datagrams from and to one gateway.
+type datagramFaults struct {
 	cutFrom, cutTo bool          // datagrams from it, or to it, are dropped
 	lossy          bool          // of the datagrams to it, some are dropped and some duplicated
 	delay          time.Duration // of the datagrams to it
 }
 
 // newDatagramRelay returns a relay for the gateways that listen at the given addresses.
-func newDatagramRelay(listen []string, seed uint64, spoil func([]byte)) (*datagramRelay, error) {
+func newDatagramRelay(listen []string, seed uint64, modify func([]byte)) (*datagramRelay, error) {
 	r := &datagramRelay{
-		numbers: map[netip.AddrPort]int{}, spoil: spoil, links: make([]link, len(listen)),
-		random: rand.New(rand.NewPCG(seed, relayRandoms)),
+		gatewayNumbers: map[netip.AddrPort]int{}, modify: modify, faults: make([]datagramFaults, len(listen)),
+		random: rand.New(rand.NewPCG(seed, relayRandomStream)),
 	}
 	if err := r.open(listen); err != nil {
 		r.close()
 		return nil, fmt.Errorf("datagram relay: %w", err)
 	}
 	for i, socket := range r.sockets {
-		r.wait.Go(func() { r.carry(socket, i) })
+		r.wait.Go(func() { r.receive(socket, i) })
 	}
-	r.wait.Go(func() { r.carry(r.all, broadcast) })
+	r.wait.Go(func() { r.receive(r.broadcastSocket, toAllGateways) })
 	return r, nil
 }
 
@@ -73,11 +73,11 @@
 			return err
 		}
 		r.sockets = append(r.sockets, socket)
-		r.to = append(r.to, address)
-		r.numbers[address] = i
+		r.gatewayAddresses = append(r.gatewayAddresses, address)
+		r.gatewayNumbers[address] = i
 	}
 	var err error
-	r.all, err = openSocket()
+	r.broadcastSocket, err = openSocket()
 	return err
 }
 
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = socket.SetReadBuffer(readBuffer) // best effort: the kernel may grant a smaller buffer, which is sufficient
+	_ = socket.SetReadBuffer(readBufferSize) // best effort: the kernel may grant a smaller buffer, which is sufficient
 	return socket, nil
 }
 
@@ -99,10 +99,10 @@
 	return addresses
 }
 
-func (r *datagramRelay) broadcastAddress() string { return r.all.LocalAddr().String() }
+func (r *datagramRelay) broadcastAddress() string { return r.broadcastSocket.LocalAddr().String() }
 
 func (r *datagramRelay) close() {
-	for _, socket := range append(r.sockets, r.all) {
+	for _, socket := range append(r.sockets, r.broadcastSocket) {
 		if socket != nil {
 			_ = socket.Close() // an error does not matter at the end of the run
 		}
@@ -110,40 +110,40 @@
 	r.wait.Wait()
 }
 
-// carry receives datagrams at one socket until it is closed, and forwards them to gateway to, or to all other gateways.
-// It ignores datagrams from unknown senders.
-func (r *datagramRelay) carry(socket *net.UDPConn, to int) {
-	buffer := make([]byte, maxDatagram)
+// receive reads datagrams from one socket until it is closed, and forwards them to gateway to, or to all other
+// gateways. It ignores datagrams from unknown senders.
+func (r *datagramRelay) receive(socket *net.UDPConn, to int) {
+	buffer := make([]byte, maxDatagramSize)
 	for {
 		n, sender, err := socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		from, known := r.numbers[sender]
+		from, known := r.gatewayNumbers[sender]
 		if !known {
 			continue
 		}
 		datagram := bytes.Clone(buffer[:n])
-		if r.spoil != nil {
-			r.spoil(datagram)
+		if r.modify != nil {
+			r.modify(datagram)
 		}
-		if to != broadcast {
-			r.pass(from, to, datagram)
+		if to != toAllGateways {
+			r.forward(from, to, datagram)
 			continue
 		}
 		for receiver := range r.sockets {
 			if receiver != from {
-				r.pass(from, receiver, datagram)
+				r.forward(from, receiver, datagram)
 			}
 		}
 	}
 }
 
-// pass forwards one datagram, subject to the faults of its sender and receiver.
-func (r *datagramRelay) pass(from, to int, datagram []byte) {
-	copies, delay := r.fate(from, to, len(datagram))
+// forward forwards one datagram, subject to the faults of its sender and receiver.
+func (r *datagramRelay) forward(from, to int, datagram []byte) {
+	copies, delay := r.applyFaults(from, to, len(datagram))
 	send := func() {
-		_, _ = r.sockets[from].WriteToUDPAddrPort(datagram, r.to[to]) // UDP gives no guarantee of delivery
+		_, _ = r.sockets[from].WriteToUDPAddrPort(datagram, r.gatewayAddresses[to]) // UDP gives no guarantee of delivery
 	}
 	for range copies {
 		if delay == 0 {
@@ -154,17 +154,18 @@
 	}
 }
 
-// fate applies the faults of the sender and the receiver to one datagram, and counts it. It returns how many copies to
-// forward (0: it is dropped) and after which delay. A delay is lengthened by a random amount of up to a quarter.
-func (r *datagramRelay) fate(from, to, size int) (copies int, delay time.Duration) {
+// applyFaults applies the faults of the sender and the receiver to one datagram, and counts it. It returns how many
+// copies to forward (0: it is dropped) and after which delay. A delay is lengthened by a random amount of up to a
+// quarter.
+func (r *datagramRelay) applyFaults(from, to, size int) (copies int, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	receiver := r.links[to]
+	receiver := r.faults[to]
 	copies = 1
-	if r.links[from].cutFrom || receiver.cutTo || receiver.lossy && r.random.IntN(loseOneOf) == 0 {
+	if r.faults[from].cutFrom || receiver.cutTo || receiver.lossy && r.random.IntN(dropOneIn) == 0 {
 		copies = 0
-		r.lost++
-	} else if receiver.lossy && r.random.IntN(doubleOneOf) == 0 {
+		r.dropped++
+	} else if receiver.lossy && r.random.IntN(duplicateOneIn) == 0 {
 		copies = 2
 	}
 	r.delivered += copies
@@ -176,14 +177,14 @@
 	return copies, delay
 }
 
-func (r *datagramRelay) setLink(gateway int, l link) {
+func (r *datagramRelay) setFaults(gateway int, faults datagramFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.links[gateway] = l
+	r.faults[gateway] = faults
 }
 
 func (r *datagramRelay) counts() (delivered, bytes, lost int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.delivered, r.bytes, r.lost
+	return r.delivered, r.bytes, r.dropped
 }
--- a/internal/lab/processrig/evaluate.go
+++ b/internal/lab/processrig/evaluate.go
@@ -17,7 +17,7 @@
 	r.result.Stalls = r.stalls()
 	delivered, bytes, lost := r.datagrams.counts()
 	connections := r.countConnections()
-	r.endGateways()
+	r.killGateways()
 	requests := float64(max(r.result.Requests, 1))
 	r.result.PeerMessages = delivered
 	r.result.PeerLost = lost
@@ -29,8 +29,8 @@
 	r.logIdleHosts()
 	r.result.Spread.ConnectionsP50 = connections[len(connections)/2]
 	r.result.Spread.ConnectionsMax = connections[len(connections)-1]
-	r.result.HerdsAtMost = int(1.5*r.result.Spread.FairHerds) + 20
-	r.result.CVAtMost = 2 * r.result.Spread.Fair1s
+	r.result.MaxHerdWindows = int(1.5*r.result.Spread.FairHerdWindows) + 20
+	r.result.MaxCV1s = 2 * r.result.Spread.FairCV1s
 }
 
 func (r *rig) evaluateSamples(samples []emulator.Sample) {
@@ -86,9 +86,9 @@
 	return connections
 }
 
-// endGateways kills all gateways. It counts the gateways that had already ended, and those that do not end within
+// killGateways kills all gateways. It counts the gateways that had already ended, and those that do not end within
 // killTimeout.
-func (r *rig) endGateways() {
+func (r *rig) killGateways() {
 	for _, gateway := range r.gateways {
 		if gateway.hasEnded() {
 			r.result.EndedByThemselves++
@@ -102,8 +102,8 @@
 	}
 }
 
-// replicaLogs returns the logs of all replicas, each sorted by time. Hosts that are added to the endpoint lists during the
-// run are compared only from settlingTime after the last gateway has received the list with them.
+// replicaLogs returns the logs of all replicas, each sorted by time. Hosts that are added to the endpoint lists during
+// the run are compared only from settlingTime after the last gateway has received the list with them.
 func (r *rig) replicaLogs() []hostLog {
 	joined := time.Duration(0)
 	for _, event := range r.events {
@@ -117,7 +117,7 @@
 			continue
 		}
 		if r.isLastOfGroup(i) {
-			log.comparableFrom = joined
+			log.comparedFrom = joined
 		}
 		slices.SortFunc(log.arrivals, func(a, b arrival) int { return int(a.at - b.at) })
 		replicas = append(replicas, log)
--- a/internal/lab/processrig/evidence.go
+++ b/internal/lab/processrig/evidence.go
@@ -18,8 +18,8 @@
 	maxEvidenceLines = 30
 )
 
-// logFile returns the file to which gateway i logs, including after restarts. In a run with zones all gateways log to the
-// same file.
+// logFile returns the file to which gateway i logs, including after restarts. In a run with zones all gateways log to
+// the same file.
 func (r *rig) logFile(i int) string {
 	if r.Zoned != nil {
 		return filepath.Join(r.directory, "log")
@@ -27,7 +27,8 @@
 	return filepath.Join(r.directory, strconv.Itoa(i)+".log")
 }
 
-// removeDirectory removes the files of the run. If requests were lost, it keeps them and logs where the gateways' logs are.
+// removeDirectory removes the files of the run. If requests were lost, it keeps them and logs where the gateways' logs
+// are.
 func (r *rig) removeDirectory() {
 	if r.result.Lost > 0 {
 		r.Log("the gateways' logs are in %s", r.directory)
@@ -37,10 +38,11 @@
 }
 
 // logRequest shows the lines that a gateway logged of a request, and its lines on its own lifecycle. The lines of the
-// request are found by the id in its statement: one line has this id and the number by which the gateway logs the request.
+// request are found by the id in its statement: one line has this id and the number by which the gateway logs the
+// request.
 func (r *rig) logRequest(gateway, id int) {
 	number := ""
-	r.showLines(gateway, func(line string) bool {
+	r.logMatchingLines(gateway, func(line string) bool {
 		if strings.Contains(line, fmt.Sprintf(`"id":"%d"`, id)) {
 			_, rest, _ := strings.Cut(line, `"request":`)
 			number, _, _ = strings.Cut(rest, ",")
@@ -51,8 +53,8 @@
 	})
 }
 
-// showLines shows the lines of a gateway's log that match, at most maxEvidenceLines of them.
-func (r *rig) showLines(gateway int, wanted func(line string) bool) {
+// logMatchingLines shows the lines of a gateway's log that match, at most maxEvidenceLines of them.
+func (r *rig) logMatchingLines(gateway int, matches func(line string) bool) {
 	file, err := os.Open(r.logFile(gateway))
 	if err != nil {
 		return
@@ -60,7 +62,7 @@
 	defer func() { _ = file.Close() }() // opened for reading only
 	shown := 0
 	for lines := bufio.NewScanner(file); lines.Scan() && shown < maxEvidenceLines; {
-		if wanted(lines.Text()) {
+		if matches(lines.Text()) {
 			shown++
 			r.Log("gateway %d: %s", gateway, lines.Text())
 		}
@@ -78,19 +80,19 @@
 			window, requested := windowOf(members, at, at+longWindow)
 			for i, count := range window.counts {
 				if requested && window.isIdle(count) {
-					r.logIdle(group, i, at, window)
+					r.logIdleHost(group, i, at, window)
 				}
 			}
 		}
 	}
 }
 
-func (r *rig) logIdle(group, replica int, at time.Duration, window groupWindow) {
+func (r *rig) logIdleHost(group, replica int, at time.Duration, window groupWindow) {
 	host := r.hosts[group*r.Members+1+replica].ID
 	r.Log("%s idle from %v to %v: requests at the replicas of group %d: %v; longest delays of processes in ms: %v",
 		host, at, at+longWindow, group, window.counts, r.result.Stalls)
 	for i := range r.gateways {
-		r.showLines(i, func(line string) bool {
+		r.logMatchingLines(i, func(line string) bool {
 			return strings.Contains(line, `"host":"`+host+`"`) && strings.Contains(line, `"level":"info"`)
 		})
 	}
--- a/internal/lab/processrig/faults.go
+++ b/internal/lab/processrig/faults.go
@@ -15,21 +15,21 @@
 	shutdownMargin    = 700 * time.Millisecond // for a graceful shutdown, beyond the longest deadline of a request
 )
 
-// beginFaults starts a goroutine for each fault and each outage of the run, which waits until its time.
-func (r *rig) beginFaults(ctx context.Context, wait *sync.WaitGroup) {
+// scheduleFaults starts a goroutine for each fault and each outage of the run, which waits until its time.
+func (r *rig) scheduleFaults(ctx context.Context, wait *sync.WaitGroup) {
 	for _, event := range r.events {
-		wait.Go(func() { r.carryOut(ctx, event) })
+		wait.Go(func() { r.injectFault(ctx, event) })
 	}
 	if r.Zoned == nil {
 		return
 	}
-	for _, outage := range r.hostOutages() {
-		wait.Go(func() { r.playOutage(ctx, outage) })
+	for _, outage := range r.plannedOutages() {
+		wait.Go(func() { r.simulateOutage(ctx, outage) })
 	}
 }
 
-// carryOut waits until the time of the event, begins its fault and ends it after the event's duration.
-func (r *rig) carryOut(ctx context.Context, event Event) {
+// injectFault waits until the time of the event, begins its fault and ends it after the event's duration.
+func (r *rig) injectFault(ctx context.Context, event Event) {
 	if !r.sleepUntil(ctx, event.AtMS) {
 		return
 	}
@@ -41,42 +41,42 @@
 		gateway.signal(syscall.SIGSTOP)
 		sleep(ctx, duration)
 		gateway.signal(syscall.SIGCONT)
-		r.noteDisturbed(gateway, from)
+		r.recordDisturbance(gateway, from)
 	case Kill:
 		gateway.kill()
 		sleep(ctx, duration)
 		if err := r.startGateway(event.Gateway); err != nil {
 			r.Log("%v", err)
 		}
-		r.noteDisturbed(gateway, from)
+		r.recordDisturbance(gateway, from)
 	case Restart: // not a disturbance: requests that the gateway has accepted must be answered
 		r.restart(ctx, event.Gateway, duration)
 	case Join:
 		r.discoveries[event.Gateway].Publish(r.lists.full)
 	case Cut, Late, Lossy: // not a disturbance: the gateway goes on serving requests
-		r.datagrams.setLink(event.Gateway, linkOf(event))
+		r.datagrams.setFaults(event.Gateway, datagramFaultsOf(event))
 		sleep(ctx, duration)
-		r.datagrams.setLink(event.Gateway, link{})
+		r.datagrams.setFaults(event.Gateway, datagramFaults{})
 	}
 }
 
-func linkOf(event Event) link {
-	return link{
-		cutFrom: event.From, cutTo: event.To, lossy: event.Fault == Lossy,
+func datagramFaultsOf(event Event) datagramFaults {
+	return datagramFaults{
+		cutFrom: event.CutFrom, cutTo: event.CutTo, lossy: event.Fault == Lossy,
 		delay: time.Duration(event.Delay) * time.Millisecond,
 	}
 }
 
-func (r *rig) noteDisturbed(gateway *gatewayProcess, from time.Time) {
+func (r *rig) recordDisturbance(gateway *gatewayProcess, from time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	gateway.disturbed = append(gateway.disturbed, interval{from, time.Now().Add(reconnectTime)})
 }
 
-// restart restarts a gateway gracefully, as behind a load balancer that reacts to the shutdown after frontDelay: until
-// then clients still open new connections to the gateway. They use their open connections until the process has ended.
-// The restart completes even if the run ends in the meantime.
-func (r *rig) restart(ctx context.Context, i int, frontDelay time.Duration) {
+// restart restarts a gateway gracefully, as behind a load balancer that reacts to the shutdown after loadBalancerDelay:
+// until then clients still open new connections to the gateway. They use their open connections until the process has
+// ended. The restart completes even if the run ends in the meantime.
+func (r *rig) restart(ctx context.Context, i int, loadBalancerDelay time.Duration) {
 	ctx = context.WithoutCancel(ctx)
 	gateway := r.gateways[i]
 	signaled := time.Now()
@@ -85,16 +85,16 @@
 	} else {
 		gateway.signal(syscall.SIGTERM)
 	}
-	sleep(ctx, frontDelay)
+	sleep(ctx, loadBalancerDelay)
 	gateway.draining.Store(true)
 	r.waitShutdown(gateway, signaled.Add(longestDeadline()+shutdownMargin))
 	if err := r.startGateway(i); err != nil {
 		r.Log("%v", err)
 		return
 	}
-	up, cancel := context.WithTimeout(ctx, restartReadyLimit)
+	readyContext, cancel := context.WithTimeout(ctx, restartReadyLimit)
 	defer cancel()
-	if err := r.waitReady(up, i); err != nil {
+	if err := r.waitReady(readyContext, i); err != nil {
 		r.Log("%v", err)
 		return
 	}
--- a/internal/lab/processrig/fleetrelay.go
+++ b/internal/lab/processrig/fleetrelay.go
@@ -10,29 +10,30 @@
 	"sync/atomic"
 )
 
-const maxFleetDatagram = 64 << 10 // bytes
+const maxFleetDatagramSize = 64 << 10 // bytes
 
-// fleetRelay forwards the messages by which gateways take joint decisions. Each gateway sends all its messages to its own
-// address at the relay. The receiver's address precedes the contents: in a datagram as a length byte and the address, on
-// a TCP stream as a line. The relay does not forward messages between gateways that are cut off from each other.
+// fleetRelay forwards the messages by which gateways take joint decisions. Each gateway sends all its messages to its
+// own address at the relay. The receiver's address precedes the contents: in a datagram as a length byte and the
+// address, on a TCP stream as a line. The relay does not forward messages between gateways that are cut off from each
+// other.
 type fleetRelay struct {
-	numbers   map[string]int // gateway numbers by the address at which the gateway listens
-	cut       func(from, to int) bool
-	lossy     bool // one datagram in loseOneOf is dropped
-	bytes     atomic.Int64
-	sockets   []*net.UDPConn
-	listeners []net.Listener
-	wait      sync.WaitGroup
+	gatewayNumbers map[string]int // gateway numbers by the address at which the gateway listens
+	isCut          func(from, to int) bool
+	lossy          bool // one datagram in dropOneIn is dropped
+	bytes          atomic.Int64
+	sockets        []*net.UDPConn
+	listeners      []net.Listener
+	wait           sync.WaitGroup
 
-	mu   sync.Mutex
-	open map[net.Conn]struct{}
+	mu              sync.Mutex
+	openConnections map[net.Conn]struct{}
 }
 
 // newFleetRelay returns a relay for the gateways that listen at the given addresses.
-func newFleetRelay(listen []string, lossy bool, cut func(from, to int) bool) (*fleetRelay, error) {
-	r := &fleetRelay{numbers: map[string]int{}, cut: cut, lossy: lossy, open: map[net.Conn]struct{}{}}
+func newFleetRelay(listen []string, lossy bool, isCut func(from, to int) bool) (*fleetRelay, error) {
+	r := &fleetRelay{gatewayNumbers: map[string]int{}, isCut: isCut, lossy: lossy, openConnections: map[net.Conn]struct{}{}}
 	for i, address := range listen {
-		r.numbers[address] = i
+		r.gatewayNumbers[address] = i
 	}
 	for i := range listen {
 		if err := r.listen(i); err != nil {
@@ -56,7 +57,7 @@
 		return err
 	}
 	r.sockets = append(r.sockets, socket)
-	r.wait.Go(func() { r.carryDatagrams(from, socket) })
+	r.wait.Go(func() { r.forwardDatagrams(from, socket) })
 	r.wait.Go(func() { r.acceptStreams(from, listener) })
 	return nil
 }
@@ -64,8 +65,8 @@
 // address returns the relay's address to which a gateway sends its messages.
 func (r *fleetRelay) address(gateway int) string { return r.listeners[gateway].Addr().String() }
 
-func (r *fleetRelay) carryDatagrams(from int, socket *net.UDPConn) {
-	buffer := make([]byte, maxFleetDatagram)
+func (r *fleetRelay) forwardDatagrams(from int, socket *net.UDPConn) {
+	buffer := make([]byte, maxFleetDatagramSize)
 	for {
 		n, _, err := socket.ReadFromUDP(buffer)
 		if err != nil {
@@ -77,7 +78,7 @@
 		body := 1 + int(buffer[0])
 		receiver := string(buffer[1:body])
 		address, err := net.ResolveUDPAddr("udp4", receiver)
-		if err != nil || !r.connected(from, receiver) || r.lossy && rand.IntN(loseOneOf) == 0 {
+		if err != nil || !r.isReachable(from, receiver) || r.lossy && rand.IntN(dropOneIn) == 0 {
 			continue
 		}
 		r.bytes.Add(int64(n))
@@ -85,10 +86,10 @@
 	}
 }
 
-// connected reports whether messages of gateway from are forwarded to the gateway that listens at the address.
-func (r *fleetRelay) connected(from int, address string) bool {
-	to, known := r.numbers[address]
-	return known && !r.cut(from, to)
+// isReachable reports whether messages of gateway from are forwarded to the gateway that listens at the address.
+func (r *fleetRelay) isReachable(from int, address string) bool {
+	to, known := r.gatewayNumbers[address]
+	return known && !r.isCut(from, to)
 }
 
 func (r *fleetRelay) acceptStreams(from int, listener net.Listener) {
@@ -97,16 +98,16 @@
 		if err != nil {
 			return
 		}
-		r.wait.Go(func() { r.carryStream(from, accepted) })
+		r.wait.Go(func() { r.forwardStream(from, accepted) })
 	}
 }
 
-func (r *fleetRelay) carryStream(from int, accepted net.Conn) {
+func (r *fleetRelay) forwardStream(from int, accepted net.Conn) {
 	defer r.track(accepted)()
 	reader := bufio.NewReader(accepted)
 	line, err := reader.ReadString('\n')
 	receiver := strings.TrimSpace(line)
-	if err != nil || !r.connected(from, receiver) {
+	if err != nil || !r.isReachable(from, receiver) {
 		return
 	}
 	dialed, err := net.Dial("tcp4", receiver)
@@ -131,12 +132,12 @@
 func (r *fleetRelay) track(connection net.Conn) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.open[connection] = struct{}{}
+	r.openConnections[connection] = struct{}{}
 	return func() {
 		_ = connection.Close() // an error does not matter at the end of the stream
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.open, connection)
+		delete(r.openConnections, connection)
 	}
 }
 
@@ -148,7 +149,7 @@
 		_ = listener.Close() // as above
 	}
 	r.mu.Lock()
-	for connection := range r.open {
+	for connection := range r.openConnections {
 		_ = connection.Close() // as above
 	}
 	r.mu.Unlock()
--- a/internal/lab/processrig/gateway.go
+++ b/internal/lab/processrig/gateway.go
@@ -31,11 +31,11 @@
 	return i.from.Before(other.to) && i.to.After(other.from)
 }
 
-// errEndedAtStart is returned for a gateway process that ended before it accepted connections.
-var errEndedAtStart = errors.New("the process ended before it accepted connections")
+// errEndedBeforeReady is returned for a gateway process that ended before it accepted connections.
+var errEndedBeforeReady = errors.New("the process ended before it accepted connections")
 
-// readyPoll is the pause between attempts to connect to a gateway that is starting.
-const readyPoll = 5 * time.Millisecond
+// readyPollInterval is the pause between attempts to connect to a gateway that is starting.
+const readyPollInterval = 5 * time.Millisecond
 
 // kill sends SIGKILL to the process, if it was started, and waits for its end.
 func (g *gatewayProcess) kill() {
@@ -108,8 +108,8 @@
 		case <-ctx.Done():
 			return fmt.Errorf("gateway %d does not accept connections: %w", i, ctx.Err())
 		case <-gateway.ended:
-			return fmt.Errorf("gateway %d: %w", i, errEndedAtStart)
-		case <-time.After(readyPoll):
+			return fmt.Errorf("gateway %d: %w", i, errEndedBeforeReady)
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
--- a/internal/lab/processrig/options.go
+++ b/internal/lab/processrig/options.go
@@ -24,14 +24,14 @@
 
 // Values of Options.Policy.
 const (
-	PolicyNormal = ""       // the program as it is
-	PolicyRandom = "random" // gateways send no gossip
-	PolicyBefore = "before" // Program is another version, which the result records
+	PolicyNormal       = ""       // the program as it is
+	PolicyRandom       = "random" // gateways send no gossip
+	PolicyOtherVersion = "before" // Program is another version, which the result records
 )
 
 // Values of Options.Break: deliberate defects, which show that the checks of a run detect them.
 const (
-	BreakNothing     = ""
+	BreakNone        = ""
 	BreakBlindHerd   = "blind-herd"   // gossip reports all replicas but one as overloaded, so all gateways use that one
 	BreakSubsetFixed = "subset-fixed" // the endpoint lists of all gateways lack the same hosts
 	BreakAbrupt      = "abrupt"       // planned restarts use SIGKILL instead of a graceful shutdown
@@ -43,27 +43,27 @@
 func (e *OptionError) Error() string { return e.Name + ": " + e.Problem }
 
 const (
-	workTime     = 40 * time.Millisecond // mean time that a host works on a request
-	replicaLag   = 15 * time.Millisecond
-	coresPerHost = 2
-	settlingTime = 3 * time.Second // after the first request, until connections are open and hosts have reported
-	// answerSlack is how long after its deadline an answer is still awaited. Such an answer earns no weight. A request that
-	// has no answer by then is lost.
+	meanServiceTime = 40 * time.Millisecond // mean time that a host works on a request
+	replicaLag      = 15 * time.Millisecond
+	coresPerHost    = 2
+	settlingTime    = 3 * time.Second // after the first request, until connections are open and hosts have reported
+	// answerSlack is how long after its deadline an answer is still awaited. Such an answer earns no weight. A request
+	// that has no answer by then is lost.
 	answerSlack = 500 * time.Millisecond
-	// nearCapacity is Options.Use in plan "full": too much for the remaining zones to serve without the failed zone.
-	nearCapacity = 0.8
+	// nearCapacityUse is Options.Use in plan "full": too much for the remaining zones to serve without the failed zone.
+	nearCapacityUse = 0.8
 )
 
 func (o *Options) check() error {
-	enough := o.Gateways >= 1 && o.Members >= 2 && o.Hosts >= o.Members && o.For >= 2*settlingTime && o.Use > 0
-	if !enough {
+	valid := o.Gateways >= 1 && o.Members >= 2 && o.Hosts >= o.Members && o.For >= 2*settlingTime && o.Use > 0
+	if !valid {
 		problem := fmt.Sprintf("expected at least 1 gateway, 1 group of 2 hosts, %v and a load above 0", 2*settlingTime)
 		return &OptionError{"options", problem}
 	}
-	if !slices.Contains([]string{BreakNothing, BreakBlindHerd, BreakSubsetFixed, BreakAbrupt}, o.Break) {
+	if !slices.Contains([]string{BreakNone, BreakBlindHerd, BreakSubsetFixed, BreakAbrupt}, o.Break) {
 		return &OptionError{"break", fmt.Sprintf("%q is unknown; expected blind-herd, subset-fixed or abrupt", o.Break)}
 	}
-	if !slices.Contains([]string{PolicyNormal, PolicyRandom, PolicyBefore}, o.Policy) {
+	if !slices.Contains([]string{PolicyNormal, PolicyRandom, PolicyOtherVersion}, o.Policy) {
 		return &OptionError{"policy", fmt.Sprintf("%q is unknown; expected random or before", o.Policy)}
 	}
 	return nil
--- a/internal/lab/processrig/plan.go
+++ b/internal/lab/processrig/plan.go
@@ -34,32 +34,32 @@
 	ForMS   int64 `json:"for_ms"`
 	Gateway int   `json:"gateway"`
 	Fault   Fault `json:"fault"`
-	From    bool  `json:"from,omitempty"`     // for Cut: datagrams from the gateway are dropped
-	To      bool  `json:"to,omitempty"`       // for Cut: datagrams to the gateway are dropped
+	CutFrom bool  `json:"from,omitempty"`     // for Cut: datagrams from the gateway are dropped
+	CutTo   bool  `json:"to,omitempty"`       // for Cut: datagrams to the gateway are dropped
 	Delay   int64 `json:"delay_ms,omitempty"` // for Late
 }
 
 // Plans lists the plan names that MakePlan accepts.
 var Plans = []string{"none", "stall", "late", "cut", "loss", "kill", "roll", "restart", "join"}
 
-// randomStream separates a plan's random numbers from those of other users of the same seed.
-const randomStream = 23
+// planRandomStream separates a plan's random numbers from those of other users of the same seed.
+const planRandomStream = 23
 
 // planner creates the events of a plan. Faults begin in the middle half of the run. Times are in milliseconds.
 type planner struct {
-	random *rand.Rand
-	order  []int // all gateways, in random order
-	from   int64 // earliest beginning of a fault
-	span   int64 // length of the part of the run in which there are faults
+	random   *rand.Rand
+	order    []int // all gateways, in random order
+	start    int64 // earliest beginning of a fault
+	duration int64 // length of the part of the run in which there are faults
 }
 
 // MakePlan returns the events of the plan with the given name, sorted by time. The same arguments give the same events.
 // For an unknown name the error is an *OptionError.
 func MakePlan(name string, seed uint64, gateways int, run time.Duration) ([]Event, error) {
-	random := rand.New(rand.NewPCG(seed, randomStream))
+	random := rand.New(rand.NewPCG(seed, planRandomStream))
 	p := &planner{
 		random: random, order: random.Perm(gateways),
-		from: run.Milliseconds() / 4, span: run.Milliseconds() / 2,
+		start: run.Milliseconds() / 4, duration: run.Milliseconds() / 2,
 	}
 	makers := map[string]func() []Event{
 		"none": func() []Event { return nil }, "stall": p.stall, "late": p.late, "cut": p.cut, "loss": p.loss,
@@ -76,14 +76,14 @@
 	return events, nil
 }
 
-// part returns one gateway in n, chosen at random, and at least one.
-func (p *planner) part(n int) []int { return p.order[:max(len(p.order)/n, 1)] }
+// randomFraction returns one gateway in n, chosen at random, and at least one.
+func (p *planner) randomFraction(n int) []int { return p.order[:max(len(p.order)/n, 1)] }
 
 // stall stops a third of the gateways at the same time, for 3 s or the length of the faults if that is shorter.
 func (p *planner) stall() []Event {
 	var events []Event
-	for _, gateway := range p.part(3) {
-		events = append(events, Event{AtMS: p.from, ForMS: min(3000, p.span), Gateway: gateway, Fault: Stop})
+	for _, gateway := range p.randomFraction(3) {
+		events = append(events, Event{AtMS: p.start, ForMS: min(3000, p.duration), Gateway: gateway, Fault: Stop})
 	}
 	return events
 }
@@ -91,21 +91,21 @@
 // late delays the datagrams to half of the gateways by one second.
 func (p *planner) late() []Event {
 	var events []Event
-	for _, gateway := range p.part(2) {
-		events = append(events, Event{AtMS: p.from, ForMS: p.span, Gateway: gateway, Fault: Late, Delay: 1000})
+	for _, gateway := range p.randomFraction(2) {
+		events = append(events, Event{AtMS: p.start, ForMS: p.duration, Gateway: gateway, Fault: Late, Delay: 1000})
 	}
 	return events
 }
 
 // cut drops the datagrams from a third of the gateways, or to them, or both.
 func (p *planner) cut() []Event {
-	const fromOnly, toOnly, ways = 0, 1, 3
+	const fromOnly, toOnly, directions = 0, 1, 3
 	var events []Event
-	for _, gateway := range p.part(3) {
-		way := p.random.IntN(ways)
+	for _, gateway := range p.randomFraction(3) {
+		direction := p.random.IntN(directions)
 		events = append(events, Event{
-			AtMS: p.from + p.random.Int64N(p.span/4+1), ForMS: p.span/4 + p.random.Int64N(p.span/2+1),
-			Gateway: gateway, Fault: Cut, From: way != toOnly, To: way != fromOnly,
+			AtMS: p.start + p.random.Int64N(p.duration/4+1), ForMS: p.duration/4 + p.random.Int64N(p.duration/2+1),
+			Gateway: gateway, Fault: Cut, CutFrom: direction != toOnly, CutTo: direction != fromOnly,
 		})
 	}
 	return events
@@ -115,7 +115,7 @@
 func (p *planner) loss() []Event {
 	var events []Event
 	for _, gateway := range p.order {
-		events = append(events, Event{AtMS: p.from, ForMS: p.span, Gateway: gateway, Fault: Lossy})
+		events = append(events, Event{AtMS: p.start, ForMS: p.duration, Gateway: gateway, Fault: Lossy})
 	}
 	return events
 }
@@ -123,9 +123,9 @@
 // kill kills a third of the gateways at the same time.
 func (p *planner) kill() []Event {
 	var events []Event
-	for _, gateway := range p.part(3) {
+	for _, gateway := range p.randomFraction(3) {
 		events = append(events, Event{
-			AtMS: p.from, ForMS: 200 + p.random.Int64N(800), Gateway: gateway, Fault: Kill,
+			AtMS: p.start, ForMS: 200 + p.random.Int64N(800), Gateway: gateway, Fault: Kill,
 		})
 	}
 	return events
@@ -134,24 +134,24 @@
 // roll kills half of the gateways, one after the other.
 func (p *planner) roll() []Event {
 	var events []Event
-	half := p.part(2)
+	half := p.randomFraction(2)
 	for i, gateway := range half {
 		events = append(events, Event{
-			AtMS: p.from + p.span*int64(i)/int64(len(half)), ForMS: 100 + p.random.Int64N(200),
+			AtMS: p.start + p.duration*int64(i)/int64(len(half)), ForMS: 100 + p.random.Int64N(200),
 			Gateway: gateway, Fault: Kill,
 		})
 	}
 	return events
 }
 
-// restart restarts all gateways gracefully, a tenth of them at a time. ForMS is how long after the signal the load balancer
-// in front of a gateway still sends new connections to it.
+// restart restarts all gateways gracefully, a tenth of them at a time. ForMS is how long after the signal the load
+// balancer in front of a gateway still sends new connections to it.
 func (p *planner) restart() []Event {
 	var events []Event
 	for i, gateway := range p.order {
 		tenth := int64(i * 10 / len(p.order))
 		events = append(events, Event{
-			AtMS: p.from + p.span*tenth/10, ForMS: 200 + p.random.Int64N(200), Gateway: gateway, Fault: Restart,
+			AtMS: p.start + p.duration*tenth/10, ForMS: 200 + p.random.Int64N(200), Gateway: gateway, Fault: Restart,
 		})
 	}
 	return events
@@ -162,7 +162,7 @@
 	var events []Event
 	for _, gateway := range p.order {
 		events = append(events, Event{
-			AtMS: p.from + p.random.Int64N(p.span/4+1), ForMS: 1, Gateway: gateway, Fault: Join,
+			AtMS: p.start + p.random.Int64N(p.duration/4+1), ForMS: 1, Gateway: gateway, Fault: Join,
 		})
 	}
 	return events
--- a/internal/lab/processrig/plan_test.go
+++ b/internal/lab/processrig/plan_test.go
@@ -33,7 +33,7 @@
 	for _, event := range events {
 		known := event.Gateway >= 0 && event.Gateway < gateways
 		inTime := event.AtMS >= 0 && event.ForMS > 0 && event.AtMS+event.ForMS <= run.Milliseconds()
-		effective := event.Fault != Cut || event.From || event.To
+		effective := event.Fault != Cut || event.CutFrom || event.CutTo
 		if !known || !inTime || !effective {
 			t.Errorf("plan %s: event outside the run or without effect: %+v", name, event)
 		}
--- a/internal/lab/processrig/processes_test.go
+++ b/internal/lab/processrig/processes_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Guards against lost requests and idle hosts under faults. While clients send, four real gateway processes have a fault:
-// one is stopped for a while, one is cut off in one direction, all get new hosts at different times, or all are restarted
-// in turn. The last two cases have a deliberate defect, which the checks must detect: a host that is in no gateway's list,
-// and requests lost by restarts without a graceful shutdown.
+// Guards against lost requests and idle hosts under faults. While clients send, four real gateway processes have a
+// fault: one is stopped for a while, one is cut off in one direction, all get new hosts at different times, or all are
+// restarted in turn. The last two cases have a deliberate defect, which the checks must detect: a host that is in no
+// gateway's list, and requests lost by restarts without a graceful shutdown.
 func TestFourProcessesLoseNoRequestUnderFaults(t *testing.T) {
 	dir := build(t, "cloverrock/cmd/cloverrock")
 	for _, c := range []struct {
@@ -47,9 +47,10 @@
 	return dir
 }
 
-// Guards against gateways that decide differently on a zone whose hosts stop answering. Six real processes must leave the
-// zone and return to it by the same steps, also if the gateways of the zone are cut off from the others. If the gateways
-// are cut into two halves, no gateway may leave the zone. Without the quorum rule some do, which the checks must detect.
+// Guards against gateways that decide differently on a zone whose hosts stop answering. Six real processes must leave
+// the zone and return to it by the same steps, also if the gateways of the zone are cut off from the others. If the
+// gateways are cut into two halves, no gateway may leave the zone. Without the quorum rule some do, which the checks
+// must detect.
 func TestSixProcessesLeaveAndReturnTogether(t *testing.T) {
 	dir := build(t, "cloverrock/cmd/cloverrock", "cloverrock/cmd/cloverrockd")
 	for _, c := range []struct {
--- a/internal/lab/processrig/result.go
+++ b/internal/lab/processrig/result.go
@@ -16,7 +16,8 @@
 	Lost        int `json:"lost"`
 	Disturbed   int `json:"disturbed"`
 	LateAnswers int `json:"late"` // answers after the deadline of their request
-	// ClosedNewConnections counts connections that were closed before their first answer. Their requests count as rejected.
+	// ClosedNewConnections counts connections that were closed before their first answer. Their requests count as
+	// rejected.
 	ClosedNewConnections int     `json:"closed_new"`
 	Resent               int     `json:"sent_again"` // requests sent again because an idle connection closed meanwhile
 	Killed               int     `json:"killed"`     // gateways whose graceful shutdown took too long
@@ -34,29 +35,29 @@
 	// Stalls are the longest delays of processes, in milliseconds: of this process ("rig") and of each traced gateway.
 	Stalls map[string]int64 `json:"stalls_ms"`
 
-	Zone        *ZoneResult `json:"zone,omitempty"`
-	HerdsAtMost int         `json:"herd_windows_at_most"` // limit of the check of Spread.HerdWindows
-	CVAtMost    float64     `json:"cv_1s_at_most"`        // limit of the check of Spread.CV1s
+	Zone           *ZoneResult `json:"zone,omitempty"`
+	MaxHerdWindows int         `json:"herd_windows_at_most"` // limit of the check of Spread.HerdWindows
+	MaxCV1s        float64     `json:"cv_1s_at_most"`        // limit of the check of Spread.CV1s
 }
 
-// newConnectionsPerClose is the least number of requests per new connection that was closed without an answer.
-const newConnectionsPerClose = 200
+// minNewConnectionsPerClose is the least number of requests per new connection that was closed without an answer.
+const minNewConnectionsPerClose = 200
 
 // Faults returns the names of the checks that the run failed, sorted.
 func (r *Result) Faults() []string {
-	return faultsOf(map[string]bool{
+	return failedChecks(map[string]bool{
 		"requests were lost":                         r.Lost > 0,
 		"hosts were idle":                            r.Spread.IdleSeconds > 0,
-		"more herds than chance and half as many":    r.Spread.HerdWindows > r.HerdsAtMost,
-		"twice as uneven over a second as by chance": r.Spread.CV1s > r.CVAtMost,
+		"more herds than chance and half as many":    r.Spread.HerdWindows > r.MaxHerdWindows,
+		"twice as uneven over a second as by chance": r.Spread.CV1s > r.MaxCV1s,
 		"gateways ended by themselves or survived":   r.EndedByThemselves > 0 || r.StillRunning > 0,
 		"gateways did not shut down in time":         r.Killed > 0,
-		"one new connection in 200 got no answer":    r.ClosedNewConnections*newConnectionsPerClose > r.Requests,
+		"one new connection in 200 got no answer":    r.ClosedNewConnections*minNewConnectionsPerClose > r.Requests,
 	})
 }
 
-// ZoneFaults returns the names of the checks that a run with zones failed. If alone is set, gateways decide for themselves,
-// and the checks of joint decisions are left out.
+// ZoneFaults returns the names of the checks that a run with zones failed. If alone is set, gateways decide for
+// themselves, and the checks of joint decisions are left out.
 func (r *Result) ZoneFaults(alone bool) []string {
 	var faults []string
 	if r.Lost > 0 {
@@ -68,11 +69,11 @@
 	if alone {
 		return faults
 	}
-	return append(faults, r.Zone.faultsOfPlan(r.Plan, r.Gateways)...)
+	return append(faults, r.Zone.failedPlanChecks(r.Plan, r.Gateways)...)
 }
 
-// faultsOf returns the names of the failed checks, whose value is true, sorted.
-func faultsOf(checks map[string]bool) []string {
+// failedChecks returns the names of the failed checks, whose value is true, sorted.
+func failedChecks(checks map[string]bool) []string {
 	var faults []string
 	for name, found := range checks {
 		if found {
--- a/internal/lab/processrig/rig.go
+++ b/internal/lab/processrig/rig.go
@@ -15,19 +15,19 @@
 // rig holds the gateway processes and the emulated hosts, discovery services and relays of one run.
 type rig struct {
 	Options
-	directory   string
-	events      []Event
-	result      *Result
-	hosts       []*emulator.Host
-	discoveries []*emulator.Discovery // by gateway
-	lists       endpointLists
-	datagrams   *datagramRelay
-	fleetRelay  *fleetRelay // nil in a run without zones
-	cut         cutFunc
-	gateways    []*gatewayProcess
-	stallWatch  *stallWatch
+	directory    string
+	events       []Event
+	result       *Result
+	hosts        []*emulator.Host
+	discoveries  []*emulator.Discovery // by gateway
+	lists        endpointLists
+	datagrams    *datagramRelay
+	fleetRelay   *fleetRelay // nil in a run without zones
+	isCut        cutFunc
+	gateways     []*gatewayProcess
+	stallMonitor *stallMonitor
 
-	mu       sync.Mutex    // protects the fields below
+	mu       sync.Mutex    // protects the fields below, Result.Killed and gatewayProcess.disturbed
 	start    time.Time     // when the first requests may be sent
 	logs     []hostLog     // by host
 	endedCPU time.Duration // CPU time of the gateway processes that have ended
@@ -60,7 +60,7 @@
 	if err := r.open(); err != nil {
 		return nil, err
 	}
-	return r.result, r.play(ctx)
+	return r.result, r.execute(ctx)
 }
 
 // plan determines the faults of the run and begins its result.
@@ -69,7 +69,7 @@
 	if r.Zoned != nil {
 		err = r.planZones()
 	} else {
-		r.cut = func(time.Duration, int, int) bool { return false }
+		r.isCut = func(time.Duration, int, int) bool { return false }
 		r.events, err = MakePlan(r.Plan, r.Seed, r.Gateways, r.For)
 	}
 	if err != nil {
@@ -115,7 +115,7 @@
 	r.result.Hosts = r.Hosts / r.Members * r.Members
 	r.logs = make([]hostLog, r.result.Hosts)
 	for i := range r.result.Hosts {
-		host, err := emulator.NewHost(fmt.Sprintf("s-%d", i), workTime, replicaLag)
+		host, err := emulator.NewHost(fmt.Sprintf("s-%d", i), meanServiceTime, replicaLag)
 		if err != nil {
 			return err
 		}
@@ -179,19 +179,19 @@
 		peers = append(peers, gateway.peer)
 		fleet = append(fleet, gateway.fleet)
 	}
-	var spoil func([]byte)
+	var modify func([]byte)
 	if r.Break == BreakBlindHerd {
-		spoil = spoilDigest
+		modify = forgeDigest
 	}
 	var err error
-	if r.datagrams, err = newDatagramRelay(peers, r.Seed, spoil); err != nil {
+	if r.datagrams, err = newDatagramRelay(peers, r.Seed, modify); err != nil {
 		return err
 	}
 	if r.Zoned == nil {
 		return nil
 	}
-	cut := func(from, to int) bool { return r.cut(r.elapsed(), from, to) }
-	r.fleetRelay, err = newFleetRelay(fleet, r.Plan == "loss", cut)
+	isCut := func(from, to int) bool { return r.isCut(r.elapsed(), from, to) }
+	r.fleetRelay, err = newFleetRelay(fleet, r.Plan == "loss", isCut)
 	return err
 }
 
@@ -205,11 +205,11 @@
 	return time.Since(r.start)
 }
 
-func (r *rig) play(ctx context.Context) error {
-	up, cancel := context.WithTimeout(ctx, readyTimeout)
+func (r *rig) execute(ctx context.Context) error {
+	readyContext, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for i := range r.gateways {
-		if err := r.waitReady(up, i); err != nil {
+		if err := r.waitReady(readyContext, i); err != nil {
 			return err
 		}
 	}
@@ -221,9 +221,9 @@
 	r.mu.Unlock()
 	run, stop := context.WithTimeout(ctx, r.For)
 	defer stop()
-	r.stallWatch = watchStalls(run)
+	r.stallMonitor = monitorStalls(run)
 	var faults sync.WaitGroup
-	r.beginFaults(run, &faults)
+	r.scheduleFaults(run, &faults)
 	samples := load.Run(run)
 	faults.Wait()
 	if err := ctx.Err(); err != nil {
@@ -243,7 +243,7 @@
 func (r *rig) newLoad() *emulator.Load {
 	load := &emulator.Load{
 		Address: r.gateways[0].listen, Groups: r.result.Hosts / r.Members, Seed: r.Seed, AnswerSlack: answerSlack,
-		Rate:     r.Use * float64(r.result.Hosts*coresPerHost) / workTime.Seconds(),
+		Rate:     r.Use * float64(r.result.Hosts*coresPerHost) / meanServiceTime.Seconds(),
 		Draining: func(gateway int) bool { return r.gateways[gateway].draining.Load() },
 	}
 	for _, gateway := range r.gateways[1:] {
--- a/internal/lab/processrig/spread.go
+++ b/internal/lab/processrig/spread.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// Spread describes how evenly requests were spread over the replicas of each group. The requests at each host are counted
-// in windows of 100 ms and of 1 s. A fair value is the one that is expected if each request goes to a random host of its
-// group, with the same means.
+// Spread describes how evenly requests were spread over the replicas of each group. The requests at each host are
+// counted in windows of 100 ms and of 1 s. A fair value is the one that is expected if each request goes to a random
+// host of its group, with the same means.
 type Spread struct {
-	CV100          float64 `json:"cv_100ms"` // coefficient of variation over the hosts of a group, mean over all windows
-	CV1s           float64 `json:"cv_1s"`
-	Fair100        float64 `json:"fair_cv_100ms"`
-	Fair1s         float64 `json:"fair_cv_1s"`
-	MaxOverMean    float64 `json:"max_over_mean_1s"`      // highest count over mean count in a group, median over all windows
-	P99OverMedian  float64 `json:"p99_over_median_queue"` // of the queue lengths that requests found
-	IdleSeconds    int     `json:"idle_host_seconds"`     // windows of 1 s in which a host was idle (see isIdle)
-	HerdWindows    int     `json:"herd_windows"`          // windows of 100 ms in which a host got a herd (see herdFactor)
-	FairHerds      float64 `json:"fair_herd_windows"`
-	Windows        int     `json:"windows"`         // windows of 100 ms, counted for each host
-	ConnectionsP50 int     `json:"connections_p50"` // open connections at a host, median over the hosts
-	ConnectionsMax int     `json:"connections_max"` // open connections at the host with the most
+	CV100ms         float64 `json:"cv_100ms"` // coefficient of variation over the hosts of a group, mean over windows
+	CV1s            float64 `json:"cv_1s"`
+	FairCV100ms     float64 `json:"fair_cv_100ms"`
+	FairCV1s        float64 `json:"fair_cv_1s"`
+	MaxOverMean     float64 `json:"max_over_mean_1s"`      // highest count over mean count of a group, median over windows
+	P99OverMedian   float64 `json:"p99_over_median_queue"` // of the queue lengths that requests found
+	IdleSeconds     int     `json:"idle_host_seconds"`     // windows of 1 s in which a host was idle (see isIdle)
+	HerdWindows     int     `json:"herd_windows"`          // windows of 100 ms in which a host got a herd (see herdFactor)
+	FairHerdWindows float64 `json:"fair_herd_windows"`
+	Windows         int     `json:"windows"`         // windows of 100 ms, counted for each host
+	ConnectionsP50  int     `json:"connections_p50"` // open connections at a host, median over the hosts
+	ConnectionsMax  int     `json:"connections_max"` // open connections at the host with the most
 }
 
 const (
 	shortWindow = 100 * time.Millisecond
 	longWindow  = time.Second
 
-	herdFactor = 3.0     // a count above herdFactor times the mean of the group is a herd
-	idlePart   = 1.0 / 4 // a host that gets less than this fraction of the mean may be idle
-	// rareChance is the probability of a count below which a host is idle. A run has thousands of windows; with random
-	// draws, not one of them would have so low a count.
-	rareChance = 1e-5
+	herdFactor   = 3.0     // a count above herdFactor times the mean of the group is a herd
+	idleFraction = 1.0 / 4 // a host that gets less than this fraction of the mean may be idle
+	// idleProbability is the probability of a count below which a host is idle. A run has thousands of windows; with
+	// random draws, not one of them would have so low a count.
+	idleProbability = 1e-5
 )
 
 // arrival is the arrival of one request at a host.
@@ -44,9 +44,9 @@
 
 // hostLog holds the requests that one host received.
 type hostLog struct {
-	group          int
-	comparableFrom time.Duration // since the start of the run: from when it is compared with the others of its group
-	arrivals       []arrival     // sorted by time by replicaLogs
+	group        int
+	comparedFrom time.Duration // since the start of the run: from when it is compared with the others of its group
+	arrivals     []arrival     // sorted by time by replicaLogs
 }
 
 // count returns the number of arrivals in a window.
@@ -72,7 +72,7 @@
 	}
 	spread.addShortWindows(windowsOf(groups, shortWindow, from, to))
 	spread.addLongWindows(windowsOf(groups, longWindow, from, to))
-	spread.P99OverMedian = queueRatio(hosts, from, to)
+	spread.P99OverMedian = queueLengthRatio(hosts, from, to)
 	return spread
 }
 
@@ -94,7 +94,7 @@
 	var window groupWindow
 	sum := 0
 	for i := range members {
-		if members[i].comparableFrom > from {
+		if members[i].comparedFrom > from {
 			continue
 		}
 		count := members[i].count(from, to)
@@ -110,26 +110,26 @@
 
 func (s *Spread) addShortWindows(windows []groupWindow) {
 	for _, window := range windows {
-		s.CV100 += window.variation()
-		s.Fair100 += window.fairVariation()
+		s.CV100ms += window.variation()
+		s.FairCV100ms += window.fairVariation()
 		for _, count := range window.counts {
 			s.Windows++
 			if float64(count) > herdFactor*window.mean {
 				s.HerdWindows++
 			}
-			s.FairHerds += window.chanceOfMoreThan(int(math.Floor(herdFactor * window.mean)))
+			s.FairHerdWindows += window.probabilityOfMoreThan(int(math.Floor(herdFactor * window.mean)))
 		}
 	}
 	n := float64(max(len(windows), 1))
-	s.CV100 /= n
-	s.Fair100 /= n
+	s.CV100ms /= n
+	s.FairCV100ms /= n
 }
 
 func (s *Spread) addLongWindows(windows []groupWindow) {
 	var peaks []float64
 	for _, window := range windows {
 		s.CV1s += window.variation()
-		s.Fair1s += window.fairVariation()
+		s.FairCV1s += window.fairVariation()
 		peaks = append(peaks, float64(slices.Max(window.counts))/window.mean)
 		for _, count := range window.counts {
 			if window.isIdle(count) {
@@ -139,16 +139,16 @@
 	}
 	n := float64(max(len(windows), 1))
 	s.CV1s /= n
-	s.Fair1s /= n
+	s.FairCV1s /= n
 	if len(peaks) > 0 {
 		slices.Sort(peaks)
 		s.MaxOverMean = peaks[len(peaks)/2]
 	}
 }
 
-// queueRatio returns the ratio of the 99th percentile to the median of the queue lengths that requests found, both counted
-// with the request itself. It returns 0 if there were no requests.
-func queueRatio(hosts []hostLog, from, to time.Duration) float64 {
+// queueLengthRatio returns the ratio of the 99th percentile to the median of the queue lengths that requests found,
+// both counted with the request itself. It returns 0 if there were no requests.
+func queueLengthRatio(hosts []hostLog, from, to time.Duration) float64 {
 	var queues []int
 	for _, host := range hosts {
 		for _, arrived := range host.arrivals {
@@ -182,12 +182,12 @@
 
 // isIdle reports whether a host with the given count of requests was idle in the window.
 func (w groupWindow) isIdle(count int) bool {
-	return float64(count) < idlePart*w.mean && 1-w.chanceOfMoreThan(count) < rareChance
+	return float64(count) < idleFraction*w.mean && 1-w.probabilityOfMoreThan(count) < idleProbability
 }
 
-// chanceOfMoreThan returns the probability that a host gets more than k of the window's requests if each request goes to
-// a random host.
-func (w groupWindow) chanceOfMoreThan(k int) float64 {
+// probabilityOfMoreThan returns the probability that a host gets more than k of the window's requests if each request
+// goes to a random host.
+func (w groupWindow) probabilityOfMoreThan(k int) float64 {
 	hosts := float64(len(w.counts))
 	return binomialTail(w.mean*hosts, 1/hosts, k)
 }
--- a/internal/lab/processrig/spread_test.go
+++ b/internal/lab/processrig/spread_test.go
@@ -21,15 +21,15 @@
 		return measureSpread(hosts, 0, run)
 	}
 	fair := spreadOf(func(time.Duration) int { return random.IntN(4) })
-	if d := fair.CV1s / fair.Fair1s; d < 0.8 || d > 1.2 || fair.IdleSeconds > 0 || float64(fair.HerdWindows) > 2*fair.FairHerds+5 {
+	if d := fair.CV1s / fair.FairCV1s; d < 0.8 || d > 1.2 || fair.IdleSeconds > 0 || float64(fair.HerdWindows) > 2*fair.FairHerdWindows+5 {
 		t.Errorf("requests to random hosts: %+v", fair)
 	}
 	idle := spreadOf(func(time.Duration) int { return random.IntN(3) })
-	if idle.IdleSeconds != 20 || idle.CV1s < 2*idle.Fair1s {
+	if idle.IdleSeconds != 20 || idle.CV1s < 2*idle.FairCV1s {
 		t.Errorf("one host without requests: %+v", idle)
 	}
 	herd := spreadOf(func(at time.Duration) int { return int(at/(100*time.Millisecond)) % 4 })
-	if herd.HerdWindows != 200 || herd.CV1s > 0.3 || herd.CV100 < 1.5 {
+	if herd.HerdWindows != 200 || herd.CV1s > 0.3 || herd.CV100ms < 1.5 {
 		t.Errorf("all requests to one host for a tenth of a second: %+v", herd)
 	}
 }
--- a/internal/lab/processrig/stalls.go
+++ b/internal/lab/processrig/stalls.go
@@ -12,29 +12,29 @@
 	"cloverrock/internal/app"
 )
 
-// watchInterval is the time between two measurements of the delay of this process.
-const watchInterval = 10 * time.Millisecond
+// stallCheckInterval is the time between two measurements of the delay of this process.
+const stallCheckInterval = 10 * time.Millisecond
 
-// stallWatch measures the longest delay of timers in this process, in milliseconds. This process runs the hosts and the
-// clients, so its delays add to the latency of requests.
-type stallWatch struct{ longest atomic.Int64 }
+// stallMonitor measures the longest delay of timers in this process, in milliseconds. This process runs the hosts and
+// the clients, so its delays add to the latency of requests.
+type stallMonitor struct{ longestMS atomic.Int64 }
 
-// watchStalls measures until the context ends.
-func watchStalls(ctx context.Context) *stallWatch {
-	w := &stallWatch{}
+// monitorStalls measures until the context ends.
+func monitorStalls(ctx context.Context) *stallMonitor {
+	w := &stallMonitor{}
 	go func() {
-		for began := time.Now(); sleep(ctx, watchInterval); began = time.Now() {
-			late := time.Since(began) - watchInterval
-			w.longest.Store(max(w.longest.Load(), late.Milliseconds()))
+		for startedAt := time.Now(); sleep(ctx, stallCheckInterval); startedAt = time.Now() {
+			late := time.Since(startedAt) - stallCheckInterval
+			w.longestMS.Store(max(w.longestMS.Load(), late.Milliseconds()))
 		}
 	}()
 	return w
 }
 
-// stalls returns the longest delay of the rig and of each traced gateway, in milliseconds. A traced gateway logs its counts
-// once a second.
+// stalls returns the longest delay of the rig and of each traced gateway, in milliseconds. A traced gateway logs its
+// counts once a second.
 func (r *rig) stalls() map[string]int64 {
-	stalls := map[string]int64{"rig": r.stallWatch.longest.Load()}
+	stalls := map[string]int64{"rig": r.stallMonitor.longestMS.Load()}
 	for i := range r.gateways {
 		if late, ok := r.gatewayStall(i); ok {
 			stalls[fmt.Sprintf("gateway %d", i)] = late
@@ -43,8 +43,8 @@
 	return stalls
 }
 
-// gatewayStall returns the longest delay of a gateway's log lines with counts, in milliseconds. It returns false if there
-// is no such line.
+// gatewayStall returns the longest delay of a gateway's log lines with counts, in milliseconds. It returns false if
+// there is no such line.
 func (r *rig) gatewayStall(i int) (late int64, ok bool) {
 	file, err := os.Open(r.logFile(i))
 	if err != nil {
--- a/internal/lab/processrig/zoneplan.go
+++ b/internal/lab/processrig/zoneplan.go
@@ -8,19 +8,19 @@
 	"cloverrock/internal/lab/emulator"
 )
 
-// Zoned describes a run with zones. Each host and each gateway is in a zone. The gateways decide together which zones to
-// use, unless Alone is set.
+// Zoned describes a run with zones. Each host and each gateway is in a zone. The gateways decide together which zones
+// to use, unless Alone is set.
 type Zoned struct {
 	Zones   int
 	Alone   bool     // each gateway decides for itself
 	StepMS  int      // time between two steps of the return to a zone
 	Break   string   // rule that the gateways skip: "quorum", "pace" or "capacity"; empty: none
 	Outages []Outage // of zones; set by the plan
-	// SilentHosts is the number of replicas of the first group that stop answering, instead of the hosts of a zone; set by
-	// the plan.
-	SilentHosts int
-	// SecondAddresses gives the gateways with odd numbers a second address of each host. During the outage the hosts stop
-	// answering at the second addresses only. Set by the plan.
+	// HangingHosts is the number of replicas of the first group that stop answering, instead of the hosts of a zone;
+	// set by the plan.
+	HangingHosts int
+	// SecondAddresses gives the gateways with odd numbers a second address of each host. During the outage the hosts
+	// stop answering at the second addresses only. Set by the plan.
 	SecondAddresses bool
 }
 
@@ -37,70 +37,71 @@
 }
 
 const (
-	// warmingTime is the duration of the slow start of a host after an outage.
-	warmingTime = 4 * time.Second
+	// slowStartTime is the duration of the slow start of a host after an outage.
+	slowStartTime = 4 * time.Second
 
-	slowStartShare  = 0.25
-	overloadFactor  = 4
-	overloadWindow  = 1500 * time.Millisecond
-	secondOutageMS  = 3000
-	returnMiddleMS  = 9000 // from the end of an outage to the middle of the return
-	stallMS         = 5000
-	cutBeforeMS     = 500 // from the beginning of a cut to the outage
-	stallBeforeMS   = 200 // from the beginning of a stall to the outage
-	stalledOneOf    = 3   // one gateway in three of each zone is stopped
-	outageStartPart = 6   // an outage begins after a sixth of the run
-	outagePart      = 5   // an outage lasts a fifth of the run,
-	splitPart       = 2   // or half of it in plan "split", so that each half of the gateways considers the other down
+	slowStartInitialShare = 0.25
+	overloadFactor        = 4
+	overloadWindow        = 1500 * time.Millisecond
+	secondOutageMS        = 3000
+	returnMiddleMS        = 9000 // from the end of an outage to the middle of the return
+	stallMS               = 5000
+	cutBeforeMS           = 500 // from the beginning of a cut to the outage
+	stallBeforeMS         = 200 // from the beginning of a stall to the outage
+	stalledOneIn          = 3   // one gateway in three of each zone is stopped
+	outageStartDivisor    = 6   // an outage begins after a sixth of the run
+	outageDivisor         = 5   // an outage lasts a fifth of the run,
+	splitOutageDivisor    = 2   // or half of it in plan "split", so that each half of the gateways considers the other down
 )
 
 // planZones sets the outages, the faults of gateways and the cuts between gateways for the plan.
 func (r *rig) planZones() error {
 	zoned := r.Zoned
-	from := r.For.Milliseconds() / outageStartPart
-	duration := r.For.Milliseconds() / outagePart
+	from := r.For.Milliseconds() / outageStartDivisor
+	duration := r.For.Milliseconds() / outageDivisor
 	if r.Plan == "split" {
-		duration = r.For.Milliseconds() / splitPart
+		duration = r.For.Milliseconds() / splitOutageDivisor
 	}
-	lost := Outage{0, from, duration}
-	r.cut = func(time.Duration, int, int) bool { return false }
+	zoneOutage := Outage{0, from, duration}
+	r.isCut = func(time.Duration, int, int) bool { return false }
 	switch r.Plan {
 	case "none":
 	case "host":
-		zoned.SilentHosts = 1
+		zoned.HangingHosts = 1
 	case "group":
-		zoned.SilentHosts = r.Members - 1
+		zoned.HangingHosts = r.Members - 1
 	case "partial":
 		zoned.SecondAddresses = true
 	case "lost", "loss": // with "loss", one datagram in five between gateways is lost as well
-		zoned.Outages = []Outage{lost}
+		zoned.Outages = []Outage{zoneOutage}
 	case "full":
-		zoned.Outages = []Outage{lost}
-		r.Use = nearCapacity
+		zoned.Outages = []Outage{zoneOutage}
+		r.Use = nearCapacityUse
 	case "flap": // the zone fails again in the middle of the return to it
-		zoned.Outages = []Outage{lost, {0, from + duration + returnMiddleMS, secondOutageMS}}
+		zoned.Outages = []Outage{zoneOutage, {0, from + duration + returnMiddleMS, secondOutageMS}}
 	case "two":
-		zoned.Outages = []Outage{lost, {1, from, duration}}
+		zoned.Outages = []Outage{zoneOutage, {1, from, duration}}
 	case "stall":
-		zoned.Outages = []Outage{lost}
-		r.events = stallAcross(from, r.Gateways, zoned.Zones)
+		zoned.Outages = []Outage{zoneOutage}
+		r.events = stallsDuringDeparture(from, r.Gateways, zoned.Zones)
 	case "split": // the two halves of the gateways are cut off from each other
-		zoned.Outages = []Outage{lost}
-		r.cut = cutBetween(lost, func(gateway int) bool { return gateway%2 == 0 })
+		zoned.Outages = []Outage{zoneOutage}
+		r.isCut = cutBetween(zoneOutage, func(gateway int) bool { return gateway%2 == 0 })
 	case "cutoff": // the gateways of the failed zone are cut off from the others
-		zoned.Outages = []Outage{lost}
-		r.cut = cutBetween(lost, func(gateway int) bool { return gateway%zoned.Zones == 0 })
+		zoned.Outages = []Outage{zoneOutage}
+		r.isCut = cutBetween(zoneOutage, func(gateway int) bool { return gateway%zoned.Zones == 0 })
 	default:
 		return &OptionError{"plan", fmt.Sprintf("%q is unknown; expected one of %v", r.Plan, ZonePlans)}
 	}
 	return nil
 }
 
-// stallAcross stops a third of the gateways of each zone, from before the outage until after the others have left the zone.
-func stallAcross(from int64, gateways, zones int) []Event {
+// stallsDuringDeparture stops a third of the gateways of each zone, from before the outage until after the others have
+// left the zone.
+func stallsDuringDeparture(from int64, gateways, zones int) []Event {
 	var events []Event
 	for gateway := range gateways {
-		if gateway/zones%stalledOneOf == 1 {
+		if gateway/zones%stalledOneIn == 1 {
 			events = append(events, Event{AtMS: from - stallBeforeMS, ForMS: stallMS, Gateway: gateway, Fault: Stop})
 		}
 	}
@@ -110,23 +111,24 @@
 // cutBetween cuts the gateways of one side off from the others, from cutBeforeMS before the outage until its end.
 func cutBetween(outage Outage, side func(gateway int) bool) cutFunc {
 	return func(at time.Duration, from, to int) bool {
-		begun := at.Milliseconds() >= outage.AtMS-cutBeforeMS
-		ended := at.Milliseconds() >= outage.AtMS+outage.ForMS
-		return begun && !ended && side(from) != side(to)
+		hasBegun := at.Milliseconds() >= outage.AtMS-cutBeforeMS
+		hasEnded := at.Milliseconds() >= outage.AtMS+outage.ForMS
+		return hasBegun && !hasEnded && side(from) != side(to)
 	}
 }
 
-// hostOutages returns the outages of hosts: those of zones, or the single one of some hosts or of the second addresses.
-func (r *rig) hostOutages() []Outage {
-	if r.Zoned.SilentHosts > 0 || r.Zoned.SecondAddresses {
-		return []Outage{{0, r.For.Milliseconds() / outageStartPart, r.For.Milliseconds() / outagePart}}
+// plannedOutages returns the outages of hosts: those of zones, or the single one of some hosts or of the second
+// addresses.
+func (r *rig) plannedOutages() []Outage {
+	if r.Zoned.HangingHosts > 0 || r.Zoned.SecondAddresses {
+		return []Outage{{0, r.For.Milliseconds() / outageStartDivisor, r.For.Milliseconds() / outageDivisor}}
 	}
 	return r.Zoned.Outages
 }
 
-// playOutage makes the affected hosts stop answering, at all their addresses or only at the second ones, and makes them
-// answer again after the outage.
-func (r *rig) playOutage(ctx context.Context, outage Outage) {
+// simulateOutage makes the affected hosts stop answering, at all their addresses or only at the second ones, and makes
+// them answer again after the outage.
+func (r *rig) simulateOutage(ctx context.Context, outage Outage) {
 	if !r.sleepUntil(ctx, outage.AtMS) {
 		return
 	}
@@ -146,10 +148,10 @@
 		host.SetHanging(true)
 	}
 	sleep(ctx, duration)
-	capacity := float64(coresPerHost) / workTime.Seconds()
+	capacity := float64(coresPerHost) / meanServiceTime.Seconds()
 	for _, host := range affected {
 		host.BeginSlowStart(emulator.SlowStart{
-			Duration: warmingTime, InitialShare: slowStartShare, Capacity: capacity,
+			Duration: slowStartTime, InitialShare: slowStartInitialShare, Capacity: capacity,
 			OverloadFactor: overloadFactor, Window: overloadWindow,
 		})
 		host.SetHanging(false)
@@ -159,8 +161,8 @@
 func (r *rig) affectedHosts(outage Outage) []*emulator.Host {
 	var affected []*emulator.Host
 	for i, host := range r.hosts {
-		inZone := r.Zoned.SilentHosts == 0 && i%r.Zoned.Zones == outage.Zone
-		single := i > 0 && i <= r.Zoned.SilentHosts
+		inZone := r.Zoned.HangingHosts == 0 && i%r.Zoned.Zones == outage.Zone
+		single := i > 0 && i <= r.Zoned.HangingHosts
 		if inZone || single {
 			affected = append(affected, host)
 		}
--- a/internal/lab/processrig/zoneresult.go
+++ b/internal/lab/processrig/zoneresult.go
@@ -15,25 +15,25 @@
 // ZoneResult describes how the gateways left a failed zone and returned to it. Times are in milliseconds after the
 // beginning of the first outage.
 type ZoneResult struct {
-	FirstMS  int64 `json:"first"`    // when the first gateway left the zone
-	P99MS    int64 `json:"p99"`      // when 99 % of the gateways that left the zone had left it
-	LastMS   int64 `json:"last"`     // when the last gateway left the zone
-	Gateways int   `json:"gateways"` // number of gateways that left the zone
+	FirstLeftMS      int64 `json:"first"`    // when the first gateway left the zone
+	P99LeftMS        int64 `json:"p99"`      // when 99 % of the gateways that left the zone had left it
+	LastLeftMS       int64 `json:"last"`     // when the last gateway left the zone
+	DepartedGateways int   `json:"gateways"` // number of gateways that left the zone
 	// Steps are the shares of the zone, in hundredths, as the first gateway changed them: from leaving the zone to the
 	// full return.
-	Steps    []int   `json:"steps"`
-	ReturnMS int64   `json:"return_ms"`        // when the last gateway used the full share again
-	InTime   float64 `json:"in_time"`          // fraction of weight that was earned since the outage began
-	Reads    int     `json:"reads_while_left"` // at the zone's replicas while no gateway used the zone
-	Agreed   int     `json:"epochs"`           // highest epoch of a decision in force
-	// LateAtMS is the longest delay from the time at which a gateway was to leave the zone until it left it.
-	LateAtMS int64 `json:"late_at_most_ms"`
-	// Kept is the highest share of the zone, in hundredths, that remained in use when a gateway left the zone.
-	Kept               int `json:"kept"`
+	Steps          []int   `json:"steps"`
+	ReturnedMS     int64   `json:"return_ms"`        // when the last gateway used the full share again
+	InTime         float64 `json:"in_time"`          // fraction of weight that was earned since the outage began
+	ReadsWhileLeft int     `json:"reads_while_left"` // at the zone's replicas while no gateway used the zone
+	LastEpoch      int     `json:"epochs"`           // highest epoch of a decision in force
+	// MaxLateMS is the longest delay from the time at which a gateway was to leave the zone until it left it.
+	MaxLateMS int64 `json:"late_at_most_ms"`
+	// KeptShare is the highest share of the zone, in hundredths, that remained in use when a gateway left the zone.
+	KeptShare          int `json:"kept"`
 	SlowStartOverloads int `json:"cold_falls"` // hosts that were overloaded in slow start
 	// FalseLeaves counts departures from zones that did not fail, and departures without a majority of the gateways.
-	FalseLeaves int     `json:"false_leaves"`
-	Bytes       float64 `json:"fleet_bytes_per_gateway_s"` // of messages of joint decisions, per gateway and second
+	FalseLeaves         int     `json:"false_leaves"`
+	FleetBytesPerSecond float64 `json:"fleet_bytes_per_gateway_s"` // of messages of joint decisions, per gateway and second
 
 	leftAt []int64 // when each gateway left the zone; sorted by summarizeLeaving
 }
@@ -52,7 +52,7 @@
 	inForceMessage = "fleet: zone shares in force"
 	fullShare      = 100
 	firstGateway   = "n0"
-	settledMS      = 1000 // after the last gateway has left a zone: reads that were sent earlier may still arrive
+	lateReadsMS    = 1000 // after the last gateway has left a zone: reads that were sent earlier may still arrive
 )
 
 // evaluateZones evaluates the gateways' log lines, the requests at the hosts and the clients' samples.
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	result := &ZoneResult{
-		Bytes: float64(r.fleetRelay.bytes.Load()) / float64(len(r.gateways)) / r.For.Seconds(),
+		FleetBytesPerSecond: float64(r.fleetRelay.bytes.Load()) / float64(len(r.gateways)) / r.For.Seconds(),
 	}
 	for _, host := range r.hosts {
 		if host.OverloadedInSlowStart() {
@@ -75,7 +75,7 @@
 	result.summarizeLeaving()
 	if len(r.Zoned.Outages) > 0 {
 		result.InTime = r.inTimeSince(r.Zoned.Outages[0], samples)
-		result.Reads = r.readsWhileLeft(result, r.Zoned.Outages[0])
+		result.ReadsWhileLeft = r.readsWhileLeft(result, r.Zoned.Outages[0])
 	}
 	return result, nil
 }
@@ -103,7 +103,7 @@
 	left := false
 	lastShare := -1
 	for _, line := range lines {
-		result.Agreed = max(result.Agreed, line.Epoch)
+		result.LastEpoch = max(result.LastEpoch, line.Epoch)
 		result.FalseLeaves += r.falseLeaves(line)
 		if len(r.Zoned.Outages) == 0 {
 			continue
@@ -116,9 +116,9 @@
 		share := line.Shares[outage.Zone]
 		if share < fullShare && !left {
 			left = true
-			result.Kept = max(result.Kept, share)
+			result.KeptShare = max(result.KeptShare, share)
 			result.leftAt = append(result.leftAt, at)
-			result.LateAtMS = max(result.LateAtMS, line.LateMS)
+			result.MaxLateMS = max(result.MaxLateMS, line.LateMS)
 		}
 		if left && share != lastShare {
 			result.addStep(line.Gateway, share, at)
@@ -144,19 +144,19 @@
 		z.Steps = append(z.Steps, share)
 	}
 	if share == fullShare {
-		z.ReturnMS = max(z.ReturnMS, at)
+		z.ReturnedMS = max(z.ReturnedMS, at)
 	}
 }
 
 func (z *ZoneResult) summarizeLeaving() {
 	slices.Sort(z.leftAt)
-	z.Gateways = len(z.leftAt)
-	if z.Gateways == 0 {
+	z.DepartedGateways = len(z.leftAt)
+	if z.DepartedGateways == 0 {
 		return
 	}
-	z.FirstMS = z.leftAt[0]
-	z.P99MS = z.leftAt[int(math.Ceil(float64(z.Gateways)*0.99))-1]
-	z.LastMS = z.leftAt[z.Gateways-1]
+	z.FirstLeftMS = z.leftAt[0]
+	z.P99LeftMS = z.leftAt[int(math.Ceil(float64(z.DepartedGateways)*0.99))-1]
+	z.LastLeftMS = z.leftAt[z.DepartedGateways-1]
 }
 
 // inTimeSince returns the fraction of the requests' weight that was earned from the outage to the end of the run.
@@ -171,10 +171,10 @@
 	return earned / max(possible, 1)
 }
 
-// readsWhileLeft counts the requests that arrive at the zone's replicas from settledMS after the last gateway has left the
-// zone to the end of the outage.
+// readsWhileLeft counts the requests that arrive at the zone's replicas from lateReadsMS after the last gateway has left
+// the zone to the end of the outage.
 func (r *rig) readsWhileLeft(result *ZoneResult, outage Outage) int {
-	if result.Gateways == 0 {
+	if result.DepartedGateways == 0 {
 		return 0
 	}
 	reads := 0
@@ -184,7 +184,7 @@
 		}
 		for _, arrived := range log.arrivals {
 			at := arrived.at.Milliseconds() - outage.AtMS
-			if at > result.LastMS+settledMS && at < outage.ForMS {
+			if at > result.LastLeftMS+lateReadsMS && at < outage.ForMS {
 				reads++
 			}
 		}
@@ -195,23 +195,23 @@
 // FaultFarApart is the name of the only check whose outcome depends on the speed of the machine.
 const FaultFarApart = "gateways left the zone far apart"
 
-// farApartMS is the maximum time between FirstMS and P99MS.
-const farApartMS = 500
+// maxDepartureSpreadMS is the maximum time between FirstLeftMS and P99LeftMS.
+const maxDepartureSpreadMS = 500
 
-// faultsOfPlan returns the names of the checks that a run with the plan failed, sorted.
-func (z *ZoneResult) faultsOfPlan(plan string, gateways int) []string {
+// failedPlanChecks returns the names of the checks that a run with the plan failed, sorted.
+func (z *ZoneResult) failedPlanChecks(plan string, gateways int) []string {
 	// Plan "split" is not listed because after the cut the gateways may find that the outage is over.
 	leaves := !slices.Contains([]string{"none", "host", "group", "partial", "split"}, plan)
-	inStep := slices.Contains([]string{"lost", "flap", "two"}, plan)
+	leavesTogether := slices.Contains([]string{"lost", "flap", "two"}, plan)
 	returned := len(z.Steps) > 0 && z.Steps[len(z.Steps)-1] == fullShare
 	steps := fmt.Sprint(z.Steps)
-	return faultsOf(map[string]bool{
+	return failedChecks(map[string]bool{
 		"hosts were overloaded in slow start":                    z.SlowStartOverloads > 0,
 		"zones were left that did not fail, or without a quorum": z.FalseLeaves > 0,
-		"not all gateways left the zone":                         leaves && z.Gateways < gateways,
-		FaultFarApart:                                            inStep && z.P99MS-z.FirstMS > farApartMS,
-		"reads were sent to a zone that was left":                z.Kept == 0 && z.Reads > gateways,
-		"left completely without enough capacity elsewhere":      plan == "full" && z.Kept == 0,
+		"not all gateways left the zone":                         leaves && z.DepartedGateways < gateways,
+		FaultFarApart:                                            leavesTogether && z.P99LeftMS-z.FirstLeftMS > maxDepartureSpreadMS,
+		"reads were sent to a zone that was left":                z.KeptShare == 0 && z.ReadsWhileLeft > gateways,
+		"left completely without enough capacity elsewhere":      plan == "full" && z.KeptShare == 0,
 		"the zone was not returned to":                           leaves && plan != "flap" && !returned,
 		"the return did not follow its steps":                    plan == "lost" && steps != "[0 2 5 10 20 40 70 100]",
 	})
