--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -17,9 +17,9 @@
 	wait     sync.WaitGroup // counts the running goroutines
 
 	mu          sync.Mutex
-	changed     *sync.Cond // signaled when cut or ended changes
+	changed     *sync.Cond // signaled when cut or closed changes
 	cut         bool
-	ended       bool
+	closed      bool
 	connections map[net.Conn]struct{} // both ends of each forwarded connection
 }
 
@@ -75,7 +75,7 @@
 // Close resets the connections, stops the relay and waits until its goroutines have ended.
 func (r *Relay) Close() {
 	r.mu.Lock()
-	r.ended = true
+	r.closed = true
 	r.mu.Unlock()
 	r.changed.Broadcast()
 	_ = r.listener.Close() // an error does not matter, since the relay is not used again
@@ -97,9 +97,9 @@
 		r.mu.Lock()
 		r.connections[accepted] = struct{}{}
 		r.connections[dialed] = struct{}{}
-		ended := r.ended
+		closed := r.closed
 		r.mu.Unlock()
-		if ended { // Close may have reset the other connections before these two were added
+		if closed { // Close may have reset the other connections before these two were added
 			closeConnection(accepted)
 			closeConnection(dialed)
 		}
@@ -122,24 +122,24 @@
 	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
-		ended := r.waitWhileCut()
-		if n > 0 && !ended {
+		closed := r.waitWhileCut()
+		if n > 0 && !closed {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
-		if err != nil || ended {
+		if err != nil || closed {
 			return
 		}
 	}
 }
 
 // waitWhileCut waits until the relay forwards bytes again or is closed, and reports whether it is closed.
-func (r *Relay) waitWhileCut() (ended bool) {
+func (r *Relay) waitWhileCut() (closed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.cut && !r.ended {
+	for r.cut && !r.closed {
 		r.changed.Wait()
 	}
-	return r.ended
+	return r.closed
 }
