--- a/internal/lab/processrig/evidence.go
+++ b/internal/lab/processrig/evidence.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxTraced is the greatest number of gateways for which each logs every step of every request. With more gateways,
-	// the logging would slow the processes down.
+	// maxTraced is the greatest number of gateways for which each logs every step of every request. More gateways would
+	// slow one another down by their logging.
 	maxTraced = 8
 	// maxEvidenceLines is the maximum number of lines of one gateway's log that are shown for one request or host.
 	maxEvidenceLines = 30
