--- a/internal/lab/processrig/rig.go
+++ b/internal/lab/processrig/rig.go
@@ -12,34 +12,34 @@
 	"cloverrock/internal/lab/loopback"
 )
 
-// rig holds the processes and emulated parts of one run.
+// rig holds the gateway processes and the emulated hosts, discovery services and relays of one run.
 type rig struct {
 	Options
-	directory   string
-	events      []Event
-	result      *Result
-	hosts       []*emulator.Host
-	discoveries []*emulator.Discovery // by gateway
-	lists       endpointLists
-	datagrams   *datagramRelay
-	fleetRelay  *fleetRelay // nil in a run without zones
-	cut         cutFunc
-	gateways    []*gatewayProcess
-	stallWatch  *stallWatch
+	directory    string
+	events       []Event
+	result       *Result
+	hosts        []*emulator.Host
+	discoveries  []*emulator.Discovery // by gateway
+	lists        endpointLists
+	datagrams    *datagramRelay
+	fleetRelay   *fleetRelay // nil in a run without zones
+	isCut        cutFunc
+	gateways     []*gatewayProcess
+	stallMonitor *stallMonitor
 
-	mu       sync.Mutex // of what follows
-	start    time.Time  // of the requests
-	logs     []hostLog
-	endedCPU time.Duration // processor time of processes that have ended
+	mu       sync.Mutex    // protects the fields below, Result.Killed and gatewayProcess.disturbed
+	start    time.Time     // when the first requests may be sent
+	logs     []hostLog     // by host
+	endedCPU time.Duration // CPU time of the gateway processes that have ended
 }
 
-// cutFunc reports whether two gateways are cut off from each other, at a time since the start.
+// cutFunc reports whether two gateways are cut off from each other at a time after the start of the run.
 type cutFunc func(at time.Duration, from, to int) bool
 
-// readyTimeout is how long all gateways together may take to come up.
+// readyTimeout is how long all gateways together may take until they accept connections.
 const readyTimeout = 30 * time.Second
 
-// Run makes one run. It ends only the processes that it started.
+// Run makes one run. It ends only the processes that it has started.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	if options.Log == nil {
 		options.Log = func(string, ...any) {}
@@ -60,16 +60,16 @@
 	if err := r.open(); err != nil {
 		return nil, err
 	}
-	return r.result, r.play(ctx)
+	return r.result, r.execute(ctx)
 }
 
-// plan decides the faults of the run.
+// plan determines the faults of the run and begins its result.
 func (r *rig) plan() error {
 	var err error
 	if r.Zoned != nil {
 		err = r.planZones()
 	} else {
-		r.cut = func(time.Duration, int, int) bool { return false }
+		r.isCut = func(time.Duration, int, int) bool { return false }
 		r.events, err = MakePlan(r.Plan, r.Seed, r.Gateways, r.For)
 	}
 	if err != nil {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// open starts the hosts, discovery and relays, and then the gateways.
+// open starts the hosts, the discovery services and the relays, and then the gateways.
 func (r *rig) open() error {
 	if err := r.openHosts(); err != nil {
 		return err
@@ -115,7 +115,7 @@
 	r.result.Hosts = r.Hosts / r.Members * r.Members
 	r.logs = make([]hostLog, r.result.Hosts)
 	for i := range r.result.Hosts {
-		host, err := emulator.NewHost(fmt.Sprintf("s-%d", i), workTime, replicaLag)
+		host, err := emulator.NewHost(fmt.Sprintf("s-%d", i), meanServiceTime, replicaLag)
 		if err != nil {
 			return err
 		}
@@ -137,7 +137,7 @@
 
 func (r *rig) isLastOfGroup(host int) bool { return host%r.Members == r.Members-1 }
 
-// openDiscoveries gives each gateway a discovery service of its own, which publishes the list to begin with.
+// openDiscoveries starts a discovery service for each gateway, and publishes its first endpoint list.
 func (r *rig) openDiscoveries() error {
 	var err error
 	if r.lists, err = r.makeLists(); err != nil {
@@ -179,23 +179,23 @@
 		peers = append(peers, gateway.peer)
 		fleet = append(fleet, gateway.fleet)
 	}
-	var spoil func([]byte)
+	var modify func([]byte)
 	if r.Break == BreakBlindHerd {
-		spoil = spoilDigest
+		modify = forgeDigest
 	}
 	var err error
-	if r.datagrams, err = newDatagramRelay(peers, r.Seed, spoil); err != nil {
+	if r.datagrams, err = newDatagramRelay(peers, r.Seed, modify); err != nil {
 		return err
 	}
 	if r.Zoned == nil {
 		return nil
 	}
-	cut := func(from, to int) bool { return r.cut(r.elapsed(), from, to) }
-	r.fleetRelay, err = newFleetRelay(fleet, r.Plan == "loss", cut)
+	isCut := func(from, to int) bool { return r.isCut(r.elapsed(), from, to) }
+	r.fleetRelay, err = newFleetRelay(fleet, r.Plan == "loss", isCut)
 	return err
 }
 
-// elapsed is the time since the requests began; far below 0 until they do.
+// elapsed returns the time since the start of the run, or -1 h before the start.
 func (r *rig) elapsed() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -205,11 +205,11 @@
 	return time.Since(r.start)
 }
 
-func (r *rig) play(ctx context.Context) error {
-	up, cancel := context.WithTimeout(ctx, readyTimeout)
+func (r *rig) execute(ctx context.Context) error {
+	readyContext, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for i := range r.gateways {
-		if err := r.waitReady(up, i); err != nil {
+		if err := r.waitReady(readyContext, i); err != nil {
 			return err
 		}
 	}
@@ -221,9 +221,9 @@
 	r.mu.Unlock()
 	run, stop := context.WithTimeout(ctx, r.For)
 	defer stop()
-	r.stallWatch = watchStalls(run)
+	r.stallMonitor = monitorStalls(run)
 	var faults sync.WaitGroup
-	r.beginFaults(run, &faults)
+	r.scheduleFaults(run, &faults)
 	samples := load.Run(run)
 	faults.Wait()
 	if err := ctx.Err(); err != nil {
@@ -239,11 +239,11 @@
 	return err
 }
 
-// newLoad is a load of the given part of what all hosts can do.
+// newLoad returns a load that uses the fraction Use of the capacity of all hosts.
 func (r *rig) newLoad() *emulator.Load {
 	load := &emulator.Load{
 		Address: r.gateways[0].listen, Groups: r.result.Hosts / r.Members, Seed: r.Seed, AnswerSlack: answerSlack,
-		Rate:     r.Use * float64(r.result.Hosts*coresPerHost) / workTime.Seconds(),
+		Rate:     r.Use * float64(r.result.Hosts*coresPerHost) / meanServiceTime.Seconds(),
 		Draining: func(gateway int) bool { return r.gateways[gateway].draining.Load() },
 	}
 	for _, gateway := range r.gateways[1:] {
@@ -252,7 +252,7 @@
 	return load
 }
 
-// close ends all that was started and still runs.
+// close ends all processes, relays, discovery services and hosts that still run.
 func (r *rig) close() {
 	for _, gateway := range r.gateways {
 		gateway.kill()
