--- a/internal/lab/restartsoak/client.go
+++ b/internal/lab/restartsoak/client.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// crossing is how long before a client sees the end of its connection a request may have been written that crossed it.
+	// crossing is the race window before a client detects that its connection was closed. A request written within it may not
+	// have been read by the gateway, so the missing answer is no fault unless a host received the request.
 	crossing    = 100 * time.Millisecond
 	dialTimeout = time.Second
 	redialPause = 10 * time.Millisecond
-	thinkTime   = 30 * time.Millisecond // on the mean, between a client's queries
-	aheadMost   = 3                     // queries that some clients have out at once
+	thinkTime   = 30 * time.Millisecond // mean pause between a client's queries
+	aheadMost   = 3                     // queries that a pipelining client has in flight at once
 
-	leavePercent  = 2 // of requests whose client leaves at once
-	piecesPercent = 5 // of requests that come in two pieces
+	leavePercent  = 2 // of requests after which the client disconnects at once
+	piecesPercent = 5 // of requests that are sent in two parts
 	pieceBytes    = 10
 	piecePause    = 30 * time.Millisecond
 )
 
-// client sends queries, on a connection that it uses for as long as it is open.
+// client sends queries on one connection at a time, and opens another when the connection has ended.
 type client struct {
 	run    *run
 	random *rand.Rand
@@ -50,12 +51,12 @@
 	}
 }
 
-// session is one connection's queries in flight.
+// session is a connection of a client with its queries in flight.
 type session struct {
 	net.Conn
 	run       *run
-	slots     chan struct{} // a token for each query in flight
-	ended     chan struct{} // closed when no more answers come
+	slots     chan struct{} // holds a token for each query in flight
+	ended     chan struct{} // closed when the connection has ended and no more answers can arrive
 	mu        sync.Mutex
 	inFlight  []*request
 	left      bool // the client has closed the connection
@@ -87,7 +88,7 @@
 	s.finish()
 }
 
-// send writes one query, and returns false if the connection is over.
+// send writes one query, and returns false if the connection can no longer be used.
 func (c *client) send(s *session, generation int) bool {
 	req := c.run.newRequest(c.random, generation)
 	message := req.message()
@@ -115,7 +116,8 @@
 	return true
 }
 
-// leave closes the connection. With the defect, the client counts as gone some time before, and its request goes out.
+// leave closes the connection while queries are in flight. With tooEarly (DefectLateLeave), the disconnect is recorded
+// earlier than it happens, so that attempts begin after the recorded time.
 func (s *session) leave(tooEarly bool) {
 	leftAt := time.Now()
 	if tooEarly {
@@ -131,7 +133,7 @@
 	_ = s.Close()
 }
 
-// finish waits for the last answers, and closes the connection.
+// finish waits up to finishTimeout for the answers in flight, and closes the connection.
 func (s *session) finish() {
 	for deadline := time.Now().Add(finishTimeout); time.Now().Before(deadline); time.Sleep(redialPause) {
 		s.mu.Lock()
@@ -148,7 +150,7 @@
 	<-s.ended
 }
 
-// read takes answers until the connection ends.
+// read processes answers until the connection ends.
 func (s *session) read() {
 	defer close(s.ended)
 	reader := bufio.NewReader(s)
@@ -165,7 +167,7 @@
 			kind = served
 		case 'E':
 			kind = failed
-			response, _ := pgwire.ParseError(message.Body) // a faulty error has no code
+			response, _ := pgwire.ParseError(message.Body) // a malformed error has no code
 			if response.Code == pgwire.CodeTooManyConnections {
 				kind = rejected
 			}
@@ -182,7 +184,7 @@
 	}
 }
 
-// answer takes the answer to the oldest query in flight. Time that it spent behind those before it does not count.
+// answer assigns an answer to the oldest query in flight.
 func (s *session) answer(kind answerKind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +199,8 @@
 	<-s.slots
 }
 
-// settle records how a request ended.
+// settle records the outcome of a request. Its time limit begins when it was sent, or with the previous answer on the
+// connection if that came later: time spent waiting behind earlier queries does not count.
 func (s *session) settle(req *request, kind answerKind) {
 	now := time.Now()
 	if req.sentAt.IsZero() {
@@ -213,7 +216,7 @@
 	s.run.record(req)
 }
 
-// end settles the queries that get no answer any more.
+// end records the outcome of the queries in flight when the connection has ended.
 func (s *session) end() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,7 +238,7 @@
 	s.inFlight = nil
 }
 
-// sleep waits for a time, or until the context ends.
+// sleep waits for the given duration, or until the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/restartsoak/evaluate.go
+++ b/internal/lab/restartsoak/evaluate.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	answerSlack       = 500 * time.Millisecond // after its time, in which a request must get its answer
-	attemptAfterLeave = 100 * time.Millisecond // after its client left, in which an attempt may still begin
+	answerSlack       = 500 * time.Millisecond // an answer this long after the deadline still counts as in time
+	attemptAfterLeave = 100 * time.Millisecond // an attempt may still begin this long after its client disconnected
 	maxLogLines       = 40
 )
 
@@ -21,7 +21,7 @@
 	notAccepted: "not accepted", clientLeft: "client left", stillWaiting: "client stopped waiting",
 }
 
-// evaluate checks all requests.
+// evaluate checks all requests and returns the result of the run.
 func (r *run) evaluate() *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,7 +43,7 @@
 	return result
 }
 
-// problemOf returns the rule that was broken for a request; empty: none.
+// problemOf describes the rule that a request violates. It returns an empty string if there is none.
 func (r *run) problemOf(req *request) string {
 	if n := r.executed[req.id]; n > 1 {
 		return fmt.Sprintf("executed %d times", n)
@@ -51,7 +51,7 @@
 	if req.answer == clientLeft {
 		for _, arrived := range r.arrivals[req.id] {
 			if late := arrived.Sub(req.leftAt); late > attemptAfterLeave {
-				return fmt.Sprintf("an attempt came to a host %v after its client had left", late)
+				return fmt.Sprintf("an attempt reached a host %v after its client had left", late)
 			}
 		}
 		return ""
@@ -62,12 +62,12 @@
 	case req.answer == crossed && len(r.arrivals[req.id]) > 0:
 		return "lost: forwarded, but its connection was closed"
 	case req.answeredAt.After(req.dueAt.Add(answerSlack)):
-		return fmt.Sprintf("lost: answered (%s) %v after its time", answerNames[req.answer], req.answeredAt.Sub(req.dueAt))
+		return fmt.Sprintf("lost: answered (%s) %v after its deadline", answerNames[req.answer], req.answeredAt.Sub(req.dueAt))
 	}
 	return ""
 }
 
-// logOf returns the log lines that name a request, by the id of its client or the gateway's own.
+// logOf returns the gateways' log lines about a request. They name it by the client's id or by the gateway's own number.
 func (r *run) logOf(id int) []string {
 	var found []string
 	for _, p := range r.all {
--- a/internal/lab/restartsoak/plan.go
+++ b/internal/lab/restartsoak/plan.go
@@ -1,6 +1,6 @@
-// Package restartsoak restarts a real process of the gateway again and again while clients use their connections to it for as
-// long as they are open, with signals in series and faults of hosts, discovery and the log. It checks that no request is
-// lost or run twice, and that the process ends and returns in time.
+// Package restartsoak restarts a real gateway process under load. Its clients keep each connection for as long as it stays
+// open, while the process receives series of signals and faults are injected into hosts, discovery and the log. The package
+// checks that no request is lost or executed twice, that the process exits in time, and that the next one is ready in time.
 package restartsoak
 
 import (
@@ -12,27 +12,28 @@
 // randomStream separates the random numbers of plans from those of other users of the same seed.
 const randomStream = 41
 
-// Plan is what happens in one run. Times are milliseconds; those of signals and faults count from the first SIGTERM.
+// Plan describes the signals and faults of one run. Times are in milliseconds; those of signals and faults are relative to
+// the first SIGTERM.
 type Plan struct {
 	Seed            uint64         `json:"seed"`
-	LongestMS       int            `json:"longest_deadline_ms"` // of the class of writes
-	HangPercent     int            `json:"hang_percent"`        // of queries, which get no answer
-	Crowd           int            `json:"crowd"`               // idle connections that fill the descriptors
-	StalledLog      bool           `json:"stalled_log"`         // nobody reads the log
-	TerminatedStart int            `json:"terminated_start_ms"` // SIGTERM so long after an earlier start; 0: no such start
-	FrontMS         int            `json:"front_ms"`            // new connections arrive for so long
+	LongestMS       int            `json:"longest_deadline_ms"` // deadline of the class of writes
+	HangPercent     int            `json:"hang_percent"`        // percentage of queries that the hosts never answer
+	Crowd           int            `json:"crowd"`               // idle connections that use up the gateway's descriptors
+	StalledLog      bool           `json:"stalled_log"`         // the log is a full pipe that is never read
+	TerminatedStart int            `json:"terminated_start_ms"` // an extra process gets SIGTERM at this age; 0: none
+	FrontMS         int            `json:"front_ms"`            // clients open new connections until this time
 	Signals         []PlannedEvent `json:"signals"`
 	Faults          []PlannedEvent `json:"faults"`
 }
 
-// PlannedEvent is a signal or a fault.
+// PlannedEvent is a signal or a fault at a given time.
 type PlannedEvent struct {
 	AtMS  int    `json:"at_ms"`
 	What  string `json:"what"`
-	Times int    `json:"times,omitempty"` // of a signal, without a pause
+	Times int    `json:"times,omitempty"` // how often a signal is sent, without a pause
 }
 
-// Signals and faults.
+// Signals and faults that a plan can contain.
 const (
 	signalHUP  = "HUP"
 	signalTERM = "TERM"
@@ -46,10 +47,10 @@
 
 var faults = [...]string{faultHostDies, faultHostHangs, faultPrimaryMoves, faultPrimaryLost, faultListChanges}
 
-// signalNumbers maps the names of signals.
+// signalNumbers maps the names of signals to their numbers.
 var signalNumbers = map[string]syscall.Signal{signalHUP: syscall.SIGHUP, signalTERM: syscall.SIGTERM}
 
-// MakePlan returns the plan of a seed.
+// MakePlan returns the plan that a seed determines.
 func MakePlan(seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, randomStream))
 	plan := Plan{
@@ -72,7 +73,7 @@
 	return plan
 }
 
-// makeSignals returns a SIGTERM at 0 and others around it, in order of time.
+// makeSignals returns a SIGTERM at time 0 and further signals around it, ordered by time.
 func makeSignals(random *rand.Rand) []PlannedEvent {
 	var signals []PlannedEvent
 	if random.IntN(2) == 0 {
@@ -86,13 +87,13 @@
 	return signals
 }
 
-// Limits of the platform.
+// The platform sends SIGKILL once the longest deadline, counted up to maxCountedDeadline, and killDelay have passed.
 const (
 	maxCountedDeadline = 3 * time.Second
-	killDelay          = 700 * time.Millisecond // beyond the longest deadline
+	killDelay          = 700 * time.Millisecond // added to the longest deadline
 )
 
-// killAfter is the time from SIGTERM to the earliest SIGKILL.
+// killAfter returns the time from SIGTERM to the earliest possible SIGKILL by the platform.
 func (p *Plan) killAfter() time.Duration {
 	return min(milliseconds(p.LongestMS), maxCountedDeadline) + killDelay
 }
--- a/internal/lab/restartsoak/play.go
+++ b/internal/lab/restartsoak/play.go
@@ -12,7 +12,7 @@
 	"cloverrock/internal/pgwire"
 )
 
-// play restarts the gateway under load, and ends it.
+// play executes the plan: it restarts the gateway under load, runs the checks and ends the second process.
 func (r *run) play(ctx context.Context) error {
 	if r.plan.TerminatedStart > 0 {
 		if err := r.terminateStart(ctx); err != nil {
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// terminateStart starts a process that is told to end while it starts. It has taken nothing, so it may end in any way.
+// terminateStart starts a process and sends it SIGTERM during startup. The process has accepted no request yet, so any exit
+// status is allowed.
 func (r *run) terminateStart(ctx context.Context) error {
 	p, err := r.startProcess()
 	if err != nil {
@@ -66,7 +67,8 @@
 	return nil
 }
 
-// startReady starts a process, and opens the front once it is ready.
+// startReady starts a process, waits until it is ready, and then lets clients open connections. A process that is not ready
+// in time is recorded as a fault.
 func (r *run) startReady(ctx context.Context) (*process, error) {
 	p, err := r.startProcess()
 	if err != nil {
@@ -104,11 +106,12 @@
 	return idle
 }
 
-// awaitAccepted waits until the gateway has accepted connections, and not the system alone: it answers their startup.
+// awaitAccepted waits until the gateway has answered the startup message of each connection. An open connection alone may
+// have been accepted only by the operating system.
 func awaitAccepted(conns []net.Conn) {
 	startup := pgwire.AppendStartup(nil, "user", "soak", "database", "soak")
 	for _, conn := range conns {
-		_ = conn.SetDeadline(time.Now().Add(dialTimeout)) // fails only on a closed connection, as what follows
+		_ = conn.SetDeadline(time.Now().Add(dialTimeout)) // fails only on a closed connection, as do the calls below
 		if _, err := conn.Write(startup); err == nil {
 			_, _ = conn.Read(make([]byte, 1))
 		}
@@ -121,7 +124,7 @@
 	}
 }
 
-// restart sends the signals and makes the faults of the plan, and kills the process at the earliest moment.
+// restart sends the signals and injects the faults of the plan, and checks that the process exits in time.
 func (r *run) restart(ctx context.Context, p *process) {
 	signaled := time.Now().Add(loadBefore / 2)
 	at := func(ms int) { sleep(ctx, time.Until(signaled.Add(milliseconds(ms)))) }
@@ -154,7 +157,7 @@
 	events.Wait()
 }
 
-// makeFault changes hosts or the endpoint list.
+// makeFault applies a planned fault to the hosts or the endpoint list.
 func (r *run) makeFault(what string) {
 	switch what {
 	case faultHostDies:
@@ -173,13 +176,13 @@
 	}
 }
 
-// withholdList has the next process start without an endpoint list, and discovery fall silent.
+// withholdList makes the next process start without an endpoint list, and discovery stop answering.
 func (r *run) withholdList() error {
 	r.discovery.Silence()
 	return r.writeConfiguration("null")
 }
 
-// checkEnd waits until a process has ended by the earliest kill, and kills it if it has not.
+// checkEnd checks that a process exits with code 0 before the earliest possible SIGKILL, and kills it otherwise.
 func (r *run) checkEnd(p *process, signaled time.Time) {
 	if !p.waitEnded(time.Until(signaled.Add(r.plan.killAfter()))) {
 		r.fault("did not end within %v of SIGTERM", r.plan.killAfter())
@@ -188,11 +191,11 @@
 		return
 	}
 	if code := p.command.ProcessState.ExitCode(); code != 0 {
-		r.fault("ended by %v", p.command.ProcessState)
+		r.fault("ended by %v, expected exit code 0", p.command.ProcessState)
 	}
 }
 
-// checkDescriptors wants the descriptors of all clients to be free, once these are gone.
+// checkDescriptors checks that the gateway closes the descriptors of all clients after they have disconnected.
 func (r *run) checkDescriptors(ctx context.Context, p *process) {
 	if r.defect == DefectHeld {
 		held := r.openIdle(heldConnections)
@@ -210,7 +213,7 @@
 			return
 		}
 	}
-	r.fault("%d descriptors without clients and hosts; %d are the gateway's own", open, ownDescriptors)
+	r.fault("%d descriptors without clients and hosts; expected at most the gateway's own %d", open, ownDescriptors)
 }
 
 func (r *run) checkMemory(p *process) {
@@ -219,6 +222,6 @@
 		limit = 1
 	}
 	if used := p.peakMemoryMB(); used > limit {
-		r.fault("%d MB of memory, %d allowed", used, limit)
+		r.fault("%d MB of memory used, at most %d allowed", used, limit)
 	}
 }
--- a/internal/lab/restartsoak/process.go
+++ b/internal/lab/restartsoak/process.go
@@ -18,16 +18,16 @@
 	"cloverrock/internal/pgwire"
 )
 
-// process is one process of the gateway.
+// process is a gateway process.
 type process struct {
 	command *exec.Cmd
-	logFile string        // empty: its log is a pipe that nobody reads
-	stalled [2]*os.File   // the ends of that pipe
+	logFile string        // empty if the log goes to a pipe that is never read
+	stalled [2]*os.File   // both ends of that pipe
 	ended   chan struct{} // closed when the process has ended
-	endedAt time.Time     // once it has
+	endedAt time.Time     // valid after ended is closed
 }
 
-var errNotReady = errors.New("the gateway is not ready in time")
+var errNotReady = errors.New("the gateway did not answer an empty query in time")
 
 // startProcess starts the gateway.
 func (r *run) startProcess() (*process, error) {
@@ -35,19 +35,19 @@
 	p := &process{ended: make(chan struct{})}
 	p.command = exec.Command(r.program, "serve", "--log", "trace")
 	p.command.Env = append(os.Environ(), "EDGE_CONFIG="+r.configFile)
-	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the run
+	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // kill the process if the run dies
 	if err := p.openLog(r.directory, r.processes, r.plan.StalledLog); err != nil {
 		return nil, err
 	}
 	err := p.command.Start()
 	if p.logFile != "" {
-		_ = p.command.Stderr.(*os.File).Close() // the process has a descriptor of its own
+		_ = p.command.Stderr.(*os.File).Close() // the process has its own copy of the descriptor
 	}
 	if err != nil {
 		return nil, fmt.Errorf("start the gateway: %w", err)
 	}
 	go func() {
-		_ = p.command.Wait() // its state tells how it ended
+		_ = p.command.Wait() // ProcessState holds the exit status
 		p.endedAt = time.Now()
 		close(p.ended)
 	}()
@@ -68,13 +68,13 @@
 	return err
 }
 
-// close kills the process, if it has not ended, and waits for its end.
+// close kills the process if it is still running, and waits until it has ended.
 func (p *process) close() {
 	_ = p.command.Process.Kill() // it may have ended already
 	<-p.ended
 	for _, end := range p.stalled {
 		if end != nil {
-			_ = end.Close() // nothing is left in it that anybody wants
+			_ = end.Close() // the unread rest of the log is discarded
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	}
 }
 
-// waitReady waits until the gateway answers an empty query, which it does once it has an endpoint list.
+// waitReady waits until the gateway answers an empty query. The gateway does so as soon as it has an endpoint list.
 func (r *run) waitReady(ctx context.Context) error {
 	for began := time.Now(); time.Since(began) < readyLimit && ctx.Err() == nil; sleep(ctx, redialPause) {
 		if r.isReady() {
@@ -110,7 +110,7 @@
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }() // it has served its purpose
+	defer func() { _ = conn.Close() }() // nothing more is read or written
 	_ = conn.SetDeadline(time.Now().Add(dialTimeout))
 	startup := pgwire.AppendStartup(nil, "user", "soak", "database", "soak")
 	if _, err := conn.Write(pgwire.AppendQuery(startup, "")); err != nil {
@@ -128,7 +128,7 @@
 	}
 }
 
-// descriptors returns the number of descriptors that the process has open.
+// descriptors returns the number of open file descriptors of the process.
 func (p *process) descriptors() int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.command.Process.Pid))
 	if err != nil {
@@ -137,7 +137,7 @@
 	return len(entries)
 }
 
-// peakMemoryMB returns the most memory that the process has held, in MiB.
+// peakMemoryMB returns the peak resident memory of the process in MiB.
 func (p *process) peakMemoryMB() (mb int) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
 	if err != nil {
@@ -145,6 +145,6 @@
 	}
 	_, rest, _ := strings.Cut(string(status), "VmHWM:")
 	var kib int
-	_, _ = fmt.Sscan(rest, &kib) // 0 then
+	_, _ = fmt.Sscan(rest, &kib) // kib stays 0 on an error
 	return kib >> 10
 }
--- a/internal/lab/restartsoak/request.go
+++ b/internal/lab/restartsoak/request.go
@@ -7,7 +7,7 @@
 	"cloverrock/internal/pgwire"
 )
 
-// answerKind is how a request ended, as its client sees it.
+// answerKind is the outcome of a request from the client's point of view.
 type answerKind uint8
 
 const (
@@ -15,10 +15,10 @@
 	served
 	rejected
 	failed
-	crossed      // its connection was closed as it was sent, before the gateway read it
-	notAccepted  // its connection was closed before any answer, in a crowd
-	clientLeft   // its client closed the connection
-	stillWaiting // the connection was open when the run ended
+	crossed      // the connection was closed while the request was being sent, before the gateway read it
+	notAccepted  // the connection was closed before its first answer, while idle connections used up the descriptors
+	clientLeft   // the client closed the connection on purpose
+	stillWaiting // no answer had arrived when the client closed the connection at the end of the run
 )
 
 // request is one query of a client.
@@ -26,21 +26,21 @@
 	id         int
 	class      class
 	sentAt     time.Time // when its last byte was written
-	dueAt      time.Time // when its time was over; set with the answer
-	answeredAt time.Time // or when it was seen that no answer comes
+	dueAt      time.Time // latest time of its answer, without answerSlack; set together with the outcome
+	answeredAt time.Time // when the answer arrived, or when the connection ended without one
 	answer     answerKind
-	leftAt     time.Time // when its client left
-	generation int       // of the process that it was sent to
+	leftAt     time.Time // when the client disconnected on purpose; zero if it did not
+	generation int       // number of the process that it was sent to
 }
 
-// class is a class of requests.
+// class is a request class.
 type class struct {
 	name  string
 	wait  time.Duration
 	write bool
 }
 
-// classes returns the classes of a plan; see settingsOf.
+// classes returns the request classes of a plan. Their deadlines match those of run.classSettings.
 func (p *Plan) classes() []class {
 	short := min(800, p.LongestMS)
 	return []class{
@@ -49,7 +49,7 @@
 	}
 }
 
-// message is the query's message.
+// message returns the encoded query of the request.
 func (r *request) message() []byte {
 	statement := "SELECT body FROM objects WHERE oid = 'k'"
 	if r.class.write {
@@ -59,8 +59,8 @@
 	return pgwire.AppendQuery(nil, comment+statement)
 }
 
-// idOf returns the id in a statement's comment; 0 if it has none.
+// idOf returns the request id in a statement's comment, or 0 if there is none.
 func idOf(statement string) (id int) {
-	_, _ = fmt.Sscanf(statement, "/* id=%d,", &id) // 0 then
+	_, _ = fmt.Sscanf(statement, "/* id=%d,", &id) // id stays 0 on an error
 	return id
 }
--- a/internal/lab/restartsoak/soak.go
+++ b/internal/lab/restartsoak/soak.go
@@ -15,31 +15,31 @@
 	"cloverrock/internal/lab/loopback"
 )
 
-// Deliberate defects of a run, to show that each check finds its fault.
+// Deliberate defects of a run. They show that each check detects the fault it is meant for.
 const (
 	DefectNone      = ""
-	DefectAbrupt    = "abrupt"     // the process is killed at SIGTERM: requests are lost, and it does not end in order
-	DefectTwice     = "twice"      // a client sends each write a second time: writes run twice
-	DefectLateLeave = "late-leave" // clients count as gone before they close: attempts begin after that
-	DefectNoList    = "no-list"    // the process that returns gets no endpoint list: it is not ready
-	DefectStopped   = "stopped"    // the process is stopped after SIGTERM: it does not end
-	DefectHeld      = "held"       // connections are open where descriptors are counted
-	DefectMemory    = "memory"     // the limit of memory is lower than what any process needs
+	DefectAbrupt    = "abrupt"     // the process is killed at SIGTERM: requests are lost, and it does not exit with code 0
+	DefectTwice     = "twice"      // each write is counted as executed a second time
+	DefectLateLeave = "late-leave" // the disconnect of a client is recorded earlier than it happens: attempts begin after it
+	DefectNoList    = "no-list"    // the restarted process gets no endpoint list: it does not become ready
+	DefectStopped   = "stopped"    // the process is stopped by SIGSTOP after SIGTERM: it does not exit
+	DefectHeld      = "held"       // connections stay open while descriptors are counted
+	DefectMemory    = "memory"     // the memory limit is lower than what any process needs
 )
 
-// Defects are the values of Options.Defect.
+// Defects lists the possible values of Options.Defect.
 var Defects = []string{
 	DefectAbrupt, DefectTwice, DefectLateLeave, DefectNoList, DefectStopped, DefectHeld, DefectMemory,
 }
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Program string // path of the gateway's program
 	Seed    uint64
 	Defect  string
 }
 
-// Result of a run.
+// Result reports the requests and faults of a run.
 type Result struct {
 	Plan     Plan           `json:"plan"`
 	Defect   string         `json:"defect,omitempty"`
@@ -51,7 +51,7 @@
 
 const (
 	clientCount     = 24
-	clientsAhead    = 4 // one client in so many sends ahead
+	clientsAhead    = 4 // one client in this many sends several queries without waiting for answers
 	hostCount       = 3
 	hostWork        = 5 * time.Millisecond
 	replicaLag      = 15 * time.Millisecond
@@ -59,13 +59,13 @@
 	sockets         = 512
 	readyLimit      = 6 * time.Second
 	loadBefore      = 1200 * time.Millisecond // before the first SIGTERM
-	loadAfter       = time.Second             // after the return
-	finishTimeout   = 6 * time.Second         // for the last answers
-	descriptorLimit = 1500 * time.Millisecond // until the clients' descriptors are free, below any idle timeout
+	loadAfter       = time.Second             // after the restarted process is ready
+	finishTimeout   = 6 * time.Second         // time a client waits for its last answers
+	descriptorLimit = 1500 * time.Millisecond // until the clients' descriptors must be closed; shorter than any idle timeout
 	heldConnections = 30
 )
 
-// run holds the parts of one run.
+// run holds the state of one run.
 type run struct {
 	plan       Plan
 	program    string
@@ -78,17 +78,17 @@
 	processes  int
 	all        []*process
 
-	mu         sync.Mutex // of what follows
+	mu         sync.Mutex // protects the fields below
 	lastID     int
-	generation int  // of the process that clients connect to
-	frontOpen  bool // whether new connections are sent to it
+	generation int  // number of the process that clients connect to
+	frontOpen  bool // whether clients may open new connections
 	requests   []*request
-	arrivals   map[int][]time.Time // of requests at hosts, by id
-	executed   map[int]int         // times that each write was executed, by id
+	arrivals   map[int][]time.Time // times at which requests arrived at hosts, by request id
+	executed   map[int]int         // how often each write was executed, by request id
 	faults     []string
 }
 
-// Run makes one run.
+// Run executes the plan of the given seed and returns the result.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	r := &run{
 		plan: MakePlan(options.Seed), program: options.Program, defect: options.Defect,
@@ -162,7 +162,7 @@
 	return os.WriteFile(r.configFile, text, 0o600)
 }
 
-// classSettings are the deployment's classes with the plan's deadlines.
+// classSettings returns the settings of the deployment's request classes with the deadlines of the plan.
 func (r *run) classSettings() []map[string]any {
 	classes := emulator.ClassSettings()
 	for _, settings := range classes {
@@ -175,7 +175,7 @@
 	return classes
 }
 
-// close ends all that was started.
+// close ends all processes, hosts and discovery that the run started.
 func (r *run) close() {
 	for _, p := range r.all {
 		p.close()
@@ -188,7 +188,7 @@
 	}
 }
 
-// observe notes a request that arrives at a host.
+// observe records a request that arrives at a host.
 func (r *run) observe(statement string, executesWrite bool) {
 	id := idOf(statement)
 	r.mu.Lock()
@@ -202,7 +202,7 @@
 	}
 }
 
-// front returns the process that new connections go to, and whether any do.
+// front returns the number of the process that clients connect to, and whether they may open new connections.
 func (r *run) front() (generation int, open bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/restartsoak/soak_test.go
+++ b/internal/lab/restartsoak/soak_test.go
@@ -33,8 +33,9 @@
 	return result
 }
 
-// Restarts with signals in series, clients that send ahead, and faults of hosts, discovery and the log lose no request, run
-// none twice, and end and return in time. The long soak is cloverrock-lab soak.
+// Guards against requests that are lost or executed twice, and against processes that exit or become ready too late, when
+// a gateway is restarted under series of signals, pipelining clients and faults of hosts, discovery and the log. This test
+// runs a few seeds; `cloverrock-lab soak` runs many.
 func TestRestartsLoseNoRequest(t *testing.T) {
 	program := buildGateway(t)
 	for _, seed := range []uint64{1, 2, 3, 4, 5, 6} {
@@ -46,16 +47,16 @@
 					strings.Join(result.Faults, "\n"), strings.Join(result.First, "\n"))
 			}
 			if result.Answers[answerNames[served]] < result.Requests/4 {
-				t.Errorf("only %v of %d requests were served", result.Answers, result.Requests)
+				t.Errorf("outcomes %v: fewer than a quarter of %d requests were served", result.Answers, result.Requests)
 			}
 		})
 	}
 }
 
-// Each check of the soak finds the fault that it is there for.
+// Guards against a check that no longer detects its fault: each deliberate defect must be reported.
 func TestChecksFindTheirFaults(t *testing.T) {
 	program := buildGateway(t)
-	const seed = 6 // a plan without a crowd and with a log that is read
+	const seed = 6 // its plan has no idle connections, and its log is read
 	for defect, want := range map[string]string{
 		DefectAbrupt:    "lost: no answer when its connection ended",
 		DefectTwice:     "executed 2 times",
@@ -69,19 +70,19 @@
 			t.Parallel()
 			result := runSeed(t, Options{Program: program, Seed: seed, Defect: defect})
 			if !strings.Contains(strings.Join(result.Faults, "\n"), want) {
-				t.Errorf("not found: %s", want)
+				t.Errorf("no reported fault contains: %s", want)
 			}
 		})
 	}
 }
 
-// A run can be repeated by its seed.
+// Guards against plans that depend on more than the seed: a run must be repeatable by its seed.
 func TestPlanFollowsFromTheSeed(t *testing.T) {
 	for seed := range uint64(100) {
 		plan := MakePlan(seed)
 		if again := MakePlan(seed); len(plan.Signals) == 0 || len(plan.Signals) != len(again.Signals) ||
 			plan.LongestMS != again.LongestMS || len(plan.Faults) != len(again.Faults) {
-			t.Errorf("%+v and %+v", plan, again)
+			t.Errorf("the plans of one seed differ or have no signals: %+v and %+v", plan, again)
 		}
 	}
 }
