--- a/internal/lab/restartsoak/client.go
+++ b/internal/lab/restartsoak/client.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// crossing is the race window before a client detects that its connection was closed. A request written within it may not
-	// have been read by the gateway, so the missing answer is no fault unless a host received the request.
-	crossing    = 100 * time.Millisecond
-	dialTimeout = time.Second
-	redialPause = 10 * time.Millisecond
-	thinkTime   = 30 * time.Millisecond // mean pause between a client's queries
-	aheadMost   = 3                     // queries that a pipelining client has in flight at once
-
-	leavePercent  = 2 // of requests after which the client disconnects at once
-	piecesPercent = 5 // of requests that are sent in two parts
-	pieceBytes    = 10
-	piecePause    = 30 * time.Millisecond
+	// closeRaceWindow is the race window before a client detects that its connection was closed. The gateway may not have
+	// read a request that was written within it, so a missing answer is a fault only if a host received the request.
+	closeRaceWindow  = 100 * time.Millisecond
+	dialTimeout      = time.Second
+	redialPause      = 10 * time.Millisecond
+	thinkTime        = 30 * time.Millisecond // mean pause between a client's queries
+	maxPipelineDepth = 3                     // queries that a pipelining client has in flight at once
+
+	disconnectPercent = 2 // of requests after which the client disconnects at once
+	splitPercent      = 5 // of requests that are sent in two parts
+	splitAtBytes      = 10
+	splitPause        = 30 * time.Millisecond
 )
 
 // client sends queries on one connection at a time, and opens another when the connection has ended.
 type client struct {
-	run    *run
-	random *rand.Rand
-	ahead  int
+	run           *run
+	random        *rand.Rand
+	pipelineDepth int
 }
 
-// play opens connections and uses them until the context ends.
-func (c *client) play(ctx context.Context) {
+// connectRepeatedly opens connections and uses them until the context ends.
+func (c *client) connectRepeatedly(ctx context.Context) {
 	for ctx.Err() == nil {
-		generation, open := c.run.front()
+		generation, open := c.run.connectTarget()
 		if !open {
 			sleep(ctx, redialPause)
 			continue
@@ -47,25 +47,25 @@
 			sleep(ctx, redialPause)
 			continue
 		}
-		c.use(ctx, conn, generation)
+		c.useConnection(ctx, conn, generation)
 	}
 }
 
 // session is a connection of a client with its queries in flight.
 type session struct {
 	net.Conn
-	run       *run
-	slots     chan struct{} // holds a token for each query in flight
-	ended     chan struct{} // closed when the connection has ended and no more answers can arrive
-	mu        sync.Mutex
-	inFlight  []*request
-	left      bool // the client has closed the connection
-	answered  bool
-	lastReply time.Time
+	run            *run
+	slots          chan struct{} // holds a token for each query in flight
+	ended          chan struct{} // closed when the connection has ended and no more answers can arrive
+	mu             sync.Mutex
+	inFlight       []*request
+	closedByClient bool // the client has closed the connection
+	answered       bool
+	lastReply      time.Time
 }
 
-func (c *client) use(ctx context.Context, conn net.Conn, generation int) {
-	s := &session{Conn: conn, run: c.run, slots: make(chan struct{}, c.ahead), ended: make(chan struct{})}
+func (c *client) useConnection(ctx context.Context, conn net.Conn, generation int) {
+	s := &session{Conn: conn, run: c.run, slots: make(chan struct{}, c.pipelineDepth), ended: make(chan struct{})}
 	defer func() { _ = conn.Close() }() // may be closed already
 	if _, err := conn.Write(pgwire.AppendStartup(nil, "user", "soak", "database", "soak")); err != nil {
 		return
@@ -85,7 +85,7 @@
 			return
 		}
 	}
-	s.finish()
+	s.awaitAnswersAndClose()
 }
 
 // send writes one query, and returns false if the connection can no longer be used.
@@ -95,12 +95,12 @@
 	s.mu.Lock()
 	s.inFlight = append(s.inFlight, req)
 	s.mu.Unlock()
-	pieces := c.random.IntN(100) < piecesPercent
-	if pieces {
-		if _, err := s.Write(message[:pieceBytes]); err == nil {
-			time.Sleep(piecePause)
+	split := c.random.IntN(100) < splitPercent
+	if split {
+		if _, err := s.Write(message[:splitAtBytes]); err == nil {
+			time.Sleep(splitPause)
 		}
-		message = message[pieceBytes:]
+		message = message[splitAtBytes:]
 	}
 	_, err := s.Write(message)
 	s.mu.Lock()
@@ -109,32 +109,32 @@
 	if err != nil {
 		return false
 	}
-	if c.random.IntN(100) < leavePercent {
-		s.leave(c.run.defect == DefectLateLeave)
+	if c.random.IntN(100) < disconnectPercent {
+		s.disconnect(c.run.defect == DefectLateLeave)
 		return false
 	}
 	return true
 }
 
-// leave closes the connection while queries are in flight. With tooEarly (DefectLateLeave), the disconnect is recorded
-// earlier than it happens, so that attempts begin after the recorded time.
-func (s *session) leave(tooEarly bool) {
-	leftAt := time.Now()
-	if tooEarly {
-		leftAt = leftAt.Add(-4 * attemptAfterLeave)
+// disconnect closes the connection while queries are in flight. With recordEarly (DefectLateLeave), the disconnect
+// is recorded earlier than it happens, so that attempts begin after the recorded time.
+func (s *session) disconnect(recordEarly bool) {
+	disconnectedAt := time.Now()
+	if recordEarly {
+		disconnectedAt = disconnectedAt.Add(-4 * attemptAfterDisconnect)
 		time.Sleep(redialPause)
 	}
 	s.mu.Lock()
-	s.left = true
+	s.closedByClient = true
 	for _, req := range s.inFlight {
-		req.leftAt = leftAt
+		req.disconnectedAt = disconnectedAt
 	}
 	s.mu.Unlock()
 	_ = s.Close()
 }
 
-// finish waits up to finishTimeout for the answers in flight, and closes the connection.
-func (s *session) finish() {
+// awaitAnswersAndClose waits up to finishTimeout for the answers in flight, and closes the connection.
+func (s *session) awaitAnswersAndClose() {
 	for deadline := time.Now().Add(finishTimeout); time.Now().Before(deadline); time.Sleep(redialPause) {
 		s.mu.Lock()
 		waiting := len(s.inFlight)
@@ -144,13 +144,13 @@
 		}
 	}
 	s.mu.Lock()
-	s.left = true
+	s.closedByClient = true
 	s.mu.Unlock()
 	_ = s.Close()
 	<-s.ended
 }
 
-// read processes answers until the connection ends.
+// read reads answers until the connection ends.
 func (s *session) read() {
 	defer close(s.ended)
 	reader := bufio.NewReader(s)
@@ -159,7 +159,7 @@
 	for {
 		message, err := emulator.ReadMessage(reader)
 		if err != nil {
-			s.end()
+			s.recordUnanswered()
 			return
 		}
 		switch message.Type {
@@ -172,11 +172,11 @@
 				kind = rejected
 			}
 			if started && response.Severity == "FATAL" { // no ReadyForQuery follows
-				s.answer(kind)
+				s.assignAnswer(kind)
 			}
 		case 'Z':
 			if started {
-				s.answer(kind)
+				s.assignAnswer(kind)
 			}
 			started = true
 			kind = unanswered
@@ -184,8 +184,8 @@
 	}
 }
 
-// answer assigns an answer to the oldest query in flight.
-func (s *session) answer(kind answerKind) {
+// assignAnswer assigns an answer to the oldest query in flight.
+func (s *session) assignAnswer(kind outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.inFlight) == 0 {
@@ -193,47 +193,47 @@
 	}
 	req := s.inFlight[0]
 	s.inFlight = s.inFlight[1:]
-	s.settle(req, kind)
+	s.recordOutcome(req, kind)
 	s.answered = true
-	s.lastReply = req.answeredAt
+	s.lastReply = req.endedAt
 	<-s.slots
 }
 
-// settle records the outcome of a request. Its time limit begins when it was sent, or with the previous answer on the
-// connection if that came later: time spent waiting behind earlier queries does not count.
-func (s *session) settle(req *request, kind answerKind) {
+// recordOutcome records the outcome of a request. Its deadline counts from when it was sent, or from the previous answer on
+// the connection if that came later: time spent waiting behind earlier queries does not count.
+func (s *session) recordOutcome(req *request, kind outcome) {
 	now := time.Now()
 	if req.sentAt.IsZero() {
 		req.sentAt = now
 	}
-	from := req.sentAt
-	if s.lastReply.After(from) {
-		from = s.lastReply
+	waitStart := req.sentAt
+	if s.lastReply.After(waitStart) {
+		waitStart = s.lastReply
 	}
-	req.dueAt = from.Add(req.class.wait)
-	req.answeredAt = now
-	req.answer = kind
+	req.dueAt = waitStart.Add(req.class.deadline)
+	req.endedAt = now
+	req.outcome = kind
 	s.run.record(req)
 }
 
-// end records the outcome of the queries in flight when the connection has ended.
-func (s *session) end() {
+// recordUnanswered records the outcome of the queries in flight when the connection has ended.
+func (s *session) recordUnanswered() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	for _, req := range s.inFlight {
 		kind := unanswered
 		switch {
-		case !req.leftAt.IsZero():
-			kind = clientLeft
-		case s.left:
-			kind = stillWaiting
-		case req.sentAt.IsZero() || now.Sub(req.sentAt) < crossing:
-			kind = crossed
-		case !s.answered && s.run.plan.Crowd > 0:
+		case !req.disconnectedAt.IsZero():
+			kind = clientDisconnected
+		case s.closedByClient:
+			kind = pendingAtEnd
+		case req.sentAt.IsZero() || now.Sub(req.sentAt) < closeRaceWindow:
+			kind = closeRace
+		case !s.answered && s.run.plan.IdleConnections > 0:
 			kind = notAccepted
 		}
-		s.settle(req, kind)
+		s.recordOutcome(req, kind)
 	}
 	s.inFlight = nil
 }
--- a/internal/lab/restartsoak/evaluate.go
+++ b/internal/lab/restartsoak/evaluate.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	answerSlack       = 500 * time.Millisecond // an answer this long after the deadline still counts as in time
-	attemptAfterLeave = 100 * time.Millisecond // an attempt may still begin this long after its client disconnected
-	maxLogLines       = 40
+	answerSlack            = 500 * time.Millisecond // an answer this long after the deadline still counts as in time
+	attemptAfterDisconnect = 100 * time.Millisecond // an attempt may still begin this long after its client disconnected
+	maxLogLines            = 40
 )
 
-var answerNames = [...]string{
-	unanswered: "unanswered", served: "served", rejected: "rejected", failed: "failed", crossed: "crossed a close",
-	notAccepted: "not accepted", clientLeft: "client left", stillWaiting: "client stopped waiting",
+var outcomeNames = [...]string{
+	unanswered: "unanswered", served: "served", rejected: "rejected", failed: "failed", closeRace: "crossed a close",
+	notAccepted: "not accepted", clientDisconnected: "client left", pendingAtEnd: "client stopped waiting",
 }
 
 // evaluate checks all requests and returns the result of the run.
@@ -28,49 +28,50 @@
 	result := &Result{Plan: r.plan, Defect: r.defect, Requests: len(r.requests), Answers: map[string]int{}}
 	slices.SortFunc(r.requests, func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 	for _, req := range r.requests {
-		result.Answers[answerNames[req.answer]]++
-		problem := r.problemOf(req)
+		result.Answers[outcomeNames[req.outcome]]++
+		problem := r.violationOf(req)
 		if problem == "" {
 			continue
 		}
 		r.faults = append(r.faults, fmt.Sprintf("request %d of class %s to process %d, sent %s: %s",
 			req.id, req.class.name, req.generation, req.sentAt.Format("05.000"), problem))
-		if result.First == nil {
-			result.First = r.logOf(req.id)
+		if result.FirstFaultLog == nil {
+			result.FirstFaultLog = r.logLinesOf(req.id)
 		}
 	}
 	result.Faults = r.faults
 	return result
 }
 
-// problemOf describes the rule that a request violates. It returns an empty string if there is none.
-func (r *run) problemOf(req *request) string {
+// violationOf describes the rule that a request violates. It returns an empty string if there is none.
+func (r *run) violationOf(req *request) string {
 	if n := r.executed[req.id]; n > 1 {
 		return fmt.Sprintf("executed %d times", n)
 	}
-	if req.answer == clientLeft {
+	if req.outcome == clientDisconnected {
 		for _, arrived := range r.arrivals[req.id] {
-			if late := arrived.Sub(req.leftAt); late > attemptAfterLeave {
-				return fmt.Sprintf("an attempt reached a host %v after its client had left", late)
+			if delay := arrived.Sub(req.disconnectedAt); delay > attemptAfterDisconnect {
+				return fmt.Sprintf("an attempt reached a host %v after its client had left", delay)
 			}
 		}
 		return ""
 	}
 	switch {
-	case req.answer == unanswered, req.answer == stillWaiting:
-		return fmt.Sprintf("lost: no answer when its connection ended after %v", req.answeredAt.Sub(req.sentAt))
-	case req.answer == crossed && len(r.arrivals[req.id]) > 0:
+	case req.outcome == unanswered, req.outcome == pendingAtEnd:
+		return fmt.Sprintf("lost: no answer when its connection ended after %v", req.endedAt.Sub(req.sentAt))
+	case req.outcome == closeRace && len(r.arrivals[req.id]) > 0:
 		return "lost: forwarded, but its connection was closed"
-	case req.answeredAt.After(req.dueAt.Add(answerSlack)):
-		return fmt.Sprintf("lost: answered (%s) %v after its deadline", answerNames[req.answer], req.answeredAt.Sub(req.dueAt))
+	case req.endedAt.After(req.dueAt.Add(answerSlack)):
+		return fmt.Sprintf("lost: answered (%s) %v after its deadline", outcomeNames[req.outcome], req.endedAt.Sub(req.dueAt))
 	}
 	return ""
 }
 
-// logOf returns the gateways' log lines about a request. They name it by the client's id or by the gateway's own number.
-func (r *run) logOf(id int) []string {
+// logLinesOf returns the log lines of the gateway processes about a request. They name it by the client's id or by the
+// gateway's own number.
+func (r *run) logLinesOf(id int) []string {
 	var found []string
-	for _, p := range r.all {
+	for _, p := range r.started {
 		if p.logFile == "" {
 			continue
 		}
@@ -86,15 +87,15 @@
 
 func linesOf(file *os.File, id int) []string {
 	var found []string
-	own := ""
+	requestField := ""
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		line := lines.Text()
 		if strings.Contains(line, fmt.Sprintf(`"id":"%d"`, id)) {
 			_, rest, _ := strings.Cut(line, `"request":`)
 			number, _, _ := strings.Cut(rest, ",")
-			own = `"request":` + number + ","
+			requestField = `"request":` + number + ","
 			found = append(found, line)
-		} else if own != "" && strings.Contains(line, own) || strings.Contains(line, `"message":"app: `) {
+		} else if requestField != "" && strings.Contains(line, requestField) || strings.Contains(line, `"message":"app: `) {
 			found = append(found, line)
 		}
 	}
--- a/internal/lab/restartsoak/plan.go
+++ b/internal/lab/restartsoak/plan.go
@@ -15,22 +15,22 @@
 // Plan describes the signals and faults of one run. Times are in milliseconds; those of signals and faults are relative to
 // the first SIGTERM.
 type Plan struct {
-	Seed            uint64         `json:"seed"`
-	LongestMS       int            `json:"longest_deadline_ms"` // deadline of the class of writes
-	HangPercent     int            `json:"hang_percent"`        // percentage of queries that the hosts never answer
-	Crowd           int            `json:"crowd"`               // idle connections that use up the gateway's descriptors
-	StalledLog      bool           `json:"stalled_log"`         // the log is a full pipe that is never read
-	TerminatedStart int            `json:"terminated_start_ms"` // an extra process gets SIGTERM at this age; 0: none
-	FrontMS         int            `json:"front_ms"`            // clients open new connections until this time
-	Signals         []PlannedEvent `json:"signals"`
-	Faults          []PlannedEvent `json:"faults"`
+	Seed              uint64         `json:"seed"`
+	LongestDeadlineMS int            `json:"longest_deadline_ms"` // deadline of the class of writes
+	HangPercent       int            `json:"hang_percent"`        // percentage of queries that the hosts never answer
+	IdleConnections   int            `json:"crowd"`               // idle connections that use up the gateway's descriptors
+	StalledLog        bool           `json:"stalled_log"`         // the log is a full pipe that is never read
+	TerminatedStartMS int            `json:"terminated_start_ms"` // an extra process gets SIGTERM at this age; 0: none
+	StopConnectingMS  int            `json:"front_ms"`            // clients open new connections until this time
+	Signals           []PlannedEvent `json:"signals"`
+	Faults            []PlannedEvent `json:"faults"`
 }
 
 // PlannedEvent is a signal or a fault at a given time.
 type PlannedEvent struct {
 	AtMS  int    `json:"at_ms"`
 	What  string `json:"what"`
-	Times int    `json:"times,omitempty"` // how often a signal is sent, without a pause
+	Count int    `json:"times,omitempty"` // how often a signal is sent, without a pause
 }
 
 // Signals and faults that a plan can contain.
@@ -54,17 +54,17 @@
 func MakePlan(seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, randomStream))
 	plan := Plan{
-		Seed:        seed,
-		LongestMS:   []int{800, 3000, 3000, 5000}[random.IntN(4)],
-		HangPercent: random.IntN(8),
-		FrontMS:     200 + random.IntN(200),
-		StalledLog:  random.IntN(4) == 0,
+		Seed:              seed,
+		LongestDeadlineMS: []int{800, 3000, 3000, 5000}[random.IntN(4)],
+		HangPercent:       random.IntN(8),
+		StopConnectingMS:  200 + random.IntN(200),
+		StalledLog:        random.IntN(4) == 0,
 	}
 	if random.IntN(4) == 0 {
-		plan.Crowd = 300
+		plan.IdleConnections = 300
 	}
 	if random.IntN(4) == 0 {
-		plan.TerminatedStart = 1 + random.IntN(60)
+		plan.TerminatedStartMS = 1 + random.IntN(60)
 	}
 	plan.Signals = makeSignals(random)
 	for range random.IntN(3) {
@@ -77,12 +77,12 @@
 func makeSignals(random *rand.Rand) []PlannedEvent {
 	var signals []PlannedEvent
 	if random.IntN(2) == 0 {
-		signals = append(signals, PlannedEvent{AtMS: -random.IntN(300), What: signalHUP, Times: 1 + random.IntN(30)})
+		signals = append(signals, PlannedEvent{AtMS: -random.IntN(300), What: signalHUP, Count: 1 + random.IntN(30)})
 	}
-	signals = append(signals, PlannedEvent{What: signalTERM, Times: 1 + random.IntN(2)})
+	signals = append(signals, PlannedEvent{What: signalTERM, Count: 1 + random.IntN(2)})
 	for at := random.IntN(300); at < 800; at += 1 + random.IntN(400) {
 		what := []string{signalHUP, signalTERM}[random.IntN(2)]
-		signals = append(signals, PlannedEvent{AtMS: at, What: what, Times: 1 + random.IntN(5)})
+		signals = append(signals, PlannedEvent{AtMS: at, What: what, Count: 1 + random.IntN(5)})
 	}
 	return signals
 }
@@ -95,7 +95,7 @@
 
 // killAfter returns the time from SIGTERM to the earliest possible SIGKILL by the platform.
 func (p *Plan) killAfter() time.Duration {
-	return min(milliseconds(p.LongestMS), maxCountedDeadline) + killDelay
+	return min(milliseconds(p.LongestDeadlineMS), maxCountedDeadline) + killDelay
 }
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/lab/restartsoak/play.go
+++ b/internal/lab/restartsoak/play.go
@@ -12,10 +12,10 @@
 	"cloverrock/internal/pgwire"
 )
 
-// play executes the plan: it restarts the gateway under load, runs the checks and ends the second process.
-func (r *run) play(ctx context.Context) error {
-	if r.plan.TerminatedStart > 0 {
-		if err := r.terminateStart(ctx); err != nil {
+// runPlan executes the plan: it restarts the gateway under load, runs the checks and ends the second process.
+func (r *run) runPlan(ctx context.Context) error {
+	if r.plan.TerminatedStartMS > 0 {
+		if err := r.terminateDuringStart(ctx); err != nil {
 			return err
 		}
 	}
@@ -27,12 +27,12 @@
 	defer stopLoad()
 	var clients sync.WaitGroup
 	r.startClients(load, &clients)
-	crowd := r.openCrowd()
-	sleep(ctx, loadBefore)
+	idle := r.openPlannedIdle()
+	sleep(ctx, loadBeforeRestart)
 	r.restart(ctx, first)
-	closeAll(crowd)
+	closeAll(idle)
 	if r.defect == DefectNoList {
-		if err := r.withholdList(); err != nil {
+		if err := r.withholdEndpointList(); err != nil {
 			return err
 		}
 	}
@@ -40,26 +40,26 @@
 	if err != nil {
 		return err
 	}
-	sleep(ctx, loadAfter)
+	sleep(ctx, loadAfterRestart)
 	stopLoad()
 	clients.Wait()
 	r.checkDescriptors(ctx, second)
 	r.checkMemory(second)
-	r.setFront(false)
+	r.setConnectable(false)
 	signaled := time.Now()
 	second.signal(PlannedEvent{What: signalTERM})
-	r.checkEnd(second, signaled)
+	r.checkExit(second, signaled)
 	return nil
 }
 
-// terminateStart starts a process and sends it SIGTERM during startup. The process has accepted no request yet, so any exit
-// status is allowed.
-func (r *run) terminateStart(ctx context.Context) error {
+// terminateDuringStart starts a process and sends it SIGTERM during startup. The process has accepted no request yet, so
+// any exit status is allowed.
+func (r *run) terminateDuringStart(ctx context.Context) error {
 	p, err := r.startProcess()
 	if err != nil {
 		return err
 	}
-	sleep(ctx, milliseconds(r.plan.TerminatedStart))
+	sleep(ctx, milliseconds(r.plan.TerminatedStartMS))
 	p.signal(PlannedEvent{What: signalTERM})
 	if !p.waitEnded(r.plan.killAfter()) {
 		r.fault("a process that got SIGTERM as it started did not end in %v", r.plan.killAfter())
@@ -76,25 +76,25 @@
 	}
 	err = r.waitReady(ctx)
 	if errors.Is(err, errNotReady) {
-		r.fault("not ready within %v", readyLimit)
+		r.fault("not ready within %v", readyTimeout)
 		err = nil
 	}
-	r.setFront(true)
+	r.setConnectable(true)
 	return p, err
 }
 
 func (r *run) startClients(ctx context.Context, clients *sync.WaitGroup) {
 	for i := range clientCount {
-		c := &client{run: r, random: rand.New(rand.NewPCG(r.plan.Seed, uint64(i))), ahead: 1}
-		if i%clientsAhead == 0 {
-			c.ahead = aheadMost
+		c := &client{run: r, random: rand.New(rand.NewPCG(r.plan.Seed, uint64(i))), pipelineDepth: 1}
+		if i%pipeliningClientInterval == 0 {
+			c.pipelineDepth = maxPipelineDepth
 		}
-		clients.Go(func() { c.play(ctx) })
+		clients.Go(func() { c.connectRepeatedly(ctx) })
 	}
 }
 
-// openCrowd opens the idle connections of the plan.
-func (r *run) openCrowd() []net.Conn { return r.openIdle(r.plan.Crowd) }
+// openPlannedIdle opens the idle connections of the plan.
+func (r *run) openPlannedIdle() []net.Conn { return r.openIdle(r.plan.IdleConnections) }
 
 func (r *run) openIdle(number int) []net.Conn {
 	var idle []net.Conn
@@ -126,13 +126,13 @@
 
 // restart sends the signals and injects the faults of the plan, and checks that the process exits in time.
 func (r *run) restart(ctx context.Context, p *process) {
-	signaled := time.Now().Add(loadBefore / 2)
+	signaled := time.Now().Add(loadBeforeRestart / 2)
 	at := func(ms int) { sleep(ctx, time.Until(signaled.Add(milliseconds(ms)))) }
 	var events sync.WaitGroup
 	for _, event := range r.plan.Faults {
 		events.Go(func() {
 			at(event.AtMS)
-			r.makeFault(event.What)
+			r.injectFault(event.What)
 		})
 	}
 	events.Go(func() {
@@ -142,8 +142,8 @@
 		}
 	})
 	events.Go(func() {
-		at(r.plan.FrontMS)
-		r.setFront(false)
+		at(r.plan.StopConnectingMS)
+		r.setConnectable(false)
 	})
 	at(0)
 	switch r.defect {
@@ -153,12 +153,12 @@
 		at(1)
 		_ = p.command.Process.Signal(syscall.SIGSTOP)
 	}
-	r.checkEnd(p, signaled)
+	r.checkExit(p, signaled)
 	events.Wait()
 }
 
-// makeFault applies a planned fault to the hosts or the endpoint list.
-func (r *run) makeFault(what string) {
+// injectFault applies a planned fault to the hosts or the endpoint list.
+func (r *run) injectFault(what string) {
 	switch what {
 	case faultHostDies:
 		r.hosts[hostCount-1].Close()
@@ -176,14 +176,14 @@
 	}
 }
 
-// withholdList makes the next process start without an endpoint list, and discovery stop answering.
-func (r *run) withholdList() error {
+// withholdEndpointList makes the next process start without an endpoint list, and discovery stop answering.
+func (r *run) withholdEndpointList() error {
 	r.discovery.Silence()
 	return r.writeConfiguration("null")
 }
 
-// checkEnd checks that a process exits with code 0 before the earliest possible SIGKILL, and kills it otherwise.
-func (r *run) checkEnd(p *process, signaled time.Time) {
+// checkExit checks that a process exits with code 0 before the earliest possible SIGKILL, and kills it otherwise.
+func (r *run) checkExit(p *process, signaled time.Time) {
 	if !p.waitEnded(time.Until(signaled.Add(r.plan.killAfter()))) {
 		r.fault("did not end within %v of SIGTERM", r.plan.killAfter())
 		_ = p.command.Process.Kill()
@@ -204,7 +204,7 @@
 	}
 	const ownDescriptors = 16 // standard streams, log, event loop, listener, discovery, timers
 	open := 0
-	for began := time.Now(); time.Since(began) < descriptorLimit; sleep(ctx, redialPause) {
+	for began := time.Now(); time.Since(began) < descriptorTimeout; sleep(ctx, redialPause) {
 		open = p.descriptors()
 		for _, host := range r.hosts {
 			open -= host.Connections()
--- a/internal/lab/restartsoak/process.go
+++ b/internal/lab/restartsoak/process.go
@@ -22,7 +22,7 @@
 type process struct {
 	command *exec.Cmd
 	logFile string        // empty if the log goes to a pipe that is never read
-	stalled [2]*os.File   // both ends of that pipe
+	logPipe [2]*os.File   // both ends of that pipe
 	ended   chan struct{} // closed when the process has ended
 	endedAt time.Time     // valid after ended is closed
 }
@@ -31,12 +31,12 @@
 
 // startProcess starts the gateway.
 func (r *run) startProcess() (*process, error) {
-	r.processes++
+	r.processCount++
 	p := &process{ended: make(chan struct{})}
 	p.command = exec.Command(r.program, "serve", "--log", "trace")
 	p.command.Env = append(os.Environ(), "EDGE_CONFIG="+r.configFile)
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // kill the process if the run dies
-	if err := p.openLog(r.directory, r.processes, r.plan.StalledLog); err != nil {
+	if err := p.openLog(r.directory, r.processCount, r.plan.StalledLog); err != nil {
 		return nil, err
 	}
 	err := p.command.Start()
@@ -51,14 +51,14 @@
 		p.endedAt = time.Now()
 		close(p.ended)
 	}()
-	r.all = append(r.all, p)
+	r.started = append(r.started, p)
 	return p, nil
 }
 
 func (p *process) openLog(directory string, number int, stalled bool) error {
 	if stalled {
 		reader, writer, err := fullpipe.Open()
-		p.stalled = [2]*os.File{reader, writer}
+		p.logPipe = [2]*os.File{reader, writer}
 		p.command.Stderr = writer
 		return err
 	}
@@ -72,7 +72,7 @@
 func (p *process) close() {
 	_ = p.command.Process.Kill() // it may have ended already
 	<-p.ended
-	for _, end := range p.stalled {
+	for _, end := range p.logPipe {
 		if end != nil {
 			_ = end.Close() // the unread rest of the log is discarded
 		}
@@ -80,7 +80,7 @@
 }
 
 func (p *process) signal(event PlannedEvent) {
-	for range max(event.Times, 1) {
+	for range max(event.Count, 1) {
 		_ = p.command.Process.Signal(signalNumbers[event.What]) // it may have ended already
 	}
 }
@@ -97,7 +97,7 @@
 
 // waitReady waits until the gateway answers an empty query. The gateway does so as soon as it has an endpoint list.
 func (r *run) waitReady(ctx context.Context) error {
-	for began := time.Now(); time.Since(began) < readyLimit && ctx.Err() == nil; sleep(ctx, redialPause) {
+	for began := time.Now(); time.Since(began) < readyTimeout && ctx.Err() == nil; sleep(ctx, redialPause) {
 		if r.isReady() {
 			return nil
 		}
--- a/internal/lab/restartsoak/request.go
+++ b/internal/lab/restartsoak/request.go
@@ -7,45 +7,45 @@
 	"cloverrock/internal/pgwire"
 )
 
-// answerKind is the outcome of a request from the client's point of view.
-type answerKind uint8
+// outcome is the outcome of a request from the client's point of view.
+type outcome uint8
 
 const (
-	unanswered answerKind = iota
+	unanswered outcome = iota
 	served
 	rejected
 	failed
-	crossed      // the connection was closed while the request was being sent, before the gateway read it
-	notAccepted  // the connection was closed before its first answer, while idle connections used up the descriptors
-	clientLeft   // the client closed the connection on purpose
-	stillWaiting // no answer had arrived when the client closed the connection at the end of the run
+	closeRace          // the connection was closed while the request was being sent, before the gateway read it
+	notAccepted        // the connection was closed before its first answer, while idle connections used up the descriptors
+	clientDisconnected // the client closed the connection on purpose
+	pendingAtEnd       // no answer had arrived when the client closed the connection at the end of the run
 )
 
 // request is one query of a client.
 type request struct {
-	id         int
-	class      class
-	sentAt     time.Time // when its last byte was written
-	dueAt      time.Time // latest time of its answer, without answerSlack; set together with the outcome
-	answeredAt time.Time // when the answer arrived, or when the connection ended without one
-	answer     answerKind
-	leftAt     time.Time // when the client disconnected on purpose; zero if it did not
-	generation int       // number of the process that it was sent to
+	id             int
+	class          class
+	sentAt         time.Time // when its last byte was written
+	dueAt          time.Time // latest time of its answer, without answerSlack; set together with the outcome
+	endedAt        time.Time // when the answer arrived, or when the connection ended without one
+	outcome        outcome
+	disconnectedAt time.Time // when the client disconnected on purpose; zero if it did not
+	generation     int       // number of the process that it was sent to
 }
 
 // class is a request class.
 type class struct {
-	name  string
-	wait  time.Duration
-	write bool
+	name     string
+	deadline time.Duration
+	write    bool
 }
 
 // classes returns the request classes of a plan. Their deadlines match those of run.classSettings.
 func (p *Plan) classes() []class {
-	short := min(800, p.LongestMS)
+	short := min(800, p.LongestDeadlineMS)
 	return []class{
-		{name: "zone-lookup", wait: milliseconds(short)},
-		{name: "zone-change", wait: milliseconds(p.LongestMS), write: true},
+		{name: "zone-lookup", deadline: milliseconds(short)},
+		{name: "zone-change", deadline: milliseconds(p.LongestDeadlineMS), write: true},
 	}
 }
 
@@ -55,7 +55,7 @@
 	if r.class.write {
 		statement = "INSERT INTO objects (oid, body) VALUES ('k', 'v') RETURNING body"
 	}
-	comment := fmt.Sprintf("/* id=%d,c=%s,d=%d,cluster=1 */ ", r.id, r.class.name, r.class.wait.Milliseconds())
+	comment := fmt.Sprintf("/* id=%d,c=%s,d=%d,cluster=1 */ ", r.id, r.class.name, r.class.deadline.Milliseconds())
 	return pgwire.AppendQuery(nil, comment+statement)
 }
 
--- a/internal/lab/restartsoak/soak.go
+++ b/internal/lab/restartsoak/soak.go
@@ -41,51 +41,51 @@
 
 // Result reports the requests and faults of a run.
 type Result struct {
-	Plan     Plan           `json:"plan"`
-	Defect   string         `json:"defect,omitempty"`
-	Requests int            `json:"requests"`
-	Answers  map[string]int `json:"answers"`
-	Faults   []string       `json:"faults"`
-	First    []string       `json:"first_fault_log,omitempty"` // log lines of the first request with a fault
+	Plan          Plan           `json:"plan"`
+	Defect        string         `json:"defect,omitempty"`
+	Requests      int            `json:"requests"`
+	Answers       map[string]int `json:"answers"`
+	Faults        []string       `json:"faults"`
+	FirstFaultLog []string       `json:"first_fault_log,omitempty"` // log lines of the first request with a fault
 }
 
 const (
-	clientCount     = 24
-	clientsAhead    = 4 // one client in this many sends several queries without waiting for answers
-	hostCount       = 3
-	hostWork        = 5 * time.Millisecond
-	replicaLag      = 15 * time.Millisecond
-	memoryMB        = 64
-	sockets         = 512
-	readyLimit      = 6 * time.Second
-	loadBefore      = 1200 * time.Millisecond // before the first SIGTERM
-	loadAfter       = time.Second             // after the restarted process is ready
-	finishTimeout   = 6 * time.Second         // time a client waits for its last answers
-	descriptorLimit = 1500 * time.Millisecond // until the clients' descriptors must be closed; shorter than any idle timeout
-	heldConnections = 30
+	clientCount              = 24
+	pipeliningClientInterval = 4 // one client in this many sends several queries without waiting for answers
+	hostCount                = 3
+	hostServiceTime          = 5 * time.Millisecond
+	replicaLag               = 15 * time.Millisecond
+	memoryMB                 = 64
+	sockets                  = 512
+	readyTimeout             = 6 * time.Second
+	loadBeforeRestart        = 1200 * time.Millisecond // before the first SIGTERM
+	loadAfterRestart         = time.Second             // after the restarted process is ready
+	finishTimeout            = 6 * time.Second         // time a client waits for its last answers
+	descriptorTimeout        = 1500 * time.Millisecond // until the clients' descriptors must be closed; shorter than any idle timeout
+	heldConnections          = 30
 )
 
 // run holds the state of one run.
 type run struct {
-	plan       Plan
-	program    string
-	defect     string
-	directory  string
-	listen     string
-	configFile string
-	hosts      []*emulator.Host
-	discovery  *emulator.Discovery
-	processes  int
-	all        []*process
-
-	mu         sync.Mutex // protects the fields below
-	lastID     int
-	generation int  // number of the process that clients connect to
-	frontOpen  bool // whether clients may open new connections
-	requests   []*request
-	arrivals   map[int][]time.Time // times at which requests arrived at hosts, by request id
-	executed   map[int]int         // how often each write was executed, by request id
-	faults     []string
+	plan         Plan
+	program      string
+	defect       string
+	directory    string
+	listen       string
+	configFile   string
+	hosts        []*emulator.Host
+	discovery    *emulator.Discovery
+	processCount int
+	started      []*process
+
+	mu          sync.Mutex // protects the fields below
+	lastID      int
+	generation  int  // number of the process that clients connect to
+	connectable bool // whether clients may open new connections
+	requests    []*request
+	arrivals    map[int][]time.Time // times at which requests arrived at hosts, by request id
+	executed    map[int]int         // how often each write was executed, by request id
+	faults      []string
 }
 
 // Run executes the plan of the given seed and returns the result.
@@ -103,7 +103,7 @@
 	if err := r.open(); err != nil {
 		return nil, err
 	}
-	if err := r.play(ctx); err != nil {
+	if err := r.runPlan(ctx); err != nil {
 		return nil, err
 	}
 	return r.evaluate(), ctx.Err()
@@ -116,7 +116,7 @@
 		return err
 	}
 	for i := range hostCount {
-		host, err := emulator.NewHost(fmt.Sprintf("s-%d", i), hostWork, replicaLag)
+		host, err := emulator.NewHost(fmt.Sprintf("s-%d", i), hostServiceTime, replicaLag)
 		if err != nil {
 			return err
 		}
@@ -166,9 +166,9 @@
 func (r *run) classSettings() []map[string]any {
 	classes := emulator.ClassSettings()
 	for _, settings := range classes {
-		deadline := min(settings["deadlineMs"].(int64), int64(r.plan.LongestMS))
+		deadline := min(settings["deadlineMs"].(int64), int64(r.plan.LongestDeadlineMS))
 		if settings["repeat"] == "non_idempotent" {
-			deadline = int64(r.plan.LongestMS)
+			deadline = int64(r.plan.LongestDeadlineMS)
 		}
 		settings["deadlineMs"] = deadline
 	}
@@ -177,7 +177,7 @@
 
 // close ends all processes, hosts and discovery that the run started.
 func (r *run) close() {
-	for _, p := range r.all {
+	for _, p := range r.started {
 		p.close()
 	}
 	for _, host := range r.hosts {
@@ -202,20 +202,20 @@
 	}
 }
 
-// front returns the number of the process that clients connect to, and whether they may open new connections.
-func (r *run) front() (generation int, open bool) {
+// connectTarget returns the number of the process that clients connect to, and whether they may open new connections.
+func (r *run) connectTarget() (generation int, open bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.generation, r.frontOpen
+	return r.generation, r.connectable
 }
 
-func (r *run) setFront(open bool) {
+func (r *run) setConnectable(open bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if open {
 		r.generation++
 	}
-	r.frontOpen = open
+	r.connectable = open
 }
 
 func (r *run) newRequest(random *rand.Rand, generation int) *request {
--- a/internal/lab/restartsoak/soak_test.go
+++ b/internal/lab/restartsoak/soak_test.go
@@ -44,9 +44,9 @@
 			result := runSeed(t, Options{Program: program, Seed: seed})
 			if len(result.Faults) > 0 {
 				t.Errorf("plan %+v, %v:\n%s\n%s", result.Plan, result.Answers,
-					strings.Join(result.Faults, "\n"), strings.Join(result.First, "\n"))
+					strings.Join(result.Faults, "\n"), strings.Join(result.FirstFaultLog, "\n"))
 			}
-			if result.Answers[answerNames[served]] < result.Requests/4 {
+			if result.Answers[outcomeNames[served]] < result.Requests/4 {
 				t.Errorf("outcomes %v: fewer than a quarter of %d requests were served", result.Answers, result.Requests)
 			}
 		})
@@ -81,7 +81,7 @@
 	for seed := range uint64(100) {
 		plan := MakePlan(seed)
 		if again := MakePlan(seed); len(plan.Signals) == 0 || len(plan.Signals) != len(again.Signals) ||
-			plan.LongestMS != again.LongestMS || len(plan.Faults) != len(again.Faults) {
+			plan.LongestDeadlineMS != again.LongestDeadlineMS || len(plan.Faults) != len(again.Faults) {
 			t.Errorf("the plans of one seed differ or have no signals: %+v and %+v", plan, again)
 		}
 	}
