--- a/internal/lab/emulator/classes.go
+++ b/internal/lab/emulator/classes.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Class is a class of requests.
+// Class describes a request class.
 type Class struct {
 	Name             string
-	Share            float64 // of all requests
+	Share            float64 // fraction of all requests
 	LatencyObjective time.Duration
 	Deadline         time.Duration
 	PriorityWeight   float64
-	LatePart         float64 // part of the weight that an answer after the objective earns
+	LatePart         float64 // fraction of the weight earned by an answer between the objective and the deadline
 	Write            bool
-	Session          bool // a read that must see its session's writes
+	Session          bool // reads that must return the earlier writes of their session
 }
 
-// Classes are the request classes of the deployment.
+// Classes lists the request classes of the emulated deployment.
 var Classes = [...]Class{
 	{
 		Name: "zone-lookup", Share: 0.58, PriorityWeight: 1,
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -10,21 +10,21 @@
 	"cloverrock/internal/pgwire"
 )
 
-// ErrConnectionClosed is a new connection that was closed before its first answer. It counts as rejected.
+// ErrConnectionClosed reports that a new connection was closed before its first answer. It counts as a rejection.
 var ErrConnectionClosed = fmt.Errorf("%w: its new connection was closed", ErrRejected)
 
-// closeCrossing is the time after a request was written within which the gateway's close of the idle connection may have
-// crossed it on the way. With a later close the gateway had read the request.
+// closeCrossing is the race window after a request was written on an idle connection. If the gateway closes the connection
+// within it, the gateway may not have read the request. If it closes the connection later, it had read the request.
 const closeCrossing = 100 * time.Millisecond
 
-// sessionWriteAge is the age of the session's last write at each session read.
+// sessionWriteAge is the age that each session read states for the last write of its session.
 const sessionWriteAge = 300 * time.Millisecond
 
 // clientConnection is a client's connection to a gateway.
 type clientConnection struct {
 	net.Conn
 	gateway int
-	sentAt  time.Time // of the last request
+	sentAt  time.Time // when the last request was sent
 }
 
 // dial opens a connection and waits until the gateway is ready for queries.
@@ -46,10 +46,10 @@
 }
 
 func (c *clientConnection) close() {
-	_ = c.Close() // the connection is over either way
+	_ = c.Close() // the connection is not used again, whether or not this fails
 }
 
-// open reports whether an idle connection is still open; one that the gateway has closed is closed here, too.
+// open reports whether an idle connection is still open. If the gateway has closed it, open closes it on this side as well.
 func (c *clientConnection) open() bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Microsecond)) // as in dial
 	var one [1]byte
@@ -66,7 +66,7 @@
 	return !isTimeout(err) && time.Since(c.sentAt) < closeCrossing
 }
 
-// query sends a request and waits for its answer until slack after the request's deadline.
+// query sends a request and waits for its answer until slack after the deadline of the request.
 func (c *clientConnection) query(req request, slack time.Duration) error {
 	_ = c.SetDeadline(req.deadline.Add(slack)) // as in dial
 	text := req.text()
@@ -77,7 +77,7 @@
 	return readUntilReady(bufio.NewReader(c))
 }
 
-// text is the statement, with the comment that describes the request.
+// text returns the statement of a request, preceded by the comment that describes the request to the gateway.
 func (r request) text() string {
 	comment := fmt.Sprintf("id=%d,c=%s,d=%d,cluster=%d",
 		r.id, r.class.Name, time.Until(r.deadline).Milliseconds(), r.group)
@@ -91,7 +91,8 @@
 	return "/* " + comment + " */ " + statement
 }
 
-// newConnectionError converts the error of a request that got no answer on a new connection.
+// newConnectionError converts the error of a request that got no answer on a new connection: all errors except timeouts
+// become ErrConnectionClosed.
 func newConnectionError(err error) error {
 	if isTimeout(err) {
 		return err
@@ -104,7 +105,7 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// readUntilReady reads up to the next ReadyForQuery. It returns ErrRejected if an error came before it.
+// readUntilReady reads up to the next ReadyForQuery message. It returns ErrRejected if an error message came before it.
 func readUntilReady(reader *bufio.Reader) error {
 	var rejected error
 	for {
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -6,18 +6,19 @@
 	"sync"
 )
 
-// Discovery emulates the discovery service. Each watch gets the endpoint list that was published last and each later one.
+// Discovery emulates the discovery service. It sends to each watch the endpoint list that was published last, and every
+// list that is published later.
 type Discovery struct {
 	listener net.Listener
 	wait     sync.WaitGroup
 
 	mu      sync.Mutex
 	watches []net.Conn
-	list    string // as JSON; empty: none yet
-	silent  bool
+	list    string // JSON; empty before the first publication
+	silent  bool   // new watches get no response
 }
 
-// NewDiscovery listens on a loopback address.
+// NewDiscovery starts a discovery service on a loopback address.
 func NewDiscovery() (*Discovery, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -46,7 +47,7 @@
 	if d.silent {
 		return
 	}
-	_, _ = fmt.Fprint(watch, head) // the watch's client may have closed it
+	_, _ = fmt.Fprint(watch, head) // fails if the client has closed the watch
 	d.send(watch)
 }
 
@@ -67,21 +68,21 @@
 	}
 }
 
-// Silence makes it accept connections without answering them. Open watches still get published lists.
+// Silence stops responses to new watches, whose connections are still accepted. Open watches still get published lists.
 func (d *Discovery) Silence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = true
 }
 
-// Address returns the address at which it listens.
+// Address returns the address on which the service listens.
 func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
-// Close ends it and its connections.
+// Close stops the service and closes its connections.
 func (d *Discovery) Close() {
-	_ = d.listener.Close() // the listener is over either way
+	_ = d.listener.Close() // the listener is not used again, whether or not this fails
 	d.wait.Wait()
 	for _, watch := range d.watches {
-		_ = watch.Close() // the connection is over either way
+		_ = watch.Close() // the connection is not used again, whether or not this fails
 	}
 }
--- a/internal/lab/emulator/host.go
+++ b/internal/lab/emulator/host.go
@@ -1,5 +1,5 @@
-// Package emulator emulates database hosts, the discovery service and clients on loopback addresses, with PostgreSQL's
-// wire protocol and the JSON form of the endpoint list.
+// Package emulator emulates database hosts, the discovery service and clients on loopback addresses. It uses PostgreSQL's
+// wire protocol and the JSON format of the endpoint list.
 package emulator
 
 import (
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// Host is an emulated database host: primary or replica, answering or hanging. Its methods may be called from any
-// goroutine.
+// Host is an emulated database host. It is a primary or a replica, and it answers requests or hangs. Its methods are safe
+// for concurrent use, except those that must be called before the first connection.
 type Host struct {
 	ID     string
-	Writes atomic.Int64 // number of writes that were executed
+	Writes atomic.Int64 // number of executed writes
 
 	listener       net.Listener
 	secondListener net.Listener
@@ -30,15 +30,15 @@
 
 	slowStart             atomic.Pointer[slowStart]
 	overloadedInSlowStart atomic.Bool
-	cores                 chan struct{}    // a token for each core in use; nil: no limit
-	present               atomic.Int32     // requests that wait for a core or have one
-	arrived               func(before int) // called at each request; see LimitCores
+	cores                 chan struct{}    // holds a token for each core in use; nil: no limit
+	present               atomic.Int32     // requests that wait for a core or use one
+	arrived               func(before int) // called for each request; see LimitCores
 	observe               Observer         // nil: none
 	hangPercent           int
 }
 
-// NewHost returns a replica that listens on a loopback address. Each request takes the time work, and a replica's log
-// position is lag behind the clock.
+// NewHost starts a replica that listens on a loopback address. Each request takes the time work. The log position of a
+// replica is lag behind the clock.
 func NewHost(id string, work, lag time.Duration) (*Host, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -49,25 +49,25 @@
 	return h, nil
 }
 
-// LimitCores limits the number of requests that are executed at once: further ones wait, and the work of each is random
-// with the mean given to NewHost. arrived is called at each request with the number of those that are waiting or being
-// executed. LimitCores must be called before the first connection.
+// LimitCores limits the number of requests that are executed at once; further requests wait. The execution time of each is
+// then exponentially distributed with the mean given to NewHost. arrived is called for each request with the number of
+// other requests that are waiting or being executed. LimitCores must be called before the first connection.
 func (h *Host) LimitCores(cores int, arrived func(before int)) {
 	h.cores = make(chan struct{}, cores)
 	h.arrived = arrived
 }
 
-// Observer is told of each request that arrives: its statement, and whether the host executes it as a write.
+// Observer is called for each request that arrives, with its statement and whether the host executes it as a write.
 type Observer func(statement string, executesWrite bool)
 
-// Observe has each request reported, and a percentage of them executed but never answered. It must be called before the
-// first connection.
+// Observe reports each request to an observer, and leaves hangPercent percent of the requests without an answer. A write
+// among these is reported as executed all the same. Observe must be called before the first connection.
 func (h *Host) Observe(observe Observer, hangPercent int) {
 	h.observe = observe
 	h.hangPercent = hangPercent
 }
 
-// work takes the time of one request.
+// work blocks for the execution time of one request.
 func (h *Host) work() {
 	if h.cores == nil {
 		time.Sleep(h.workTime)
@@ -88,7 +88,7 @@
 	return len(h.connections)
 }
 
-// ListenSecond opens a second address and returns it.
+// ListenSecond makes the host listen on a second address and returns it.
 func (h *Host) ListenSecond() (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -99,7 +99,7 @@
 	return listener.Addr().String(), nil
 }
 
-// SilenceSecond sets whether requests at the second address get no answer.
+// SilenceSecond sets whether requests to the second address get no answer.
 func (h *Host) SilenceSecond(silent bool) { h.secondSilent.Store(silent) }
 
 func (h *Host) accept(listener net.Listener, silent *atomic.Bool) {
@@ -119,30 +119,30 @@
 }
 
 func (h *Host) remove(connection net.Conn) {
-	_ = connection.Close() // the connection is over either way
+	_ = connection.Close() // the connection is not used again, whether or not this fails
 	h.mu.Lock()
 	delete(h.connections, connection)
 	h.mu.Unlock()
 }
 
-// Address is where the host listens.
+// Address returns the address on which the host listens.
 func (h *Host) Address() string { return h.listener.Addr().String() }
 
-// SetPrimary makes the host the primary, or a replica.
+// SetPrimary makes the host the primary if primary is set, and a replica otherwise.
 func (h *Host) SetPrimary(primary bool) { h.primary.Store(primary) }
 
 // SetHanging sets whether the host reads requests without answering them.
 func (h *Host) SetHanging(hanging bool) { h.hanging.Store(hanging) }
 
-// Close ends the host and its connections.
+// Close stops the host and closes its connections.
 func (h *Host) Close() {
-	_ = h.listener.Close() // the listener is over either way
+	_ = h.listener.Close() // the listener is not used again, whether or not this fails
 	if h.secondListener != nil {
-		_ = h.secondListener.Close() // the listener is over either way
+		_ = h.secondListener.Close() // the listener is not used again, whether or not this fails
 	}
 	h.mu.Lock()
 	for connection := range h.connections {
-		_ = connection.Close() // the connection is over either way
+		_ = connection.Close() // the connection is not used again, whether or not this fails
 	}
 	h.mu.Unlock()
 	h.wait.Wait()
--- a/internal/lab/emulator/load.go
+++ b/internal/lab/emulator/load.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// ErrRejected is an error in answer to a request.
+// ErrRejected reports that the answer to a request was an error.
 var ErrRejected = errors.New("emulator: request rejected")
 
 // randomStream separates the load's random numbers from those of other users of the same seed.
 const randomStream = 3
 
-// Sample is one request. Its latency counts from the time for which it was scheduled.
+// Sample is the outcome of one request. Its latency counts from the time for which the request was scheduled.
 type Sample struct {
-	ID        int // in the comment of its statement, the last time it was sent
+	ID        int // id in the comment of its statement; if it was sent again, the id of the last time
 	At        time.Time
 	Class     int
 	Succeeded bool
 	Latency   time.Duration
-	Gateway   int   // number of the gateway that was asked
-	Err       error // nil if it succeeded; ErrRejected if the answer was an error; else there was no answer
+	Gateway   int   // number of the gateway that the request was sent to
+	Err       error // nil if it succeeded, ErrRejected if the answer was an error; any other error means that no answer came
 }
 
-// EarnedWeight is the priority weight that the request earned.
+// EarnedWeight returns the part of the priority weight that the request earned by its latency.
 func (s Sample) EarnedWeight() float64 {
 	class := Classes[s.Class]
 	switch {
@@ -37,27 +37,27 @@
 	return class.PriorityWeight
 }
 
-// Weight is the priority weight that the request could have earned.
+// Weight returns the priority weight that the request could have earned.
 func (s Sample) Weight() float64 { return Classes[s.Class].PriorityWeight }
 
-// Load sends requests on schedule, whether or not answers come, until the context ends.
+// Load sends requests at their scheduled times, independently of the answers, until the context ends.
 type Load struct {
 	Address     string
-	Others      []string // further gateways; each request goes to one at random
-	Groups      int      // of hosts, numbered from 1; 0 for one
-	Rate        float64  // requests a second
+	Others      []string // addresses of further gateways; each request goes to a random gateway
+	Groups      int      // number of groups of hosts, numbered from 1; 0 means 1
+	Rate        float64  // requests per second
 	Seed        uint64
-	AnswerSlack time.Duration          // how long after its deadline an answer is still awaited; it earns nothing
+	AnswerSlack time.Duration          // how long after its deadline an answer is still awaited; it earns no weight
 	Draining    func(gateway int) bool // whether new connections avoid a gateway; nil: never
 
 	mu      sync.Mutex
 	samples []Sample
-	idle    map[int][]*clientConnection // by gateway
+	idle    map[int][]*clientConnection // idle connections by gateway
 	lastID  int
 	resent  int
 }
 
-// request is a request to be sent.
+// request is a request to send.
 type request struct {
 	class    *Class
 	group    int
@@ -65,14 +65,15 @@
 	deadline time.Time
 }
 
-// Resent returns the number of requests that crossed the close of an idle connection and were sent again.
+// Resent returns the number of requests that were sent again because the gateway closed the idle connection at the same
+// time.
 func (l *Load) Resent() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.resent
 }
 
-// Run sends requests until the context ends, waits for the last answers, and returns a sample of each request.
+// Run sends requests until the context ends, waits for the last answers, and returns one sample for each request.
 func (l *Load) Run(ctx context.Context) []Sample {
 	random := rand.New(rand.NewPCG(l.Seed, randomStream))
 	var wait sync.WaitGroup
@@ -117,8 +118,8 @@
 	l.mu.Unlock()
 }
 
-// ask sends a request and returns its id and the gateway that it went to. It is sent again, on a new connection, where the gateway
-// had closed the idle connection before it read the request.
+// ask sends a request and returns its id and the gateway that it was sent to. If the gateway had closed the idle connection
+// before it read the request, ask sends the request again on a new connection, with a new id.
 func (l *Load) ask(class, gateway, group int, at time.Time) (id, asked int, err error) {
 	req := request{class: &Classes[class], group: group, id: l.nextID(), deadline: at.Add(Classes[class].Deadline)}
 	if connection := l.takeIdle(gateway); connection != nil && connection.open() {
@@ -133,7 +134,7 @@
 	return req.id, asked, err
 }
 
-// askOnNew sends a request on a new connection to the gateway, or to the next that is not draining.
+// askOnNew sends a request on a new connection to the gateway, or to the next one that is not draining.
 func (l *Load) askOnNew(gateway int, req request) (int, error) {
 	gateway, address := l.chooseGateway(gateway)
 	connection, err := dial(address, gateway, req.deadline)
@@ -147,7 +148,7 @@
 	return gateway, err
 }
 
-// exchange sends a request and waits for its answer. The connection is idle afterwards, or closed if none came.
+// exchange sends a request and waits for its answer. Afterwards the connection is idle, or closed if no answer came.
 func (l *Load) exchange(connection *clientConnection, req request) error {
 	err := connection.query(req, l.AnswerSlack)
 	if err != nil && !errors.Is(err, ErrRejected) {
@@ -173,7 +174,7 @@
 	l.resent++
 }
 
-// takeIdle returns the idle connection to a gateway that was used last, or nil.
+// takeIdle removes and returns the idle connection to a gateway that was used last. It returns nil if there is none.
 func (l *Load) takeIdle(gateway int) *clientConnection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -185,7 +186,7 @@
 	return idle[len(idle)-1]
 }
 
-// chooseGateway returns the gateway that a new connection goes to: the one named, or the next that is not draining.
+// chooseGateway returns the gateway for a new connection: the given one, or the next one that is not draining.
 func (l *Load) chooseGateway(gateway int) (int, string) {
 	for range len(l.Others) {
 		if l.Draining == nil || !l.Draining(gateway) {
--- a/internal/lab/emulator/protocol.go
+++ b/internal/lab/emulator/protocol.go
@@ -22,10 +22,10 @@
 	healthCheck = "SHOW vitals"
 )
 
-// errMessageSize is a message whose length cannot be right.
+// errMessageSize reports a length field that is too small or too large for a message.
 var errMessageSize = errors.New("emulator: message length out of range")
 
-// ReadMessage reads one message of the protocol from a stream.
+// ReadMessage reads one protocol message from a stream.
 func ReadMessage(reader *bufio.Reader) (pgwire.Message, error) {
 	head, err := reader.Peek(messageHead)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return message, err
 }
 
-// serve answers the queries of one connection. A host that hangs, or a silent listener, takes them and answers none.
+// serve answers the queries of one connection. A hanging host, and a silent listener, read queries without answering them.
 func (h *Host) serve(connection net.Conn, silent *atomic.Bool) {
 	reader := bufio.NewReader(connection)
 	if err := skipStartup(reader); err != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-// hangsOnce reports the statement to the observer, and whether it gets no answer.
+// hangsOnce reports the statement to the observer. It returns true if this statement gets no answer.
 func (h *Host) hangsOnce(text string) bool {
 	if h.observe == nil || strings.HasPrefix(text, healthCheck) {
 		return false
@@ -78,7 +78,7 @@
 
 func isWrite(text string) bool { return strings.Contains(text, "INSERT") }
 
-// skipStartup reads the startup message, which has no type.
+// skipStartup reads the startup message, which has no type byte.
 func skipStartup(reader *bufio.Reader) error {
 	head, err := reader.Peek(4)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return err
 }
 
-// answerQuery executes a statement and returns the answer, with the host's role and position behind it.
+// answerQuery executes a statement and returns the answer. The host's role and log position follow the result.
 func (h *Host) answerQuery(text string) []byte {
 	answer := h.execute(text)
 	role, position := h.status()
@@ -119,7 +119,7 @@
 	return pgwire.AppendCommandComplete(pgwire.AppendRow(nil, "body", value), "SELECT 1")
 }
 
-// status is the host's own report: its role (1: primary), and its log position in milliseconds.
+// status returns the host's role (1: primary) and its log position in milliseconds, as the host reports them.
 func (h *Host) status() (role int, position int64) {
 	if h.primary.Load() {
 		return 1, time.Now().UnixMilli()
--- a/internal/lab/emulator/settings.go
+++ b/internal/lab/emulator/settings.go
@@ -1,7 +1,7 @@
 package emulator
 
-// PlatformSettings returns the settings object of a gateway's configuration, for one gateway without zones. The caller may
-// modify it.
+// PlatformSettings returns the settings object of a gateway's configuration, for a single gateway without zones. The caller
+// may modify it.
 func PlatformSettings() map[string]any {
 	return map[string]any{
 		"tickMs":  5.0,
@@ -23,7 +23,7 @@
 	}
 }
 
-// Endpoint returns a host's entry in the endpoint list, in group 1 and without a zone.
+// Endpoint returns a host's entry in the endpoint list. The entry is in group 1 and has no zone.
 func Endpoint(host *Host, primary bool) map[string]any {
 	rank := "copy"
 	if primary {
--- a/internal/lab/emulator/slowstart.go
+++ b/internal/lab/emulator/slowstart.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// SlowStart describes the time after a host's start in which its capacity grows linearly to its full value. A host that
-// receives more than OverloadFactor times its current capacity within a Window hangs from then on.
+// SlowStart describes the period after a host's start in which its capacity grows linearly to its full value. A host that
+// receives more than OverloadFactor times its current capacity within a Window is overloaded and hangs from then on.
 type SlowStart struct {
 	Duration       time.Duration
-	InitialShare   float64 // part of the capacity at the start
+	InitialShare   float64 // fraction of the capacity at the start
 	Capacity       float64 // full capacity, in requests per second
 	OverloadFactor float64
 	Window         time.Duration
@@ -22,19 +22,19 @@
 	startedAt, warmAt time.Time
 
 	mu       sync.Mutex
-	arrivals []time.Time // within the window
+	arrivals []time.Time // times of the requests within the window
 }
 
-// BeginSlowStart begins a slow start of the host now.
+// BeginSlowStart begins a slow start of the host at the current time.
 func (h *Host) BeginSlowStart(s SlowStart) {
 	now := time.Now()
 	h.slowStart.Store(&slowStart{SlowStart: s, startedAt: now, warmAt: now.Add(s.Duration)})
 }
 
-// OverloadedInSlowStart reports whether the host was overloaded in its slow start.
+// OverloadedInSlowStart reports whether the host was overloaded during its slow start.
 func (h *Host) OverloadedInSlowStart() bool { return h.overloadedInSlowStart.Load() }
 
-// admitInSlowStart records a request and returns the share of its capacity that the host has now.
+// admitInSlowStart records a request and returns the current capacity as a fraction of the full one.
 func (h *Host) admitInSlowStart() float64 {
 	start := h.slowStart.Load()
 	now := time.Now()
@@ -54,8 +54,8 @@
 	return s.InitialShare + (1-s.InitialShare)*elapsed
 }
 
-// overloaded records an arrival and reports whether the number within the window exceeds the allowed one by more than two
-// standard deviations of a Poisson process.
+// overloaded records a request and reports whether the number of requests within the window is too high: above the allowed
+// number by more than two standard deviations of a Poisson process.
 func (s *slowStart) overloaded(now time.Time, share float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
