--- a/internal/lab/emulator/classes.go
+++ b/internal/lab/emulator/classes.go
@@ -9,7 +9,7 @@
 	LatencyObjective time.Duration
 	Deadline         time.Duration
 	PriorityWeight   float64
-	LatePart         float64 // fraction of the weight earned by an answer between the objective and the deadline
+	LateWeightShare  float64 // fraction of the weight earned by an answer between the objective and the deadline
 	Write            bool
 	Session          bool // reads that must return the earlier writes of their session
 }
@@ -25,7 +25,7 @@
 		LatencyObjective: 200 * time.Millisecond, Deadline: 800 * time.Millisecond,
 	},
 	{
-		Name: "zone-change", Share: 0.10, PriorityWeight: 3, LatePart: 0.7, Write: true,
+		Name: "zone-change", Share: 0.10, PriorityWeight: 3, LateWeightShare: 0.7, Write: true,
 		LatencyObjective: 500 * time.Millisecond, Deadline: 3 * time.Second,
 	},
 }
@@ -46,7 +46,7 @@
 			"aimMs":      class.LatencyObjective.Milliseconds(),
 			"deadlineMs": class.Deadline.Milliseconds(),
 			"worth":      class.PriorityWeight,
-			"lateWorth":  class.LatePart,
+			"lateWorth":  class.LateWeightShare,
 			"repeat":     repeat,
 			"group":      "all",
 			"windowMs":   deduplicationWindowMs,
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -13,9 +13,9 @@
 // ErrConnectionClosed reports that a new connection was closed before its first answer. It counts as a rejection.
 var ErrConnectionClosed = fmt.Errorf("%w: its new connection was closed", ErrRejected)
 
-// closeCrossing is the race window after a request was written on an idle connection. If the gateway closes the connection
-// within it, the gateway may not have read the request. If it closes the connection later, it had read the request.
-const closeCrossing = 100 * time.Millisecond
+// closeRaceWindow is the race window after a request was written on an idle connection. If the gateway closes the
+// connection within it, the gateway may not have read the request. If it closes the connection later, it had read it.
+const closeRaceWindow = 100 * time.Millisecond
 
 // sessionWriteAge is the age that each session read states for the last write of its session.
 const sessionWriteAge = 300 * time.Millisecond
@@ -49,8 +49,9 @@
 	_ = c.Close() // the connection is not used again, whether or not this fails
 }
 
-// open reports whether an idle connection is still open. If the gateway has closed it, open closes it on this side as well.
-func (c *clientConnection) open() bool {
+// isOpen reports whether an idle connection is still open. If the gateway has closed it, isOpen closes this
+// side as well.
+func (c *clientConnection) isOpen() bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Microsecond)) // as in dial
 	var one [1]byte
 	if _, err := c.Read(one[:]); err != nil && !isTimeout(err) {
@@ -60,10 +61,10 @@
 	return true
 }
 
-// closedUnread reports whether the error of a request on an idle connection means that the gateway had closed the
+// closedBeforeRead reports whether the error of a request on an idle connection means that the gateway had closed the
 // connection before it read the request.
-func (c *clientConnection) closedUnread(err error) bool {
-	return !isTimeout(err) && time.Since(c.sentAt) < closeCrossing
+func (c *clientConnection) closedBeforeRead(err error) bool {
+	return !isTimeout(err) && time.Since(c.sentAt) < closeRaceWindow
 }
 
 // query sends a request and waits for its answer until slack after the deadline of the request.
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -35,19 +35,19 @@
 		if err != nil {
 			return
 		}
-		d.begin(watch)
+		d.startWatch(watch)
 	}
 }
 
-func (d *Discovery) begin(watch net.Conn) {
-	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+func (d *Discovery) startWatch(watch net.Conn) {
+	const responseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.watches = append(d.watches, watch)
 	if d.silent {
 		return
 	}
-	_, _ = fmt.Fprint(watch, head) // fails if the client has closed the watch
+	_, _ = fmt.Fprint(watch, responseHead) // fails if the client has closed the watch
 	d.send(watch)
 }
 
@@ -55,7 +55,7 @@
 	if d.list == "" {
 		return
 	}
-	_, _ = fmt.Fprintf(watch, "%x\r\n%s\n\r\n", len(d.list)+1, d.list) // as in begin
+	_, _ = fmt.Fprintf(watch, "%x\r\n%s\n\r\n", len(d.list)+1, d.list) // as in startWatch
 }
 
 // Publish sends a list, as JSON, to all present and future watches.
--- a/internal/lab/emulator/host.go
+++ b/internal/lab/emulator/host.go
@@ -31,8 +31,8 @@
 	slowStart             atomic.Pointer[slowStart]
 	overloadedInSlowStart atomic.Bool
 	cores                 chan struct{}    // holds a token for each core in use; nil: no limit
-	present               atomic.Int32     // requests that wait for a core or use one
-	arrived               func(before int) // called for each request; see LimitCores
+	activeRequests        atomic.Int32     // requests that wait for a core or use one
+	onRequest             func(before int) // called for each request; see LimitCores
 	observe               Observer         // nil: none
 	hangPercent           int
 }
@@ -50,11 +50,11 @@
 }
 
 // LimitCores limits the number of requests that are executed at once; further requests wait. The execution time of each is
-// then exponentially distributed with the mean given to NewHost. arrived is called for each request with the number of
+// then exponentially distributed with the mean given to NewHost. onRequest is called for each request with the number of
 // other requests that are waiting or being executed. LimitCores must be called before the first connection.
-func (h *Host) LimitCores(cores int, arrived func(before int)) {
+func (h *Host) LimitCores(cores int, onRequest func(before int)) {
 	h.cores = make(chan struct{}, cores)
-	h.arrived = arrived
+	h.onRequest = onRequest
 }
 
 // Observer is called for each request that arrives, with its statement and whether the host executes it as a write.
@@ -67,18 +67,18 @@
 	h.hangPercent = hangPercent
 }
 
-// work blocks for the execution time of one request.
-func (h *Host) work() {
+// simulateWork blocks for the execution time of one request.
+func (h *Host) simulateWork() {
 	if h.cores == nil {
 		time.Sleep(h.workTime)
 		return
 	}
-	h.arrived(int(h.present.Add(1)) - 1)
+	h.onRequest(int(h.activeRequests.Add(1)) - 1)
 	capacity := h.admitInSlowStart()
 	h.cores <- struct{}{}
 	time.Sleep(time.Duration(rand.ExpFloat64() * float64(h.workTime) / capacity))
 	<-h.cores
-	h.present.Add(-1)
+	h.activeRequests.Add(-1)
 }
 
 // Connections returns the number of open connections.
--- a/internal/lab/emulator/load.go
+++ b/internal/lab/emulator/load.go
@@ -32,7 +32,7 @@
 	case !s.Succeeded || s.Latency > class.Deadline:
 		return 0
 	case s.Latency > class.LatencyObjective:
-		return class.PriorityWeight * class.LatePart
+		return class.PriorityWeight * class.LateWeightShare
 	}
 	return class.PriorityWeight
 }
@@ -86,7 +86,7 @@
 		class := drawClass(random)
 		gateway := random.IntN(1 + len(l.Others))
 		group := 1 + random.IntN(max(l.Groups, 1))
-		wait.Go(func() { l.play(class, gateway, group, at) })
+		wait.Go(func() { l.sendAndRecord(class, gateway, group, at) })
 	}
 	wait.Wait()
 	for _, connections := range l.idle {
@@ -107,35 +107,35 @@
 	return index
 }
 
-// play sends one request and records its outcome.
-func (l *Load) play(class, gateway, group int, at time.Time) {
-	id, asked, err := l.ask(class, gateway, group, at)
+// sendAndRecord sends one request and records its outcome.
+func (l *Load) sendAndRecord(class, gateway, group int, at time.Time) {
+	id, sentTo, err := l.sendWithResend(class, gateway, group, at)
 	sample := Sample{
-		ID: id, At: at, Class: class, Succeeded: err == nil, Latency: time.Since(at), Gateway: asked, Err: err,
+		ID: id, At: at, Class: class, Succeeded: err == nil, Latency: time.Since(at), Gateway: sentTo, Err: err,
 	}
 	l.mu.Lock()
 	l.samples = append(l.samples, sample)
 	l.mu.Unlock()
 }
 
-// ask sends a request and returns its id and the gateway that it was sent to. If the gateway had closed the idle connection
-// before it read the request, ask sends the request again on a new connection, with a new id.
-func (l *Load) ask(class, gateway, group int, at time.Time) (id, asked int, err error) {
+// sendWithResend sends a request and returns its id and the gateway that it was sent to. If the gateway had closed the idle
+// connection before it read the request, the request is sent again on a new connection, with a new id.
+func (l *Load) sendWithResend(class, gateway, group int, at time.Time) (id, sentTo int, err error) {
 	req := request{class: &Classes[class], group: group, id: l.nextID(), deadline: at.Add(Classes[class].Deadline)}
-	if connection := l.takeIdle(gateway); connection != nil && connection.open() {
+	if connection := l.takeIdle(gateway); connection != nil && connection.isOpen() {
 		err := l.exchange(connection, req)
-		if err == nil || errors.Is(err, ErrRejected) || !connection.closedUnread(err) {
+		if err == nil || errors.Is(err, ErrRejected) || !connection.closedBeforeRead(err) {
 			return req.id, gateway, err
 		}
 		l.countResent()
 		req.id = l.nextID()
 	}
-	asked, err = l.askOnNew(gateway, req)
-	return req.id, asked, err
+	sentTo, err = l.sendOnNewConnection(gateway, req)
+	return req.id, sentTo, err
 }
 
-// askOnNew sends a request on a new connection to the gateway, or to the next one that is not draining.
-func (l *Load) askOnNew(gateway int, req request) (int, error) {
+// sendOnNewConnection sends a request on a new connection to the gateway, or to the next one that is not draining.
+func (l *Load) sendOnNewConnection(gateway int, req request) (int, error) {
 	gateway, address := l.chooseGateway(gateway)
 	connection, err := dial(address, gateway, req.deadline)
 	if err != nil {
--- a/internal/lab/emulator/protocol.go
+++ b/internal/lab/emulator/protocol.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	messageHead = 5       // type and length
-	maxMessage  = 1 << 20 // bytes
+	messageHeaderBytes = 5       // type and length
+	maxMessageBytes    = 1 << 20 // bytes
 
 	healthCheck = "SHOW vitals"
 )
@@ -27,12 +27,12 @@
 
 // ReadMessage reads one protocol message from a stream.
 func ReadMessage(reader *bufio.Reader) (pgwire.Message, error) {
-	head, err := reader.Peek(messageHead)
+	head, err := reader.Peek(messageHeaderBytes)
 	if err != nil {
 		return pgwire.Message{}, err
 	}
 	size := 1 + int(head[1])<<24 + int(head[2])<<16 + int(head[3])<<8 + int(head[4])
-	if size < messageHead || size > maxMessage {
+	if size < messageHeaderBytes || size > maxMessageBytes {
 		return pgwire.Message{}, fmt.Errorf("%w: %d bytes", errMessageSize, size)
 	}
 	text := make([]byte, size)
@@ -49,8 +49,8 @@
 	if err := skipStartup(reader); err != nil {
 		return
 	}
-	greeting := pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil))
-	if _, err := connection.Write(greeting); err != nil {
+	startupResponse := pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil))
+	if _, err := connection.Write(startupResponse); err != nil {
 		return
 	}
 	for {
@@ -58,7 +58,7 @@
 		if err != nil || message.Type != 'Q' {
 			return
 		}
-		if h.hanging.Load() || silent.Load() || h.hangsOnce(string(message.Body)) {
+		if h.hanging.Load() || silent.Load() || h.observeAndDrawHang(string(message.Body)) {
 			continue
 		}
 		if _, err := connection.Write(h.answerQuery(string(message.Body))); err != nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-// hangsOnce reports the statement to the observer. It returns true if this statement gets no answer.
-func (h *Host) hangsOnce(text string) bool {
+// observeAndDrawHang reports the statement to the observer. It returns true if this statement gets no answer.
+func (h *Host) observeAndDrawHang(text string) bool {
 	if h.observe == nil || strings.HasPrefix(text, healthCheck) {
 		return false
 	}
@@ -108,7 +108,7 @@
 			Severity: "ERROR", Code: pgwire.CodeReadOnly, Message: "not the primary",
 		})
 	}
-	h.work()
+	h.simulateWork()
 	if write {
 		h.Writes.Add(1)
 	}
--- a/internal/lab/emulator/slowstart.go
+++ b/internal/lab/emulator/slowstart.go
@@ -19,7 +19,7 @@
 // slowStart is a slow start in progress.
 type slowStart struct {
 	SlowStart
-	startedAt, warmAt time.Time
+	startedAt, endsAt time.Time
 
 	mu       sync.Mutex
 	arrivals []time.Time // times of the requests within the window
@@ -28,7 +28,7 @@
 // BeginSlowStart begins a slow start of the host at the current time.
 func (h *Host) BeginSlowStart(s SlowStart) {
 	now := time.Now()
-	h.slowStart.Store(&slowStart{SlowStart: s, startedAt: now, warmAt: now.Add(s.Duration)})
+	h.slowStart.Store(&slowStart{SlowStart: s, startedAt: now, endsAt: now.Add(s.Duration)})
 }
 
 // OverloadedInSlowStart reports whether the host was overloaded during its slow start.
@@ -38,7 +38,7 @@
 func (h *Host) admitInSlowStart() float64 {
 	start := h.slowStart.Load()
 	now := time.Now()
-	if start == nil || now.After(start.warmAt) {
+	if start == nil || now.After(start.endsAt) {
 		return 1
 	}
 	share := start.share(now)
@@ -50,7 +50,7 @@
 }
 
 func (s *slowStart) share(now time.Time) float64 {
-	elapsed := float64(now.Sub(s.startedAt)) / float64(s.warmAt.Sub(s.startedAt))
+	elapsed := float64(now.Sub(s.startedAt)) / float64(s.endsAt.Sub(s.startedAt))
 	return s.InitialShare + (1-s.InitialShare)*elapsed
 }
 
