--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -1,5 +1,5 @@
-// Package chaos tests the replicated store with real processes under faults. It kills instances, cuts their connections
-// and restarts all of them at once, and checks the answers that clients got against the state of the instances afterwards.
+// Package chaos tests the replicated store with real processes under faults. It kills instances, cuts their connections and
+// restarts all of them at once. Afterwards it checks the answers that clients got against the state of the instances.
 package chaos
 
 import (
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Instances int
-	For       time.Duration // how long faults occur
+	For       time.Duration // how long faults are injected
 	Seed      uint64
-	LoseSyncs bool                             // the log is not synced: the checks must find it
-	Program   string                           // path of the gateway's program; empty: the one in the directory of this program
+	LoseSyncs bool                             // deliberate defect: the log is not synced, which the checks must detect
+	Program   string                           // path of the gateway's program; empty: FindProgram finds it
 	Keep      bool                             // keep the directory with the instances' files
 	Log       func(format string, args ...any) // nil: nothing is logged
 }
 
-// Result of a run.
+// Result reports the faults and findings of a run.
 type Result struct {
 	Seed               uint64   `json:"seed"`
 	Instances          int      `json:"instances"`
@@ -33,17 +33,17 @@
 	Operations         int      `json:"operations"`
 	Acknowledged       int      `json:"acknowledged"`
 	Unknown            int      `json:"unknown"` // operations without an answer
-	Lost               int      `json:"lost"`    // acknowledged writes that an instance lacks
+	Lost               int      `json:"lost"`    // acknowledged writes that are missing on an instance
 	Contradictions     int      `json:"contradictions"`
 	Linearizable       bool     `json:"linearizable"`
 	LongestUnavailable int64    `json:"longest_unavailable_ms"`
-	UnaskedEnds        int      `json:"unasked_ends"`   // processes that ended although nobody killed them
-	Converged          bool     `json:"converged"`      // all instances had the same state in the end
-	What               []string `json:"what,omitempty"` // the findings in words, at most maxFindings
+	UnaskedEnds        int      `json:"unasked_ends"`   // number of times that a process ended without being killed
+	Converged          bool     `json:"converged"`      // all instances had applied the same entries in the end
+	What               []string `json:"what,omitempty"` // descriptions of the findings, at most maxFindings
 	Directory          string   `json:"directory,omitempty"`
 }
 
-// maxFindings limits the findings that a result describes.
+// maxFindings limits the number of findings that a result describes.
 const maxFindings = 20
 
 // Good reports whether no fault was found and at least one write was acknowledged.
@@ -58,16 +58,16 @@
 	}
 }
 
-// chaosRun is one run.
+// chaosRun holds the state of one run.
 type chaosRun struct {
 	options Options
 	cluster *cluster
-	start   time.Time // of the operations
+	start   time.Time // when the operations began
 	history *history
 	result  *Result
 }
 
-// Run makes one run. It ends only the processes that it started.
+// Run executes one run and returns its result. It ends only processes that it started.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	if options.Log == nil {
 		options.Log = func(string, ...any) {}
@@ -110,7 +110,7 @@
 	return result, ctx.Err()
 }
 
-// play runs the clients while faults occur.
+// play runs the clients until all faults have been injected.
 func (r *chaosRun) play(ctx context.Context) error {
 	clientContext, stop := context.WithCancel(ctx)
 	defer stop()
--- a/internal/lab/chaos/chaos_test.go
+++ b/internal/lab/chaos/chaos_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Three real processes are killed, cut off and restarted together under load, and no acknowledged write is lost. With
-// syncs that do nothing the same checks find a loss.
+// Guards against acknowledged writes that are lost when three real processes are killed, cut off and restarted together
+// under load. The second run, in which syncs do nothing, guards against checks that do not detect such a loss.
 func TestNoAcknowledgedWriteOfThreeProcessesIsLost(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", dir, "cloverrock/cmd/cloverrock", "cloverrock/cmd/cloverrockd").CombinedOutput(); err != nil {
@@ -20,11 +20,11 @@
 	options := Options{Instances: 3, For: 6 * time.Second, Seed: 3, Program: filepath.Join(dir, "cloverrock"), Log: t.Logf}
 	result, err := Run(ctx, options)
 	if err != nil || !result.Good() {
-		t.Errorf("%+v, %v", result, err)
+		t.Errorf("the run failed or found a fault: %+v, %v", result, err)
 	}
 	options.LoseSyncs = true
 	options.For = time.Second
 	if result, err = Run(ctx, options); err != nil || result.Good() {
-		t.Errorf("lost syncs were not found: %+v, %v", result, err)
+		t.Errorf("the checks did not detect that syncs do nothing: %+v, %v", result, err)
 	}
 }
--- a/internal/lab/chaos/check.go
+++ b/internal/lab/chaos/check.go
@@ -24,13 +24,13 @@
 // instanceState is the final state of an instance.
 type instanceState struct {
 	instance int
-	applied  uint64 // index of the last entry
-	chain    uint64 // hash of all entries up to there
+	applied  uint64 // index of the last applied entry
+	chain    uint64 // hash over all entries up to that index
 	own      map[string]machine.KV
 }
 
-// check fills in the result: it waits until all instances have the same state, and looks for every acknowledged write in
-// each.
+// check fills in the result. It waits until all instances have applied the same entries, and checks that each of them holds
+// every acknowledged write.
 func (r *chaosRun) check(ctx context.Context) {
 	r.result.Operations = r.history.count
 	r.result.Unknown = r.history.unknown
@@ -42,37 +42,38 @@
 	}
 	states := r.waitConverged(ctx)
 	if !r.result.Converged {
-		r.result.addFinding("the instances do not come to one state: %d of %d answer",
+		r.result.addFinding("the instances did not apply the same entries in time: %d of %d answered",
 			len(states), len(r.cluster.instances))
 	}
 	lost := map[string]bool{}
 	for _, state := range states {
 		if state.applied == states[0].applied && state.chain != states[0].chain {
 			r.result.Contradictions++
-			r.result.addFinding("n%d has another history than n0", state.instance)
+			r.result.addFinding("n%d applied other entries than the first instance that answered", state.instance)
 		}
 		r.checkWrites(state, lost)
 	}
 	r.result.Lost = len(lost)
 }
 
-// checkWrites adds the acknowledged writes that an instance lacks to those that are lost, and finds those that it holds
-// more than once.
+// checkWrites adds the acknowledged writes that are missing on an instance to lost. It reports those that the instance
+// executed more than once as contradictions.
 func (r *chaosRun) checkWrites(state *instanceState, lost map[string]bool) {
 	for key := range r.history.written {
 		entry, found := state.own[key]
 		switch {
 		case !found:
 			lost[key] = true
-			r.result.addFinding("n%d lacks %s, which was acknowledged", state.instance, key)
+			r.result.addFinding("n%d lacks the acknowledged key %s", state.instance, key)
 		case entry.Version != 1:
 			r.result.Contradictions++
-			r.result.addFinding("n%d has %s %d times", state.instance, key, entry.Version)
+			r.result.addFinding("n%d executed the write of %s %d times, expected once", state.instance, key, entry.Version)
 		}
 	}
 }
 
-// waitConverged waits until all instances have applied the same entries, and returns the states that it read last.
+// waitConverged waits until all instances have applied entries up to the same index. It returns the states that it read
+// last.
 func (r *chaosRun) waitConverged(ctx context.Context) []*instanceState {
 	var states []*instanceState
 	until := time.Now().Add(convergenceTimeout)
@@ -82,7 +83,7 @@
 			r.result.Converged = true
 			return states
 		}
-		if r.cluster.unaskedEnds() > 0 { // an instance that ended does not come back by itself
+		if r.cluster.unaskedEnds() > 0 { // an instance that ended is not restarted
 			return states
 		}
 		time.Sleep(convergencePoll)
@@ -113,7 +114,7 @@
 	return states
 }
 
-// readState reads the state of an instance. The clients have ended: only the store itself still writes.
+// readState reads the state of an instance. The clients have ended, so only the store itself still writes.
 func (r *chaosRun) readState(ctx context.Context, i int) (*instanceState, error) {
 	ctx, cancel := context.WithTimeout(ctx, readStateTimeout)
 	defer cancel()
--- a/internal/lab/chaos/clients.go
+++ b/internal/lab/chaos/clients.go
@@ -13,28 +13,29 @@
 const (
 	clientCount   = 6
 	registerCount = 4
-	// registerAge is how long registers are in use, so that a write of unknown outcome meets few other operations.
-	registerAge      = 2 * time.Second // after it, clients use new registers
+	// registerAge is how long registers are used before clients switch to new ones. It is short, so that few operations are
+	// concurrent with a write of unknown outcome, which stays concurrent with all later operations on its register.
+	registerAge      = 2 * time.Second
 	namespace        = "rehearsal"
-	ownPrefix        = "own/" // keys of which each is written once
+	ownPrefix        = "own/" // prefix of keys that are written once each
 	attemptTimeout   = 700 * time.Millisecond
 	operationTimeout = 4 * time.Second
-	clientStreams    = 100 // the clients' random numbers are the streams from here on
+	clientStreams    = 100 // first random stream of the clients: client n uses stream clientStreams+n
 )
 
-// storeClient is a client of the store. It reads, writes and conditionally writes registers, and each of its writes puts a
-// key of its own in the same transaction.
+// storeClient is a client of the store. It reads registers and writes them, with or without a condition. Each of its writes
+// also puts a key that is unique to the write, in the same transaction.
 type storeClient struct {
 	number   int
 	store    *client.Client
 	random   *rand.Rand
-	lastRead map[string]string // by register
+	lastRead map[string]string // last value read, by register
 }
 
 func (r *chaosRun) runClient(ctx context.Context, number int) {
 	store, err := r.cluster.client(number, false, attemptTimeout)
 	if err != nil {
-		return // the result shows that nothing was acknowledged
+		return // then no write is acknowledged, which Result.Good reports as a failure
 	}
 	defer store.Close()
 	c := &storeClient{
@@ -54,7 +55,7 @@
 	}
 }
 
-// drawOperation draws the n-th operation: of five, two are writes, one is a conditional write and two are reads.
+// drawOperation draws the n-th operation. On average two of five are writes, one is a conditional write and two are reads.
 func (c *storeClient) drawOperation(n int, elapsed time.Duration) *operation {
 	register := fmt.Sprintf("register/%d/%d", elapsed/registerAge, c.random.IntN(registerCount))
 	value := fmt.Sprintf("%d.%d", c.number, n)
@@ -74,7 +75,7 @@
 	return drawn
 }
 
-// execute sends an operation and records its outcome in it. It completes even if ctx ends meanwhile.
+// execute sends an operation and records its outcome in o. It completes the operation even if ctx ends meanwhile.
 func (c *storeClient) execute(ctx context.Context, o *operation) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), operationTimeout)
 	defer cancel()
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// transaction returns the command that writes the register, if its condition holds, and the operation's own key.
+// transaction returns the command that writes the register and the operation's unique key if its condition holds.
 func (o *operation) transaction() machine.Command {
 	value := []byte(o.value)
 	command := machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{
--- a/internal/lab/chaos/cluster.go
+++ b/internal/lab/chaos/cluster.go
@@ -21,18 +21,18 @@
 	"cloverrock/internal/store/pki"
 )
 
-// ErrNoProgram reports that the gateway's program is not in the directory of the running program.
-var ErrNoProgram = errors.New("the program under test is missing; build it into the directory of this one")
+// ErrNoProgram reports that the gateway's program was not found in the directory of the running program.
+var ErrNoProgram = errors.New("the program under test was not found; build it into the directory of the running program")
 
 const (
-	snapshotEntries = 2000 // entries between snapshots
-	tickMS          = 20   // of the instances' clocks
+	snapshotEntries = 2000 // log entries between snapshots
+	tickMS          = 20   // interval of the instances' clock ticks
 )
 
-// direction is the connections from one instance to another.
+// direction identifies the connections from one instance to another by their indexes.
 type direction struct{ from, to int }
 
-// cluster is the processes with the relays between them.
+// cluster holds the processes of the store and the relays between them.
 type cluster struct {
 	directory, program string
 	loseSyncs          bool
@@ -50,11 +50,11 @@
 	mu          sync.Mutex
 	command     *exec.Cmd
 	ended       chan struct{}
-	down        bool // it was killed on purpose
-	unaskedEnds int  // times that it ended by itself
+	down        bool // whether it was killed on purpose since its last start
+	unaskedEnds int  // number of times that it ended without being killed
 }
 
-// newCluster founds a store in a directory.
+// newCluster creates a store in a directory and the relays between its instances. It does not start the instances.
 func newCluster(directory string, options Options) (*cluster, error) {
 	c := &cluster{
 		directory: directory, program: options.Program, loseSyncs: options.LoseSyncs,
@@ -139,7 +139,7 @@
 	command := exec.Command(c.program, args...)
 	command.Stdout = started.log
 	command.Stderr = started.log
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the run
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // kill the process if the run dies
 	ended := make(chan struct{})
 	started.command = command
 	started.ended = ended
@@ -149,7 +149,7 @@
 	}
 	go func() {
 		defer close(ended)
-		_ = command.Wait() // how it ended does not matter
+		_ = command.Wait() // the exit status is not checked
 		started.noteEnd()
 	}()
 	return nil
@@ -163,7 +163,7 @@
 	}
 }
 
-// signalKill kills the process without waiting for its end.
+// signalKill kills the process without waiting until it has ended.
 func (i *instance) signalKill() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -171,8 +171,8 @@
 	_ = i.command.Process.Kill() // it may have ended already
 }
 
-// kill kills a process, if it was started, and waits for its end. With powerLoss it then removes the data from its
-// directory that was not synced.
+// kill kills the process, if it was started, and waits until it has ended. With powerLoss it then emulates a power loss by
+// discarding the data in its directory that was not synced.
 func (i *instance) kill(powerLoss bool) error {
 	i.mu.Lock()
 	i.down = true
@@ -195,7 +195,7 @@
 	return disk.DiscardUnsynced(directory)
 }
 
-// unaskedEnds returns how many times processes ended although nobody killed them.
+// unaskedEnds returns the number of times that processes ended without being killed.
 func (c *cluster) unaskedEnds() int {
 	sum := 0
 	for _, instance := range c.instances {
@@ -209,9 +209,9 @@
 // close kills all processes and closes the relays.
 func (c *cluster) close() {
 	for _, instance := range c.instances {
-		_ = instance.kill(false) // fails only for a loss of power
+		_ = instance.kill(false) // fails only with powerLoss
 		if instance.log != nil {
-			_ = instance.log.Close() // the process had a descriptor of its own
+			_ = instance.log.Close() // the process had its own copy of the descriptor
 		}
 	}
 	for _, opened := range c.relays {
@@ -219,8 +219,8 @@
 	}
 }
 
-// client returns a client with the operator's credentials. It tries the instances from first on, or only that one if
-// single is set. attempt is the timeout of one try.
+// client returns a client with the operator's credentials. It tries the instances in order, beginning with first, or only
+// that one if single is set. attempt is the timeout of each attempt.
 func (c *cluster) client(first int, single bool, attempt time.Duration) (*client.Client, error) {
 	credentials, err := pki.LoadTLS(pki.Files{
 		Certificate: filepath.Join(c.directory, "operator.pem"),
@@ -238,7 +238,7 @@
 	return client.New(config), nil
 }
 
-// FindProgram returns the path of the gateway's program in the directory of this one.
+// FindProgram returns the path of the gateway's program in the directory of the running program.
 func FindProgram() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/lab/chaos/faults.go
+++ b/internal/lab/chaos/faults.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Kinds of faults, of which two are kills and two are cuts.
+// Kinds of faults. Kills and cuts have two kinds each, so that they are drawn twice as often as restarts.
 const (
 	faultKill = iota
 	faultKillAgain
 	faultCut
 	faultCutOneWay
 	faultRestartAll
-	faultKinds // their number
+	faultKinds // number of kinds
 )
 
-// cutWay is the direction of a cut.
+// cutWay is the direction of the messages that a cut drops.
 type cutWay int
 
 const (
@@ -28,19 +28,20 @@
 // faultStream separates the faults' random numbers from those of the clients.
 const faultStream = 5
 
-// faultPlayer draws the faults and plays them.
+// faultPlayer draws faults and injects them.
 type faultPlayer struct {
 	*chaosRun
 	random *rand.Rand
 }
 
-// playFaults plays faults until the time is over. On success all instances run and no connection is cut afterwards.
+// playFaults injects faults until the time in the options has passed. On success all instances are running and no
+// connection is cut when it returns.
 func (r *chaosRun) playFaults(ctx context.Context) error {
 	p := &faultPlayer{r, rand.New(rand.NewPCG(r.options.Seed, faultStream))}
 	if err := p.pause(ctx, 800, 1200); err != nil {
 		return err
 	}
-	// Each kind is played once before kinds are drawn at random, so that a short run has them all.
+	// Each kind is injected once before kinds are drawn at random, so that a short run includes all of them.
 	order := p.random.Perm(faultKinds)
 	for n := 0; n < len(order) || time.Since(r.start) < r.options.For; n++ {
 		kind := p.random.IntN(faultKinds)
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// pause waits for a random time between two bounds in milliseconds.
+// pause waits for a random time between two bounds, in milliseconds.
 func (p *faultPlayer) pause(ctx context.Context, from, to int) error {
 	select {
 	case <-ctx.Done():
@@ -83,7 +84,7 @@
 	}
 }
 
-// killOne kills an instance and starts it again.
+// killOne kills an instance and starts it again after a pause.
 func (p *faultPlayer) killOne(ctx context.Context, target *instance, powerLoss bool) error {
 	p.options.Log("kill %s, power loss %t", target.name, powerLoss)
 	if err := target.kill(powerLoss); err != nil {
@@ -99,7 +100,7 @@
 	return p.cluster.start(target)
 }
 
-// cut cuts an instance off from the others for a while.
+// cut cuts an instance off from the others and restores its connections after a pause.
 func (p *faultPlayer) cut(ctx context.Context, target int, way cutWay) error {
 	p.options.Log("cut %s, way %d", p.cluster.instances[target].name, way)
 	p.result.Cuts++
--- a/internal/lab/chaos/history.go
+++ b/internal/lab/chaos/history.go
@@ -8,30 +8,30 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// operationKind is what an operation does with a register.
+// operationKind is the type of an operation on a register.
 type operationKind int
 
 const (
 	readRegister operationKind = iota
 	writeRegister
-	changeRegister // writes if the register has the expected value
+	changeRegister // a conditional write: it takes effect only if the register has the expected value
 )
 
-// operation is an operation of a client, with its outcome. Times count from the start of the operations.
+// operation is an operation of a client with its outcome. Times are relative to the start of the operations.
 type operation struct {
 	client          int
 	kind            operationKind
 	register        string
-	ownKey          string // a key of its own that the same transaction writes; empty for a read
+	ownKey          string // a key unique to this operation, written in the same transaction; empty for a read
 	expected, value string
 	call, returned  time.Duration
 
-	known bool   // there was an answer
-	read  string // the value of a read
-	done  bool   // the write took place
+	known bool   // an answer arrived
+	read  string // value returned by a read
+	done  bool   // the write took effect
 }
 
-// neverReturned is the return time of a write without an answer: it may take effect at any time from its call on.
+// neverReturned is the return time of a write without an answer, which may take effect at any time after its call.
 const neverReturned = time.Duration(math.MaxInt64 / 8)
 
 // history records the operations of all clients. It is safe for concurrent use.
@@ -41,16 +41,16 @@
 	count        int
 	unknown      int
 	acknowledged int
-	written      map[string]bool // own keys of writes that were acknowledged
+	written      map[string]bool // unique keys of the acknowledged writes that took effect
 	lastSuccess  time.Time
-	longestGap   time.Duration // between successes
+	longestGap   time.Duration // longest time between two successful operations
 }
 
 func newHistory(start time.Time) *history {
 	return &history{written: map[string]bool{}, lastSuccess: start}
 }
 
-// add records an operation. A read without an answer constrains no order and is left out.
+// add records an operation. A read without an answer is left out, because it constrains no order.
 func (h *history) add(o *operation, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,12 +82,13 @@
 	}
 }
 
-// linearizable reports whether there is an order of the operations that explains all answers.
+// linearizable reports whether some order of the operations explains all answers. It returns false if the search for one
+// exceeds the timeout.
 func (h *history) linearizable(timeout time.Duration) bool {
 	return porcupine.CheckOperationsTimeout(registerModel, h.operations, timeout) == porcupine.Ok
 }
 
-// registerModel is the specification that the history is checked against: registers that are independent of each other.
+// registerModel is the specification for the linearizability check: independent registers, which are empty at first.
 var registerModel = porcupine.Model{
 	Partition: partitionByRegister,
 	Init:      func() any { return "" },
@@ -97,7 +98,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// step reports whether the operation's outcome is possible with a register of the value, and the value after it.
+// step reports whether the operation's outcome is possible if the register has the given value, and returns the value
+// afterwards.
 func (o *operation) step(value string) (possible bool, after string) {
 	switch {
 	case o.kind == readRegister:
