--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -37,7 +37,7 @@
 	Contradictions     int      `json:"contradictions"`
 	Linearizable       bool     `json:"linearizable"`
 	LongestUnavailable int64    `json:"longest_unavailable_ms"`
-	UnaskedEnds        int      `json:"unasked_ends"`   // number of times that a process ended without being killed
+	UnexpectedExits    int      `json:"unasked_ends"`   // number of times that a process ended without being killed
 	Converged          bool     `json:"converged"`      // all instances had applied the same entries in the end
 	What               []string `json:"what,omitempty"` // descriptions of the findings, at most maxFindings
 	Directory          string   `json:"directory,omitempty"`
@@ -49,7 +49,7 @@
 // Good reports whether no fault was found and at least one write was acknowledged.
 func (r *Result) Good() bool {
 	consistent := r.Lost == 0 && r.Contradictions == 0 && r.Linearizable && r.Converged
-	return consistent && r.UnaskedEnds == 0 && r.Acknowledged > 0
+	return consistent && r.UnexpectedExits == 0 && r.Acknowledged > 0
 }
 
 func (r *Result) addFinding(format string, args ...any) {
@@ -102,23 +102,23 @@
 	r := &chaosRun{
 		options: options, cluster: cluster, start: start, history: newHistory(start), result: result,
 	}
-	if err := r.play(ctx); err != nil {
+	if err := r.runClientsUnderFaults(ctx); err != nil {
 		return nil, err
 	}
 	r.check(ctx)
-	result.UnaskedEnds = cluster.unaskedEnds()
+	result.UnexpectedExits = cluster.unexpectedExits()
 	return result, ctx.Err()
 }
 
-// play runs the clients until all faults have been injected.
-func (r *chaosRun) play(ctx context.Context) error {
+// runClientsUnderFaults runs the clients until all faults have been injected.
+func (r *chaosRun) runClientsUnderFaults(ctx context.Context) error {
 	clientContext, stop := context.WithCancel(ctx)
 	defer stop()
 	var clients sync.WaitGroup
 	for number := range clientCount {
 		clients.Go(func() { r.runClient(clientContext, number) })
 	}
-	if err := r.playFaults(ctx); err != nil {
+	if err := r.injectFaults(ctx); err != nil {
 		return err
 	}
 	stop()
--- a/internal/lab/chaos/check.go
+++ b/internal/lab/chaos/check.go
@@ -23,10 +23,10 @@
 
 // instanceState is the final state of an instance.
 type instanceState struct {
-	instance int
-	applied  uint64 // index of the last applied entry
-	chain    uint64 // hash over all entries up to that index
-	own      map[string]machine.KV
+	instance   int
+	applied    uint64 // index of the last applied entry
+	chain      uint64 // hash over all entries up to that index
+	uniqueKeys map[string]machine.KV
 }
 
 // check fills in the result. It waits until all instances have applied the same entries, and checks that each of them holds
@@ -59,8 +59,8 @@
 // checkWrites adds the acknowledged writes that are missing on an instance to lost. It reports those that the instance
 // executed more than once as contradictions.
 func (r *chaosRun) checkWrites(state *instanceState, lost map[string]bool) {
-	for key := range r.history.written {
-		entry, found := state.own[key]
+	for key := range r.history.appliedKeys {
+		entry, found := state.uniqueKeys[key]
 		switch {
 		case !found:
 			lost[key] = true
@@ -83,7 +83,7 @@
 			r.result.Converged = true
 			return states
 		}
-		if r.cluster.unaskedEnds() > 0 { // an instance that ended is not restarted
+		if r.cluster.unexpectedExits() > 0 { // an instance that ended is not restarted
 			return states
 		}
 		time.Sleep(convergencePoll)
@@ -123,7 +123,7 @@
 		return nil, err
 	}
 	defer store.Close()
-	entries, _, err := store.List(ctx, namespace, ownPrefix, allKeys, false)
+	entries, _, err := store.List(ctx, namespace, uniqueKeyPrefix, allKeys, false)
 	if err != nil {
 		return nil, err
 	}
@@ -132,10 +132,10 @@
 		return nil, err
 	}
 	state := &instanceState{
-		instance: i, applied: status.Applied, chain: status.Chain, own: map[string]machine.KV{},
+		instance: i, applied: status.Applied, chain: status.Chain, uniqueKeys: map[string]machine.KV{},
 	}
 	for _, entry := range entries {
-		state.own[entry.Key] = entry
+		state.uniqueKeys[entry.Key] = entry
 	}
 	return state, nil
 }
--- a/internal/lab/chaos/clients.go
+++ b/internal/lab/chaos/clients.go
@@ -13,11 +13,11 @@
 const (
 	clientCount   = 6
 	registerCount = 4
-	// registerAge is how long registers are used before clients switch to new ones. It is short, so that few operations are
-	// concurrent with a write of unknown outcome, which stays concurrent with all later operations on its register.
-	registerAge      = 2 * time.Second
+	// registerLifetime is how long registers are used before clients switch to new ones. It is short, so that few operations
+	// are concurrent with a write of unknown outcome, which stays concurrent with all later operations on its register.
+	registerLifetime = 2 * time.Second
 	namespace        = "rehearsal"
-	ownPrefix        = "own/" // prefix of keys that are written once each
+	uniqueKeyPrefix  = "own/" // prefix of keys that are written once each
 	attemptTimeout   = 700 * time.Millisecond
 	operationTimeout = 4 * time.Second
 	clientStreams    = 100 // first random stream of the clients: client n uses stream clientStreams+n
@@ -44,9 +44,9 @@
 	}
 	for n := 0; ctx.Err() == nil; n++ {
 		operation := c.drawOperation(n, time.Since(r.start))
-		operation.call = time.Since(r.start)
+		operation.calledAt = time.Since(r.start)
 		err := c.execute(ctx, operation)
-		operation.returned = time.Since(r.start)
+		operation.returnedAt = time.Since(r.start)
 		r.history.add(operation, err)
 		select {
 		case <-ctx.Done():
@@ -57,7 +57,7 @@
 
 // drawOperation draws the n-th operation. On average two of five are writes, one is a conditional write and two are reads.
 func (c *storeClient) drawOperation(n int, elapsed time.Duration) *operation {
-	register := fmt.Sprintf("register/%d/%d", elapsed/registerAge, c.random.IntN(registerCount))
+	register := fmt.Sprintf("register/%d/%d", elapsed/registerLifetime, c.random.IntN(registerCount))
 	value := fmt.Sprintf("%d.%d", c.number, n)
 	drawn := &operation{client: c.number, register: register, kind: readRegister}
 	switch c.random.IntN(5) {
@@ -65,12 +65,12 @@
 		drawn.kind = writeRegister
 		drawn.value = value
 	case 2:
-		drawn.kind = changeRegister
+		drawn.kind = compareAndSetRegister
 		drawn.expected = c.lastRead[register]
 		drawn.value = value
 	}
 	if drawn.kind != readRegister {
-		drawn.ownKey = fmt.Sprintf("%s%d/%d", ownPrefix, c.number, n)
+		drawn.uniqueKey = fmt.Sprintf("%s%d/%d", uniqueKeyPrefix, c.number, n)
 	}
 	return drawn
 }
@@ -86,15 +86,15 @@
 		}
 		o.read = string(entry.Value)
 		c.lastRead[o.register] = o.read
-		o.known = true
+		o.answered = true
 		return nil
 	}
 	result, err := c.store.Transact(ctx, o.transaction())
 	if err != nil {
 		return err
 	}
-	o.done = result.Holds
-	o.known = true
+	o.applied = result.Holds
+	o.answered = true
 	return nil
 }
 
@@ -103,9 +103,9 @@
 	value := []byte(o.value)
 	command := machine.Command{Kind: machine.TransactionKind, Then: []machine.Op{
 		{Kind: machine.Put, NS: namespace, Key: o.register, Value: value},
-		{Kind: machine.Put, NS: namespace, Key: o.ownKey, Value: value},
+		{Kind: machine.Put, NS: namespace, Key: o.uniqueKey, Value: value},
 	}}
-	if o.kind != changeRegister {
+	if o.kind != compareAndSetRegister {
 		return command
 	}
 	condition := machine.Compare{
--- a/internal/lab/chaos/cluster.go
+++ b/internal/lab/chaos/cluster.go
@@ -29,15 +29,15 @@
 	tickMS          = 20   // interval of the instances' clock ticks
 )
 
-// direction identifies the connections from one instance to another by their indexes.
-type direction struct{ from, to int }
+// instancePair identifies the connections from one instance to another by their indexes.
+type instancePair struct{ from, to int }
 
 // cluster holds the processes of the store and the relays between them.
 type cluster struct {
 	directory, program string
 	loseSyncs          bool
 	instances          []*instance
-	relays             map[direction]*relay.Relay
+	relays             map[instancePair]*relay.Relay
 }
 
 // instance is one process of the store.
@@ -47,24 +47,24 @@
 	dataDirectory string
 	log           *os.File
 
-	mu          sync.Mutex
-	command     *exec.Cmd
-	ended       chan struct{}
-	down        bool // whether it was killed on purpose since its last start
-	unaskedEnds int  // number of times that it ended without being killed
+	mu              sync.Mutex
+	command         *exec.Cmd
+	ended           chan struct{}
+	killedOnPurpose bool // whether it was killed on purpose since its last start
+	unexpectedExits int  // number of times that it ended without being killed
 }
 
 // newCluster creates a store in a directory and the relays between its instances. It does not start the instances.
 func newCluster(directory string, options Options) (*cluster, error) {
 	c := &cluster{
 		directory: directory, program: options.Program, loseSyncs: options.LoseSyncs,
-		relays: map[direction]*relay.Relay{},
+		relays: map[instancePair]*relay.Relay{},
 	}
-	if err := c.found(options.Instances); err != nil {
+	if err := c.initStore(options.Instances); err != nil {
 		return nil, err
 	}
 	for i := range c.instances {
-		if err := c.connect(i); err != nil {
+		if err := c.openRelays(i); err != nil {
 			c.close()
 			return nil, err
 		}
@@ -72,7 +72,7 @@
 	return c, nil
 }
 
-func (c *cluster) found(instances int) error {
+func (c *cluster) initStore(instances int) error {
 	addresses, err := loopback.Reserve(instances)
 	if err != nil {
 		return err
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// connect opens the relays from one instance to the others and writes them into its settings.
-func (c *cluster) connect(i int) error {
+// openRelays opens the relays from one instance to the others and writes them into its settings.
+func (c *cluster) openRelays(i int) error {
 	routes := map[string]string{}
 	for j, other := range c.instances {
 		if i == j {
@@ -104,7 +104,7 @@
 		if err != nil {
 			return err
 		}
-		c.relays[direction{i, j}] = opened
+		c.relays[instancePair{i, j}] = opened
 		routes[other.name] = opened.Address()
 	}
 	file := c.instances[i].settingsFile
@@ -122,44 +122,44 @@
 	return os.WriteFile(file, text, 0o600)
 }
 
-func (c *cluster) start(started *instance) error {
-	started.mu.Lock()
-	defer started.mu.Unlock()
-	if started.log == nil {
-		file, err := os.Create(filepath.Join(c.directory, started.name+".log"))
+func (c *cluster) start(target *instance) error {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	if target.log == nil {
+		file, err := os.Create(filepath.Join(c.directory, target.name+".log"))
 		if err != nil {
 			return err
 		}
-		started.log = file
+		target.log = file
 	}
-	args := []string{"store", "serve", "--settings", started.settingsFile}
+	args := []string{"store", "serve", "--settings", target.settingsFile}
 	if c.loseSyncs {
 		args = append(args, "--rehearse-lost-syncs")
 	}
 	command := exec.Command(c.program, args...)
-	command.Stdout = started.log
-	command.Stderr = started.log
+	command.Stdout = target.log
+	command.Stderr = target.log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // kill the process if the run dies
 	ended := make(chan struct{})
-	started.command = command
-	started.ended = ended
-	started.down = false
+	target.command = command
+	target.ended = ended
+	target.killedOnPurpose = false
 	if err := command.Start(); err != nil {
 		return err
 	}
 	go func() {
 		defer close(ended)
 		_ = command.Wait() // the exit status is not checked
-		started.noteEnd()
+		target.recordExit()
 	}()
 	return nil
 }
 
-func (i *instance) noteEnd() {
+func (i *instance) recordExit() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if !i.down {
-		i.unaskedEnds++
+	if !i.killedOnPurpose {
+		i.unexpectedExits++
 	}
 }
 
@@ -167,7 +167,7 @@
 func (i *instance) signalKill() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.down = true
+	i.killedOnPurpose = true
 	_ = i.command.Process.Kill() // it may have ended already
 }
 
@@ -175,7 +175,7 @@
 // discarding the data in its directory that was not synced.
 func (i *instance) kill(powerLoss bool) error {
 	i.mu.Lock()
-	i.down = true
+	i.killedOnPurpose = true
 	command := i.command
 	ended := i.ended
 	i.mu.Unlock()
@@ -195,12 +195,12 @@
 	return disk.DiscardUnsynced(directory)
 }
 
-// unaskedEnds returns the number of times that processes ended without being killed.
-func (c *cluster) unaskedEnds() int {
+// unexpectedExits returns the number of times that processes ended without being killed.
+func (c *cluster) unexpectedExits() int {
 	sum := 0
 	for _, instance := range c.instances {
 		instance.mu.Lock()
-		sum += instance.unaskedEnds
+		sum += instance.unexpectedExits
 		instance.mu.Unlock()
 	}
 	return sum
--- a/internal/lab/chaos/faults.go
+++ b/internal/lab/chaos/faults.go
@@ -16,28 +16,28 @@
 	faultKinds // number of kinds
 )
 
-// cutWay is the direction of the messages that a cut drops.
-type cutWay int
+// cutDirection is the direction of the messages that a cut drops.
+type cutDirection int
 
 const (
-	cutBoth cutWay = iota
-	cutFrom        // messages from the instance
-	cutTo          // messages to the instance
+	cutBothDirections cutDirection = iota
+	cutOutgoing                    // messages from the instance
+	cutIncoming                    // messages to the instance
 )
 
 // faultStream separates the faults' random numbers from those of the clients.
 const faultStream = 5
 
-// faultPlayer draws faults and injects them.
-type faultPlayer struct {
+// faultInjector draws faults and injects them.
+type faultInjector struct {
 	*chaosRun
 	random *rand.Rand
 }
 
-// playFaults injects faults until the time in the options has passed. On success all instances are running and no
+// injectFaults injects faults until the time in the options has passed. On success all instances are running and no
 // connection is cut when it returns.
-func (r *chaosRun) playFaults(ctx context.Context) error {
-	p := &faultPlayer{r, rand.New(rand.NewPCG(r.options.Seed, faultStream))}
+func (r *chaosRun) injectFaults(ctx context.Context) error {
+	p := &faultInjector{r, rand.New(rand.NewPCG(r.options.Seed, faultStream))}
 	if err := p.pause(ctx, 800, 1200); err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 		if n < len(order) {
 			kind = order[n]
 		}
-		if err := p.playFault(ctx, kind); err != nil {
+		if err := p.injectFault(ctx, kind); err != nil {
 			return err
 		}
 		if err := p.pause(ctx, 700, 1800); err != nil {
@@ -59,7 +59,7 @@
 }
 
 // pause waits for a random time between two bounds, in milliseconds.
-func (p *faultPlayer) pause(ctx context.Context, from, to int) error {
+func (p *faultInjector) pause(ctx context.Context, from, to int) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -68,24 +68,24 @@
 	}
 }
 
-func (p *faultPlayer) playFault(ctx context.Context, kind int) error {
+func (p *faultInjector) injectFault(ctx context.Context, kind int) error {
 	target := p.random.IntN(len(p.cluster.instances))
 	powerLoss := p.random.IntN(2) == 0 || p.options.LoseSyncs
 	switch kind {
 	case faultKill, faultKillAgain:
 		return p.killOne(ctx, p.cluster.instances[target], powerLoss)
 	case faultCut:
-		return p.cut(ctx, target, cutBoth)
+		return p.cut(ctx, target, cutBothDirections)
 	case faultCutOneWay:
 		p.result.OneWayCuts++
-		return p.cut(ctx, target, cutFrom+cutWay(p.random.IntN(2)))
+		return p.cut(ctx, target, cutOutgoing+cutDirection(p.random.IntN(2)))
 	default:
 		return p.restartAll(powerLoss)
 	}
 }
 
 // killOne kills an instance and starts it again after a pause.
-func (p *faultPlayer) killOne(ctx context.Context, target *instance, powerLoss bool) error {
+func (p *faultInjector) killOne(ctx context.Context, target *instance, powerLoss bool) error {
 	p.options.Log("kill %s, power loss %t", target.name, powerLoss)
 	if err := target.kill(powerLoss); err != nil {
 		return err
@@ -101,11 +101,11 @@
 }
 
 // cut cuts an instance off from the others and restores its connections after a pause.
-func (p *faultPlayer) cut(ctx context.Context, target int, way cutWay) error {
-	p.options.Log("cut %s, way %d", p.cluster.instances[target].name, way)
+func (p *faultInjector) cut(ctx context.Context, target int, direction cutDirection) error {
+	p.options.Log("cut %s, way %d", p.cluster.instances[target].name, direction)
 	p.result.Cuts++
 	for pair, connection := range p.cluster.relays {
-		if pair.from == target && way != cutTo || pair.to == target && way != cutFrom {
+		if pair.from == target && direction != cutIncoming || pair.to == target && direction != cutOutgoing {
 			connection.Cut()
 		}
 	}
@@ -121,7 +121,7 @@
 }
 
 // restartAll kills all instances at once and starts them together.
-func (p *faultPlayer) restartAll(powerLoss bool) error {
+func (p *faultInjector) restartAll(powerLoss bool) error {
 	p.options.Log("kill all, power loss %t", powerLoss)
 	p.result.FullRestarts++
 	for _, instance := range p.cluster.instances {
--- a/internal/lab/chaos/history.go
+++ b/internal/lab/chaos/history.go
@@ -14,21 +14,21 @@
 const (
 	readRegister operationKind = iota
 	writeRegister
-	changeRegister // a conditional write: it takes effect only if the register has the expected value
+	compareAndSetRegister // a conditional write: it takes effect only if the register has the expected value
 )
 
 // operation is an operation of a client with its outcome. Times are relative to the start of the operations.
 type operation struct {
-	client          int
-	kind            operationKind
-	register        string
-	ownKey          string // a key unique to this operation, written in the same transaction; empty for a read
-	expected, value string
-	call, returned  time.Duration
+	client               int
+	kind                 operationKind
+	register             string
+	uniqueKey            string // a key unique to this operation, written in the same transaction; empty for a read
+	expected, value      string
+	calledAt, returnedAt time.Duration
 
-	known bool   // an answer arrived
-	read  string // value returned by a read
-	done  bool   // the write took effect
+	answered bool   // an answer arrived
+	read     string // value returned by a read
+	applied  bool   // the write took effect
 }
 
 // neverReturned is the return time of a write without an answer, which may take effect at any time after its call.
@@ -41,13 +41,13 @@
 	count        int
 	unknown      int
 	acknowledged int
-	written      map[string]bool // unique keys of the acknowledged writes that took effect
+	appliedKeys  map[string]bool // unique keys of the acknowledged writes that took effect
 	lastSuccess  time.Time
 	longestGap   time.Duration // longest time between two successful operations
 }
 
 func newHistory(start time.Time) *history {
-	return &history{written: map[string]bool{}, lastSuccess: start}
+	return &history{appliedKeys: map[string]bool{}, lastSuccess: start}
 }
 
 // add records an operation. A read without an answer is left out, because it constrains no order.
@@ -60,12 +60,12 @@
 		if o.kind == readRegister {
 			return
 		}
-		o.returned = neverReturned
+		o.returnedAt = neverReturned
 	} else {
 		h.addSuccess(o)
 	}
 	h.operations = append(h.operations, porcupine.Operation{
-		ClientId: o.client, Input: o, Call: int64(o.call), Output: o, Return: int64(o.returned),
+		ClientId: o.client, Input: o, Call: int64(o.calledAt), Output: o, Return: int64(o.returnedAt),
 	})
 }
 
@@ -77,8 +77,8 @@
 		return
 	}
 	h.acknowledged++
-	if o.done {
-		h.written[o.ownKey] = true
+	if o.applied {
+		h.appliedKeys[o.uniqueKey] = true
 	}
 }
 
@@ -107,9 +107,9 @@
 	case o.kind == writeRegister:
 		return true, o.value
 	case value != o.expected:
-		return !o.known || !o.done, value
+		return !o.answered || !o.applied, value
 	default:
-		return !o.known || o.done, o.value
+		return !o.answered || o.applied, o.value
 	}
 }
 
