--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -1,6 +1,7 @@
-// Package restart tests the restart of a gateway that was killed: discovery does not answer, and the known endpoint list of
-// the gateway names a primary that hangs. Each run is made with a replicated store, which has cached routing state, and
-// without one. The package also measures what the store costs the requests of the gateway in whose process it runs.
+// Package restart tests the restart of a gateway after it was killed. At the restart discovery does not answer, and the
+// endpoint list in the gateway's configuration names a primary that hangs. Each run is made twice: with a replicated store
+// that has cached routing state, and without a store. The package also measures how a store in the gateway's process affects
+// the latency of the gateway's requests.
 package restart
 
 import (
@@ -14,25 +15,25 @@
 	"cloverrock/internal/lab/emulator"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Seed    uint64
 	Program string
-	Rate    float64 // requests a second
-	Replace int     // hosts that were replaced by new ones since the list on file
-	Forget  bool    // the store caches no routing state: the check must find no gain
+	Rate    float64 // requests per second
+	Replace int     // number of hosts that were replaced after the endpoint list in the configuration was written
+	Forget  bool    // deliberate defect: the store caches no routing state, so it must bring no gain
 	Log     func(format string, args ...any)
 }
 
-// Side is the outcome with the store or without it.
+// Side is the outcome of the run with the store or of the run without it.
 type Side struct {
-	Share    float64            `json:"share"` // of the weight asked for in the 5 s after the return
-	ByClass  map[string]float64 `json:"by_class"`
+	Share    float64            `json:"share"`    // earned part of the possible weight in the 5 s after the restart
+	ByClass  map[string]float64 `json:"by_class"` // Share of each request class
 	Requests int                `json:"requests"`
 	ReadyMS  int64              `json:"ready_ms"` // from the start of the process to its first accepted connection
 }
 
-// Result has the outcomes with and without the store; With and Without are their shares.
+// Result holds the outcomes with and without the store. With and Without are the shares of the two.
 type Result struct {
 	Seed         uint64  `json:"seed"`
 	With         float64 `json:"with_store"`
@@ -41,26 +42,26 @@
 	WithoutBasis Side    `json:"without"`
 }
 
-// ReplaceError reports a number of hosts to replace that the group does not have.
+// ReplaceError reports that Options.Replace is out of range.
 type ReplaceError struct{ Hosts int }
 
 func (e *ReplaceError) Error() string {
-	return fmt.Sprintf("%d hosts replaced; 0 to %d", e.Hosts, hostCount-2)
+	return fmt.Sprintf("%d hosts to replace, expected 0 to %d", e.Hosts, hostCount-2)
 }
 
 const (
 	hostCount    = 5
-	measuredTime = 5 * time.Second // after the return
+	measuredTime = 5 * time.Second // after the restarted gateway is ready
 
 	warmUpTime    = 2 * time.Second
-	listKnownTime = time.Second            // from the publication of a list to its use by the gateway
-	failoverTime  = 800 * time.Millisecond // from the primary's hang to the promotion of its successor
-	newGeneration = 8                      // of the list without the replaced hosts
+	listKnownTime = time.Second            // from the publication of a list until the gateway uses it
+	failoverTime  = 800 * time.Millisecond // from the failure of the primary to the promotion of its successor
+	newGeneration = 8                      // generation of the list without the replaced hosts
 
-	randomStream = 11 // separates the random numbers from those of other users of the same seed
+	randomStream = 11 // separates these random numbers from those of other users of the same seed
 )
 
-// Run makes both runs, first the one without the store.
+// Run executes both runs, the one without the store first.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	if options.Log == nil {
 		options.Log = func(string, ...any) {}
@@ -82,7 +83,7 @@
 	return result, nil
 }
 
-// play kills a gateway under load and evaluates what clients get after its return.
+// play kills a gateway under load, restarts it, and evaluates the requests after the restart.
 func play(ctx context.Context, options Options, withStore bool) (*Side, error) {
 	random := rand.New(rand.NewPCG(options.Seed, randomStream))
 	r, err := openRig(options, withStore)
@@ -118,8 +119,8 @@
 	return evaluate(<-samples, returned, returned.Sub(started)), nil
 }
 
-// changeHosts replaces hosts, silences discovery, and has the primary hang until another host is promoted. The running
-// gateway learns of all these changes; the list in its configuration file has none of them.
+// changeHosts replaces hosts, stops discovery's responses, makes the primary hang, and then promotes another host. The
+// running gateway can detect all these changes, but the endpoint list in its configuration file contains none of them.
 func (r *rig) changeHosts(ctx context.Context, random *rand.Rand) error {
 	if err := pause(ctx, warmUpTime); err != nil {
 		return err
@@ -142,7 +143,7 @@
 	return pause(ctx, randomPause(random, 2500, 1000))
 }
 
-// replaceHosts starts new hosts, closes as many old ones, and publishes the new list.
+// replaceHosts starts new hosts, closes the same number of old ones, and publishes the new endpoint list.
 func (r *rig) replaceHosts() error {
 	replaced := r.options.Replace
 	if err := r.addHosts(replaced, "new-"); err != nil {
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// drawSuccessor returns a random replica: a new one, where there are any.
+// drawSuccessor returns a random replica. If hosts were replaced, it is one of the new hosts.
 func (r *rig) drawSuccessor(random *rand.Rand) *emulator.Host {
 	successor := r.hosts[1+random.IntN(hostCount-1)]
 	if r.options.Replace > 0 {
@@ -177,7 +178,7 @@
 	return time.Duration(minimum+random.IntN(spread)) * time.Millisecond
 }
 
-// evaluate adds up the samples of the measured time after the return.
+// evaluate sums the weights of the samples in the measured time after the restart.
 func evaluate(samples []emulator.Sample, returned time.Time, ready time.Duration) *Side {
 	side := &Side{ByClass: map[string]float64{}, ReadyMS: ready.Milliseconds()}
 	var earned, possible [len(emulator.Classes)]float64
--- a/internal/lab/restart/rig.go
+++ b/internal/lab/restart/rig.go
@@ -18,34 +18,35 @@
 	"cloverrock/internal/settings"
 )
 
-// ErrNotReady reports that the gateway did not accept connections in time.
-var ErrNotReady = errors.New("the gateway does not accept connections")
+// ErrNotReady reports that the gateway did not accept connections within readyTimeout.
+var ErrNotReady = errors.New("the gateway did not accept connections in time")
 
 const (
-	readyTimeout    = 10 * time.Second
-	readyPoll       = 2 * time.Millisecond
-	hostWork        = 8 * time.Millisecond // of a request
-	replicaLag      = 20 * time.Millisecond
+	readyTimeout = 10 * time.Second
+	readyPoll    = 2 * time.Millisecond
+	hostWork     = 8 * time.Millisecond // execution time of a request
+	replicaLag   = 20 * time.Millisecond
+	// generation of the endpoint list in the gateway's configuration
 	knownGeneration = 7
 )
 
-// members are the names of the store's instances; the gateway runs the first.
+// members lists the names of the store's instances. The first runs in the gateway's process.
 var members = []string{"a", "b", "c"}
 
-// rig is the processes and emulated parts of one play.
+// rig holds the processes, emulated hosts and discovery of one run.
 type rig struct {
 	options      Options
 	directory    string
-	listen       string // of the gateway
+	listen       string // the gateway's address for clients
 	configFile   string
-	settingsFile string // empty: without the store
+	settingsFile string // the gateway's settings file; empty: no store
 	discovery    *emulator.Discovery
 	hosts        []*emulator.Host
 	gateway      *exec.Cmd
-	instances    []*exec.Cmd // of the store, without the gateway's own
+	instances    []*exec.Cmd // processes of the store, without the instance in the gateway's process
 }
 
-// openRig starts the hosts, discovery and, if wanted, the store, and writes the gateway's files.
+// openRig starts the hosts, discovery and, if withStore is set, the store, and writes the gateway's files.
 func openRig(options Options, withStore bool) (*rig, error) {
 	directory, err := os.MkdirTemp("", "restart-")
 	if err != nil {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// close kills all processes and closes the emulated parts.
+// close kills all processes, closes the emulated hosts and discovery, and removes the directory.
 func (r *rig) close() {
 	r.killGateway()
 	for _, instance := range r.instances {
@@ -89,7 +90,7 @@
 	if r.discovery != nil {
 		r.discovery.Close()
 	}
-	_ = os.RemoveAll(r.directory) // a directory that is left behind does no harm
+	_ = os.RemoveAll(r.directory) // a directory that cannot be removed does no harm
 }
 
 func (r *rig) startProcess(env []string, args ...string) (*exec.Cmd, error) {
@@ -97,17 +98,17 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // the process has its own copy of the descriptor
 	command := exec.Command(r.options.Program, args...)
 	command.Env = append(os.Environ(), env...)
 	command.Stderr = log
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the run
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // kill the process if the run dies
 	return command, command.Start()
 }
 
 func kill(process *exec.Cmd) {
 	_ = process.Process.Kill() // it may have ended already
-	_ = process.Wait()         // how it ended does not matter
+	_ = process.Wait()         // the exit status is not checked
 }
 
 // startGateway starts the gateway and waits until it accepts connections.
@@ -125,7 +126,7 @@
 	defer cancel()
 	for ctx.Err() == nil {
 		if connection, err := net.DialTimeout("tcp4", r.listen, time.Second); err == nil {
-			_ = connection.Close() // it has served its purpose
+			_ = connection.Close() // nothing is read or written
 			return nil
 		}
 		time.Sleep(readyPoll)
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// endpointList returns a complete endpoint list in discovery's JSON form. It names the first host as the primary.
+// endpointList returns a complete endpoint list in discovery's JSON format. The list names the first host as the primary.
 func endpointList(generation int, hosts []*emulator.Host) map[string]any {
 	var endpoints []map[string]any
 	for i, host := range hosts {
@@ -169,7 +170,7 @@
 	return map[string]any{"generation": generation, "reset": true, "instances": endpoints}
 }
 
-// writeConfiguration writes the gateway's configuration, with a list that names s-0 as the primary.
+// writeConfiguration writes the gateway's configuration. Its endpoint list names the host s-0 as the primary.
 func (r *rig) writeConfiguration() error {
 	free, err := loopback.Reserve(1)
 	if err != nil {
@@ -192,7 +193,7 @@
 	return os.WriteFile(r.configFile, text, 0o600)
 }
 
-// startStore creates a store and starts its instances, except the one in the gateway's process.
+// startStore creates a store and starts its instances, except for the one in the gateway's process.
 func (r *rig) startStore() error {
 	args := []string{"store", "init", "--dir", r.directory, "--local"}
 	free, err := loopback.Reserve(len(members))
@@ -225,7 +226,7 @@
 	return nil
 }
 
-// editSettings changes the settings file of the gateway.
+// editSettings applies a change to the gateway's settings file.
 func (r *rig) editSettings(edit func(*settings.Settings)) error {
 	edited, err := settings.Load(r.settingsFile)
 	if err != nil {
--- a/internal/lab/restart/storecost.go
+++ b/internal/lab/restart/storecost.go
@@ -18,46 +18,47 @@
 	"cloverrock/internal/store/pki"
 )
 
-// Latency describes the latency of requests through a gateway, from their scheduled times on, in microseconds.
+// Latency describes the requests through a gateway. Latencies are in microseconds and count from the scheduled times.
 type Latency struct {
 	Median int64   `json:"p50_us"`
 	P99    int64   `json:"p99_us"`
 	P999   int64   `json:"p999_us"`
 	Served float64 `json:"served"`
-	Writes int64   `json:"store_writes"` // writes that the store acknowledged meanwhile
+	Writes int64   `json:"store_writes"` // writes that the store acknowledged during the measurement
 }
 
-// StoreCost is what the store costs the requests of the gateway in whose process it runs. Each figure is the median of the
-// rounds, except Served, which is the minimum.
+// StoreCost shows how a store in the gateway's process affects the latency of the gateway's requests. Each figure is the
+// median of the rounds, except for Served, which is the minimum.
 type StoreCost struct {
 	Seed   uint64  `json:"seed"`
 	Rounds int     `json:"rounds"`
 	Off    Latency `json:"off"`
 	Idle   Latency `json:"idle"`
-	Busy   Latency `json:"busy"` // clients write to the store as fast as it acknowledges, and it saves snapshots
+	Busy   Latency `json:"busy"` // clients write to the store as fast as it acknowledges writes, and the store saves snapshots
 }
 
 const (
 	storeClients    = 16
 	storeKeys       = 5000
 	valueBytes      = 256
-	snapshotEntries = 2000 // entries between snapshots, so that a short run has many
+	snapshotEntries = 2000 // log entries between snapshots; low, so that a short run has many snapshots
 
+	// Range and precision of the latency histogram.
 	maxLatencyUS = 10_000_000
-	digits       = 3 // of the histogram's values
+	digits       = 3 // significant decimal digits
 )
 
-// storeLoad is the load of the store in a round.
+// storeLoad is the load of the store during a round.
 type storeLoad int
 
 const (
 	storeOff storeLoad = iota
 	storeIdle
 	storeBusy
-	storeLoads // their number
+	storeLoads // number of loads
 )
 
-// MeasureStoreCost plays rounds of the three loads in turn, so that noise of the machine affects all equally.
+// MeasureStoreCost runs the three loads in turn in each round, so that noise of the machine affects all of them equally.
 func MeasureStoreCost(ctx context.Context, options Options, rounds int, each time.Duration) (*StoreCost, error) {
 	var measured [storeLoads][]Latency
 	for range rounds {
@@ -78,7 +79,7 @@
 	return cost, nil
 }
 
-// summarize takes the median of each figure, and the least share that was served.
+// summarize returns the median of each figure, and the minimum of the served fraction.
 func summarize(rounds []Latency) Latency {
 	median := func(figure func(Latency) int64) int64 {
 		var values []int64
@@ -139,7 +140,7 @@
 	for _, sample := range samples {
 		if sample.Succeeded {
 			succeeded++
-			_ = histogram.RecordValue(sample.Latency.Microseconds()) // deadlines are shorter than its range
+			_ = histogram.RecordValue(sample.Latency.Microseconds()) // fails only above the histogram's range, which exceeds all deadlines
 		}
 	}
 	return &Latency{
@@ -150,8 +151,8 @@
 	}
 }
 
-// writeToStore writes to the store until the context ends, one write at a time. A client that cannot start is visible in
-// the number of writes.
+// writeToStore writes to the store until the context ends, one write at a time. If its client cannot be created, it returns
+// at once, which only lowers the number of writes.
 func (r *rig) writeToStore(ctx context.Context, writes *atomic.Int64) {
 	credentials, err := pki.LoadTLS(pki.Files{
 		Certificate: filepath.Join(r.directory, "operator.pem"),
