--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -1,7 +1,6 @@
-// Package restart tests the restart of a gateway after it was killed. At the restart discovery does not answer, and the
-// endpoint list in the gateway's configuration names a primary that hangs. Each run is made twice: with a replicated store
-// that has cached routing state, and without a store. The package also measures how a store in the gateway's process affects
-// the latency of the gateway's requests.
+// Package restart tests the restart of a killed gateway while discovery does not answer and the endpoint list in its
+// configuration names a primary that hangs. Each run is made with a replicated store, which has cached routing state, and
+// without one. The package also measures how a store in the gateway's process affects the gateway's request latency.
 package restart
 
 import (
@@ -50,13 +49,13 @@
 }
 
 const (
-	hostCount    = 5
-	measuredTime = 5 * time.Second // after the restarted gateway is ready
+	hostCount        = 5
+	measuredDuration = 5 * time.Second // after the restarted gateway is ready
 
-	warmUpTime    = 2 * time.Second
-	listKnownTime = time.Second            // from the publication of a list until the gateway uses it
-	failoverTime  = 800 * time.Millisecond // from the failure of the primary to the promotion of its successor
-	newGeneration = 8                      // generation of the list without the replaced hosts
+	warmUpDuration         = 2 * time.Second
+	listPropagationTime    = time.Second            // from the publication of a list until the gateway uses it
+	failoverTime           = 800 * time.Millisecond // from the failure of the primary to the promotion of its successor
+	replacedListGeneration = 8                      // generation of the list without the replaced hosts
 
 	randomStream = 11 // separates these random numbers from those of other users of the same seed
 )
@@ -69,11 +68,11 @@
 	if options.Replace < 0 || options.Replace > hostCount-2 {
 		return nil, &ReplaceError{options.Replace}
 	}
-	without, err := play(ctx, options, false)
+	without, err := runOnce(ctx, options, false)
 	if err != nil {
 		return nil, fmt.Errorf("without the store: %w", err)
 	}
-	with, err := play(ctx, options, true)
+	with, err := runOnce(ctx, options, true)
 	if err != nil {
 		return nil, fmt.Errorf("with the store: %w", err)
 	}
@@ -83,8 +82,8 @@
 	return result, nil
 }
 
-// play kills a gateway under load, restarts it, and evaluates the requests after the restart.
-func play(ctx context.Context, options Options, withStore bool) (*Side, error) {
+// runOnce kills a gateway under load, restarts it, and evaluates the requests after the restart.
+func runOnce(ctx context.Context, options Options, withStore bool) (*Side, error) {
 	random := rand.New(rand.NewPCG(options.Seed, randomStream))
 	r, err := openRig(options, withStore)
 	if err != nil {
@@ -94,7 +93,7 @@
 	if err := r.startGateway(ctx); err != nil {
 		return nil, err
 	}
-	load := &emulator.Load{Address: r.listen, Rate: options.Rate, Seed: options.Seed}
+	load := &emulator.Load{Address: r.gatewayAddress, Rate: options.Rate, Seed: options.Seed}
 	loadContext, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	samples := make(chan []emulator.Sample, 1)
@@ -111,24 +110,24 @@
 	if err := r.startGateway(ctx); err != nil {
 		return nil, err
 	}
-	returned := time.Now()
-	if err := pause(ctx, measuredTime); err != nil {
+	restarted := time.Now()
+	if err := pause(ctx, measuredDuration); err != nil {
 		return nil, err
 	}
 	stopLoad()
-	return evaluate(<-samples, returned, returned.Sub(started)), nil
+	return evaluate(<-samples, restarted, restarted.Sub(started)), nil
 }
 
 // changeHosts replaces hosts, stops discovery's responses, makes the primary hang, and then promotes another host. The
 // running gateway can detect all these changes, but the endpoint list in its configuration file contains none of them.
 func (r *rig) changeHosts(ctx context.Context, random *rand.Rand) error {
-	if err := pause(ctx, warmUpTime); err != nil {
+	if err := pause(ctx, warmUpDuration); err != nil {
 		return err
 	}
 	if err := r.replaceHosts(); err != nil {
 		return err
 	}
-	if err := pause(ctx, listKnownTime); err != nil {
+	if err := pause(ctx, listPropagationTime); err != nil {
 		return err
 	}
 	r.discovery.Silence()
@@ -155,8 +154,8 @@
 	if replaced == 0 {
 		return nil
 	}
-	left := slices.Concat(r.hosts[:1], r.hosts[1+replaced:])
-	list, err := json.Marshal(endpointList(newGeneration, left))
+	remaining := slices.Concat(r.hosts[:1], r.hosts[1+replaced:])
+	list, err := json.Marshal(endpointList(replacedListGeneration, remaining))
 	if err != nil {
 		return err
 	}
@@ -179,12 +178,12 @@
 }
 
 // evaluate sums the weights of the samples in the measured time after the restart.
-func evaluate(samples []emulator.Sample, returned time.Time, ready time.Duration) *Side {
+func evaluate(samples []emulator.Sample, restarted time.Time, ready time.Duration) *Side {
 	side := &Side{ByClass: map[string]float64{}, ReadyMS: ready.Milliseconds()}
 	var earned, possible [len(emulator.Classes)]float64
 	var earnedSum, possibleSum float64
 	for _, sample := range samples {
-		if sample.At.Before(returned) || sample.At.After(returned.Add(measuredTime)) {
+		if sample.At.Before(restarted) || sample.At.After(restarted.Add(measuredDuration)) {
 			continue
 		}
 		side.Requests++
--- a/internal/lab/restart/rig.go
+++ b/internal/lab/restart/rig.go
@@ -22,28 +22,28 @@
 var ErrNotReady = errors.New("the gateway did not accept connections in time")
 
 const (
-	readyTimeout = 10 * time.Second
-	readyPoll    = 2 * time.Millisecond
-	hostWork     = 8 * time.Millisecond // execution time of a request
-	replicaLag   = 20 * time.Millisecond
-	// generation of the endpoint list in the gateway's configuration
-	knownGeneration = 7
+	readyTimeout    = 10 * time.Second
+	readyPoll       = 2 * time.Millisecond
+	hostServiceTime = 8 * time.Millisecond
+	replicaLag      = 20 * time.Millisecond
+
+	configuredListGeneration = 7 // generation of the endpoint list in the gateway's configuration
 )
 
-// members lists the names of the store's instances. The first runs in the gateway's process.
-var members = []string{"a", "b", "c"}
+// instanceNames lists the names of the store's instances. The first runs in the gateway's process.
+var instanceNames = []string{"a", "b", "c"}
 
 // rig holds the processes, emulated hosts and discovery of one run.
 type rig struct {
-	options      Options
-	directory    string
-	listen       string // the gateway's address for clients
-	configFile   string
-	settingsFile string // the gateway's settings file; empty: no store
-	discovery    *emulator.Discovery
-	hosts        []*emulator.Host
-	gateway      *exec.Cmd
-	instances    []*exec.Cmd // processes of the store, without the instance in the gateway's process
+	options        Options
+	directory      string
+	gatewayAddress string // the gateway's address for clients
+	configFile     string
+	settingsFile   string // the gateway's settings file; empty: no store
+	discovery      *emulator.Discovery
+	hosts          []*emulator.Host
+	gateway        *exec.Cmd
+	storeProcesses []*exec.Cmd // processes of the store, without the instance in the gateway's process
 }
 
 // openRig starts the hosts, discovery and, if withStore is set, the store, and writes the gateway's files.
@@ -81,7 +81,7 @@
 // close kills all processes, closes the emulated hosts and discovery, and removes the directory.
 func (r *rig) close() {
 	r.killGateway()
-	for _, instance := range r.instances {
+	for _, instance := range r.storeProcesses {
 		kill(instance)
 	}
 	for _, host := range r.hosts {
@@ -125,7 +125,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		if connection, err := net.DialTimeout("tcp4", r.listen, time.Second); err == nil {
+		if connection, err := net.DialTimeout("tcp4", r.gatewayAddress, time.Second); err == nil {
 			_ = connection.Close() // nothing is read or written
 			return nil
 		}
@@ -152,7 +152,7 @@
 
 func (r *rig) addHosts(number int, prefix string) error {
 	for i := range number {
-		host, err := emulator.NewHost(prefix+strconv.Itoa(i), hostWork, replicaLag)
+		host, err := emulator.NewHost(prefix+strconv.Itoa(i), hostServiceTime, replicaLag)
 		if err != nil {
 			return err
 		}
@@ -176,14 +176,14 @@
 	if err != nil {
 		return err
 	}
-	r.listen = free[0]
+	r.gatewayAddress = free[0]
 	text, err := json.MarshalIndent(map[string]any{
-		"name":      members[0],
-		"listen":    r.listen,
+		"name":      instanceNames[0],
+		"listen":    r.gatewayAddress,
 		"discovery": r.discovery.Address(),
 		"seed":      strconv.FormatUint(r.options.Seed, 16),
 		"limits":    map[string]any{"memory_mb": 192, "sockets": 1024},
-		"known":     endpointList(knownGeneration, r.hosts),
+		"known":     endpointList(configuredListGeneration, r.hosts),
 		"settings":  emulator.PlatformSettings(),
 	}, "", "  ")
 	if err != nil {
@@ -196,17 +196,17 @@
 // startStore creates a store and starts its instances, except for the one in the gateway's process.
 func (r *rig) startStore() error {
 	args := []string{"store", "init", "--dir", r.directory, "--local"}
-	free, err := loopback.Reserve(len(members))
+	free, err := loopback.Reserve(len(instanceNames))
 	if err != nil {
 		return err
 	}
-	for i, name := range members {
+	for i, name := range instanceNames {
 		args = append(args, "--member", name+"="+free[i])
 	}
 	if output, err := exec.Command(r.options.Program, args...).CombinedOutput(); err != nil {
 		return fmt.Errorf("store init: %w: %s", err, output)
 	}
-	r.settingsFile = filepath.Join(r.directory, members[0]+".json")
+	r.settingsFile = filepath.Join(r.directory, instanceNames[0]+".json")
 	err = r.editSettings(func(edited *settings.Settings) {
 		if !r.options.Forget {
 			edited.WarmStart = &settings.WarmStart{}
@@ -215,13 +215,13 @@
 	if err != nil {
 		return err
 	}
-	for _, name := range members[1:] {
+	for _, name := range instanceNames[1:] {
 		file := filepath.Join(r.directory, name+".json")
 		instance, err := r.startProcess(nil, "store", "serve", "--settings", file)
 		if err != nil {
 			return err
 		}
-		r.instances = append(r.instances, instance)
+		r.storeProcesses = append(r.storeProcesses, instance)
 	}
 	return nil
 }
--- a/internal/lab/restart/storecost.go
+++ b/internal/lab/restart/storecost.go
@@ -44,8 +44,8 @@
 	snapshotEntries = 2000 // log entries between snapshots; low, so that a short run has many snapshots
 
 	// Range and precision of the latency histogram.
-	maxLatencyUS = 10_000_000
-	digits       = 3 // significant decimal digits
+	maxLatencyUS      = 10_000_000
+	significantDigits = 3
 )
 
 // storeLoad is the load of the store during a round.
@@ -59,11 +59,11 @@
 )
 
 // MeasureStoreCost runs the three loads in turn in each round, so that noise of the machine affects all of them equally.
-func MeasureStoreCost(ctx context.Context, options Options, rounds int, each time.Duration) (*StoreCost, error) {
+func MeasureStoreCost(ctx context.Context, options Options, rounds int, roundDuration time.Duration) (*StoreCost, error) {
 	var measured [storeLoads][]Latency
 	for range rounds {
 		for load := range storeLoads {
-			latency, err := playStoreCost(ctx, options, load, each)
+			latency, err := measureRound(ctx, options, load, roundDuration)
 			if err != nil {
 				return nil, err
 			}
@@ -72,15 +72,15 @@
 	}
 	cost := &StoreCost{
 		Seed: options.Seed, Rounds: rounds,
-		Off:  summarize(measured[storeOff]),
-		Idle: summarize(measured[storeIdle]),
-		Busy: summarize(measured[storeBusy]),
+		Off:  medianOfRounds(measured[storeOff]),
+		Idle: medianOfRounds(measured[storeIdle]),
+		Busy: medianOfRounds(measured[storeBusy]),
 	}
 	return cost, nil
 }
 
-// summarize returns the median of each figure, and the minimum of the served fraction.
-func summarize(rounds []Latency) Latency {
+// medianOfRounds returns the median of each figure, and the minimum of the served fraction.
+func medianOfRounds(rounds []Latency) Latency {
 	median := func(figure func(Latency) int64) int64 {
 		var values []int64
 		for _, round := range rounds {
@@ -102,7 +102,7 @@
 	}
 }
 
-func playStoreCost(ctx context.Context, options Options, load storeLoad, each time.Duration) (*Latency, error) {
+func measureRound(ctx context.Context, options Options, load storeLoad, roundDuration time.Duration) (*Latency, error) {
 	r, err := openRig(options, load != storeOff)
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	if err := r.startGateway(ctx); err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithTimeout(ctx, each)
+	ctx, stop := context.WithTimeout(ctx, roundDuration)
 	defer stop()
 	var writes atomic.Int64
 	var clients sync.WaitGroup
@@ -126,21 +126,21 @@
 			clients.Go(func() { r.writeToStore(ctx, &writes) })
 		}
 	}
-	requests := &emulator.Load{Address: r.listen, Rate: options.Rate, Seed: options.Seed}
+	requests := &emulator.Load{Address: r.gatewayAddress, Rate: options.Rate, Seed: options.Seed}
 	samples := requests.Run(ctx)
 	clients.Wait()
-	latency := latencyOf(samples)
+	latency := summarizeSamples(samples)
 	latency.Writes = writes.Load()
 	return latency, nil
 }
 
-func latencyOf(samples []emulator.Sample) *Latency {
-	histogram := hdrhistogram.New(1, maxLatencyUS, digits)
+func summarizeSamples(samples []emulator.Sample) *Latency {
+	histogram := hdrhistogram.New(1, maxLatencyUS, significantDigits)
 	succeeded := 0
 	for _, sample := range samples {
 		if sample.Succeeded {
 			succeeded++
-			_ = histogram.RecordValue(sample.Latency.Microseconds()) // fails only above the histogram's range, which exceeds all deadlines
+			_ = histogram.RecordValue(sample.Latency.Microseconds()) // deadlines are shorter than the histogram's range
 		}
 	}
 	return &Latency{
