--- a/internal/lab/emulator/load.go
+++ b/internal/lab/emulator/load.go
@@ -22,7 +22,7 @@
 	Succeeded bool
 	Latency   time.Duration
 	Gateway   int   // number of the gateway that the request was sent to
-	Err       error // nil if it succeeded, ErrRejected if the answer was an error; any other error means that no answer came
+	Err       error // nil if it succeeded; ErrRejected if the answer was an error; any other error: no answer
 }
 
 // EarnedWeight returns the part of the priority weight that the request earned by its latency.
--- a/internal/lab/restartsoak/request.go
+++ b/internal/lab/restartsoak/request.go
@@ -40,7 +40,8 @@
 	write    bool
 }
 
-// classes returns the request classes of a plan. Their deadlines match those of run.classSettings.
+// classes returns the request classes that the clients use, with the deadline that each query states. The deadlines in the
+// gateway's configuration are those of run.classSettings.
 func (p *Plan) classes() []class {
 	short := min(800, p.LongestDeadlineMS)
 	return []class{
