--- a/internal/lab/restart/storecost.go
+++ b/internal/lab/restart/storecost.go
@@ -18,51 +18,52 @@
 	"cloverrock/internal/store/pki"
 )
 
-// Latency describes the latency of requests through a gateway, from their scheduled times on, in microseconds.
+// Latency describes the requests through a gateway. Latencies are in microseconds and count from the scheduled times.
 type Latency struct {
 	Median int64   `json:"p50_us"`
 	P99    int64   `json:"p99_us"`
 	P999   int64   `json:"p999_us"`
 	Served float64 `json:"served"`
-	Writes int64   `json:"store_writes"` // writes that the store acknowledged meanwhile
+	Writes int64   `json:"store_writes"` // writes that the store acknowledged during the measurement
 }
 
-// StoreCost is what the store costs the requests of the gateway in whose process it runs. Each figure is the median of the
-// rounds, except Served, which is the minimum.
+// StoreCost shows how a store in the gateway's process affects the latency of the gateway's requests. Each figure is the
+// median of the rounds, except for Served, which is the minimum.
 type StoreCost struct {
 	Seed   uint64  `json:"seed"`
 	Rounds int     `json:"rounds"`
 	Off    Latency `json:"off"`
 	Idle   Latency `json:"idle"`
-	Busy   Latency `json:"busy"` // clients write to the store as fast as it acknowledges, and it saves snapshots
+	Busy   Latency `json:"busy"` // clients write to the store as fast as it acknowledges writes, and the store saves snapshots
 }
 
 const (
 	storeClients    = 16
 	storeKeys       = 5000
 	valueBytes      = 256
-	snapshotEntries = 2000 // entries between snapshots, so that a short run has many
+	snapshotEntries = 2000 // log entries between snapshots; low, so that a short run has many snapshots
 
-	maxLatencyUS = 10_000_000
-	digits       = 3 // of the histogram's values
+	// Range and precision of the latency histogram.
+	maxLatencyUS      = 10_000_000
+	significantDigits = 3
 )
 
-// storeLoad is the load of the store in a round.
+// storeLoad is the load of the store during a round.
 type storeLoad int
 
 const (
 	storeOff storeLoad = iota
 	storeIdle
 	storeBusy
-	storeLoads // their number
+	storeLoads // number of loads
 )
 
-// MeasureStoreCost plays rounds of the three loads in turn, so that noise of the machine affects all equally.
-func MeasureStoreCost(ctx context.Context, options Options, rounds int, each time.Duration) (*StoreCost, error) {
+// MeasureStoreCost runs the three loads in turn in each round, so that noise of the machine affects all of them equally.
+func MeasureStoreCost(ctx context.Context, options Options, rounds int, roundDuration time.Duration) (*StoreCost, error) {
 	var measured [storeLoads][]Latency
 	for range rounds {
 		for load := range storeLoads {
-			latency, err := playStoreCost(ctx, options, load, each)
+			latency, err := measureRound(ctx, options, load, roundDuration)
 			if err != nil {
 				return nil, err
 			}
@@ -71,15 +72,15 @@
 	}
 	cost := &StoreCost{
 		Seed: options.Seed, Rounds: rounds,
-		Off:  summarize(measured[storeOff]),
-		Idle: summarize(measured[storeIdle]),
-		Busy: summarize(measured[storeBusy]),
+		Off:  medianOfRounds(measured[storeOff]),
+		Idle: medianOfRounds(measured[storeIdle]),
+		Busy: medianOfRounds(measured[storeBusy]),
 	}
 	return cost, nil
 }
 
-// summarize takes the median of each figure, and the least share that was served.
-func summarize(rounds []Latency) Latency {
+// medianOfRounds returns the median of each figure, and the minimum of the served fraction.
+func medianOfRounds(rounds []Latency) Latency {
 	median := func(figure func(Latency) int64) int64 {
 		var values []int64
 		for _, round := range rounds {
@@ -101,7 +102,7 @@
 	}
 }
 
-func playStoreCost(ctx context.Context, options Options, load storeLoad, each time.Duration) (*Latency, error) {
+func measureRound(ctx context.Context, options Options, load storeLoad, roundDuration time.Duration) (*Latency, error) {
 	r, err := openRig(options, load != storeOff)
 	if err != nil {
 		return nil, err
@@ -116,7 +117,7 @@
 	if err := r.startGateway(ctx); err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithTimeout(ctx, each)
+	ctx, stop := context.WithTimeout(ctx, roundDuration)
 	defer stop()
 	var writes atomic.Int64
 	var clients sync.WaitGroup
@@ -125,21 +126,21 @@
 			clients.Go(func() { r.writeToStore(ctx, &writes) })
 		}
 	}
-	requests := &emulator.Load{Address: r.listen, Rate: options.Rate, Seed: options.Seed}
+	requests := &emulator.Load{Address: r.gatewayAddress, Rate: options.Rate, Seed: options.Seed}
 	samples := requests.Run(ctx)
 	clients.Wait()
-	latency := latencyOf(samples)
+	latency := summarizeSamples(samples)
 	latency.Writes = writes.Load()
 	return latency, nil
 }
 
-func latencyOf(samples []emulator.Sample) *Latency {
-	histogram := hdrhistogram.New(1, maxLatencyUS, digits)
+func summarizeSamples(samples []emulator.Sample) *Latency {
+	histogram := hdrhistogram.New(1, maxLatencyUS, significantDigits)
 	succeeded := 0
 	for _, sample := range samples {
 		if sample.Succeeded {
 			succeeded++
-			_ = histogram.RecordValue(sample.Latency.Microseconds()) // deadlines are shorter than its range
+			_ = histogram.RecordValue(sample.Latency.Microseconds()) // deadlines are shorter than the histogram's range
 		}
 	}
 	return &Latency{
@@ -150,8 +151,8 @@
 	}
 }
 
-// writeToStore writes to the store until the context ends, one write at a time. A client that cannot start is visible in
-// the number of writes.
+// writeToStore writes to the store until the context ends, one write at a time. If its client cannot be created, it returns
+// at once, which only lowers the number of writes.
 func (r *rig) writeToStore(ctx context.Context, writes *atomic.Int64) {
 	credentials, err := pki.LoadTLS(pki.Files{
 		Certificate: filepath.Join(r.directory, "operator.pem"),
--- a/internal/lab/restartsoak/play.go
+++ b/internal/lab/restartsoak/play.go
@@ -12,10 +12,10 @@
 	"cloverrock/internal/pgwire"
 )
 
-// play restarts the gateway under load, and ends it.
-func (r *run) play(ctx context.Context) error {
-	if r.plan.TerminatedStart > 0 {
-		if err := r.terminateStart(ctx); err != nil {
+// runPlan executes the plan: it restarts the gateway under load, runs the checks and ends the second process.
+func (r *run) runPlan(ctx context.Context) error {
+	if r.plan.TerminatedStartMS > 0 {
+		if err := r.terminateDuringStart(ctx); err != nil {
 			return err
 		}
 	}
@@ -27,12 +27,12 @@
 	defer stopLoad()
 	var clients sync.WaitGroup
 	r.startClients(load, &clients)
-	crowd := r.openCrowd()
-	sleep(ctx, loadBefore)
+	idle := r.openPlannedIdle()
+	sleep(ctx, loadBeforeRestart)
 	r.restart(ctx, first)
-	closeAll(crowd)
+	closeAll(idle)
 	if r.defect == DefectNoList {
-		if err := r.withholdList(); err != nil {
+		if err := r.withholdEndpointList(); err != nil {
 			return err
 		}
 	}
@@ -40,25 +40,26 @@
 	if err != nil {
 		return err
 	}
-	sleep(ctx, loadAfter)
+	sleep(ctx, loadAfterRestart)
 	stopLoad()
 	clients.Wait()
 	r.checkDescriptors(ctx, second)
 	r.checkMemory(second)
-	r.setFront(false)
+	r.setConnectable(false)
 	signaled := time.Now()
 	second.signal(PlannedEvent{What: signalTERM})
-	r.checkEnd(second, signaled)
+	r.checkExit(second, signaled)
 	return nil
 }
 
-// terminateStart starts a process that is told to end while it starts. It has taken nothing, so it may end in any way.
-func (r *run) terminateStart(ctx context.Context) error {
+// terminateDuringStart starts a process and sends it SIGTERM during startup. The process has accepted no request yet, so
+// any exit status is allowed.
+func (r *run) terminateDuringStart(ctx context.Context) error {
 	p, err := r.startProcess()
 	if err != nil {
 		return err
 	}
-	sleep(ctx, milliseconds(r.plan.TerminatedStart))
+	sleep(ctx, milliseconds(r.plan.TerminatedStartMS))
 	p.signal(PlannedEvent{What: signalTERM})
 	if !p.waitEnded(r.plan.killAfter()) {
 		r.fault("a process that got SIGTERM as it started did not end in %v", r.plan.killAfter())
@@ -66,7 +67,8 @@
 	return nil
 }
 
-// startReady starts a process, and opens the front once it is ready.
+// startReady starts a process, waits until it is ready, and then lets clients open connections. A process that is not ready
+// in time is recorded as a fault.
 func (r *run) startReady(ctx context.Context) (*process, error) {
 	p, err := r.startProcess()
 	if err != nil {
@@ -74,25 +76,25 @@
 	}
 	err = r.waitReady(ctx)
 	if errors.Is(err, errNotReady) {
-		r.fault("not ready within %v", readyLimit)
+		r.fault("not ready within %v", readyTimeout)
 		err = nil
 	}
-	r.setFront(true)
+	r.setConnectable(true)
 	return p, err
 }
 
 func (r *run) startClients(ctx context.Context, clients *sync.WaitGroup) {
 	for i := range clientCount {
-		c := &client{run: r, random: rand.New(rand.NewPCG(r.plan.Seed, uint64(i))), ahead: 1}
-		if i%clientsAhead == 0 {
-			c.ahead = aheadMost
+		c := &client{run: r, random: rand.New(rand.NewPCG(r.plan.Seed, uint64(i))), pipelineDepth: 1}
+		if i%pipeliningClientInterval == 0 {
+			c.pipelineDepth = maxPipelineDepth
 		}
-		clients.Go(func() { c.play(ctx) })
+		clients.Go(func() { c.connectRepeatedly(ctx) })
 	}
 }
 
-// openCrowd opens the idle connections of the plan.
-func (r *run) openCrowd() []net.Conn { return r.openIdle(r.plan.Crowd) }
+// openPlannedIdle opens the idle connections of the plan.
+func (r *run) openPlannedIdle() []net.Conn { return r.openIdle(r.plan.IdleConnections) }
 
 func (r *run) openIdle(number int) []net.Conn {
 	var idle []net.Conn
@@ -104,11 +106,12 @@
 	return idle
 }
 
-// awaitAccepted waits until the gateway has accepted connections, and not the system alone: it answers their startup.
+// awaitAccepted waits until the gateway has answered the startup message of each connection. An open connection alone may
+// have been accepted only by the operating system.
 func awaitAccepted(conns []net.Conn) {
 	startup := pgwire.AppendStartup(nil, "user", "soak", "database", "soak")
 	for _, conn := range conns {
-		_ = conn.SetDeadline(time.Now().Add(dialTimeout)) // fails only on a closed connection, as what follows
+		_ = conn.SetDeadline(time.Now().Add(dialTimeout)) // fails only on a closed connection, as do the calls below
 		if _, err := conn.Write(startup); err == nil {
 			_, _ = conn.Read(make([]byte, 1))
 		}
@@ -121,15 +124,15 @@
 	}
 }
 
-// restart sends the signals and makes the faults of the plan, and kills the process at the earliest moment.
+// restart sends the signals and injects the faults of the plan, and checks that the process exits in time.
 func (r *run) restart(ctx context.Context, p *process) {
-	signaled := time.Now().Add(loadBefore / 2)
+	signaled := time.Now().Add(loadBeforeRestart / 2)
 	at := func(ms int) { sleep(ctx, time.Until(signaled.Add(milliseconds(ms)))) }
 	var events sync.WaitGroup
 	for _, event := range r.plan.Faults {
 		events.Go(func() {
 			at(event.AtMS)
-			r.makeFault(event.What)
+			r.injectFault(event.What)
 		})
 	}
 	events.Go(func() {
@@ -139,8 +142,8 @@
 		}
 	})
 	events.Go(func() {
-		at(r.plan.FrontMS)
-		r.setFront(false)
+		at(r.plan.StopConnectingMS)
+		r.setConnectable(false)
 	})
 	at(0)
 	switch r.defect {
@@ -150,12 +153,12 @@
 		at(1)
 		_ = p.command.Process.Signal(syscall.SIGSTOP)
 	}
-	r.checkEnd(p, signaled)
+	r.checkExit(p, signaled)
 	events.Wait()
 }
 
-// makeFault changes hosts or the endpoint list.
-func (r *run) makeFault(what string) {
+// injectFault applies a planned fault to the hosts or the endpoint list.
+func (r *run) injectFault(what string) {
 	switch what {
 	case faultHostDies:
 		r.hosts[hostCount-1].Close()
@@ -173,14 +176,14 @@
 	}
 }
 
-// withholdList has the next process start without an endpoint list, and discovery fall silent.
-func (r *run) withholdList() error {
+// withholdEndpointList makes the next process start without an endpoint list, and discovery stop answering.
+func (r *run) withholdEndpointList() error {
 	r.discovery.Silence()
 	return r.writeConfiguration("null")
 }
 
-// checkEnd waits until a process has ended by the earliest kill, and kills it if it has not.
-func (r *run) checkEnd(p *process, signaled time.Time) {
+// checkExit checks that a process exits with code 0 before the earliest possible SIGKILL, and kills it otherwise.
+func (r *run) checkExit(p *process, signaled time.Time) {
 	if !p.waitEnded(time.Until(signaled.Add(r.plan.killAfter()))) {
 		r.fault("did not end within %v of SIGTERM", r.plan.killAfter())
 		_ = p.command.Process.Kill()
@@ -188,11 +191,11 @@
 		return
 	}
 	if code := p.command.ProcessState.ExitCode(); code != 0 {
-		r.fault("ended by %v", p.command.ProcessState)
+		r.fault("ended by %v, expected exit code 0", p.command.ProcessState)
 	}
 }
 
-// checkDescriptors wants the descriptors of all clients to be free, once these are gone.
+// checkDescriptors checks that the gateway closes the descriptors of all clients after they have disconnected.
 func (r *run) checkDescriptors(ctx context.Context, p *process) {
 	if r.defect == DefectHeld {
 		held := r.openIdle(heldConnections)
@@ -201,7 +204,7 @@
 	}
 	const ownDescriptors = 16 // standard streams, log, event loop, listener, discovery, timers
 	open := 0
-	for began := time.Now(); time.Since(began) < descriptorLimit; sleep(ctx, redialPause) {
+	for began := time.Now(); time.Since(began) < descriptorTimeout; sleep(ctx, redialPause) {
 		open = p.descriptors()
 		for _, host := range r.hosts {
 			open -= host.Connections()
@@ -210,7 +213,7 @@
 			return
 		}
 	}
-	r.fault("%d descriptors without clients and hosts; %d are the gateway's own", open, ownDescriptors)
+	r.fault("%d descriptors without clients and hosts; expected at most the gateway's own %d", open, ownDescriptors)
 }
 
 func (r *run) checkMemory(p *process) {
@@ -219,6 +222,6 @@
 		limit = 1
 	}
 	if used := p.peakMemoryMB(); used > limit {
-		r.fault("%d MB of memory, %d allowed", used, limit)
+		r.fault("%d MB of memory used, at most %d allowed", used, limit)
 	}
 }
--- a/internal/lab/restartsoak/request.go
+++ b/internal/lab/restartsoak/request.go
@@ -7,60 +7,61 @@
 	"cloverrock/internal/pgwire"
 )
 
-// answerKind is how a request ended, as its client sees it.
-type answerKind uint8
+// outcome is the outcome of a request from the client's point of view.
+type outcome uint8
 
 const (
-	unanswered answerKind = iota
+	unanswered outcome = iota
 	served
 	rejected
 	failed
-	crossed      // its connection was closed as it was sent, before the gateway read it
-	notAccepted  // its connection was closed before any answer, in a crowd
-	clientLeft   // its client closed the connection
-	stillWaiting // the connection was open when the run ended
+	closeRace          // the connection was closed while the request was being sent, before the gateway read it
+	notAccepted        // the connection was closed before its first answer, while idle connections used up the descriptors
+	clientDisconnected // the client closed the connection on purpose
+	pendingAtEnd       // no answer had arrived when the client closed the connection at the end of the run
 )
 
 // request is one query of a client.
 type request struct {
-	id         int
-	class      class
-	sentAt     time.Time // when its last byte was written
-	dueAt      time.Time // when its time was over; set with the answer
-	answeredAt time.Time // or when it was seen that no answer comes
-	answer     answerKind
-	leftAt     time.Time // when its client left
-	generation int       // of the process that it was sent to
+	id             int
+	class          class
+	sentAt         time.Time // when its last byte was written
+	dueAt          time.Time // latest time of its answer, without answerSlack; set together with the outcome
+	endedAt        time.Time // when the answer arrived, or when the connection ended without one
+	outcome        outcome
+	disconnectedAt time.Time // when the client disconnected on purpose; zero if it did not
+	generation     int       // number of the process that it was sent to
 }
 
-// class is a class of requests.
+// class is a request class.
 type class struct {
-	name  string
-	wait  time.Duration
-	write bool
+	name     string
+	deadline time.Duration
+	write    bool
 }
 
-// classes returns the classes of a plan; see settingsOf.
+// classes returns the request classes that the clients use, with the deadline that each query states. The deadlines in the
+// gateway's configuration are those of run.classSettings.
 func (p *Plan) classes() []class {
-	short := min(800, p.LongestMS)
+	short := min(800, p.LongestDeadlineMS)
 	return []class{
-		{name: "zone-lookup", wait: milliseconds(short)},
-		{name: "zone-change", wait: milliseconds(p.LongestMS), write: true},
+		{name: "zone-lookup", deadline: milliseconds(short)},
+		{name: "zone-change", deadline: milliseconds(p.LongestDeadlineMS), write: true},
 	}
 }
 
-// message is the query's message.
+// message returns the encoded query of the request.
 func (r *request) message() []byte {
 	statement := "SELECT body FROM objects WHERE oid = 'k'"
 	if r.class.write {
 		statement = "INSERT INTO objects (oid, body) VALUES ('k', 'v') RETURNING body"
 	}
-	comment := fmt.Sprintf("/* id=%d,c=%s,d=%d,cluster=1 */ ", r.id, r.class.name, r.class.wait.Milliseconds())
+	comment := fmt.Sprintf("/* id=%d,c=%s,d=%d,cluster=1 */ ", r.id, r.class.name, r.class.deadline.Milliseconds())
 	return pgwire.AppendQuery(nil, comment+statement)
 }
 
-// idOf returns the id in a statement's comment; 0 if it has none.
+// idOf returns the request id in a statement's comment, or 0 if there is none.
 func idOf(statement string) (id int) {
-	_, _ = fmt.Sscanf(statement, "/* id=%d,", &id) // 0 then
+	_, _ = fmt.Sscanf(statement, "/* id=%d,", &id) // id stays 0 on an error
 	return id
 }
--- a/internal/lab/restartsoak/soak.go
+++ b/internal/lab/restartsoak/soak.go
@@ -15,80 +15,80 @@
 	"cloverrock/internal/lab/loopback"
 )
 
-// Deliberate defects of a run, to show that each check finds its fault.
+// Deliberate defects of a run. They show that each check detects the fault it is meant for.
 const (
 	DefectNone      = ""
-	DefectAbrupt    = "abrupt"     // the process is killed at SIGTERM: requests are lost, and it does not end in order
-	DefectTwice     = "twice"      // a client sends each write a second time: writes run twice
-	DefectLateLeave = "late-leave" // clients count as gone before they close: attempts begin after that
-	DefectNoList    = "no-list"    // the process that returns gets no endpoint list: it is not ready
-	DefectStopped   = "stopped"    // the process is stopped after SIGTERM: it does not end
-	DefectHeld      = "held"       // connections are open where descriptors are counted
-	DefectMemory    = "memory"     // the limit of memory is lower than what any process needs
+	DefectAbrupt    = "abrupt"     // the process is killed at SIGTERM: requests are lost, and it does not exit with code 0
+	DefectTwice     = "twice"      // each write is counted as executed a second time
+	DefectLateLeave = "late-leave" // the disconnect of a client is recorded earlier than it happens: attempts begin after it
+	DefectNoList    = "no-list"    // the restarted process gets no endpoint list: it does not become ready
+	DefectStopped   = "stopped"    // the process is stopped by SIGSTOP after SIGTERM: it does not exit
+	DefectHeld      = "held"       // connections stay open while descriptors are counted
+	DefectMemory    = "memory"     // the memory limit is lower than what any process needs
 )
 
-// Defects are the values of Options.Defect.
+// Defects lists the possible values of Options.Defect.
 var Defects = []string{
 	DefectAbrupt, DefectTwice, DefectLateLeave, DefectNoList, DefectStopped, DefectHeld, DefectMemory,
 }
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Program string // path of the gateway's program
 	Seed    uint64
 	Defect  string
 }
 
-// Result of a run.
+// Result reports the requests and faults of a run.
 type Result struct {
-	Plan     Plan           `json:"plan"`
-	Defect   string         `json:"defect,omitempty"`
-	Requests int            `json:"requests"`
-	Answers  map[string]int `json:"answers"`
-	Faults   []string       `json:"faults"`
-	First    []string       `json:"first_fault_log,omitempty"` // log lines of the first request with a fault
+	Plan          Plan           `json:"plan"`
+	Defect        string         `json:"defect,omitempty"`
+	Requests      int            `json:"requests"`
+	Answers       map[string]int `json:"answers"`
+	Faults        []string       `json:"faults"`
+	FirstFaultLog []string       `json:"first_fault_log,omitempty"` // log lines of the first request with a fault
 }
 
 const (
-	clientCount     = 24
-	clientsAhead    = 4 // one client in so many sends ahead
-	hostCount       = 3
-	hostWork        = 5 * time.Millisecond
-	replicaLag      = 15 * time.Millisecond
-	memoryMB        = 64
-	sockets         = 512
-	readyLimit      = 6 * time.Second
-	loadBefore      = 1200 * time.Millisecond // before the first SIGTERM
-	loadAfter       = time.Second             // after the return
-	finishTimeout   = 6 * time.Second         // for the last answers
-	descriptorLimit = 1500 * time.Millisecond // until the clients' descriptors are free, below any idle timeout
-	heldConnections = 30
+	clientCount              = 24
+	pipeliningClientInterval = 4 // one client in this many sends several queries without waiting for answers
+	hostCount                = 3
+	hostServiceTime          = 5 * time.Millisecond
+	replicaLag               = 15 * time.Millisecond
+	memoryMB                 = 64
+	sockets                  = 512
+	readyTimeout             = 6 * time.Second
+	loadBeforeRestart        = 1200 * time.Millisecond // before the first SIGTERM
+	loadAfterRestart         = time.Second             // after the restarted process is ready
+	finishTimeout            = 6 * time.Second         // time a client waits for its last answers
+	descriptorTimeout        = 1500 * time.Millisecond // until the clients' descriptors must be closed; shorter than any idle timeout
+	heldConnections          = 30
 )
 
-// run holds the parts of one run.
+// run holds the state of one run.
 type run struct {
-	plan       Plan
-	program    string
-	defect     string
-	directory  string
-	listen     string
-	configFile string
-	hosts      []*emulator.Host
-	discovery  *emulator.Discovery
-	processes  int
-	all        []*process
-
-	mu         sync.Mutex // of what follows
-	lastID     int
-	generation int  // of the process that clients connect to
-	frontOpen  bool // whether new connections are sent to it
-	requests   []*request
-	arrivals   map[int][]time.Time // of requests at hosts, by id
-	executed   map[int]int         // times that each write was executed, by id
-	faults     []string
-}
-
-// Run makes one run.
+	plan         Plan
+	program      string
+	defect       string
+	directory    string
+	listen       string
+	configFile   string
+	hosts        []*emulator.Host
+	discovery    *emulator.Discovery
+	processCount int
+	started      []*process
+
+	mu          sync.Mutex // protects the fields below
+	lastID      int
+	generation  int  // number of the process that clients connect to
+	connectable bool // whether clients may open new connections
+	requests    []*request
+	arrivals    map[int][]time.Time // times at which requests arrived at hosts, by request id
+	executed    map[int]int         // how often each write was executed, by request id
+	faults      []string
+}
+
+// Run executes the plan of the given seed and returns the result.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	r := &run{
 		plan: MakePlan(options.Seed), program: options.Program, defect: options.Defect,
@@ -103,7 +103,7 @@
 	if err := r.open(); err != nil {
 		return nil, err
 	}
-	if err := r.play(ctx); err != nil {
+	if err := r.runPlan(ctx); err != nil {
 		return nil, err
 	}
 	return r.evaluate(), ctx.Err()
@@ -116,7 +116,7 @@
 		return err
 	}
 	for i := range hostCount {
-		host, err := emulator.NewHost(fmt.Sprintf("s-%d", i), hostWork, replicaLag)
+		host, err := emulator.NewHost(fmt.Sprintf("s-%d", i), hostServiceTime, replicaLag)
 		if err != nil {
 			return err
 		}
@@ -162,22 +162,22 @@
 	return os.WriteFile(r.configFile, text, 0o600)
 }
 
-// classSettings are the deployment's classes with the plan's deadlines.
+// classSettings returns the settings of the deployment's request classes with the deadlines of the plan.
 func (r *run) classSettings() []map[string]any {
 	classes := emulator.ClassSettings()
 	for _, settings := range classes {
-		deadline := min(settings["deadlineMs"].(int64), int64(r.plan.LongestMS))
+		deadline := min(settings["deadlineMs"].(int64), int64(r.plan.LongestDeadlineMS))
 		if settings["repeat"] == "non_idempotent" {
-			deadline = int64(r.plan.LongestMS)
+			deadline = int64(r.plan.LongestDeadlineMS)
 		}
 		settings["deadlineMs"] = deadline
 	}
 	return classes
 }
 
-// close ends all that was started.
+// close ends all processes, hosts and discovery that the run started.
 func (r *run) close() {
-	for _, p := range r.all {
+	for _, p := range r.started {
 		p.close()
 	}
 	for _, host := range r.hosts {
@@ -188,7 +188,7 @@
 	}
 }
 
-// observe notes a request that arrives at a host.
+// observe records a request that arrives at a host.
 func (r *run) observe(statement string, executesWrite bool) {
 	id := idOf(statement)
 	r.mu.Lock()
@@ -202,20 +202,20 @@
 	}
 }
 
-// front returns the process that new connections go to, and whether any do.
-func (r *run) front() (generation int, open bool) {
+// connectTarget returns the number of the process that clients connect to, and whether they may open new connections.
+func (r *run) connectTarget() (generation int, open bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.generation, r.frontOpen
+	return r.generation, r.connectable
 }
 
-func (r *run) setFront(open bool) {
+func (r *run) setConnectable(open bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if open {
 		r.generation++
 	}
-	r.frontOpen = open
+	r.connectable = open
 }
 
 func (r *run) newRequest(random *rand.Rand, generation int) *request {
