--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -55,7 +55,7 @@
 func (l Launcher) Commands(func(string) string) []*cobra.Command {
 	return []*cobra.Command{{
 		Use:                "store",
-		Short:              "Found, look after and use the replicated store",
+		Short:              "Create, operate and use the replicated store",
 		DisableFlagParsing: true,
 		RunE:               func(*cobra.Command, []string) error { return l.exec() },
 	}}
--- a/internal/storecmd/command.go
+++ b/internal/storecmd/command.go
@@ -70,7 +70,7 @@
 	o := &options{}
 	root := &cobra.Command{
 		Use:   "store",
-		Short: "Found, look after and use the replicated store",
+		Short: "Create, operate and use the replicated store",
 		Args:  app.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return app.Usage("needs a command") },
 	}
