--- a/internal/lab/storesim/checks.go
+++ b/internal/lab/storesim/checks.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Keys that clients write.
+// Keys that the clients write.
 const (
 	dataNamespace = "data"
 	sharedPrefix  = "shared" // keys that are written more than once
 )
 
-// appliedEntry is what was applied at an index.
+// appliedEntry identifies the entry that was applied at an index.
 type appliedEntry struct{ term, chain uint64 }
 
 func (s *simulation) addViolation(format string, args ...any) {
@@ -64,7 +64,8 @@
 	}
 }
 
-// checkAcknowledged checks, at the end of a run, that every instance has each acknowledged write exactly once.
+// checkAcknowledged checks, at the end of a run, that every instance is up, has each acknowledged write, and has applied no
+// write twice.
 func (s *simulation) checkAcknowledged() {
 	if len(s.result.Violations) > 0 {
 		return
--- a/internal/lab/storesim/client.go
+++ b/internal/lab/storesim/client.go
@@ -14,12 +14,12 @@
 	sharedValueBytes = 100
 	callTimeout      = 4 * second
 	noLeaderDelay    = 50 * millisecond // until a call to an instance that is down fails
-	sessionDelay     = 20 * millisecond
-	newSessionDelay  = 10 * millisecond
+	sessionDelay     = 20 * millisecond // from the answer to a request for a session to the next call
+	newSessionDelay  = 10 * millisecond // from the end of a session to the request for a new one
 )
 
-// client opens a session and writes keys of its own and shared ones. It retries a write without an answer at a random
-// instance, with the same sequence number.
+// client opens a session and sends writes, each of a key of its own and a shared key. It retries a write that was not
+// acknowledged at a random instance, with the same sequence number.
 type client struct {
 	simulation *simulation
 	number     int
@@ -27,7 +27,7 @@
 	sequence   uint64
 }
 
-// call proposes a command to a random instance, and calls done with the answer or at the timeout.
+// call proposes a command to a random instance, and calls done with the answer or, at the timeout, with an error.
 func (c *client) call(command machine.Command, done func(core.Answer)) {
 	s := c.simulation
 	target := s.instances[s.random.IntN(len(s.instances))]
@@ -83,7 +83,7 @@
 	})
 }
 
-// write sends a command until it is acknowledged or its session has ended.
+// write sends a command until it is acknowledged, its session has ended, or the simulation is healed.
 func (c *client) write(key string, command machine.Command, retries int) {
 	s := c.simulation
 	if s.ResendAsNew && retries > 0 {
--- a/internal/lab/storesim/disk.go
+++ b/internal/lab/storesim/disk.go
@@ -13,24 +13,24 @@
 
 var errSync = errors.New("sim: the disk could not sync")
 
-// tornBytes is how much of a file a write that was under way at a power loss may spoil.
+// tornBytes is the number of bytes that a write in progress may corrupt at a power loss.
 const tornBytes = 512
 
-// memoryDisk implements disk.FS. At a loss of power it loses data that was not synced.
+// memoryDisk implements disk.FS. At a power loss it loses data that was not synced.
 type memoryDisk struct {
 	random                *rand.Rand
-	files                 map[string]*memoryFile // as a process sees them
-	durable               map[string]*memoryFile // as the last SyncDir left them
+	files                 map[string]*memoryFile // by name, as the process sees them
+	durable               map[string]*memoryFile // by name, as of the last SyncDir
 	full                  bool
 	failSync              bool
-	ignoreSyncs           bool // syncs do nothing: the checks must find it
-	changesUntilPowerLoss int  // the machine loses power in the middle of that change; 0: it does not
+	ignoreSyncs           bool // deliberate defect: syncs have no effect; the checks must report it
+	changesUntilPowerLoss int  // power is lost during the change with this number, counted from 1; 0: never
 }
 
-// powerLoss is the panic that ends a call in whose middle the machine loses power.
+// powerLoss is the panic that ends a call during which the machine loses power.
 type powerLoss struct{ disk *memoryDisk }
 
-// countChange counts a change, and panics if the machine loses power in its middle.
+// countChange counts a change of the disk, and panics with a powerLoss if the machine loses power during it.
 func (d *memoryDisk) countChange() {
 	if d.changesUntilPowerLoss == 0 {
 		return
@@ -45,15 +45,15 @@
 type memoryFile struct {
 	disk        *memoryDisk
 	data        []byte
-	synced      int    // number of bytes of data that are on the disk
-	durableData []byte // what is on the disk, if data was changed below synced; else nil
+	synced      int    // number of bytes, from the start of data, that are on the disk
+	durableData []byte // the content on the disk, if data was changed below synced and not synced since; else nil
 }
 
 func newDisk(random *rand.Rand) *memoryDisk {
 	return &memoryDisk{random: random, files: map[string]*memoryFile{}, durable: map[string]*memoryFile{}}
 }
 
-// names returns the files' names in order.
+// names returns the names of all files, sorted.
 func (d *memoryDisk) names() []string { return slices.Sorted(maps.Keys(d.files)) }
 
 func (d *memoryDisk) Name(name string) string { return "disk/" + name }
@@ -124,10 +124,10 @@
 	return nil
 }
 
-// crash simulates a loss of power: data that was not synced is lost, torn, or survives by chance.
+// crash simulates a power loss: data that was not synced is lost, corrupted or kept at random.
 func (d *memoryDisk) crash() {
 	survivors := d.durable
-	if !d.ignoreSyncs && d.random.IntN(2) == 0 { // the directory may have been written without a sync
+	if !d.ignoreSyncs && d.random.IntN(2) == 0 { // the kernel may write a directory without a sync
 		survivors = d.files
 	}
 	d.files = map[string]*memoryFile{}
@@ -142,7 +142,7 @@
 	}
 }
 
-// loseUnsynced reduces the file to what survives a loss of power.
+// loseUnsynced reduces the file to what survives a power loss.
 func (f *memoryFile) loseUnsynced() {
 	random := f.disk.random
 	switch {
@@ -155,8 +155,8 @@
 	f.synced = len(f.data)
 }
 
-// tear keeps a random part of the data written since the last sync and may corrupt some of it: the pieces of a write reach
-// the disk in any order.
+// tear keeps a random part of the data written since the last sync, and may corrupt some of that: the blocks of a write
+// reach the disk in any order.
 func (f *memoryFile) tear() {
 	random := f.disk.random
 	unsynced := f.data[f.synced:]
@@ -174,7 +174,7 @@
 	}
 }
 
-// flipBit flips a random bit of a file, and reports whether there was any.
+// flipBit flips a random bit of a file. It reports false for a file that is missing or empty.
 func (d *memoryDisk) flipBit(name string) bool {
 	file := d.files[name]
 	if file == nil || len(file.data) == 0 {
@@ -189,7 +189,7 @@
 	if f.disk.full {
 		return 0, disk.ErrFull
 	}
-	if f.disk.changesUntilPowerLoss == 1 { // power is lost in the middle of the write
+	if f.disk.changesUntilPowerLoss == 1 { // power is lost during this write, which writes a part of b
 		f.data = append(f.data, b[:f.disk.random.IntN(len(b)+1)]...)
 	}
 	f.disk.countChange()
--- a/internal/lab/storesim/events.go
+++ b/internal/lab/storesim/events.go
@@ -2,13 +2,13 @@
 
 import "container/heap"
 
-// event is a call at a simulated time. Of two at one time the one that was scheduled first comes first.
+// event is a call at a simulated time. Events of the same time are called in the order in which they were scheduled.
 type event struct {
 	at, serial int64
 	call       func()
 }
 
-// eventQueue is a heap of events.
+// eventQueue is a heap of events with the next one at its top.
 type eventQueue []*event
 
 // Len implements heap.Interface.
@@ -33,13 +33,13 @@
 	return last
 }
 
-// schedule calls f after a time.
+// schedule schedules a call of f after a delay.
 func (s *simulation) schedule(after int64, f func()) {
 	s.serial++
 	heap.Push(&s.events, &event{s.now + after, s.serial, f})
 }
 
-// play plays the events up to a time, or to the first violation.
+// play runs the scheduled events up to a time, or to the first violation.
 func (s *simulation) play(until int64) {
 	for len(s.events) > 0 && s.events[0].at <= until && len(s.result.Violations) == 0 {
 		next := heap.Pop(&s.events).(*event)
@@ -50,7 +50,7 @@
 	s.now = max(s.now, until)
 }
 
-// callEvent makes a panic a violation: raft panics where its state is impossible.
+// callEvent calls f and records a panic as a violation: raft panics when it finds its own state impossible.
 func (s *simulation) callEvent(f func()) {
 	defer func() {
 		if reason := recover(); reason != nil {
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -1,22 +1,22 @@
 package storesim
 
-// faultWeights is the number of equally likely draws of playFault.
+// faultWeights is the number of equally likely cases of playFault.
 const faultWeights = 14
 
-// maxChangesUntilPowerLoss bounds the changes of a disk before its machine loses power.
+// maxChangesUntilPowerLoss bounds the number of the disk change during which the machine loses power.
 const maxChangesUntilPowerLoss = 12
 
-// cutWay is the direction of a cut.
+// cutWay selects the messages that a cut drops.
 type cutWay int
 
-const (
-	cutBoth cutWay = iota
-	cutTo          // messages to the instance
-	cutFrom        // messages from the instance
-	cutWays        // their number
+const ( // messages to and from the instance
+	cutBoth cutWay = iota // messages to the instance
+	cutTo                 // messages from the instance
+	cutFrom               // the number of kinds
+	cutWays               // their number
 )
 
-// scheduleFaults plays faults at random times until the simulation is healed.
+// scheduleFaults injects faults at random times until the simulation is healed.
 func (s *simulation) scheduleFaults() {
 	s.schedule(int64(200+s.random.IntN(1500))*millisecond, func() {
 		if s.healed {
@@ -60,7 +60,7 @@
 	}
 }
 
-// stopFor stops an instance, if it is up, and starts it after a time.
+// stopFor stops an instance, if it is up, and starts it again after the duration.
 func (s *simulation) stopFor(i int, powerLost bool, duration int64) {
 	inst := s.instances[i]
 	if inst.core == nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// cutOff cuts an instance off from the others, in one direction or both.
+// cutOff cuts an instance off from all others for the duration, in one direction or both.
 func (s *simulation) cutOff(i int, duration int64) {
 	way := cutWay(s.random.IntN(int(cutWays)))
 	for j := range s.instances {
@@ -108,7 +108,9 @@
 	})
 }
 
-// corruptDisk has a bit flip while the machine is down; on one disk at a time, or there is no majority to learn from.
+// corruptDisk stops an instance and marks it, so that a bit of its log flips before its next start. It does nothing while
+// another instance is marked or a replaced one has not joined: if two disks were lost at a time, there might be no majority
+// left to learn from.
 func (s *simulation) corruptDisk(i int, duration int64) {
 	for _, inst := range s.instances {
 		if !inst.joined || inst.corrupt {
@@ -121,7 +123,7 @@
 	}
 }
 
-// heal ends all faults.
+// heal ends all faults and starts the instances that are down.
 func (s *simulation) heal() {
 	s.healed = true
 	s.cut = map[direction]bool{}
--- a/internal/lab/storesim/instance.go
+++ b/internal/lab/storesim/instance.go
@@ -11,16 +11,16 @@
 
 const (
 	normalTick        = 100 * millisecond
-	powerReturns      = 500 * millisecond
-	supervisorRestart = second     // after a start that failed
-	diskReplaced      = 5 * second // after a sync that failed
+	powerReturns      = 500 * millisecond // time until a machine that lost power in the middle of a disk change starts again
+	supervisorRestart = second            // time until a process whose start failed is started again
+	diskReplaced      = 5 * second        // time until a stopped instance whose disk fails to sync is started again
 
 	snapshotInterval     = 60 // entries
 	retainedEntries      = 20
 	chunkSize            = 1 << 10 // bytes
 	snapshotBytesPerTick = 8 << 10
 	timeoutTicks         = 30
-	maxSnapshotDelay     = 50 // milliseconds that a snapshot takes to be written in the background
+	maxSnapshotDelay     = 50 // milliseconds; bounds the delay of a snapshot that is saved in the background
 )
 
 // instance is one member of the cluster: a disk, and a process when it is up.
@@ -30,16 +30,17 @@
 	id           uint64
 	disk         *memoryDisk
 	store        *disk.Store
-	core         *core.Core // nil: down
-	incarnation  int        // incremented at each start and end; calls scheduled for an earlier one are dropped
+	core         *core.Core // nil while the process is down
+	incarnation  int        // incremented at each start and stop; calls scheduled for an earlier one are dropped
 	tickInterval int64
-	diskFull     bool       // the instance stands still until there is room
-	stalled      *core.Work // the work for which there was no room
-	joined       bool       // it is a voter
+	diskFull     bool       // the instance does nothing until its disk has room again
+	stalled      *core.Work // the work whose save failed because the disk was full
+	joined       bool       // all other instances have it as a voter
 	corrupt      bool       // a bit of its log flips at the next start
 }
 
-// recoverPowerLoss ends a call in whose middle the instance's machine lost power, and has it come back.
+// recoverPowerLoss is deferred by calls that may change an instance's disk. If the machine lost power during the call, it
+// recovers from the panic, stops the instance and schedules its next start.
 func (s *simulation) recoverPowerLoss(inst *instance) {
 	switch reason := recover().(type) {
 	case nil:
@@ -54,7 +55,7 @@
 	}
 }
 
-// scheduleStart starts an instance after a time, unless it was started or stopped meanwhile.
+// scheduleStart starts an instance after a delay, unless it was started or stopped in the meantime.
 func (s *simulation) scheduleStart(inst *instance, after int64) {
 	i := s.indexOf(inst.id)
 	incarnation := inst.incarnation
@@ -65,7 +66,7 @@
 	})
 }
 
-// start starts the process of an instance.
+// start opens the disk of an instance and starts its process. An instance whose disk is found corrupt is replaced.
 func (s *simulation) start(i int) {
 	inst := s.instances[i]
 	defer s.recoverPowerLoss(inst)
@@ -93,7 +94,7 @@
 	s.run(i, store, state)
 }
 
-// run starts the core of an instance on what its disk holds.
+// run starts the core of an instance from the state on its disk.
 func (s *simulation) run(i int, store *disk.Store, state *disk.Opened) {
 	inst := s.instances[i]
 	s.nextNonce++
@@ -129,7 +130,7 @@
 	s.schedule(inst.tickInterval, func() { s.tick(inst, incarnation) })
 }
 
-// process does an instance's work, as the daemon's loop does it.
+// process handles all pending work of an instance, as the daemon's loop does.
 func (s *simulation) process(inst *instance) {
 	defer s.recoverPowerLoss(inst)
 	for inst.core != nil {
@@ -163,7 +164,7 @@
 	}
 }
 
-// handleWork sends and saves one piece of work. It reports whether the instance can continue.
+// handleWork saves one unit of work and sends its messages. It reports whether the instance can continue.
 func (s *simulation) handleWork(inst *instance, work *core.Work) bool {
 	s.send(inst, work.SendBeforeSave)
 	err := s.save(inst, work)
@@ -198,7 +199,7 @@
 	return inst.store.Log.Save(work.HardState, work.SnapshotMeta, work.Entries)
 }
 
-// saveInBackground saves a snapshot after a while: the instance may crash before.
+// saveInBackground saves a snapshot after a random delay, during which the instance may crash.
 func (s *simulation) saveInBackground(inst *instance, due *core.Snapshot) {
 	incarnation := inst.incarnation
 	s.schedule(int64(s.random.IntN(maxSnapshotDelay))*millisecond, func() {
@@ -211,13 +212,13 @@
 			return disk.EncodeSnapshot(out, due.Meta, due.Image.Write)
 		})
 		if release := inst.core.SnapshotSaved(due, err); release > 0 {
-			_ = inst.store.Log.Release(release)       // old files that stay do no harm
+			_ = inst.store.Log.Release(release)       // obsolete files that remain do no harm
 			_ = disk.RemoveObsolete(inst.disk, index) // as above
 		}
 	})
 }
 
-// pendingWork returns the work for which there was no room on the disk, or else the next work.
+// pendingWork returns the work that could not be saved because the disk was full, or else the next work.
 func (inst *instance) pendingWork() *core.Work {
 	if inst.stalled != nil {
 		return inst.stalled
@@ -225,7 +226,8 @@
 	return inst.core.Next()
 }
 
-// stop ends the process of an instance. One whose disk could not sync is started again once the disk was replaced.
+// stop ends the process of an instance. If its disk still fails to sync, the instance is started again once the disk has
+// been replaced, after diskReplaced.
 func (s *simulation) stop(inst *instance, powerLost bool) {
 	s.trace("%s down, power lost: %t", inst.name, powerLost)
 	s.result.Crashes++
@@ -242,8 +244,8 @@
 	}
 }
 
-// corruptLog flips a bit of a log file that is certainly on the disk. The end of the last file cannot be told from a torn
-// write for certain, so there must be two.
+// corruptLog flips a bit of a log file that is completely on the disk, which is any but the last one: damage at the end of
+// the last file cannot be distinguished from a torn write. With a single log file it flips nothing and clears the mark.
 func (inst *instance) corruptLog() {
 	var logs []string
 	for _, name := range inst.disk.names() {
--- a/internal/lab/storesim/logger.go
+++ b/internal/lab/storesim/logger.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// discardLogger implements raft.Logger. It discards lines and panics where raft finds its state impossible.
+// discardLogger implements raft.Logger. It discards messages, but panics in Fatal and Panic, which raft calls when it finds
+// its own state impossible.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any) {}
--- a/internal/lab/storesim/membership.go
+++ b/internal/lab/storesim/membership.go
@@ -8,10 +8,10 @@
 	"cloverrock/internal/store/machine"
 )
 
-// admitInterval is the time between two tries to have an instance admitted.
+// admitInterval is the time between two attempts to have an instance admitted.
 const admitInterval = 1500 * millisecond
 
-// replace gives an instance an empty disk and a new id, and has it join.
+// replace gives an instance an empty disk and a new id, starts it, and has it join the cluster.
 func (s *simulation) replace(inst *instance) {
 	s.result.Replaced++
 	s.nextID++
@@ -29,15 +29,17 @@
 	s.start(s.indexOf(inst.id))
 }
 
-// admit asks another instance to admit this one, until all others have it as a voter. A learner does not count, nor does a
-// voter that only some know of: until then the others must keep their disks. One that has not applied the change still
-// counts the votes of the members before it, of which another lost disk would leave too few.
+// admit asks another instance to admit this one, again and again until all other instances have it as a voter.
+//
+// It is not enough that it is a learner, or a voter on some instances only: until then the others must keep their disks.
+// An instance that has not applied the change still needs a majority of the previous members, and the loss of another
+// disk would leave too few of those.
 func (s *simulation) admit(inst *instance) {
 	if inst.joined {
 		return
 	}
 	asked := false
-	others := 0 // that have it as a voter
+	others := 0 // number of other instances that have it as a voter
 	for _, other := range s.instances {
 		if other.core == nil || other.id == inst.id || other.diskFull {
 			continue
@@ -56,8 +58,8 @@
 	s.schedule(admitInterval, func() { s.admit(inst) })
 }
 
-// proposeJoin plans the change, as an instance does, on a state that a linearizable read has confirmed: one that is behind may
-// not know the member that is replaced.
+// proposeJoin plans the membership change, as an instance does, on a state that a linearizable read has confirmed: the state
+// of an instance that is behind may not contain the member that is replaced.
 func (s *simulation) proposeJoin(at, joining *instance) {
 	s.lastToken++
 	id := joining.id
--- a/internal/lab/storesim/network.go
+++ b/internal/lab/storesim/network.go
@@ -2,18 +2,18 @@
 
 import "cloverrock/internal/store/core"
 
-// Faults of the network while the simulation is not healed.
+// Delays of the network, and its faults until the simulation is healed.
 const (
 	lossPercent      = 2
 	duplicatePercent = 2
-	lateOneOf        = 50
+	lateOneOf        = 50 // one of this number of messages is delayed further, by up to lateRange
 
 	minDelay   = millisecond / 2
 	delayRange = 4 * millisecond
 	lateRange  = 400 * millisecond
 )
 
-// send sends messages of an instance over the network, which may lose, double and delay them.
+// send sends messages of an instance over the network, which may lose, duplicate and delay them.
 func (s *simulation) send(inst *instance, messages []core.Envelope) {
 	from := s.indexOf(inst.id)
 	for _, message := range messages {
@@ -31,7 +31,7 @@
 	}
 }
 
-// chance reports whether a fault of the network happens. It draws nothing once the simulation is healed.
+// chance draws whether a fault of the network occurs. Once the simulation is healed it returns false without drawing.
 func (s *simulation) chance(percent int) bool {
 	return !s.healed && s.random.IntN(100) < percent
 }
--- a/internal/lab/storesim/random.go
+++ b/internal/lab/storesim/random.go
@@ -5,13 +5,13 @@
 	"math/rand/v2"
 )
 
-// Streams of random numbers of one seed.
+// Stream numbers that separate the random numbers of the simulation from those of raft, for the same seed.
 const (
 	simulationStream = 77
 	raftStream       = 99
 )
 
-// seededReader reads random bytes that a seed decides.
+// seededReader is a stream of random bytes that a seed determines.
 type seededReader struct{ *rand.Rand }
 
 // Read implements io.Reader. It never fails.
@@ -22,5 +22,5 @@
 	return len(b), nil
 }
 
-// Seeded returns random bytes that the seed decides.
+// Seeded returns an endless stream of random bytes that the seed determines.
 func Seeded(seed uint64) io.Reader { return seededReader{rand.New(rand.NewPCG(seed, raftStream))} }
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -22,8 +22,8 @@
 	Seed        uint64
 	Instances   int
 	Seconds     int  // of simulated time under faults
-	LoseSyncs   bool // syncs do nothing: the checks must find it
-	ResendAsNew bool // retries come as new commands: the checks must find it
+	LoseSyncs   bool // deliberate defect: syncs have no effect; the checks must report it
+	ResendAsNew bool // deliberate defect: clients retry outside their session, as new commands; the checks must report it
 	Trace       io.Writer
 }
 
@@ -31,7 +31,7 @@
 type Result struct {
 	Steps, Acknowledged, Elections, Installs, Replaced, Crashes, Corrupt int
 	Violations                                                           []string
-	Hash                                                                 uint64 // of all that was applied
+	Hash                                                                 uint64 // of starts, applied entries and final states
 }
 
 // Times are microseconds of simulated time.
@@ -47,11 +47,11 @@
 	settleTime       = 40 * second // without faults, at the end
 
 	clusterID      = 7
-	firstReplaceID = 100 // the ids of instances that replace others follow it
+	firstReplaceID = 100 // the ids of instances that replace others follow this one
 	segmentSize    = 8 << 10
 )
 
-// direction is the network from one instance to another, by their indexes.
+// direction is the one-way network link from one instance to another, by their indexes.
 type direction struct{ from, to int }
 
 type simulation struct {
@@ -62,7 +62,7 @@
 	events    eventQueue
 	instances []*instance
 	cut       map[direction]bool
-	healed    bool // there are no more faults
+	healed    bool // no more faults are injected
 	result    Result
 	hash      *xxhash.Digest
 	logger    raft.Logger
@@ -74,14 +74,14 @@
 	highestApplied uint64
 	acknowledged   map[string]int // number of acknowledged writes by key
 
-	nextID    uint64                       // last id given to a replacement
-	nextNonce uint64                       // last nonce given to a process
-	waiting   map[uint64]func(core.Answer) // clients that wait, by the token of their proposal
+	nextID    uint64                       // the last id given to a replacement
+	nextNonce uint64                       // the last nonce given to a process
+	waiting   map[uint64]func(core.Answer) // callbacks of proposals and reads without an answer, by token
 	lastToken uint64
 }
 
-// Run simulates one seed. raft draws its election timeouts from crypto/rand: for a reproducible run the caller first sets
-// rand.Reader to Seeded(seed), in a program that uses it for nothing else.
+// Run simulates one seed. raft draws its election timeouts from crypto/rand. For a reproducible run the caller first sets
+// rand.Reader to Seeded(seed), in a program that uses rand.Reader for nothing else.
 func Run(options Options) Result {
 	if options.Instances == 0 {
 		options.Instances = defaultInstances
@@ -124,7 +124,7 @@
 	}
 }
 
-// foundCluster makes the instances and writes the first snapshot to their disks.
+// foundCluster creates the instances and writes the initial snapshot to their disks.
 func (s *simulation) foundCluster() {
 	var voters []uint64
 	var records []machine.Op
@@ -157,13 +157,13 @@
 
 func (s *simulation) logOptions() disk.Options { return disk.Options{SegmentSize: segmentSize} }
 
-// trace writes a line to Options.Trace, if that is set.
+// trace writes a line with the simulated time in seconds to Options.Trace, if that is set.
 func (s *simulation) trace(format string, args ...any) {
 	if s.Trace == nil {
 		return
 	}
 	line := fmt.Sprintf("%9.3f ", float64(s.now)/1e6) + fmt.Sprintf(format, args...)
-	_, _ = fmt.Fprintln(s.Trace, line) // the run does not depend on it
+	_, _ = fmt.Fprintln(s.Trace, line) // an error of the trace does not affect the run
 }
 
 // hashEvent adds an event to the hash of the run.
@@ -173,5 +173,5 @@
 	binary.LittleEndian.PutUint64(record[1:], uint64(s.now))
 	binary.LittleEndian.PutUint64(record[9:], a)
 	binary.LittleEndian.PutUint64(record[17:], b)
-	_, _ = s.hash.Write(record[:]) // a hash never fails
+	_, _ = s.hash.Write(record[:]) // a hash's Write never returns an error
 }
--- a/internal/lab/storesim/storesim_test.go
+++ b/internal/lab/storesim/storesim_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// play runs seeds one after another: raft draws from crypto/rand, which is the process's.
+// play runs seeds one after another, because raft draws from rand.Reader, which the whole process shares.
 func play(options Options, seeds uint64) (violated int, hash uint64, steps int) {
 	systemRandom := rand.Reader
 	defer func() { rand.Reader = systemRandom }()
@@ -29,10 +29,10 @@
 		options.Seconds = 5
 	}
 	if n, _, steps := play(options, seeds); n > 0 || steps < seeds*1000 {
-		t.Errorf("%d of %d seeds violate, in %d steps; cloverrock-lab store-sim names them", n, seeds, steps)
+		t.Errorf("%d of %d seeds violate an invariant, in %d steps; cloverrock-lab store-sim lists them", n, seeds, steps)
 	}
 	if n, _, _ := play(Options{Instances: 5, Seconds: options.Seconds}, seeds/10); n > 0 {
-		t.Errorf("%d seeds of five instances violate", n)
+		t.Errorf("%d seeds violate an invariant in a cluster of five instances", n)
 	}
 }
 
@@ -40,16 +40,16 @@
 	_, first, _ := play(Options{}, 5)
 	_, again, _ := play(Options{}, 5)
 	if first != again {
-		t.Errorf("%x and then %x", first, again)
+		t.Errorf("the first run has the hash %x, the second %x", first, again)
 	}
 }
 
-// The checks find a store that violates the invariants they check.
+// Guards against checks that pass everything: they must report deliberate defects of the store and of its clients.
 func TestChecksFindABrokenStore(t *testing.T) {
 	if n, _, _ := play(Options{LoseSyncs: true}, 6); n == 0 {
-		t.Error("syncs that do nothing were not found")
+		t.Error("the checks did not report that syncs have no effect")
 	}
 	if n, _, _ := play(Options{ResendAsNew: true}, 8); n == 0 {
-		t.Error("retries with new sequence numbers were not found")
+		t.Error("the checks did not report retries that are sent as new commands")
 	}
 }
