--- a/cmd/cloverrock-lab/storesim.go
+++ b/cmd/cloverrock-lab/storesim.go
@@ -69,7 +69,7 @@
 	systemRandom := rand.Reader
 	defer func() { rand.Reader = systemRandom }()
 	for seed := r.first; seed < r.first+r.seeds; seed++ {
-		rand.Reader = storesim.Seeded(seed)
+		rand.Reader = storesim.NewSeededReader(seed)
 		r.options.Seed = seed
 		result := storesim.Run(r.options)
 		r.add(&result)
@@ -87,10 +87,10 @@
 	r.total.Steps += result.Steps
 	r.total.Acknowledged += result.Acknowledged
 	r.total.Elections += result.Elections
-	r.total.Installs += result.Installs
-	r.total.Replaced += result.Replaced
+	r.total.SnapshotInstalls += result.SnapshotInstalls
+	r.total.Replacements += result.Replacements
 	r.total.Crashes += result.Crashes
-	r.total.Corrupt += result.Corrupt
+	r.total.CorruptDisks += result.CorruptDisks
 }
 
 func (r *storeSimRun) report(wall time.Duration) map[string]any {
@@ -102,10 +102,10 @@
 		"trace_hash":          fmt.Sprintf("%016x", r.hash.Sum64()),
 		"acknowledged":        r.total.Acknowledged,
 		"elections":           r.total.Elections,
-		"snapshots_installed": r.total.Installs,
+		"snapshots_installed": r.total.SnapshotInstalls,
 		"crashes":             r.total.Crashes,
-		"corrupt_disks_found": r.total.Corrupt,
-		"replaced":            r.total.Replaced,
+		"corrupt_disks_found": r.total.CorruptDisks,
+		"replaced":            r.total.Replacements,
 		"failed":              r.violations,
 		"simulated_s":         float64(r.seeds) * float64(r.options.Seconds+settleSeconds),
 		"wall_s":              wall.Seconds(),
--- a/internal/lab/storesim/client.go
+++ b/internal/lab/storesim/client.go
@@ -37,7 +37,7 @@
 	finish := func(answer core.Answer) {
 		if !answered {
 			answered = true
-			delete(s.waiting, token)
+			delete(s.pendingCalls, token)
 			done(answer)
 		}
 	}
@@ -46,7 +46,7 @@
 		s.schedule(noLeaderDelay, func() { finish(core.Answer{Err: core.ErrNoLeader}) })
 		return
 	}
-	s.waiting[token] = finish
+	s.pendingCalls[token] = finish
 	target.core.Propose(token, &command)
 	if !target.diskFull {
 		s.process(target)
@@ -54,7 +54,7 @@
 }
 
 func (c *client) nextWrite() {
-	if c.simulation.healed {
+	if c.simulation.faultsEnded {
 		return
 	}
 	if c.session == 0 {
@@ -83,7 +83,7 @@
 	})
 }
 
-// write sends a command until it is acknowledged, its session has ended, or the simulation is healed.
+// write sends a command until it is acknowledged, its session has ended, or endFaults is called.
 func (c *client) write(key string, command machine.Command, retries int) {
 	s := c.simulation
 	if s.ResendAsNew && retries > 0 {
@@ -102,7 +102,7 @@
 			s.addViolation("halted: %v", answer.Err)
 		default:
 			s.schedule(int64(50+s.random.IntN(100))*millisecond, func() {
-				if !s.healed {
+				if !s.faultsEnded {
 					c.write(key, command, retries+1)
 				}
 			})
--- a/internal/lab/storesim/disk.go
+++ b/internal/lab/storesim/disk.go
@@ -13,8 +13,8 @@
 
 var errSync = errors.New("sim: the disk could not sync")
 
-// tornBytes is the number of bytes that a write in progress may corrupt at a power loss.
-const tornBytes = 512
+// maxTornBytes is the number of bytes that a write in progress may corrupt at a power loss.
+const maxTornBytes = 512
 
 // memoryDisk implements disk.FS. At a power loss it loses data that was not synced.
 type memoryDisk struct {
@@ -149,15 +149,15 @@
 	case f.durableData != nil && random.IntN(2) == 0:
 		f.data = f.durableData
 	case f.durableData == nil && f.synced < len(f.data):
-		f.tear()
+		f.applyTornWrite()
 	}
 	f.durableData = nil
 	f.synced = len(f.data)
 }
 
-// tear keeps a random part of the data written since the last sync, and may corrupt some of that: the blocks of a write
-// reach the disk in any order.
-func (f *memoryFile) tear() {
+// applyTornWrite keeps a random part of the data written since the last sync, and may corrupt some of that: the blocks of a
+// write reach the disk in any order.
+func (f *memoryFile) applyTornWrite() {
 	random := f.disk.random
 	unsynced := f.data[f.synced:]
 	kept := random.IntN(len(unsynced) + 1)
@@ -169,7 +169,7 @@
 		return
 	}
 	from := f.synced + random.IntN(kept)
-	for i := from; i < min(from+tornBytes, len(f.data)); i++ {
+	for i := from; i < min(from+maxTornBytes, len(f.data)); i++ {
 		f.data[i] = byte(random.Uint32())
 	}
 }
--- a/internal/lab/storesim/events.go
+++ b/internal/lab/storesim/events.go
@@ -35,12 +35,12 @@
 
 // schedule schedules a call of f after a delay.
 func (s *simulation) schedule(after int64, f func()) {
-	s.serial++
-	heap.Push(&s.events, &event{s.now + after, s.serial, f})
+	s.lastSerial++
+	heap.Push(&s.events, &event{s.now + after, s.lastSerial, f})
 }
 
-// play runs the scheduled events up to a time, or to the first violation.
-func (s *simulation) play(until int64) {
+// runUntil runs the scheduled events up to a time, or to the first violation.
+func (s *simulation) runUntil(until int64) {
 	for len(s.events) > 0 && s.events[0].at <= until && len(s.result.Violations) == 0 {
 		next := heap.Pop(&s.events).(*event)
 		s.now = next.at
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -1,37 +1,37 @@
 package storesim
 
-// faultWeights is the number of equally likely cases of playFault.
-const faultWeights = 14
+// faultCases is the number of equally likely cases of injectFault.
+const faultCases = 14
 
 // maxChangesUntilPowerLoss bounds the number of the disk change during which the machine loses power.
 const maxChangesUntilPowerLoss = 12
 
-// cutWay selects the messages that a cut drops.
-type cutWay int
+// cutKind selects the messages that a cut drops.
+type cutKind int
 
-const ( // messages to and from the instance
-	cutBoth cutWay = iota // messages to the instance
-	cutTo                 // messages from the instance
-	cutFrom               // the number of kinds
-	cutWays               // their number
+const (
+	cutBoth     cutKind = iota // messages to and from the instance
+	cutInbound                 // messages to the instance
+	cutOutbound                // messages from the instance
+	cutKinds                   // the number of kinds
 )
 
-// scheduleFaults injects faults at random times until the simulation is healed.
+// scheduleFaults injects faults at random times until endFaults is called.
 func (s *simulation) scheduleFaults() {
 	s.schedule(int64(200+s.random.IntN(1500))*millisecond, func() {
-		if s.healed {
+		if s.faultsEnded {
 			return
 		}
-		s.playFault()
+		s.injectFault()
 		s.scheduleFaults()
 	})
 }
 
-func (s *simulation) playFault() {
+func (s *simulation) injectFault() {
 	i := s.random.IntN(len(s.instances))
 	inst := s.instances[i]
 	duration := int64(100+s.random.IntN(4000)) * millisecond
-	switch s.random.IntN(faultWeights) {
+	switch s.random.IntN(faultCases) {
 	case 0, 1: // the process ends; the kernel keeps what it wrote
 		s.stopFor(i, false, duration)
 	case 2, 3: // the machine loses power
@@ -83,14 +83,14 @@
 
 // cutOff cuts an instance off from all others for the duration, in one direction or both.
 func (s *simulation) cutOff(i int, duration int64) {
-	way := cutWay(s.random.IntN(int(cutWays)))
+	kind := cutKind(s.random.IntN(int(cutKinds)))
 	for j := range s.instances {
 		if j != i {
-			s.cut[direction{i, j}] = way != cutTo
-			s.cut[direction{j, i}] = way != cutFrom
+			s.cut[direction{i, j}] = kind != cutInbound
+			s.cut[direction{j, i}] = kind != cutOutbound
 		}
 	}
-	s.trace("%s cut off, way %d", s.instances[i].name, way)
+	s.trace("%s cut off, way %d", s.instances[i].name, kind)
 	s.schedule(duration, func() {
 		for j := range s.instances {
 			delete(s.cut, direction{i, j})
@@ -123,9 +123,9 @@
 	}
 }
 
-// heal ends all faults and starts the instances that are down.
-func (s *simulation) heal() {
-	s.healed = true
+// endFaults ends all faults and starts the instances that are down.
+func (s *simulation) endFaults() {
+	s.faultsEnded = true
 	s.cut = map[direction]bool{}
 	s.trace("healed")
 	for i, inst := range s.instances {
--- a/internal/lab/storesim/instance.go
+++ b/internal/lab/storesim/instance.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	normalTick        = 100 * millisecond
-	powerReturns      = 500 * millisecond // time until a machine that lost power in the middle of a disk change starts again
-	supervisorRestart = second            // time until a process whose start failed is started again
-	diskReplaced      = 5 * second        // time until a stopped instance whose disk fails to sync is started again
+	normalTick          = 100 * millisecond
+	powerLossDowntime   = 500 * millisecond // time until a machine that lost power in the middle of a disk change starts again
+	failedStartDelay    = second            // time until a process whose start failed is started again
+	diskReplacementTime = 5 * second        // time until a stopped instance whose disk fails to sync is started again
 
 	snapshotInterval     = 60 // entries
 	retainedEntries      = 20
@@ -34,7 +34,7 @@
 	incarnation  int        // incremented at each start and stop; calls scheduled for an earlier one are dropped
 	tickInterval int64
 	diskFull     bool       // the instance does nothing until its disk has room again
-	stalled      *core.Work // the work whose save failed because the disk was full
+	unsavedWork  *core.Work // the work whose save failed because the disk was full
 	joined       bool       // all other instances have it as a voter
 	corrupt      bool       // a bit of its log flips at the next start
 }
@@ -49,7 +49,7 @@
 			panic(reason)
 		}
 		s.stop(inst, true)
-		s.scheduleStart(inst, powerReturns)
+		s.scheduleStart(inst, powerLossDowntime)
 	default:
 		panic(reason)
 	}
@@ -79,11 +79,11 @@
 	switch {
 	case errors.As(err, &corrupt) && inst.corrupt:
 		s.trace("%s: %v", inst.name, err)
-		s.result.Corrupt++
+		s.result.CorruptDisks++
 		s.replace(inst)
 		return
 	case errors.Is(err, errSync) || errors.Is(err, disk.ErrFull):
-		s.scheduleStart(inst, supervisorRestart)
+		s.scheduleStart(inst, failedStartDelay)
 		return
 	}
 	inst.corrupt = false
@@ -91,15 +91,15 @@
 		s.addViolation("%s cannot open its disk: %v", inst.name, err)
 		return
 	}
-	s.run(i, store, state)
+	s.startCore(i, store, state)
 }
 
-// run starts the core of an instance from the state on its disk.
-func (s *simulation) run(i int, store *disk.Store, state *disk.Opened) {
+// startCore starts the core of an instance from the state on its disk.
+func (s *simulation) startCore(i int, store *disk.Store, state *disk.Opened) {
 	inst := s.instances[i]
-	s.nextNonce++
+	s.lastNonce++
 	config := core.Config{
-		ID: inst.id, Nonce: s.nextNonce << 24, SnapshotInterval: snapshotInterval, RetainedEntries: retainedEntries,
+		ID: inst.id, Nonce: s.lastNonce << 24, SnapshotInterval: snapshotInterval, RetainedEntries: retainedEntries,
 		ChunkSize: chunkSize, SnapshotBytesPerTick: snapshotBytesPerTick, TimeoutTicks: timeoutTicks,
 		Logger:  s.logger,
 		Observe: func(index, term, chain uint64) { s.observeApplied(inst, index, term, chain) },
@@ -154,8 +154,8 @@
 		return
 	}
 	for _, answer := range inst.core.Answers() {
-		if finish := s.waiting[answer.Token]; finish != nil {
-			delete(s.waiting, answer.Token)
+		if finish := s.pendingCalls[answer.Token]; finish != nil {
+			delete(s.pendingCalls, answer.Token)
 			finish(answer)
 		}
 	}
@@ -171,7 +171,7 @@
 	switch {
 	case errors.Is(err, disk.ErrFull):
 		inst.diskFull = true
-		inst.stalled = work
+		inst.unsavedWork = work
 		work.SendBeforeSave = nil
 		return false
 	case err != nil:
@@ -180,7 +180,7 @@
 		return false
 	}
 	inst.diskFull = false
-	inst.stalled = nil
+	inst.unsavedWork = nil
 	s.send(inst, work.SendAfterSave)
 	if err := inst.core.Done(work); err != nil {
 		s.addViolation("%s: %v", inst.name, err)
@@ -191,7 +191,7 @@
 
 func (s *simulation) save(inst *instance, work *core.Work) error {
 	if work.SnapshotData != nil {
-		s.result.Installs++
+		s.result.SnapshotInstalls++
 		if err := inst.store.SaveSnapshot(work.SnapshotMeta, work.SnapshotData); err != nil {
 			return err
 		}
@@ -220,27 +220,27 @@
 
 // pendingWork returns the work that could not be saved because the disk was full, or else the next work.
 func (inst *instance) pendingWork() *core.Work {
-	if inst.stalled != nil {
-		return inst.stalled
+	if inst.unsavedWork != nil {
+		return inst.unsavedWork
 	}
 	return inst.core.Next()
 }
 
 // stop ends the process of an instance. If its disk still fails to sync, the instance is started again once the disk has
-// been replaced, after diskReplaced.
+// been replaced, after diskReplacementTime.
 func (s *simulation) stop(inst *instance, powerLost bool) {
 	s.trace("%s down, power lost: %t", inst.name, powerLost)
 	s.result.Crashes++
 	inst.core = nil
 	inst.store = nil
-	inst.stalled = nil
+	inst.unsavedWork = nil
 	inst.diskFull = false
 	inst.incarnation++
 	if powerLost {
 		inst.disk.crash()
 	}
 	if inst.disk.failSync {
-		s.scheduleStart(inst, diskReplaced)
+		s.scheduleStart(inst, diskReplacementTime)
 	}
 }
 
--- a/internal/lab/storesim/membership.go
+++ b/internal/lab/storesim/membership.go
@@ -13,12 +13,12 @@
 
 // replace gives an instance an empty disk and a new id, starts it, and has it join the cluster.
 func (s *simulation) replace(inst *instance) {
-	s.result.Replaced++
-	s.nextID++
+	s.result.Replacements++
+	s.lastID++
 	inst.corrupt = false
 	inst.joined = false
 	inst.disk = newDisk(s.random)
-	identity := disk.Identity{Cluster: clusterID, Node: s.nextID, Name: inst.name}
+	identity := disk.Identity{Cluster: clusterID, Node: s.lastID, Name: inst.name}
 	if err := disk.Create(inst.disk, identity, 0, nil, s.logOptions()); err != nil {
 		s.addViolation("%s cannot start with an empty disk: %v", inst.name, err)
 		return
@@ -63,7 +63,7 @@
 func (s *simulation) proposeJoin(at, joining *instance) {
 	s.lastToken++
 	id := joining.id
-	s.waiting[s.lastToken] = func(answer core.Answer) {
+	s.pendingCalls[s.lastToken] = func(answer core.Answer) {
 		if answer.Err != nil || at.core == nil || joining.id != id {
 			return
 		}
--- a/internal/lab/storesim/network.go
+++ b/internal/lab/storesim/network.go
@@ -2,11 +2,11 @@
 
 import "cloverrock/internal/store/core"
 
-// Delays of the network, and its faults until the simulation is healed.
+// Delays of the network, and its faults until endFaults is called.
 const (
 	lossPercent      = 2
 	duplicatePercent = 2
-	lateOneOf        = 50 // one of this number of messages is delayed further, by up to lateRange
+	lateOneIn        = 50 // one of this number of messages is delayed further, by up to lateRange
 
 	minDelay   = millisecond / 2
 	delayRange = 4 * millisecond
@@ -18,11 +18,11 @@
 	from := s.indexOf(inst.id)
 	for _, message := range messages {
 		to := s.indexOf(message.To)
-		if to < 0 || from < 0 || s.cut[direction{from, to}] || s.chance(lossPercent) {
+		if to < 0 || from < 0 || s.cut[direction{from, to}] || s.drawNetworkFault(lossPercent) {
 			continue
 		}
 		copies := 1
-		if s.chance(duplicatePercent) {
+		if s.drawNetworkFault(duplicatePercent) {
 			copies = 2
 		}
 		for range copies {
@@ -31,23 +31,23 @@
 	}
 }
 
-// chance draws whether a fault of the network occurs. Once the simulation is healed it returns false without drawing.
-func (s *simulation) chance(percent int) bool {
-	return !s.healed && s.random.IntN(100) < percent
+// drawNetworkFault draws whether a fault of the network occurs. After endFaults it returns false without drawing.
+func (s *simulation) drawNetworkFault(percent int) bool {
+	return !s.faultsEnded && s.random.IntN(100) < percent
 }
 
 func (s *simulation) drawDelay() int64 {
 	delay := minDelay + int64(s.random.IntN(int(delayRange)))
-	if !s.healed && s.random.IntN(lateOneOf) == 0 {
+	if !s.faultsEnded && s.random.IntN(lateOneIn) == 0 {
 		delay += int64(s.random.IntN(int(lateRange)))
 	}
 	return delay
 }
 
-func (s *simulation) deliver(way direction, message core.Envelope) {
-	receiver := s.instances[way.to]
+func (s *simulation) deliver(link direction, message core.Envelope) {
+	receiver := s.instances[link.to]
 	up := receiver.core != nil && !receiver.diskFull
-	if !up || receiver.id != message.To || s.cut[way] {
+	if !up || receiver.id != message.To || s.cut[link] {
 		return
 	}
 	receiver.core.Step(message)
--- a/internal/lab/storesim/random.go
+++ b/internal/lab/storesim/random.go
@@ -22,5 +22,7 @@
 	return len(b), nil
 }
 
-// Seeded returns an endless stream of random bytes that the seed determines.
-func Seeded(seed uint64) io.Reader { return seededReader{rand.New(rand.NewPCG(seed, raftStream))} }
+// NewSeededReader returns an endless stream of random bytes that the seed determines.
+func NewSeededReader(seed uint64) io.Reader {
+	return seededReader{rand.New(rand.NewPCG(seed, raftStream))}
+}
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -29,9 +29,10 @@
 
 // Result of a run.
 type Result struct {
-	Steps, Acknowledged, Elections, Installs, Replaced, Crashes, Corrupt int
-	Violations                                                           []string
-	Hash                                                                 uint64 // of starts, applied entries and final states
+	Steps, Acknowledged, Elections, SnapshotInstalls, Replacements, Crashes, CorruptDisks int
+	Violations                                                                            []string
+
+	Hash uint64 // of starts, applied entries and final states
 }
 
 // Times are microseconds of simulated time.
@@ -46,9 +47,9 @@
 	clientCount      = 3
 	settleTime       = 40 * second // without faults, at the end
 
-	clusterID      = 7
-	firstReplaceID = 100 // the ids of instances that replace others follow this one
-	segmentSize    = 8 << 10
+	clusterID         = 7
+	replacementIDBase = 100 // the ids of instances that replace others follow this one
+	segmentSize       = 8 << 10
 )
 
 // direction is the one-way network link from one instance to another, by their indexes.
@@ -56,16 +57,16 @@
 
 type simulation struct {
 	Options
-	random    *rand.Rand
-	now       int64
-	serial    int64
-	events    eventQueue
-	instances []*instance
-	cut       map[direction]bool
-	healed    bool // no more faults are injected
-	result    Result
-	hash      *xxhash.Digest
-	logger    raft.Logger
+	random      *rand.Rand
+	now         int64
+	lastSerial  int64
+	events      eventQueue
+	instances   []*instance
+	cut         map[direction]bool
+	faultsEnded bool // no more faults are injected
+	result      Result
+	hash        *xxhash.Digest
+	logger      raft.Logger
 
 	// State of the checks.
 	leaders        map[uint64]uint64       // leader's id by term
@@ -74,14 +75,14 @@
 	highestApplied uint64
 	acknowledged   map[string]int // number of acknowledged writes by key
 
-	nextID    uint64                       // the last id given to a replacement
-	nextNonce uint64                       // the last nonce given to a process
-	waiting   map[uint64]func(core.Answer) // callbacks of proposals and reads without an answer, by token
-	lastToken uint64
+	lastID       uint64                       // the last id given to a replacement
+	lastNonce    uint64                       // the last nonce given to a process
+	pendingCalls map[uint64]func(core.Answer) // callbacks of proposals and reads without an answer, by token
+	lastToken    uint64
 }
 
 // Run simulates one seed. raft draws its election timeouts from crypto/rand. For a reproducible run the caller first sets
-// rand.Reader to Seeded(seed), in a program that uses rand.Reader for nothing else.
+// rand.Reader to NewSeededReader(seed), in a program that uses rand.Reader for nothing else.
 func Run(options Options) Result {
 	if options.Instances == 0 {
 		options.Instances = defaultInstances
@@ -90,7 +91,7 @@
 		options.Seconds = defaultSeconds
 	}
 	s := newSimulation(options)
-	s.foundCluster()
+	s.createCluster()
 	for i := range s.instances {
 		s.start(i)
 	}
@@ -99,9 +100,9 @@
 		s.schedule(millisecond*int64(500+s.random.IntN(500)), added.nextWrite)
 	}
 	s.scheduleFaults()
-	s.play(int64(options.Seconds) * second)
-	s.heal()
-	s.play(s.now + settleTime)
+	s.runUntil(int64(options.Seconds) * second)
+	s.endFaults()
+	s.runUntil(s.now + settleTime)
 	s.checkAcknowledged()
 	s.result.Hash = s.hash.Sum64()
 	return s.result
@@ -118,14 +119,14 @@
 		applied:      map[uint64]appliedEntry{},
 		commits:      map[uint64]uint64{},
 		acknowledged: map[string]int{},
-		nextID:       firstReplaceID,
-		nextNonce:    options.Seed << 20,
-		waiting:      map[uint64]func(core.Answer){},
+		lastID:       replacementIDBase,
+		lastNonce:    options.Seed << 20,
+		pendingCalls: map[uint64]func(core.Answer){},
 	}
 }
 
-// foundCluster creates the instances and writes the initial snapshot to their disks.
-func (s *simulation) foundCluster() {
+// createCluster creates the instances and writes the initial snapshot to their disks.
+func (s *simulation) createCluster() {
 	var voters []uint64
 	var records []machine.Op
 	for i := range s.Instances {
@@ -142,13 +143,13 @@
 		records = append(records, record)
 	}
 	first, err := core.InitialSnapshot(voters, records)
-	for _, founder := range s.instances {
+	for _, voter := range s.instances {
 		if err == nil {
-			identity := disk.Identity{Cluster: clusterID, Node: founder.id, Name: founder.name, Voters: voters}
-			err = disk.Create(founder.disk, identity, 1, first, s.logOptions())
+			identity := disk.Identity{Cluster: clusterID, Node: voter.id, Name: voter.name, Voters: voters}
+			err = disk.Create(voter.disk, identity, 1, first, s.logOptions())
 		}
-		founder.disk.ignoreSyncs = s.LoseSyncs
-		founder.joined = true
+		voter.disk.ignoreSyncs = s.LoseSyncs
+		voter.joined = true
 	}
 	if err != nil {
 		s.addViolation("founding: %v", err)
--- a/internal/lab/storesim/storesim_test.go
+++ b/internal/lab/storesim/storesim_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// play runs seeds one after another, because raft draws from rand.Reader, which the whole process shares.
-func play(options Options, seeds uint64) (violated int, hash uint64, steps int) {
+// runSeeds runs seeds one after another, because raft draws from rand.Reader, which the whole process shares.
+func runSeeds(options Options, seeds uint64) (violated int, hash uint64, steps int) {
 	systemRandom := rand.Reader
 	defer func() { rand.Reader = systemRandom }()
 	for seed := uint64(1); seed <= seeds; seed++ {
-		rand.Reader = Seeded(seed)
+		rand.Reader = NewSeededReader(seed)
 		options.Seed = seed
 		result := Run(options)
 		if len(result.Violations) > 0 {
@@ -28,17 +28,17 @@
 	if raceEnabled { // the race detector is slow: the same number of shorter runs
 		options.Seconds = 5
 	}
-	if n, _, steps := play(options, seeds); n > 0 || steps < seeds*1000 {
+	if n, _, steps := runSeeds(options, seeds); n > 0 || steps < seeds*1000 {
 		t.Errorf("%d of %d seeds violate an invariant, in %d steps; cloverrock-lab store-sim lists them", n, seeds, steps)
 	}
-	if n, _, _ := play(Options{Instances: 5, Seconds: options.Seconds}, seeds/10); n > 0 {
+	if n, _, _ := runSeeds(Options{Instances: 5, Seconds: options.Seconds}, seeds/10); n > 0 {
 		t.Errorf("%d seeds violate an invariant in a cluster of five instances", n)
 	}
 }
 
 func TestSameSeedGivesTheSameRun(t *testing.T) {
-	_, first, _ := play(Options{}, 5)
-	_, again, _ := play(Options{}, 5)
+	_, first, _ := runSeeds(Options{}, 5)
+	_, again, _ := runSeeds(Options{}, 5)
 	if first != again {
 		t.Errorf("the first run has the hash %x, the second %x", first, again)
 	}
@@ -46,10 +46,10 @@
 
 // Guards against checks that pass everything: they must report deliberate defects of the store and of its clients.
 func TestChecksFindABrokenStore(t *testing.T) {
-	if n, _, _ := play(Options{LoseSyncs: true}, 6); n == 0 {
+	if n, _, _ := runSeeds(Options{LoseSyncs: true}, 6); n == 0 {
 		t.Error("the checks did not report that syncs have no effect")
 	}
-	if n, _, _ := play(Options{ResendAsNew: true}, 8); n == 0 {
+	if n, _, _ := runSeeds(Options{ResendAsNew: true}, 8); n == 0 {
 		t.Error("the checks did not report retries that are sent as new commands")
 	}
 }
