--- a/internal/lab/fleetmodel/client.go
+++ b/internal/lab/fleetmodel/client.go
@@ -11,29 +11,29 @@
 	swingPeriod     = 10 * second
 	retryDelay      = 30 * millisecond
 	gatewayDownWait = 100 * millisecond // until a client whose gateway is down tries another
-	minPatience     = 0.4               // least part of the deadline that a client waits for one gateway
-	patienceRange   = 0.6               // beyond it, at random
-	meanWriteAge    = 500               // milliseconds since the write that a session read must see
+	minPatience     = 0.4               // smallest part of the class's deadline that a client waits for one gateway
+	patienceRange   = 0.6               // range of that part beyond the minimum; the client draws from it
+	meanWriteAge    = 500               // milliseconds since the write whose effect a session read must return
 
 	sessionShare     = 0.62 // part of the session reads that follow a write of their session
 	retryAfterShare  = 0.7  // part of the clients that respect Retry-After
-	busierGroupShare = 0.12 // chance that a request goes to the lower-numbered one of two random groups
+	busierGroupShare = 0.12 // chance of a request to go to a second random group, if that has a lower number than the first
 )
 
-// request is a request of a client, which may send it to several gateways, one after the other.
+// request is a request of a client. The client may send it to several gateways, one after the other; each of these is a try.
 type request struct {
 	class, group int
 	arrivedAt    int64
 	deadline     int64 // of all tries
 	tries        int
-	minPosition  int64 // log position that a session read must see; 0 if none
+	minPosition  int64 // log position that a session read requires; 0 if none
 	done         bool
 	current      *attempt
 	attempts     int   // number of attempts of the current try
 	tryDeadline  int64 // time at which the client stops waiting for the current gateway
 }
 
-// arrivalRate is the current rate of requests per second: a sine wave around the mean.
+// arrivalRate is the current rate of requests per second, a sine wave around the mean.
 func (s *simulation) arrivalRate() float64 {
 	phase := 2 * math.Pi * float64(s.now-startTime) / float64(swingPeriod)
 	return s.options.Rate * (1 + s.options.RateSwing*math.Sin(phase))
@@ -98,8 +98,8 @@
 	s.handleEvent(to, event)
 }
 
-// scheduleGiveUp has the client disconnect and retry if it has no answer by the try's deadline, because the gateway has
-// sent none or is down.
+// scheduleGiveUp has the client disconnect and retry if the gateway has not answered by the deadline of the try, which
+// includes a gateway that is down.
 func (s *simulation) scheduleGiveUp(to int, id int64, req *request) {
 	incarnation := s.gateways[to].incarnation
 	s.schedule(req.tryDeadline-s.now, func() {
@@ -114,7 +114,8 @@
 	})
 }
 
-// retryRequest schedules another try of a request that was rejected or got no answer, if that is safe and in time.
+// retryRequest schedules another try of a request that was rejected or got no answer, unless the request is a write that may
+// have been executed, has had maxTries, or would be sent after its deadline.
 func (s *simulation) retryRequest(req *request, retryAfter int64) {
 	mayHaveRun := s.classes[req.class].consistency == balance.Write && req.attempts > 0
 	if req.tries >= maxTries || req.done || mayHaveRun {
--- a/internal/lab/fleetmodel/clock.go
+++ b/internal/lab/fleetmodel/clock.go
@@ -2,13 +2,13 @@
 
 import "container/heap"
 
-// event is a call at a simulated time. Of two at one time the one that was scheduled first comes first.
+// event is a call at a simulated time. Events of the same time are called in the order in which they were scheduled.
 type event struct {
 	at, sequence int64
 	call         func()
 }
 
-// eventQueue is a heap of events.
+// eventQueue is a heap of events with the next one at its top.
 type eventQueue []event
 
 // Len implements heap.Interface.
@@ -32,7 +32,7 @@
 	return last
 }
 
-// schedule calls f after a time.
+// schedule schedules a call of f after a delay.
 func (s *simulation) schedule(after int64, f func()) {
 	s.sequence++
 	heap.Push(&s.events, event{s.now + after, s.sequence, f})
--- a/internal/lab/fleetmodel/faults.go
+++ b/internal/lab/fleetmodel/faults.go
@@ -1,8 +1,8 @@
 package fleetmodel
 
 const (
-	failoverTime = 3 * second         // from the outage until groups have new primaries
-	listDelay    = 1500 * millisecond // from the hosts' return until the endpoint list shows it
+	failoverTime = 3 * second         // from the outage until the groups that lost their primaries have new ones
+	listDelay    = 1500 * millisecond // from the return of the hosts until the gateways receive the new endpoint list
 	restartMin   = second             // shortest time that a killed gateway is down
 	restartRange = float64(second)    // range of that time beyond restartMin
 )
@@ -42,7 +42,7 @@
 	clear(crashed.idleConnections)
 }
 
-// failOver gives each group without a primary the first of its hosts that is up.
+// failOver makes the first host that is up the primary of each group whose primary is down.
 func (s *simulation) failOver() {
 	for group, old := range s.primary {
 		for _, candidate := range s.hosts {
@@ -62,7 +62,7 @@
 		}
 		killed.up = false
 		s.schedule(restartMin+int64(s.random.Float64()*restartRange), func() {
-			_ = s.startGateway(i) // the same settings were accepted at the start
+			_ = s.startGateway(i) // New accepted the same settings at the start of the run
 		})
 	}
 }
--- a/internal/lab/fleetmodel/fleetmodel.go
+++ b/internal/lab/fleetmodel/fleetmodel.go
@@ -1,6 +1,6 @@
-// Package fleetmodel simulates a fleet of gateways in front of many hosts in one process, in simulated time. The routers
-// are those of package balance, hosts are queues, and clients retry. It shows within seconds the combined effect of many
-// gateways whose behavior is harmless alone. The same options give the same result.
+// Package fleetmodel simulates a fleet of gateways and their hosts in one process, in simulated time. The routers are those
+// of package balance, hosts are modeled as queues, and clients retry. It shows within seconds the load that many gateways
+// cause together although each alone causes little. The same options give the same result.
 package fleetmodel
 
 import (
@@ -15,11 +15,11 @@
 	millisecond = int64(1000)
 	second      = 1000 * millisecond
 
-	// startTime is the clock at the start: far enough from 0 for log positions to lie before it.
+	// startTime is the clock at the start. It is far enough from 0 for positive log positions before the start.
 	startTime = 1000 * second
 )
 
-// randomStream separates the model's random numbers from those of other users of the same seed.
+// randomStream separates the model's random numbers from those that others draw from the same seed.
 const randomStream = 7
 
 type simulation struct {
@@ -32,13 +32,13 @@
 	hostByID      map[string]*host
 	primary       []*host // by group
 	gateways      []*gateway
-	inFlight      map[int64]*request // by the request id that the gateway has for the current try
-	lastRequest   int64              // last request id in use
-	spreadSamples int                // number of values added up in Result.CV1s
+	inFlight      map[int64]*request // by the request id of the current try
+	lastRequest   int64              // the last request id given to a try
+	spreadSamples int                // number of values added to Result.CV1s
 	result        Result
 }
 
-// Run simulates a day. The error is that of balance.New for settings that it rejects.
+// Run simulates one run, which the package calls a day. It returns the error of balance.New if that rejects the settings.
 func Run(options Options) (*Result, error) {
 	s := &simulation{
 		options:  options,
@@ -74,7 +74,7 @@
 				up:              true,
 				idleConnections: map[int]int{},
 				speed:           meanSpeed * (1 + speedDeviation*s.random.NormFloat64()),
-				startedAt:       -startTime, // long before the start: warmed up
+				startedAt:       -startTime, // so long before the start that the host is warmed up
 				advancedTo:      startTime,
 				applied:         startTime - initialLag,
 			}
@@ -105,13 +105,13 @@
 	}
 }
 
-// currentSecond returns the counts of the second that the clock is in.
+// currentSecond returns the counts of the current second.
 func (s *simulation) currentSecond() *Second {
 	i := min(int((s.now-startTime)/second), len(s.result.Seconds)-1)
 	return &s.result.Seconds[i]
 }
 
-// measureSpread measures, once a second, how evenly the replicas of each group were used.
+// measureSpread measures, once a second, how evenly the attempts were spread over the replicas of each group.
 func (s *simulation) measureSpread() {
 	for group := range s.options.Groups {
 		s.measureGroup(group)
@@ -120,7 +120,7 @@
 }
 
 func (s *simulation) measureGroup(group int) {
-	const settled = startTime + 2*second // by then the gateways have had reports of the hosts
+	const settled = startTime + 2*second // by then the gateways have received reports of the hosts
 	var counts []float64
 	sum := 0.0
 	for _, member := range s.hosts[group*s.options.Members : (group+1)*s.options.Members] {
--- a/internal/lab/fleetmodel/fleetmodel_test.go
+++ b/internal/lab/fleetmodel/fleetmodel_test.go
@@ -15,8 +15,9 @@
 	return r
 }
 
-// With more load than the busiest groups can serve, enough must be shed for the rest to be in time. Without shedding,
-// even one attempt of each gateway is 80 at a host, most of which would end after their clients have left.
+// Guards against overload in which hosts work for clients that have left. There is more load than the busiest groups can
+// serve, so the gateways must shed enough for the rest to be answered in time. Without shedding, even one attempt of each
+// gateway makes 80 at a host, and most of them would end after their clients have left.
 func TestOverloadIsShedSoThatTheRestIsInTime(t *testing.T) {
 	o := busy()
 	o.Rate = 1750
@@ -32,7 +33,7 @@
 	r := play(t, busy())
 	n := float64(r.Requests)
 	if r.InTime/r.Asked < 0.85 || float64(r.HealthChecks)/n > 0.08 || float64(r.Dials)/n > 0.5 || r.GossipBytes/n > 700 {
-		t.Errorf("%.2f in time; for each request %.2f probes, %.2f connections, %.0f bytes to others", r.InTime/r.Asked,
+		t.Errorf("%.2f of the weight in time; for each request %.2f health checks, %.2f new connections, %.0f bytes of gossip", r.InTime/r.Asked,
 			float64(r.HealthChecks)/n, float64(r.Dials)/n, r.GossipBytes/n)
 	}
 }
@@ -44,7 +45,7 @@
 		o.Gateways = gateways
 		o.Seconds = 4
 		if r := play(t, o); r.InTime/r.Asked < 0.75 {
-			t.Errorf("%d gateways: %.2f in time", gateways, r.InTime/r.Asked)
+			t.Errorf("%d gateways: %.2f of the weight in time", gateways, r.InTime/r.Asked)
 		}
 	}
 }
@@ -54,6 +55,6 @@
 	o.Seconds = 2
 	a, b := play(t, o), play(t, o)
 	if a.InTime != b.InTime || a.HealthChecks != b.HealthChecks || a.GossipBytes != b.GossipBytes {
-		t.Errorf("%+v and then %+v", a, b)
+		t.Errorf("the first run gave %+v, the second %+v", a, b)
 	}
 }
--- a/internal/lab/fleetmodel/gateway.go
+++ b/internal/lab/fleetmodel/gateway.go
@@ -11,7 +11,7 @@
 	up          bool
 }
 
-// settings are those of gateway i.
+// settings returns the settings of gateway i.
 func (s *simulation) settings(i int) balance.Settings {
 	settings := balance.Settings{
 		TickInterval:            millisecond,
@@ -47,7 +47,7 @@
 	return settings
 }
 
-// endpoints is the endpoint list as it is now.
+// endpoints returns the current endpoint list.
 func (s *simulation) endpoints() []balance.Endpoint {
 	var list []balance.Endpoint
 	for _, listed := range s.hosts {
@@ -63,7 +63,7 @@
 	return list
 }
 
-// startGateway starts gateway i with a router without any state, and sends it the endpoint list.
+// startGateway starts gateway i with a new router and sends it the endpoint list.
 func (s *simulation) startGateway(i int) error {
 	started := s.gateways[i]
 	seed := s.options.Seed*1000 + uint64(i) + uint64(started.incarnation)*incarnationStride
@@ -89,7 +89,7 @@
 	}
 }
 
-// scheduleOn calls f after a time, unless gateway i has ended or restarted by then.
+// scheduleOn schedules a call of f after a delay, which is dropped if gateway i has ended or restarted by then.
 func (s *simulation) scheduleOn(i int, after int64, f func()) {
 	target := s.gateways[i]
 	incarnation := target.incarnation
--- a/internal/lab/fleetmodel/host.go
+++ b/internal/lab/fleetmodel/host.go
@@ -36,9 +36,9 @@
 	up                 bool
 	speed              float64
 	startedAt          int64
-	running            []*attempt  // they share the cores
-	queue              []*attempt  // they wait for one of maxRunning slots
-	advancedTo         int64       // time up to which work and log are computed
+	running            []*attempt  // these share the cores
+	queue              []*attempt  // these wait for one of the maxRunning slots
+	advancedTo         int64       // time up to which work and log position are computed
 	applied            int64       // log position
 	completions        int64       // serial number of the scheduled completion; earlier ones do nothing
 	idleConnections    map[int]int // by gateway
@@ -50,13 +50,13 @@
 	request              int64
 	number               int
 	host                 *host
-	work                 float64 // left, in milliseconds of a core
+	work                 float64 // remaining, in milliseconds of a core
 	sentAt               int64
-	finished             bool // the gateway has received its outcome, or has canceled it
+	finished             bool // the gateway has received the outcome or canceled the attempt
 	write                bool
 }
 
-// capacity is the speed of the host now, less in slow start.
+// capacity returns the current speed of a host, which is lower during its slow start.
 func (s *simulation) capacity(of *host) float64 {
 	capacity := of.speed
 	if age := s.now - of.startedAt; age < warmingTime {
@@ -65,8 +65,8 @@
 	return capacity
 }
 
-// advance computes a host's work and log up to now. All that runs shares the cores, and so does the thread that applies
-// the log: a replica with many attempts falls behind, although it still answers.
+// advance updates the remaining work and the log position of a host to the current time. The running attempts share the
+// cores with the thread that applies the log: a replica with many attempts falls behind, although it still answers.
 func (s *simulation) advance(of *host) {
 	elapsed := float64(s.now-of.advancedTo) / float64(millisecond)
 	of.advancedTo = s.now
@@ -94,7 +94,7 @@
 	return s.capacity(of) * min(1, cores/max(n, 1)) / (1 + crowdingLoss*crowding/crowdedPerCore)
 }
 
-// statusReport is what a host reports of itself.
+// statusReport returns the role, the log position and the report that a host sends along with an answer.
 func (s *simulation) statusReport(of *host) (balance.Role, int64, balance.HostReport) {
 	s.advance(of)
 	role := balance.Replica
@@ -191,7 +191,7 @@
 	s.scheduleCompletion(of)
 }
 
-// finishAttempt gives an outcome to the gateway, if it still waits for one, and counts it.
+// finishAttempt counts the outcome of an attempt, unless it is finished, and passes it to the gateway if that still runs.
 func (s *simulation) finishAttempt(finished *attempt, result balance.Result) {
 	if finished.finished {
 		return
@@ -233,7 +233,7 @@
 	}
 }
 
-// countAnswer counts the first answer of a request by when it came.
+// countAnswer counts the first answer of a request. A write that misses its objective still counts in part.
 func (s *simulation) countAnswer(finished *attempt, req *request) {
 	req.done = true
 	class := &s.classes[req.class]
--- a/internal/lab/fleetmodel/options.go
+++ b/internal/lab/fleetmodel/options.go
@@ -11,10 +11,10 @@
 	RateSwing                 float64 // amplitude of the rate's sine wave of ten seconds, as a part of Rate
 	Work                      float64 // mean work of the most expensive class, in milliseconds of a core
 	GossipBytesPerRequest     float64
-	// The outage takes a part of the hosts away; they come back in slow start. Times are seconds.
+	// The outage crashes a random part of the hosts. They return in slow start. Times are in seconds.
 	OutageAt, OutageFor int
 	OutagePart          float64
-	// The release kills and restarts a part of the gateways at a time. ReleaseAt is in seconds.
+	// The release kills and restarts a random part of the gateways, once. ReleaseAt is in seconds.
 	ReleaseAt   int
 	ReleasePart float64
 }
@@ -30,10 +30,10 @@
 	GossipMessages           int     `json:"Told"`
 	GossipBytes              float64 `json:"TellBytes"`
 	Seconds                  []Second
-	Overloads                int // not measured; kept for readers of the form
+	Overloads                int // not measured; kept for programs that read the output
 	Requests                 int
 	// CV1s is the mean coefficient of variation of the attempts that the replicas of a group got in a second, from the
-	// third second on; FairCV1s is what as many random draws would have had.
+	// third second on. FairCV1s is its expected value if each attempt went to a random replica.
 	CV1s, FairCV1s float64
 }
 
@@ -44,18 +44,18 @@
 	Rejected                int `json:"Refused"`
 	Full                    int
 	HealthChecks            int `json:"Probe"`
-	Deepest                 int // the largest number of attempts at one host
+	Deepest                 int // the largest number of attempts queued and running at one host
 }
 
-// Prices of a request's side effects, as parts of the score.
+// Penalties in the score for the side effects of a request: a health check, a new connection, and a unit of gossip.
 const (
 	healthCheckPrice = 0.08
 	connectionPrice  = 0.08
-	gossipPrice      = 0.012 // for gossipUnit bytes
-	gossipUnit       = 256
+	gossipPrice      = 0.012 // for each gossipUnit
+	gossipUnit       = 256   // bytes
 )
 
-// Score is the share of the weight that was answered in time, less the price of checks, connections and gossip.
+// Score returns the share of the weight that was answered in time, less the penalties for each request.
 func (r *Result) Score() float64 {
 	n := float64(max(r.Requests, 1))
 	return r.InTime/r.Asked - healthCheckPrice*float64(r.HealthChecks)/n - connectionPrice*float64(r.Dials)/n -
