--- a/internal/lab/fleetmodel/client.go
+++ b/internal/lab/fleetmodel/client.go
@@ -15,9 +15,9 @@
 	patienceRange   = 0.6               // range of that part beyond the minimum; the client draws from it
 	meanWriteAge    = 500               // milliseconds since the write whose effect a session read must return
 
-	sessionShare     = 0.62 // part of the session reads that follow a write of their session
-	retryAfterShare  = 0.7  // part of the clients that respect Retry-After
-	busierGroupShare = 0.12 // chance of a request to go to a second random group, if that has a lower number than the first
+	sessionWriteShare = 0.62 // part of the session reads that follow a write of their session
+	retryAfterShare   = 0.7  // part of the clients that respect Retry-After
+	lowerGroupChance  = 0.12 // chance of a request to go to a second random group, if that has a lower number than the first
 )
 
 // request is a request of a client. The client may send it to several gateways, one after the other; each of these is a try.
@@ -27,7 +27,7 @@
 	deadline     int64 // of all tries
 	tries        int
 	minPosition  int64 // log position that a session read requires; 0 if none
-	done         bool
+	answered     bool
 	current      *attempt
 	attempts     int   // number of attempts of the current try
 	tryDeadline  int64 // time at which the client stops waiting for the current gateway
@@ -39,9 +39,9 @@
 	return s.options.Rate * (1 + s.options.RateSwing*math.Sin(phase))
 }
 
-// arrival sends one request and schedules the next arrival.
-func (s *simulation) arrival() {
-	s.schedule(int64(s.random.ExpFloat64()/s.arrivalRate()*float64(second)), s.arrival)
+// arrive sends one request and schedules the next arrival.
+func (s *simulation) arrive() {
+	s.schedule(int64(s.random.ExpFloat64()/s.arrivalRate()*float64(second)), s.arrive)
 	index := s.drawClass()
 	class := &s.classes[index]
 	req := &request{
@@ -49,11 +49,11 @@
 		arrivedAt: s.now, deadline: s.now + class.deadline,
 	}
 	if other := s.random.IntN(s.options.Groups); other < req.group {
-		if s.random.Float64() < busierGroupShare {
+		if s.random.Float64() < lowerGroupChance {
 			req.group = other
 		}
 	}
-	if class.consistency == balance.ReadYourWrites && s.random.Float64() < sessionShare {
+	if class.consistency == balance.ReadYourWrites && s.random.Float64() < sessionWriteShare {
 		req.minPosition = s.now - int64(s.random.ExpFloat64()*meanWriteAge*float64(millisecond)) - millisecond
 	}
 	s.result.Requests++
@@ -88,7 +88,7 @@
 	patience := (minPatience + patienceRange*s.random.Float64()) * float64(s.classes[req.class].deadline)
 	req.tryDeadline = min(req.deadline, s.now+int64(patience))
 	s.inFlight[id] = req
-	s.scheduleGiveUp(to, id, req)
+	s.scheduleTryTimeout(to, id, req)
 	event := balance.Event{
 		Kind: balance.RequestEvent, Request: id, Class: req.class, Group: int64(req.group), Deadline: req.tryDeadline,
 	}
@@ -98,9 +98,9 @@
 	s.handleEvent(to, event)
 }
 
-// scheduleGiveUp has the client disconnect and retry if the gateway has not answered by the deadline of the try, which
+// scheduleTryTimeout has the client disconnect and retry if the gateway has not answered by the deadline of the try, which
 // includes a gateway that is down.
-func (s *simulation) scheduleGiveUp(to int, id int64, req *request) {
+func (s *simulation) scheduleTryTimeout(to int, id int64, req *request) {
 	incarnation := s.gateways[to].incarnation
 	s.schedule(req.tryDeadline-s.now, func() {
 		if s.inFlight[id] != req {
@@ -118,7 +118,7 @@
 // have been executed, has had maxTries, or would be sent after its deadline.
 func (s *simulation) retryRequest(req *request, retryAfter int64) {
 	mayHaveRun := s.classes[req.class].consistency == balance.Write && req.attempts > 0
-	if req.tries >= maxTries || req.done || mayHaveRun {
+	if req.tries >= maxTries || req.answered || mayHaveRun {
 		return
 	}
 	wait := retryDelay
--- a/internal/lab/fleetmodel/faults.go
+++ b/internal/lab/fleetmodel/faults.go
@@ -1,14 +1,14 @@
 package fleetmodel
 
 const (
-	failoverTime = 3 * second         // from the outage until the groups that lost their primaries have new ones
-	listDelay    = 1500 * millisecond // from the return of the hosts until the gateways receive the new endpoint list
-	restartMin   = second             // shortest time that a killed gateway is down
-	restartRange = float64(second)    // range of that time beyond restartMin
+	failoverTime      = 3 * second         // from the outage until the groups that lost their primaries have new ones
+	endpointListDelay = 1500 * millisecond // from the return of the hosts until the gateways receive the new endpoint list
+	minRestartTime    = second             // shortest time that a killed gateway is down
+	restartTimeRange  = float64(second)    // range of that time beyond minRestartTime
 )
 
-// outage crashes a random part of the hosts, primaries included, and restarts them in slow start.
-func (s *simulation) outage() {
+// startOutage crashes a random part of the hosts, primaries included, and restarts them in slow start.
+func (s *simulation) startOutage() {
 	var lost []*host
 	for _, candidate := range s.hosts {
 		if s.random.Float64() < s.options.OutagePart {
@@ -25,7 +25,7 @@
 			returned.advancedTo = s.now
 		}
 	})
-	s.schedule(back+listDelay, func() {
+	s.schedule(back+endpointListDelay, func() {
 		for i, receiver := range s.gateways {
 			if receiver.up {
 				s.sendEndpoints(i)
@@ -54,14 +54,14 @@
 	}
 }
 
-// release kills a random part of the gateways and starts them again.
-func (s *simulation) release() {
+// startRelease kills a random part of the gateways and starts them again.
+func (s *simulation) startRelease() {
 	for i, killed := range s.gateways {
 		if s.random.Float64() >= s.options.ReleasePart {
 			continue
 		}
 		killed.up = false
-		s.schedule(restartMin+int64(s.random.Float64()*restartRange), func() {
+		s.schedule(minRestartTime+int64(s.random.Float64()*restartTimeRange), func() {
 			_ = s.startGateway(i) // New accepted the same settings at the start of the run
 		})
 	}
--- a/internal/lab/fleetmodel/fleetmodel.go
+++ b/internal/lab/fleetmodel/fleetmodel.go
@@ -57,7 +57,7 @@
 		}
 	}
 	s.scheduleDay()
-	s.playUntil(startTime + int64(options.Seconds)*second)
+	s.runUntil(startTime + int64(options.Seconds)*second)
 	samples := float64(max(s.spreadSamples, 1))
 	s.result.CV1s /= samples
 	s.result.FairCV1s /= samples
@@ -87,17 +87,17 @@
 
 // scheduleDay schedules the first request, the measurements and the faults.
 func (s *simulation) scheduleDay() {
-	s.schedule(0, s.arrival)
+	s.schedule(0, s.arrive)
 	s.schedule(second, s.measureSpread)
 	if s.options.OutagePart > 0 {
-		s.schedule(int64(s.options.OutageAt)*second, s.outage)
+		s.schedule(int64(s.options.OutageAt)*second, s.startOutage)
 	}
 	if s.options.ReleasePart > 0 {
-		s.schedule(int64(s.options.ReleaseAt)*second, s.release)
+		s.schedule(int64(s.options.ReleaseAt)*second, s.startRelease)
 	}
 }
 
-func (s *simulation) playUntil(end int64) {
+func (s *simulation) runUntil(end int64) {
 	for len(s.events) > 0 && s.events[0].at <= end {
 		next := heap.Pop(&s.events).(event)
 		s.now = next.at
@@ -114,12 +114,12 @@
 // measureSpread measures, once a second, how evenly the attempts were spread over the replicas of each group.
 func (s *simulation) measureSpread() {
 	for group := range s.options.Groups {
-		s.measureGroup(group)
+		s.measureGroupSpread(group)
 	}
 	s.schedule(second, s.measureSpread)
 }
 
-func (s *simulation) measureGroup(group int) {
+func (s *simulation) measureGroupSpread(group int) {
 	const settled = startTime + 2*second // by then the gateways have received reports of the hosts
 	var counts []float64
 	sum := 0.0
--- a/internal/lab/fleetmodel/host.go
+++ b/internal/lab/fleetmodel/host.go
@@ -40,7 +40,7 @@
 	queue              []*attempt  // these wait for one of the maxRunning slots
 	advancedTo         int64       // time up to which work and log position are computed
 	applied            int64       // log position
-	completions        int64       // serial number of the scheduled completion; earlier ones do nothing
+	completionSerial   int64       // serial number of the scheduled completion; earlier ones do nothing
 	idleConnections    map[int]int // by gateway
 	attemptsThisSecond int
 }
@@ -161,10 +161,10 @@
 			next = running
 		}
 	}
-	of.completions++
-	completion := of.completions
+	of.completionSerial++
+	completion := of.completionSerial
 	s.schedule(max(1, int64(next.work/s.workRate(of)*float64(millisecond))), func() {
-		if of.completions == completion && of.up {
+		if of.completionSerial == completion && of.up {
 			s.complete(of)
 		}
 	})
@@ -227,7 +227,7 @@
 		current.Full++
 	case balance.Succeeded:
 		current.Served++
-		if req != nil && !req.done {
+		if req != nil && !req.answered {
 			s.countAnswer(finished, req)
 		}
 	}
@@ -235,7 +235,7 @@
 
 // countAnswer counts the first answer of a request. A write that misses its objective still counts in part.
 func (s *simulation) countAnswer(finished *attempt, req *request) {
-	req.done = true
+	req.answered = true
 	class := &s.classes[req.class]
 	switch {
 	case s.now-req.arrivedAt <= class.objective:
--- a/internal/lab/fleetmodel/options.go
+++ b/internal/lab/fleetmodel/options.go
@@ -49,17 +49,17 @@
 
 // Penalties in the score for the side effects of a request: a health check, a new connection, and a unit of gossip.
 const (
-	healthCheckPrice = 0.08
-	connectionPrice  = 0.08
-	gossipPrice      = 0.012 // for each gossipUnit
-	gossipUnit       = 256   // bytes
+	healthCheckPenalty = 0.08
+	connectionPenalty  = 0.08
+	gossipPenalty      = 0.012 // for each gossipUnit
+	gossipUnit         = 256   // bytes
 )
 
 // Score returns the share of the weight that was answered in time, less the penalties for each request.
 func (r *Result) Score() float64 {
 	n := float64(max(r.Requests, 1))
-	return r.InTime/r.Asked - healthCheckPrice*float64(r.HealthChecks)/n - connectionPrice*float64(r.Dials)/n -
-		gossipPrice*r.GossipBytes/gossipUnit/n
+	return r.InTime/r.Asked - healthCheckPenalty*float64(r.HealthChecks)/n - connectionPenalty*float64(r.Dials)/n -
+		gossipPenalty*r.GossipBytes/gossipUnit/n
 }
 
 // lateWriteWeight is the part of its weight that a late write still earns.
