--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -1,5 +1,5 @@
-// Package logstats adds up the counts that many gateways log once a second at debug level, to show the load that all of
-// them together put on the hosts.
+// Package logstats adds up the counts that each gateway logs once a second at debug level. The sums show the load that all
+// gateways together put on the hosts.
 package logstats
 
 import (
@@ -17,13 +17,13 @@
 	"text/tabwriter"
 )
 
-// Second is what all gateways did in one second.
+// Second holds the sums over all gateways of one second.
 type Second struct {
-	At       int             `json:"at"`
-	Gateways int             `json:"gateways"` // that logged it
+	At       int             `json:"at"`       // seconds since the start of the run, or since the epoch of the logged times
+	Gateways int             `json:"gateways"` // number of lines with counts, one for each gateway
 	Sums     map[string]int  `json:"sums"`
 	Hosts    map[string]Host `json:"hosts"`
-	Changes  map[string]int  `json:"changes"` // gateways that learned of a primary, by group and host
+	Changes  map[string]int  `json:"changes"` // number of gateways that confirmed a primary, by group and host
 }
 
 // Host counts the attempts at one host that ended in the second, by outcome.
@@ -34,22 +34,23 @@
 
 func (h *Host) all() int { return h.Served + h.Errored + h.TimedOut + h.Other }
 
-// Table has the seconds of a run in order.
+// Table lists the seconds of a run in order of time.
 type Table []*Second
 
 // ErrNoLogs is returned for a directory without log files.
-var ErrNoLogs = errors.New("no file of the directory ends in .log")
+var ErrNoLogs = errors.New("the directory has no file whose name ends in .log")
 
 const (
 	maxLine = 1 << 20 // bytes
 
 	countsMessage    = "counts" // marks the lines that are added up
 	primaryConfirmed = "balance: primary confirmed"
-	tallySize        = 5 // numbers of each host: succeeded, failed, timed out, others, mean milliseconds
+	tallySize        = 5 // length of the list logged for a host: succeeded, failed, timed out, others, mean milliseconds
 )
 
-// Read adds up the files of a directory whose names end in .log. A line may begin with the seconds since the start of the
-// run; else the time that it logs counts. Lines that no gateway wrote are ignored.
+// Read adds up the files of a directory whose names end in .log. If a line begins with a number and a space, the number is
+// the time of the line, in seconds since the start of the run; otherwise the line's time field is. Lines that are not JSON
+// objects are ignored.
 func Read(dir fs.FS) (Table, error) {
 	names, err := fs.Glob(dir, "*.log")
 	if err != nil {
@@ -84,7 +85,7 @@
 	return scanner.Err()
 }
 
-// parseLine returns the second and the fields of a log line.
+// parseLine returns the second and the fields of a log line. It reports false for a line that is not a JSON object.
 func parseLine(line string) (at int, fields map[string]any, ok bool) {
 	text := line
 	prefix, rest, hasPrefix := strings.Cut(line, " ")
@@ -109,7 +110,7 @@
 	return seconds[at]
 }
 
-// add adds one line's fields up.
+// add adds one log line to the sums. Only lines with counts and lines that confirm a primary change anything.
 func (s *Second) add(fields map[string]any) {
 	message, _ := fields["message"].(string)
 	if message == primaryConfirmed {
@@ -132,7 +133,7 @@
 	}
 }
 
-// add adds one gateway's numbers of the host up. A value of another form adds nothing.
+// add adds the numbers that one gateway logged for the host. A value of another form is ignored.
 func (h *Host) add(value any) {
 	parts, _ := value.([]any)
 	if len(parts) != tallySize {
@@ -150,13 +151,14 @@
 	h.Took += numbers[0] * numbers[4]
 }
 
-// columns are the sums that are printed, in their order.
+// columns lists the sums that are printed, in the order of their columns.
 var columns = []string{
 	"requests", "served", "refused", "failed", "again", "errored", "full", "timed_out", "refused_dial", "reset",
 	"skipped", "missed", "probes", "probes_failed", "dials", "dials_failed", "told", "told_bytes", "heard",
 }
 
-// Print writes the table, one line for each second: the sums, the number of hosts, and the attempts at the busiest one.
+// Print writes the table with one line for each second: the sums, the number of hosts, the attempts at the busiest host, and
+// the number of confirmed primaries.
 func (t Table) Print(w io.Writer) error {
 	var text strings.Builder
 	fmt.Fprint(&text, "s\tgateways\t", strings.Join(columns, "\t"), "\thosts\tmost\tprimaries\t\n")
