--- a/internal/lab/linkage/linkage_test.go
+++ b/internal/lab/linkage/linkage_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The check fails for programs that the Go linker linked, statically or not, and for files that are no programs.
+// Check must fail for programs that Go's internal linker linked, statically or dynamically, and for files that are not
+// programs.
 func TestCheckPassesOnlyExternalLinkage(t *testing.T) {
 	dir := t.TempDir()
 	source := filepath.Join(dir, "main.go")
@@ -37,10 +38,10 @@
 			t.Fatalf("%s: %v\n%s", c.name, err, b)
 		}
 		if err := Check(out); (err == nil) != c.good {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: error %v, expected an error: %t", c.name, err, !c.good)
 		}
 	}
 	if Check(source) == nil || Check(filepath.Join(dir, "missing")) == nil {
-		t.Error("a file that is no program passes")
+		t.Error("Check accepts a file that is not a program, or a missing one")
 	}
 }
