--- a/internal/lab/fullpipe/fullpipe.go
+++ b/internal/lab/fullpipe/fullpipe.go
@@ -1,4 +1,4 @@
-// Package fullpipe makes pipes whose buffer is full: whoever writes to one waits for its reader.
+// Package fullpipe makes pipes whose buffer is full, so that a write blocks until the other end is read.
 package fullpipe
 
 import (
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// Open returns the ends of a pipe whose buffer is full. A write to it blocks.
+// Open returns the two ends of a pipe whose buffer is full. A write to the writer blocks.
 func Open() (reader, writer *os.File, err error) {
 	var ends [2]int
 	if err := syscall.Pipe2(ends[:], syscall.O_CLOEXEC|syscall.O_NONBLOCK); err != nil {
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -14,8 +14,8 @@
 	triesPerAddress = 10
 )
 
-// Reserve returns n random loopback addresses, as ip:port, at which nobody listens. It does not prevent others from using
-// them.
+// Reserve returns n random loopback addresses, as ip:port, that have no listener. It does not prevent other processes from
+// using them.
 func Reserve(n int) ([]string, error) {
 	var addresses []string
 	for tries := 0; len(addresses) < n; tries++ {
@@ -27,7 +27,7 @@
 			}
 			continue
 		}
-		_ = listener.Close() // it was only opened to see that the address is free
+		_ = listener.Close() // it was opened only to check that the address is free
 		addresses = append(addresses, address)
 	}
 	return addresses, nil
