--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
-// Package golden compares the output of code with golden files that an earlier version has written: encodings on the wire
-// and on disk, and hashes of decisions. Only tests import it.
+// Package golden compares the output of code with golden files that an earlier version wrote: encodings on the wire and on
+// disk, and hashes of decisions. Only tests import it.
 //
-// A test run with -update rewrites its golden files. Use that only for an intended change of an encoding.
+// A test run with -update rewrites its golden files. Use that only if the encoding is meant to change.
 package golden
 
 import (
@@ -22,11 +22,11 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Case is one named encoding. Neither part may contain a line break, nor Name a tab.
+// Case is one named encoding. Neither field may contain a line break, and Name no tab.
 type Case struct{ Name, Form string }
 
-// Check compares cases with those of testdata/file: the same cases in the same order, each with the same form. It
-// returns the stored forms by name, so that a test can decode them.
+// Check compares cases with those stored in testdata/file and fails the test unless both have the same names in the same
+// order, each with the same form. It returns the stored forms by name, so that a test can decode them.
 func Check(t *testing.T, file string, cases []Case) map[string]string {
 	t.Helper()
 	lines := make([]string, 0, len(cases))
@@ -36,7 +36,7 @@
 	return formsByName(t, file, "\t", CheckText(t, file, lines))
 }
 
-// CheckLines is like Check for lines that each consist of a name without blanks, a blank and the form.
+// CheckLines is like Check, for lines that each consist of a name without spaces, a space, and the form.
 func CheckLines(t *testing.T, file string, lines []string) map[string]string {
 	t.Helper()
 	return formsByName(t, file, " ", CheckText(t, file, lines))
@@ -55,7 +55,7 @@
 	}
 	stored = strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	if len(stored) != len(lines) {
-		t.Errorf("%s has %d cases, the test %d", path, len(stored), len(lines))
+		t.Errorf("%s has %d cases, the test has %d", path, len(stored), len(lines))
 	}
 	for i, line := range stored {
 		if i < len(lines) && lines[i] != line {
@@ -65,7 +65,7 @@
 	return stored
 }
 
-// formsByName splits lines into names and forms. A name that occurs twice is an error.
+// formsByName splits lines into names and forms. A name that occurs twice fails the test.
 func formsByName(t *testing.T, file, separator string, lines []string) map[string]string {
 	t.Helper()
 	forms := map[string]string{}
@@ -89,10 +89,10 @@
 	}
 }
 
-// Hash is a SHA-256 hash of values. Names of fields, types and constants don't enter it, so that they may be renamed.
+// Hash is a SHA-256 hash of values. The names of fields, types and constants are not part of it, so that they may be renamed.
 type Hash struct{ sum hash.Hash }
 
-// NewHash returns the hash of no values.
+// NewHash returns a hash without values.
 func NewHash() *Hash { return &Hash{sha256.New()} }
 
 // Numbers adds integers, 8 bytes each.
@@ -102,7 +102,7 @@
 	}
 }
 
-// Float adds a number by its bits.
+// Float adds the bits of a floating-point number.
 func (h *Hash) Float(value float64) { h.Numbers(int64(math.Float64bits(value))) }
 
 // Text adds a string, preceded by its length.
