--- a/cmd/cloverrock-lab/logstats.go
+++ b/cmd/cloverrock-lab/logstats.go
@@ -12,7 +12,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use: "log-stats DIR", Aliases: []string{"fleet"},
-		Short: "Add up what many gateways logged at debug level, by seconds",
+		Short: "Add up the counts that gateways logged at debug level, by second",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			table, err := logstats.Read(os.DirFS(args[0]))
@@ -25,6 +25,6 @@
 			return table.Print(cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "one JSON object with the hosts of each second, too")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "write JSON, which also lists the hosts of each second")
 	return cmd
 }
--- a/cmd/cloverrock-lab/main.go
+++ b/cmd/cloverrock-lab/main.go
@@ -1,5 +1,5 @@
-// Command cloverrock-lab simulates the gateway and the store, and tests real processes of them under faults, on this
-// machine's loopback addresses only.
+// Command cloverrock-lab simulates the gateway and the store, and tests their real processes under faults, using only the
+// loopback addresses of this machine.
 package main
 
 import (
@@ -51,7 +51,7 @@
 	return root
 }
 
-// writeReport writes a result as one JSON object to a file, or to out for the path "-".
+// writeReport writes a result as one line of JSON to a file, or to out if the path is "-".
 func writeReport(path string, out io.Writer, result any) error {
 	text, err := json.Marshal(result)
 	if err != nil {
@@ -65,23 +65,23 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// addReportFlag adds the flag that names the file of the result.
+// addReportFlag adds the flag for the file that receives the result.
 func addReportFlag(cmd *cobra.Command, path *string) {
-	cmd.Flags().StringVar(path, "json", "-", "where the result goes; - is standard output")
+	cmd.Flags().StringVar(path, "json", "-", "file for the result, as JSON; - is standard output")
 }
 
-// addProgramFlag adds the flag that names the gateway's program.
+// addProgramFlag adds the flag for the path of the gateway's program.
 func addProgramFlag(cmd *cobra.Command, program *string) {
 	cmd.Flags().StringVar(program, "program", "", "path of the gateway's program (default: the one in the directory of this program)")
 }
 
-// logToStderr writes what an experiment does to standard error, a line each.
+// logToStderr writes one line of an experiment's log to standard error.
 func logToStderr(format string, args ...any) {
 	fmt.Fprintf(os.Stderr, format+"\n", args...)
 }
 
-// processContext returns the context of a run with real processes, as signalContext does. If *program is empty it sets it
-// to the path of the gateway's program in the directory of this one.
+// processContext returns the context of a run with real processes, as signalContext does. If *program is empty, it first
+// sets *program to the path of the gateway's program in the directory of the running program.
 func processContext(bound time.Duration, program *string) (context.Context, context.CancelFunc, error) {
 	if *program == "" {
 		var err error
--- a/cmd/cloverrock-lab/model.go
+++ b/cmd/cloverrock-lab/model.go
@@ -9,7 +9,7 @@
 func modelCommand() *cobra.Command {
 	options := fleetmodel.Options{Groups: 12, Members: 5, RateSwing: 0.25, Work: 111}
 	cmd := &cobra.Command{
-		Use: "model", Aliases: []string{"many"}, Short: "Play many gateways before many hosts in one process",
+		Use: "model", Aliases: []string{"many"}, Short: "Simulate a fleet of gateways and their hosts in one process",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			result, err := fleetmodel.Run(options)
@@ -20,17 +20,17 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&options.Gateways, "gateways", 80, "how many gateways")
-	flags.IntVar(&options.Groups, "groups", options.Groups, "groups of hosts")
-	flags.IntVar(&options.Members, "members", options.Members, "hosts of each group")
+	flags.IntVar(&options.Gateways, "gateways", 80, "number of gateways")
+	flags.IntVar(&options.Groups, "groups", options.Groups, "number of groups of hosts")
+	flags.IntVar(&options.Members, "members", options.Members, "number of hosts in each group")
 	flags.IntVar(&options.Seconds, "for", 20, "simulated seconds")
-	flags.Uint64Var(&options.Seed, "seed", 1, "seed of all that is random")
-	flags.Float64Var(&options.Rate, "rate", 1250, "requests a second, all together")
-	flags.Float64Var(&options.GossipBytesPerRequest, "tell", 1280, "bytes of gossip that a request pays for")
-	flags.Float64Var(&options.OutagePart, "outage", 0, "part of the hosts that crash")
-	flags.IntVar(&options.OutageAt, "outage-at", 6, "when, in seconds")
-	flags.IntVar(&options.OutageFor, "outage-for", 5, "for how long")
-	flags.Float64Var(&options.ReleasePart, "release", 0, "part of the gateways that are killed and started again")
-	flags.IntVar(&options.ReleaseAt, "release-at", 6, "when, in seconds")
+	flags.Uint64Var(&options.Seed, "seed", 1, "seed of all random choices")
+	flags.Float64Var(&options.Rate, "rate", 1250, "mean requests per second, of all clients together")
+	flags.Float64Var(&options.GossipBytesPerRequest, "tell", 1280, "bytes of gossip allowed for each request")
+	flags.Float64Var(&options.OutagePart, "outage", 0, "part of the hosts that crash, from 0 to 1")
+	flags.IntVar(&options.OutageAt, "outage-at", 6, "time of the crash, in seconds")
+	flags.IntVar(&options.OutageFor, "outage-for", 5, "time until the crashed hosts return, in seconds")
+	flags.Float64Var(&options.ReleasePart, "release", 0, "part of the gateways that are killed and started again, from 0 to 1")
+	flags.IntVar(&options.ReleaseAt, "release-at", 6, "time at which they are killed, in seconds")
 	return cmd
 }
--- a/cmd/cloverrock-lab/processes.go
+++ b/cmd/cloverrock-lab/processes.go
@@ -14,15 +14,15 @@
 func processesCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "processes", Aliases: []string{"tier"},
-		Short: "Play many real processes of the gateway with faults in them and between them",
+		Short: "Run many processes of the gateway with faults in them and between them",
 		Args:  cobra.NoArgs,
 	}
 	cmd.AddCommand(spreadCommand(), zoneCommand())
 	return cmd
 }
 
-// playProcesses makes one run and writes its result. The error is errFaultFound, with the names of the faults that the
-// check finds in the result, or says why the run was not possible.
+// playProcesses makes one run and writes its result. It returns errFaultFound with the faults that check finds in the
+// result, or another error if the run was not possible.
 func playProcesses(
 	cmd *cobra.Command, options processrig.Options, path string, check func(*processrig.Result) []string,
 ) error {
@@ -52,22 +52,22 @@
 	plan                     string
 }
 
-// addFleetFlags adds the flags that the experiments with processes share.
+// addFleetFlags adds the flags that all experiments with a fleet of processes have.
 func addFleetFlags(flags *pflag.FlagSet, options *processrig.Options, defaults fleetDefaults, plans []string) {
-	flags.IntVar(&options.Gateways, "gateways", defaults.gateways, "processes of the gateway")
-	flags.IntVar(&options.Hosts, "hosts", defaults.hosts, "emulated hosts")
-	flags.IntVar(&options.Members, "members", defaults.members, "hosts of a group, one of them its primary")
-	flags.DurationVar(&options.For, "for", time.Minute, "how long requests come")
-	flags.Uint64Var(&options.Seed, "seed", 1, "decides the load and the faults")
-	flags.Float64Var(&options.Use, "use", defaults.use, "part of the hosts' capacity that is asked for")
-	flags.StringVar(&options.Plan, "faults", defaults.plan, "one of "+strings.Join(plans, ", "))
+	flags.IntVar(&options.Gateways, "gateways", defaults.gateways, "number of processes of the gateway")
+	flags.IntVar(&options.Hosts, "hosts", defaults.hosts, "number of emulated hosts")
+	flags.IntVar(&options.Members, "members", defaults.members, "number of hosts in a group, including its primary")
+	flags.DurationVar(&options.For, "for", time.Minute, "how long clients send requests")
+	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the load and the faults")
+	flags.Float64Var(&options.Use, "use", defaults.use, "load as a part of the hosts' capacity")
+	flags.StringVar(&options.Plan, "faults", defaults.plan, "plan of faults, one of "+strings.Join(plans, ", "))
 }
 
 func spreadCommand() *cobra.Command {
 	var options processrig.Options
 	var path string
 	cmd := &cobra.Command{
-		Use: "spread", Short: "Measure at the hosts how evenly the gateways' load falls", Args: cobra.NoArgs,
+		Use: "spread", Short: "Measure at the hosts how evenly the gateways spread the load", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return playProcesses(cmd, options, path, (*processrig.Result).Faults)
 		},
@@ -77,8 +77,8 @@
 	cmd.Flags().StringVar(&options.Policy, "policy", "",
 		"random: gateways send no gossip; before: --program is another version, which the result records")
 	cmd.Flags().StringVar(&options.Break, "break", "",
-		"blind-herd: all use the host reported as least loaded; subset-fixed: all have the same part of the hosts; "+
-			"abrupt: restarts allow no graceful shutdown; the checks must find each")
+		"deliberate defect, which the checks must report: blind-herd: all gateways use the host reported as least loaded; "+
+			"subset-fixed: all have the same part of the hosts; abrupt: restarts allow no graceful shutdown")
 	addProgramFlag(cmd, &options.Program)
 	addReportFlag(cmd, &path)
 	return cmd
@@ -88,7 +88,7 @@
 	options := processrig.Options{Zoned: &processrig.Zoned{StepMS: 1000}}
 	var path, policy string
 	cmd := &cobra.Command{
-		Use: "zone", Short: "Have a zone fail, and see the gateways leave it and return together", Args: cobra.NoArgs,
+		Use: "zone", Short: "Let a zone fail, and check that the gateways leave it and return to it together", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := applyZonePolicy(&options, policy); err != nil {
 				return err
@@ -99,17 +99,17 @@
 	}
 	defaults := fleetDefaults{gateways: 60, hosts: 48, members: 6, use: 0.2, plan: "lost"}
 	addFleetFlags(cmd.Flags(), &options, defaults, processrig.ZonePlans)
-	cmd.Flags().IntVar(&options.Zoned.Zones, "zones", 3, "zones, over which hosts and gateways are spread")
+	cmd.Flags().IntVar(&options.Zoned.Zones, "zones", 3, "number of zones over which hosts and gateways are spread")
 	cmd.Flags().StringVar(&policy, "policy", "",
-		"alone: each gateway decides for itself; off: and they send no gossip")
+		"alone: each gateway decides for itself; off: as alone, and gateways send no gossip")
 	cmd.Flags().StringVar(&options.Zoned.Break, "break", "",
-		"quorum, pace, capacity: the rule that the gateways skip; the checks must find it")
+		"deliberate defect, which the checks must report: the rule that the gateways skip, one of quorum, pace, capacity")
 	addProgramFlag(cmd, &options.Program)
 	addReportFlag(cmd, &path)
 	return cmd
 }
 
-// applyZonePolicy sets what the gateways of an experiment with zones share.
+// applyZonePolicy sets the options for a value of the flag --policy of an experiment with zones.
 func applyZonePolicy(options *processrig.Options, policy string) error {
 	switch policy {
 	case "":
@@ -119,7 +119,7 @@
 		options.Zoned.Alone = true
 		options.Policy = "random"
 	default:
-		return fmt.Errorf("policy %q: there are alone and off", policy)
+		return fmt.Errorf("policy %q is unknown; expected alone or off", policy)
 	}
 	return nil
 }
--- a/cmd/cloverrock-lab/soak.go
+++ b/cmd/cloverrock-lab/soak.go
@@ -23,11 +23,11 @@
 	var first uint64
 	var seeds, parallel int
 	cmd := &cobra.Command{
-		Use: "soak", Short: "Restart a gateway under load, with signals in series and faults, once for each seed",
+		Use: "soak", Short: "Restart a gateway under load with series of signals and faults, once for each seed",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if options.Defect != "" && !slices.Contains(restartsoak.Defects, options.Defect) {
-				return fmt.Errorf("defect %q: there are %v", options.Defect, restartsoak.Defects)
+				return fmt.Errorf("defect %q is unknown; expected one of %v", options.Defect, restartsoak.Defects)
 			}
 			bound := soakTimeout * time.Duration(1+seeds/max(parallel, 1))
 			ctx, cancel, err := processContext(bound, &options.Program)
@@ -46,20 +46,21 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.Uint64Var(&first, "first", 1, "the first seed; each decides the faults of a run")
+	flags.Uint64Var(&first, "first", 1, "the first seed; each determines the faults of one run")
 	flags.IntVar(&seeds, "seeds", 50, "number of runs")
-	flags.IntVar(&parallel, "parallel", 2, "runs at once")
-	flags.StringVar(&options.Defect, "defect", "", strings.Join(restartsoak.Defects, ", ")+": the checks must find each")
+	flags.IntVar(&parallel, "parallel", 2, "number of runs at a time")
+	flags.StringVar(&options.Defect, "defect", "",
+		"deliberate defect, which the checks must report: one of "+strings.Join(restartsoak.Defects, ", "))
 	addProgramFlag(cmd, &options.Program)
 	return cmd
 }
 
-// soak makes the runs, writes the result of each to out, a JSON object a line, and returns the number of those with faults.
+// soak runs each seed, writes each result to out as one line of JSON, and returns the number of runs with faults.
 func soak(
 	ctx context.Context, out io.Writer, options restartsoak.Options, first uint64, seeds, parallel int,
 ) (faulty int, err error) {
 	var running sync.WaitGroup
-	var mu sync.Mutex // of out, faulty and err
+	var mu sync.Mutex // guards out, faulty and err
 	slots := make(chan struct{}, parallel)
 	for i := range seeds {
 		slots <- struct{}{}
--- a/cmd/cloverrock-lab/storechaos.go
+++ b/cmd/cloverrock-lab/storechaos.go
@@ -16,7 +16,7 @@
 	var quiet bool
 	cmd := &cobra.Command{
 		Use:   "store-chaos",
-		Short: "Kill, cut and restart real instances of the store under load, and check the answers that clients got",
+		Short: "Kill, cut off and restart instances of the store under load, and check the answers that clients got",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := signalContext(options.For + 2*time.Minute)
@@ -38,13 +38,14 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&options.Instances, "instances", 3, "instances of the store")
+	flags.IntVar(&options.Instances, "instances", 3, "number of instances of the store")
 	flags.DurationVar(&options.For, "for", 30*time.Second, "how long faults occur")
-	flags.Uint64Var(&options.Seed, "seed", 1, "decides the faults and the operations")
-	flags.BoolVar(&options.LoseSyncs, "break-fsync", false, "the log is not synced, and a loss of power drops it: the check must find it")
+	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the faults and the operations")
+	flags.BoolVar(&options.LoseSyncs, "break-fsync", false,
+		"deliberate defect: the log is not synced, and a power loss drops it; the check must report it")
 	addProgramFlag(cmd, &options.Program)
 	flags.BoolVar(&options.Keep, "keep", false, "keep the directory with the logs of the instances")
-	flags.BoolVar(&quiet, "quiet", false, "do not log what happens")
+	flags.BoolVar(&quiet, "quiet", false, "do not log the events of the run")
 	addReportFlag(cmd, &path)
 	return cmd
 }
--- a/cmd/cloverrock-lab/storecost.go
+++ b/cmd/cloverrock-lab/storecost.go
@@ -15,7 +15,7 @@
 	var each time.Duration
 	cmd := &cobra.Command{
 		Use: "store-cost", Aliases: []string{"beside"},
-		Short: "Measure what the store costs the requests of the gateway in whose process it runs",
+		Short: "Measure how the store affects the latency of requests to the gateway that runs it in its process",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			bound := time.Duration(rounds) * 2 * (each + time.Minute)
@@ -32,10 +32,11 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.Uint64Var(&options.Seed, "seed", 1, "decides the load")
-	flags.Float64Var(&options.Rate, "rate", 300, "requests a second")
-	flags.IntVar(&rounds, "rounds", 3, "rounds of each way, in turn")
-	flags.DurationVar(&each, "for", 5*time.Second, "how long each lasts")
+	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the load")
+	flags.Float64Var(&options.Rate, "rate", 300, "requests per second")
+	flags.IntVar(&rounds, "rounds", 3,
+		"number of rounds; each measures without the store, with an idle one and with a busy one")
+	flags.DurationVar(&each, "for", 5*time.Second, "how long each measurement lasts")
 	addProgramFlag(cmd, &options.Program)
 	addReportFlag(cmd, &path)
 	return cmd
--- a/cmd/cloverrock-lab/storesim.go
+++ b/cmd/cloverrock-lab/storesim.go
@@ -13,10 +13,10 @@
 	"cloverrock/internal/lab/storesim"
 )
 
-// settleSeconds is how long, in simulated time, a cluster runs without faults after those of a seed.
+// settleSeconds is the simulated time that a cluster runs without faults at the end of each seed.
 const settleSeconds = 40
 
-// storeSimRun plays clusters of consecutive seeds and adds their results up.
+// storeSimRun simulates clusters for consecutive seeds and adds up their results.
 type storeSimRun struct {
 	first, seeds uint64
 	options      storesim.Options
@@ -25,7 +25,7 @@
 	hash         hash.Hash64
 }
 
-// seedViolations lists the violations that the checks found with one seed.
+// seedViolations lists the violations that the checks found for one seed.
 type seedViolations struct {
 	Seed uint64   `json:"seed"`
 	What []string `json:"what"`
@@ -36,7 +36,7 @@
 	var path string
 	var trace bool
 	cmd := &cobra.Command{
-		Use: "store-sim", Short: "Play clusters under a simulated network, disk and clock", Args: cobra.NoArgs,
+		Use: "store-sim", Short: "Simulate clusters of the store with a simulated network, disks and clock", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if trace {
 				run.options.Trace = cmd.ErrOrStderr()
@@ -53,18 +53,20 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.Uint64Var(&run.seeds, "seeds", 100, "how many seeds to play")
+	flags.Uint64Var(&run.seeds, "seeds", 100, "number of seeds")
 	flags.Uint64Var(&run.first, "first", 1, "the first seed")
-	flags.IntVar(&run.options.Instances, "instances", 3, "instances of each cluster")
+	flags.IntVar(&run.options.Instances, "instances", 3, "number of instances in each cluster")
 	flags.IntVar(&run.options.Seconds, "for", 20, "simulated seconds under faults")
-	flags.BoolVar(&run.options.LoseSyncs, "break-fsync", false, "syncs do nothing: the checks must find it")
-	flags.BoolVar(&run.options.ResendAsNew, "break-sessions", false, "retries come as new commands: the checks must find it")
-	flags.BoolVar(&trace, "trace", false, "log what happens to standard error")
+	flags.BoolVar(&run.options.LoseSyncs, "break-fsync", false,
+		"deliberate defect: syncs have no effect; the checks must report it")
+	flags.BoolVar(&run.options.ResendAsNew, "break-sessions", false,
+		"deliberate defect: clients retry outside their session, as new commands; the checks must report it")
+	flags.BoolVar(&trace, "trace", false, "write a trace of the runs to standard error")
 	addReportFlag(cmd, &path)
 	return cmd
 }
 
-// play simulates each seed. raft draws its election timeouts from crypto/rand, so its reader is replaced meanwhile.
+// play simulates each seed. raft draws its election timeouts from rand.Reader, which is replaced during the run.
 func (r *storeSimRun) play(cmd *cobra.Command) {
 	systemRandom := rand.Reader
 	defer func() { rand.Reader = systemRandom }()
@@ -83,7 +85,7 @@
 }
 
 func (r *storeSimRun) add(result *storesim.Result) {
-	_, _ = r.hash.Write(binary.LittleEndian.AppendUint64(nil, result.Hash)) // a hash never fails
+	_, _ = r.hash.Write(binary.LittleEndian.AppendUint64(nil, result.Hash)) // a hash's Write never returns an error
 	r.total.Steps += result.Steps
 	r.total.Acknowledged += result.Acknowledged
 	r.total.Elections += result.Elections
