--- a/cmd/cloverrock-lab/processes.go
+++ b/cmd/cloverrock-lab/processes.go
@@ -21,9 +21,9 @@
 	return cmd
 }
 
-// playProcesses makes one run and writes its result. It returns errFaultFound with the faults that check finds in the
+// runProcesses makes one run and writes its result. It returns errFaultFound with the faults that check finds in the
 // result, or another error if the run was not possible.
-func playProcesses(
+func runProcesses(
 	cmd *cobra.Command, options processrig.Options, path string, check func(*processrig.Result) []string,
 ) error {
 	ctx, cancel, err := processContext(options.For+time.Minute, &options.Program)
@@ -69,7 +69,7 @@
 	cmd := &cobra.Command{
 		Use: "spread", Short: "Measure at the hosts how evenly the gateways spread the load", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return playProcesses(cmd, options, path, (*processrig.Result).Faults)
+			return runProcesses(cmd, options, path, (*processrig.Result).Faults)
 		},
 	}
 	defaults := fleetDefaults{gateways: 50, hosts: 60, members: 5, use: 0.15, plan: "none"}
@@ -94,7 +94,7 @@
 				return err
 			}
 			check := func(result *processrig.Result) []string { return result.ZoneFaults(options.Zoned.Alone) }
-			return playProcesses(cmd, options, path, check)
+			return runProcesses(cmd, options, path, check)
 		},
 	}
 	defaults := fleetDefaults{gateways: 60, hosts: 48, members: 6, use: 0.2, plan: "lost"}
--- a/cmd/cloverrock-lab/soak.go
+++ b/cmd/cloverrock-lab/soak.go
@@ -50,7 +50,7 @@
 	flags.IntVar(&seeds, "seeds", 50, "number of runs")
 	flags.IntVar(&parallel, "parallel", 2, "number of runs at a time")
 	flags.StringVar(&options.Defect, "defect", "",
-		"deliberate defect, which the checks must report: one of "+strings.Join(restartsoak.Defects, ", "))
+		strings.Join(restartsoak.Defects, ", ")+": the deliberate defect, which the checks must report")
 	addProgramFlag(cmd, &options.Program)
 	return cmd
 }
@@ -66,13 +66,13 @@
 		slots <- struct{}{}
 		running.Go(func() {
 			defer func() { <-slots }()
-			one := options
-			one.Seed = first + uint64(i)
-			result, runErr := restartsoak.Run(ctx, one)
+			runOptions := options
+			runOptions.Seed = first + uint64(i)
+			result, runErr := restartsoak.Run(ctx, runOptions)
 			mu.Lock()
 			defer mu.Unlock()
 			if runErr != nil {
-				err = fmt.Errorf("seed %d: %w", one.Seed, runErr)
+				err = fmt.Errorf("seed %d: %w", runOptions.Seed, runErr)
 				return
 			}
 			if len(result.Faults) > 0 {
--- a/cmd/cloverrock-lab/storesim.go
+++ b/cmd/cloverrock-lab/storesim.go
@@ -42,7 +42,7 @@
 				run.options.Trace = cmd.ErrOrStderr()
 			}
 			start := time.Now()
-			run.play(cmd)
+			run.runSeeds(cmd)
 			if err := writeReport(path, cmd.OutOrStdout(), run.report(time.Since(start))); err != nil {
 				return err
 			}
@@ -66,8 +66,8 @@
 	return cmd
 }
 
-// play simulates each seed. raft draws its election timeouts from rand.Reader, which is replaced during the run.
-func (r *storeSimRun) play(cmd *cobra.Command) {
+// runSeeds simulates each seed. raft draws its election timeouts from rand.Reader, which is replaced during the run.
+func (r *storeSimRun) runSeeds(cmd *cobra.Command) {
 	systemRandom := rand.Reader
 	defer func() { rand.Reader = systemRandom }()
 	for seed := r.first; seed < r.first+r.seeds; seed++ {
--- a/internal/lab/linkage/linkage_test.go
+++ b/internal/lab/linkage/linkage_test.go
@@ -19,16 +19,16 @@
 	if cc == "" {
 		cc = "gcc"
 	}
-	_, noCompiler := exec.LookPath(cc)
+	_, compilerErr := exec.LookPath(cc)
 	for _, c := range []struct {
 		name, cgo, flags string
-		good             bool
+		valid            bool
 	}{
 		{"external", "1", "-ldflags=-linkmode=external", true},
 		{"internal", "1", "-ldflags=-linkmode=internal", false},
 		{"static", "0", "-ldflags=", false},
 	} {
-		if c.cgo == "1" && noCompiler != nil {
+		if c.cgo == "1" && compilerErr != nil {
 			continue
 		}
 		out := filepath.Join(dir, c.name)
@@ -37,8 +37,8 @@
 		if b, err := cmd.CombinedOutput(); err != nil {
 			t.Fatalf("%s: %v\n%s", c.name, err, b)
 		}
-		if err := Check(out); (err == nil) != c.good {
-			t.Errorf("%s: error %v, expected an error: %t", c.name, err, !c.good)
+		if err := Check(out); (err == nil) != c.valid {
+			t.Errorf("%s: Check returned the wrong result: %v", c.name, err)
 		}
 	}
 	if Check(source) == nil || Check(filepath.Join(dir, "missing")) == nil {
--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -32,7 +32,7 @@
 	Took                             int // sum of the latencies of the served attempts, in milliseconds
 }
 
-func (h *Host) all() int { return h.Served + h.Errored + h.TimedOut + h.Other }
+func (h *Host) attempts() int { return h.Served + h.Errored + h.TimedOut + h.Other }
 
 // Table lists the seconds of a run in order of time.
 type Table []*Second
@@ -45,7 +45,7 @@
 
 	countsMessage    = "counts" // marks the lines that are added up
 	primaryConfirmed = "balance: primary confirmed"
-	tallySize        = 5 // length of the list logged for a host: succeeded, failed, timed out, others, mean milliseconds
+	hostCountsLength = 5 // length of the list logged for a host: succeeded, failed, timed out, others, mean milliseconds
 )
 
 // Read adds up the files of a directory whose names end in .log. If a line begins with a number and a space, the number is
@@ -136,10 +136,10 @@
 // add adds the numbers that one gateway logged for the host. A value of another form is ignored.
 func (h *Host) add(value any) {
 	parts, _ := value.([]any)
-	if len(parts) != tallySize {
+	if len(parts) != hostCountsLength {
 		return
 	}
-	var numbers [tallySize]int
+	var numbers [hostCountsLength]int
 	for i, part := range parts {
 		number, _ := part.(float64)
 		numbers[i] = int(number)
@@ -169,7 +169,7 @@
 		}
 		most := 0
 		for _, host := range second.Hosts {
-			most = max(most, host.all())
+			most = max(most, host.attempts())
 		}
 		primaries := 0
 		for _, gateways := range second.Changes {
