--- a/cmd/cloverrock-lab/storesim.go
+++ b/cmd/cloverrock-lab/storesim.go
@@ -71,7 +71,7 @@
 	systemRandom := rand.Reader
 	defer func() { rand.Reader = systemRandom }()
 	for seed := r.first; seed < r.first+r.seeds; seed++ {
-		rand.Reader = storesim.NewSeededReader(seed)
+		rand.Reader = storesim.SeededBytes(seed)
 		r.options.Seed = seed
 		result := storesim.Run(r.options)
 		r.add(&result)
--- a/internal/lab/storesim/random.go
+++ b/internal/lab/storesim/random.go
@@ -22,7 +22,5 @@
 	return len(b), nil
 }
 
-// NewSeededReader returns an endless stream of random bytes that the seed determines.
-func NewSeededReader(seed uint64) io.Reader {
-	return seededReader{rand.New(rand.NewPCG(seed, raftStream))}
-}
+// SeededBytes returns an endless stream of random bytes that the seed determines.
+func SeededBytes(seed uint64) io.Reader { return seededReader{rand.New(rand.NewPCG(seed, raftStream))} }
--- a/internal/lab/storesim/storesim.go
+++ b/internal/lab/storesim/storesim.go
@@ -82,7 +82,7 @@
 }
 
 // Run simulates one seed. raft draws its election timeouts from crypto/rand. For a reproducible run the caller first sets
-// rand.Reader to NewSeededReader(seed), in a program that uses rand.Reader for nothing else.
+// rand.Reader to SeededBytes(seed), in a program that uses rand.Reader for nothing else.
 func Run(options Options) Result {
 	if options.Instances == 0 {
 		options.Instances = defaultInstances
--- a/internal/lab/storesim/storesim_test.go
+++ b/internal/lab/storesim/storesim_test.go
@@ -10,7 +10,7 @@
 	systemRandom := rand.Reader
 	defer func() { rand.Reader = systemRandom }()
 	for seed := uint64(1); seed <= seeds; seed++ {
-		rand.Reader = NewSeededReader(seed)
+		rand.Reader = SeededBytes(seed)
 		options.Seed = seed
 		result := Run(options)
 		if len(result.Violations) > 0 {
