--- a/internal/lab/fleetmodel/faults.go
+++ b/internal/lab/fleetmodel/faults.go
@@ -1,14 +1,14 @@
 package fleetmodel
 
 const (
-	failoverTime = 3 * second         // from the outage until groups have new primaries
-	listDelay    = 1500 * millisecond // from the hosts' return until the endpoint list shows it
-	restartMin   = second             // shortest time that a killed gateway is down
-	restartRange = float64(second)    // range of that time beyond restartMin
+	failoverTime      = 3 * second         // from the outage until the groups that lost their primaries have new ones
+	endpointListDelay = 1500 * millisecond // from the return of the hosts until the gateways receive the new endpoint list
+	minRestartTime    = second             // shortest time that a killed gateway is down
+	restartTimeRange  = float64(second)    // range of that time beyond minRestartTime
 )
 
-// outage crashes a random part of the hosts, primaries included, and restarts them in slow start.
-func (s *simulation) outage() {
+// startOutage crashes a random part of the hosts, primaries included, and restarts them in slow start.
+func (s *simulation) startOutage() {
 	var lost []*host
 	for _, candidate := range s.hosts {
 		if s.random.Float64() < s.options.OutagePart {
@@ -25,7 +25,7 @@
 			returned.advancedTo = s.now
 		}
 	})
-	s.schedule(back+listDelay, func() {
+	s.schedule(back+endpointListDelay, func() {
 		for i, receiver := range s.gateways {
 			if receiver.up {
 				s.sendEndpoints(i)
@@ -42,7 +42,7 @@
 	clear(crashed.idleConnections)
 }
 
-// failOver gives each group without a primary the first of its hosts that is up.
+// failOver makes the first host that is up the primary of each group whose primary is down.
 func (s *simulation) failOver() {
 	for group, old := range s.primary {
 		for _, candidate := range s.hosts {
@@ -54,15 +54,15 @@
 	}
 }
 
-// release kills a random part of the gateways and starts them again.
-func (s *simulation) release() {
+// startRelease kills a random part of the gateways and starts them again.
+func (s *simulation) startRelease() {
 	for i, killed := range s.gateways {
 		if s.random.Float64() >= s.options.ReleasePart {
 			continue
 		}
 		killed.up = false
-		s.schedule(restartMin+int64(s.random.Float64()*restartRange), func() {
-			_ = s.startGateway(i) // the same settings were accepted at the start
+		s.schedule(minRestartTime+int64(s.random.Float64()*restartTimeRange), func() {
+			_ = s.startGateway(i) // New accepted the same settings at the start of the run
 		})
 	}
 }
--- a/internal/lab/linkage/linkage_test.go
+++ b/internal/lab/linkage/linkage_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The check fails for programs that the Go linker linked, statically or not, and for files that are no programs.
+// Check must fail for programs that Go's internal linker linked, statically or dynamically, and for files that are not
+// programs.
 func TestCheckPassesOnlyExternalLinkage(t *testing.T) {
 	dir := t.TempDir()
 	source := filepath.Join(dir, "main.go")
@@ -18,16 +19,16 @@
 	if cc == "" {
 		cc = "gcc"
 	}
-	_, noCompiler := exec.LookPath(cc)
+	_, compilerErr := exec.LookPath(cc)
 	for _, c := range []struct {
 		name, cgo, flags string
-		good             bool
+		valid            bool
 	}{
 		{"external", "1", "-ldflags=-linkmode=external", true},
 		{"internal", "1", "-ldflags=-linkmode=internal", false},
 		{"static", "0", "-ldflags=", false},
 	} {
-		if c.cgo == "1" && noCompiler != nil {
+		if c.cgo == "1" && compilerErr != nil {
 			continue
 		}
 		out := filepath.Join(dir, c.name)
@@ -36,11 +37,11 @@
 		if b, err := cmd.CombinedOutput(); err != nil {
 			t.Fatalf("%s: %v\n%s", c.name, err, b)
 		}
-		if err := Check(out); (err == nil) != c.good {
-			t.Errorf("%s: %v", c.name, err)
+		if err := Check(out); (err == nil) != c.valid {
+			t.Errorf("%s: Check returned the wrong result: %v", c.name, err)
 		}
 	}
 	if Check(source) == nil || Check(filepath.Join(dir, "missing")) == nil {
-		t.Error("a file that is no program passes")
+		t.Error("Check accepts a file that is not a program, or a missing one")
 	}
 }
