--- a/cmd/cloverrock-lab/processes.go
+++ b/cmd/cloverrock-lab/processes.go
@@ -26,7 +26,7 @@
 func runProcesses(
 	cmd *cobra.Command, options processrig.Options, path string, check func(*processrig.Result) []string,
 ) error {
-	ctx, cancel, err := processContext(options.For+time.Minute, &options.Program)
+	ctx, cancel, err := processContext(options.Duration+time.Minute, &options.Program)
 	if err != nil {
 		return err
 	}
@@ -57,9 +57,9 @@
 	flags.IntVar(&options.Gateways, "gateways", defaults.gateways, "number of processes of the gateway")
 	flags.IntVar(&options.Hosts, "hosts", defaults.hosts, "number of emulated hosts")
 	flags.IntVar(&options.Members, "members", defaults.members, "number of hosts in a group, including its primary")
-	flags.DurationVar(&options.For, "for", time.Minute, "how long clients send requests")
+	flags.DurationVar(&options.Duration, "for", time.Minute, "how long clients send requests")
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the load and the faults")
-	flags.Float64Var(&options.Use, "use", defaults.use, "load as a part of the hosts' capacity")
+	flags.Float64Var(&options.Utilization, "use", defaults.use, "load as a part of the hosts' capacity")
 	flags.StringVar(&options.Plan, "faults", defaults.plan, "plan of faults, one of "+strings.Join(plans, ", "))
 }
 
@@ -69,14 +69,14 @@
 	cmd := &cobra.Command{
 		Use: "spread", Short: "Measure at the hosts how evenly the gateways spread the load", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runProcesses(cmd, options, path, (*processrig.Result).Faults)
+			return runProcesses(cmd, options, path, (*processrig.Result).FailedChecks)
 		},
 	}
 	defaults := fleetDefaults{gateways: 50, hosts: 60, members: 5, use: 0.15, plan: "none"}
 	addFleetFlags(cmd.Flags(), &options, defaults, processrig.Plans)
 	cmd.Flags().StringVar(&options.Policy, "policy", "",
 		"random: gateways send no gossip; before: --program is another version, which the result records")
-	cmd.Flags().StringVar(&options.Break, "break", "",
+	cmd.Flags().StringVar(&options.Defect, "break", "",
 		"deliberate defect, which the checks must report: blind-herd: all gateways use the host reported as least loaded; "+
 			"subset-fixed: all have the same part of the hosts; abrupt: restarts allow no graceful shutdown")
 	addProgramFlag(cmd, &options.Program)
@@ -93,7 +93,7 @@
 			if err := applyZonePolicy(&options, policy); err != nil {
 				return err
 			}
-			check := func(result *processrig.Result) []string { return result.ZoneFaults(options.Zoned.Alone) }
+			check := func(result *processrig.Result) []string { return result.FailedZoneChecks(options.Zoned.DecideAlone) }
 			return runProcesses(cmd, options, path, check)
 		},
 	}
@@ -102,7 +102,7 @@
 	cmd.Flags().IntVar(&options.Zoned.Zones, "zones", 3, "number of zones over which hosts and gateways are spread")
 	cmd.Flags().StringVar(&policy, "policy", "",
 		"alone: each gateway decides for itself; off: as alone, and gateways send no gossip")
-	cmd.Flags().StringVar(&options.Zoned.Break, "break", "",
+	cmd.Flags().StringVar(&options.Zoned.SkippedRule, "break", "",
 		"deliberate defect, which the checks must report: the rule that the gateways skip, one of quorum, pace, capacity")
 	addProgramFlag(cmd, &options.Program)
 	addReportFlag(cmd, &path)
@@ -114,9 +114,9 @@
 	switch policy {
 	case "":
 	case "alone":
-		options.Zoned.Alone = true
+		options.Zoned.DecideAlone = true
 	case "off":
-		options.Zoned.Alone = true
+		options.Zoned.DecideAlone = true
 		options.Policy = "random"
 	default:
 		return fmt.Errorf("policy %q is unknown; expected alone or off", policy)
--- a/cmd/cloverrock-lab/restart.go
+++ b/cmd/cloverrock-lab/restart.go
@@ -39,9 +39,9 @@
 	flags := cmd.Flags()
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the load and the faults")
 	flags.Float64Var(&options.Rate, "rate", 200, "requests per second")
-	flags.IntVar(&options.Replace, "replaced", 2,
+	flags.IntVar(&options.ReplacedHosts, "replaced", 2,
 		"number of hosts replaced since the endpoint list that the gateway restarts with")
-	flags.BoolVar(&options.Forget, "break-learned", false,
+	flags.BoolVar(&options.BreakWarmStart, "break-learned", false,
 		"deliberate defect: the store caches no routing state; the check must find no gain")
 	addProgramFlag(cmd, &options.Program)
 	addReportFlag(cmd, &path)
--- a/cmd/cloverrock-lab/storechaos.go
+++ b/cmd/cloverrock-lab/storechaos.go
@@ -19,7 +19,7 @@
 		Short: "Kill, cut off and restart instances of the store under load, and check the answers that clients got",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, cancel := signalContext(options.For + 2*time.Minute)
+			ctx, cancel := signalContext(options.Duration + 2*time.Minute)
 			defer cancel()
 			if !quiet {
 				options.Log = logWithTime(time.Now())
@@ -31,15 +31,15 @@
 			if err := writeReport(path, cmd.OutOrStdout(), result); err != nil {
 				return err
 			}
-			if !result.Good() {
-				return fmt.Errorf("%w: %v", errFaultFound, result.What)
+			if !result.Passed() {
+				return fmt.Errorf("%w: %v", errFaultFound, result.Findings)
 			}
 			return nil
 		},
 	}
 	flags := cmd.Flags()
 	flags.IntVar(&options.Instances, "instances", 3, "number of instances of the store")
-	flags.DurationVar(&options.For, "for", 30*time.Second, "how long faults occur")
+	flags.DurationVar(&options.Duration, "for", 30*time.Second, "how long faults occur")
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the faults and the operations")
 	flags.BoolVar(&options.LoseSyncs, "break-fsync", false,
 		"deliberate defect: the log is not synced, and a power loss drops it; the check must report it")
--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -13,7 +13,7 @@
 // Options configures a run.
 type Options struct {
 	Instances int
-	For       time.Duration // how long faults are injected
+	Duration  time.Duration // how long faults are injected
 	Seed      uint64
 	LoseSyncs bool                             // deliberate defect: the log is not synced, which the checks must detect
 	Program   string                           // path of the gateway's program; empty: FindProgram finds it
@@ -39,22 +39,22 @@
 	LongestUnavailable int64    `json:"longest_unavailable_ms"`
 	UnexpectedExits    int      `json:"unasked_ends"`   // number of times that a process ended without being killed
 	Converged          bool     `json:"converged"`      // all instances had applied the same entries in the end
-	What               []string `json:"what,omitempty"` // descriptions of the findings, at most maxFindings
+	Findings           []string `json:"what,omitempty"` // descriptions of the findings, at most maxFindings
 	Directory          string   `json:"directory,omitempty"`
 }
 
 // maxFindings limits the number of findings that a result describes.
 const maxFindings = 20
 
-// Good reports whether no fault was found and at least one write was acknowledged.
-func (r *Result) Good() bool {
+// Passed reports whether no fault was found and at least one write was acknowledged.
+func (r *Result) Passed() bool {
 	consistent := r.Lost == 0 && r.Contradictions == 0 && r.Linearizable && r.Converged
 	return consistent && r.UnexpectedExits == 0 && r.Acknowledged > 0
 }
 
 func (r *Result) addFinding(format string, args ...any) {
-	if len(r.What) < maxFindings {
-		r.What = append(r.What, fmt.Sprintf(format, args...))
+	if len(r.Findings) < maxFindings {
+		r.Findings = append(r.Findings, fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/lab/chaos/chaos_test.go
+++ b/internal/lab/chaos/chaos_test.go
@@ -17,14 +17,14 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
-	options := Options{Instances: 3, For: 6 * time.Second, Seed: 3, Program: filepath.Join(dir, "cloverrock"), Log: t.Logf}
+	options := Options{Instances: 3, Duration: 6 * time.Second, Seed: 3, Program: filepath.Join(dir, "cloverrock"), Log: t.Logf}
 	result, err := Run(ctx, options)
-	if err != nil || !result.Good() {
+	if err != nil || !result.Passed() {
 		t.Errorf("the run failed or found a fault: %+v, %v", result, err)
 	}
 	options.LoseSyncs = true
-	options.For = time.Second
-	if result, err = Run(ctx, options); err != nil || result.Good() {
+	options.Duration = time.Second
+	if result, err = Run(ctx, options); err != nil || result.Passed() {
 		t.Errorf("the checks did not detect that syncs do nothing: %+v, %v", result, err)
 	}
 }
--- a/internal/lab/chaos/clients.go
+++ b/internal/lab/chaos/clients.go
@@ -35,7 +35,7 @@
 func (r *chaosRun) runClient(ctx context.Context, number int) {
 	store, err := r.cluster.client(number, false, attemptTimeout)
 	if err != nil {
-		return // then no write is acknowledged, which Result.Good reports as a failure
+		return // then no write is acknowledged, which Result.Passed reports as a failure
 	}
 	defer store.Close()
 	c := &storeClient{
--- a/internal/lab/chaos/faults.go
+++ b/internal/lab/chaos/faults.go
@@ -43,7 +43,7 @@
 	}
 	// Each kind is injected once before kinds are drawn at random, so that a short run includes all of them.
 	order := p.random.Perm(faultKinds)
-	for n := 0; n < len(order) || time.Since(r.start) < r.options.For; n++ {
+	for n := 0; n < len(order) || time.Since(r.start) < r.options.Duration; n++ {
 		kind := p.random.IntN(faultKinds)
 		if n < len(order) {
 			kind = order[n]
@@ -114,7 +114,7 @@
 	}
 	for pair, connection := range p.cluster.relays {
 		if pair.from == target || pair.to == target {
-			connection.Mend()
+			connection.Resume()
 		}
 	}
 	return nil
--- a/internal/lab/emulator/host.go
+++ b/internal/lab/emulator/host.go
@@ -88,8 +88,8 @@
 	return len(h.connections)
 }
 
-// ListenSecond makes the host listen on a second address and returns it.
-func (h *Host) ListenSecond() (string, error) {
+// ListenOnSecondAddress makes the host listen on a second address and returns it.
+func (h *Host) ListenOnSecondAddress() (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -99,8 +99,8 @@
 	return listener.Addr().String(), nil
 }
 
-// SilenceSecond sets whether requests to the second address get no answer.
-func (h *Host) SilenceSecond(silent bool) { h.secondSilent.Store(silent) }
+// SetSecondAddressSilent sets whether requests to the second address get no answer.
+func (h *Host) SetSecondAddressSilent(silent bool) { h.secondSilent.Store(silent) }
 
 func (h *Host) accept(listener net.Listener, silent *atomic.Bool) {
 	for {
--- a/internal/lab/emulator/load.go
+++ b/internal/lab/emulator/load.go
@@ -42,13 +42,13 @@
 
 // Load sends requests at their scheduled times, independently of the answers, until the context ends.
 type Load struct {
-	Address     string
-	Others      []string // addresses of further gateways; each request goes to a random gateway
-	Groups      int      // number of groups of hosts, numbered from 1; 0 means 1
-	Rate        float64  // requests per second
-	Seed        uint64
-	AnswerSlack time.Duration          // how long after its deadline an answer is still awaited; it earns no weight
-	Draining    func(gateway int) bool // whether new connections avoid a gateway; nil: never
+	Address       string
+	OtherGateways []string // addresses of further gateways; each request goes to a random gateway
+	Groups        int      // number of groups of hosts, numbered from 1; 0 means 1
+	Rate          float64  // requests per second
+	Seed          uint64
+	AnswerSlack   time.Duration          // how long after its deadline an answer is still awaited; it earns no weight
+	Draining      func(gateway int) bool // whether new connections avoid a gateway; nil: never
 
 	mu      sync.Mutex
 	samples []Sample
@@ -84,7 +84,7 @@
 		case <-time.After(time.Until(at)):
 		}
 		class := drawClass(random)
-		gateway := random.IntN(1 + len(l.Others))
+		gateway := random.IntN(1 + len(l.OtherGateways))
 		group := 1 + random.IntN(max(l.Groups, 1))
 		wait.Go(func() { l.sendAndRecord(class, gateway, group, at) })
 	}
@@ -188,14 +188,14 @@
 
 // chooseGateway returns the gateway for a new connection: the given one, or the next one that is not draining.
 func (l *Load) chooseGateway(gateway int) (int, string) {
-	for range len(l.Others) {
+	for range len(l.OtherGateways) {
 		if l.Draining == nil || !l.Draining(gateway) {
 			break
 		}
-		gateway = (gateway + 1) % (1 + len(l.Others))
+		gateway = (gateway + 1) % (1 + len(l.OtherGateways))
 	}
 	if gateway > 0 {
-		return gateway, l.Others[gateway-1]
+		return gateway, l.OtherGateways[gateway-1]
 	}
 	return gateway, l.Address
 }
--- a/internal/lab/processrig/configuration.go
+++ b/internal/lab/processrig/configuration.go
@@ -42,7 +42,7 @@
 		return lists, err
 	}
 	lists.initial = lists.full
-	if r.Plan == "join" || r.Break == BreakSubsetFixed {
+	if r.Plan == "join" || r.Defect == BreakSubsetFixed {
 		if lists.initial, err = encodeList(initialGeneration, withoutLast); err != nil {
 			return lists, err
 		}
@@ -67,7 +67,7 @@
 
 func (r *rig) listOfSecondAddresses(endpoints []object) (string, error) {
 	for i, host := range r.hosts {
-		address, err := host.ListenSecond()
+		address, err := host.ListenOnSecondAddress()
 		if err != nil {
 			return "", err
 		}
@@ -91,7 +91,7 @@
 
 // writeFiles writes the configuration file and, if the gateways take joint decisions, the settings file of gateway i.
 func (r *rig) writeFiles(i int) error {
-	if r.Zoned != nil && !r.Zoned.Alone {
+	if r.Zoned != nil && !r.Zoned.DecideAlone {
 		r.gateways[i].settingsFile = filepath.Join(r.directory, fmt.Sprintf("%d-settings.json", i))
 		if err := writeJSON(r.gateways[i].settingsFile, r.fleetSettings(i)); err != nil {
 			return err
@@ -149,8 +149,8 @@
 func (r *rig) fleetSettings(i int) object {
 	const joinAtMost = 3
 	zones := object{"away_ms": 3000, "step_ms": r.Zoned.StepMS, "delay_ms": 500}
-	if r.Zoned.Break != "" {
-		zones["without"] = []string{r.Zoned.Break}
+	if r.Zoned.SkippedRule != "" {
+		zones["without"] = []string{r.Zoned.SkippedRule}
 	}
 	var join []string
 	for other := range min(joinAtMost, len(r.gateways)) {
--- a/internal/lab/processrig/evaluate.go
+++ b/internal/lab/processrig/evaluate.go
@@ -25,7 +25,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.result.CPU = float64(r.endedCPU.Milliseconds()) / requests
-	r.result.Spread = measureSpread(r.replicaLogs(), settlingTime, r.For)
+	r.result.Spread = measureSpread(r.replicaLogs(), settlingTime, r.Duration)
 	r.logIdleHosts()
 	r.result.Spread.ConnectionsP50 = connections[len(connections)/2]
 	r.result.Spread.ConnectionsMax = connections[len(connections)-1]
--- a/internal/lab/processrig/evidence.go
+++ b/internal/lab/processrig/evidence.go
@@ -76,7 +76,7 @@
 		groups[host.group] = append(groups[host.group], host)
 	}
 	for group, members := range groups {
-		for at := settlingTime; at+longWindow <= r.For; at += longWindow {
+		for at := settlingTime; at+longWindow <= r.Duration; at += longWindow {
 			window, requested := windowOf(members, at, at+longWindow)
 			for i, count := range window.counts {
 				if requested && window.isIdle(count) {
--- a/internal/lab/processrig/faults.go
+++ b/internal/lab/processrig/faults.go
@@ -80,7 +80,7 @@
 	ctx = context.WithoutCancel(ctx)
 	gateway := r.gateways[i]
 	signaled := time.Now()
-	if r.Break == BreakAbrupt {
+	if r.Defect == BreakAbrupt {
 		gateway.signal(syscall.SIGKILL)
 	} else {
 		gateway.signal(syscall.SIGTERM)
--- a/internal/lab/processrig/processes_test.go
+++ b/internal/lab/processrig/processes_test.go
@@ -22,8 +22,8 @@
 			t.Parallel()
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
-			result, err := Run(ctx, Options{Program: filepath.Join(dir, "cloverrock"), Gateways: 4, Hosts: 10, Members: 5, For: 2 * settlingTime, Seed: 1,
-				Plan: c.plan, Break: c.defect, Use: 0.4, Log: t.Logf})
+			result, err := Run(ctx, Options{Program: filepath.Join(dir, "cloverrock"), Gateways: 4, Hosts: 10, Members: 5, Duration: 2 * settlingTime, Seed: 1,
+				Plan: c.plan, Defect: c.defect, Utilization: 0.4, Log: t.Logf})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -61,12 +61,12 @@
 			t.Parallel()
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 			defer cancel()
-			result, err := Run(ctx, Options{Program: filepath.Join(dir, "cloverrock"), Gateways: 6, Hosts: 18, Members: 6, For: 30 * time.Second, Seed: 1,
-				Plan: c.plan, Use: 0.15, Zoned: &Zoned{Zones: 3, StepMS: 1000, Break: c.skippedRule}, Log: t.Logf})
+			result, err := Run(ctx, Options{Program: filepath.Join(dir, "cloverrock"), Gateways: 6, Hosts: 18, Members: 6, Duration: 30 * time.Second, Seed: 1,
+				Plan: c.plan, Utilization: 0.15, Zoned: &Zoned{Zones: 3, StepMS: 1000, SkippedRule: c.skippedRule}, Log: t.Logf})
 			if err != nil {
 				t.Fatal(err)
 			}
-			faults := slices.DeleteFunc(result.ZoneFaults(false), func(f string) bool { return f == FaultFarApart })
+			faults := slices.DeleteFunc(result.FailedZoneChecks(false), func(f string) bool { return f == FaultFarApart })
 			if (len(faults) > 0) != c.found {
 				t.Errorf("failed checks: %v; zone: %+v", faults, result.Zone)
 			}
--- a/internal/lab/processrig/result.go
+++ b/internal/lab/processrig/result.go
@@ -43,8 +43,8 @@
 // minNewConnectionsPerClose is the least number of requests per new connection that was closed without an answer.
 const minNewConnectionsPerClose = 200
 
-// Faults returns the names of the checks that the run failed, sorted.
-func (r *Result) Faults() []string {
+// FailedChecks returns the names of the checks that the run failed, sorted.
+func (r *Result) FailedChecks() []string {
 	return failedChecks(map[string]bool{
 		"requests were lost":                         r.Lost > 0,
 		"hosts were idle":                            r.Spread.IdleSeconds > 0,
@@ -56,9 +56,9 @@
 	})
 }
 
-// ZoneFaults returns the names of the checks that a run with zones failed. If alone is set, gateways decide for
+// FailedZoneChecks returns the names of the checks that a run with zones failed. If alone is set, gateways decide for
 // themselves, and the checks of joint decisions are left out.
-func (r *Result) ZoneFaults(alone bool) []string {
+func (r *Result) FailedZoneChecks(alone bool) []string {
 	var faults []string
 	if r.Lost > 0 {
 		faults = append(faults, "requests were lost")
--- a/internal/lab/processrig/rig.go
+++ b/internal/lab/processrig/rig.go
@@ -70,7 +70,7 @@
 		err = r.planZones()
 	} else {
 		r.isCut = func(time.Duration, int, int) bool { return false }
-		r.events, err = MakePlan(r.Plan, r.Seed, r.Gateways, r.For)
+		r.events, err = MakePlan(r.Plan, r.Seed, r.Gateways, r.Duration)
 	}
 	if err != nil {
 		return err
@@ -180,7 +180,7 @@
 		fleet = append(fleet, gateway.fleet)
 	}
 	var modify func([]byte)
-	if r.Break == BreakBlindHerd {
+	if r.Defect == BreakBlindHerd {
 		modify = forgeDigest
 	}
 	var err error
@@ -219,7 +219,7 @@
 	r.mu.Lock()
 	r.start = time.Now()
 	r.mu.Unlock()
-	run, stop := context.WithTimeout(ctx, r.For)
+	run, stop := context.WithTimeout(ctx, r.Duration)
 	defer stop()
 	r.stallMonitor = monitorStalls(run)
 	var faults sync.WaitGroup
@@ -243,11 +243,11 @@
 func (r *rig) newLoad() *emulator.Load {
 	load := &emulator.Load{
 		Address: r.gateways[0].listen, Groups: r.result.Hosts / r.Members, Seed: r.Seed, AnswerSlack: answerSlack,
-		Rate:     r.Use * float64(r.result.Hosts*coresPerHost) / meanServiceTime.Seconds(),
+		Rate:     r.Utilization * float64(r.result.Hosts*coresPerHost) / meanServiceTime.Seconds(),
 		Draining: func(gateway int) bool { return r.gateways[gateway].draining.Load() },
 	}
 	for _, gateway := range r.gateways[1:] {
-		load.Others = append(load.Others, gateway.listen)
+		load.OtherGateways = append(load.OtherGateways, gateway.listen)
 	}
 	return load
 }
--- a/internal/lab/processrig/zoneplan.go
+++ b/internal/lab/processrig/zoneplan.go
@@ -11,11 +11,11 @@
 // Zoned describes a run with zones. Each host and each gateway is in a zone. The gateways decide together which zones
 // to use, unless Alone is set.
 type Zoned struct {
-	Zones   int
-	Alone   bool     // each gateway decides for itself
-	StepMS  int      // time between two steps of the return to a zone
-	Break   string   // rule that the gateways skip: "quorum", "pace" or "capacity"; empty: none
-	Outages []Outage // of zones; set by the plan
+	Zones       int
+	DecideAlone bool     // each gateway decides for itself
+	StepMS      int      // time between two steps of the return to a zone
+	SkippedRule string   // rule that the gateways skip: "quorum", "pace" or "capacity"; empty: none
+	Outages     []Outage // of zones; set by the plan
 	// HangingHosts is the number of replicas of the first group that stop answering, instead of the hosts of a zone;
 	// set by the plan.
 	HangingHosts int
@@ -57,10 +57,10 @@
 // planZones sets the outages, the faults of gateways and the cuts between gateways for the plan.
 func (r *rig) planZones() error {
 	zoned := r.Zoned
-	from := r.For.Milliseconds() / outageStartDivisor
-	duration := r.For.Milliseconds() / outageDivisor
+	from := r.Duration.Milliseconds() / outageStartDivisor
+	duration := r.Duration.Milliseconds() / outageDivisor
 	if r.Plan == "split" {
-		duration = r.For.Milliseconds() / splitOutageDivisor
+		duration = r.Duration.Milliseconds() / splitOutageDivisor
 	}
 	zoneOutage := Outage{0, from, duration}
 	r.isCut = func(time.Duration, int, int) bool { return false }
@@ -76,7 +76,7 @@
 		zoned.Outages = []Outage{zoneOutage}
 	case "full":
 		zoned.Outages = []Outage{zoneOutage}
-		r.Use = nearCapacityUse
+		r.Utilization = nearCapacityUse
 	case "flap": // the zone fails again in the middle of the return to it
 		zoned.Outages = []Outage{zoneOutage, {0, from + duration + returnMiddleMS, secondOutageMS}}
 	case "two":
@@ -121,7 +121,7 @@
 // addresses.
 func (r *rig) plannedOutages() []Outage {
 	if r.Zoned.HangingHosts > 0 || r.Zoned.SecondAddresses {
-		return []Outage{{0, r.For.Milliseconds() / outageStartDivisor, r.For.Milliseconds() / outageDivisor}}
+		return []Outage{{0, r.Duration.Milliseconds() / outageStartDivisor, r.Duration.Milliseconds() / outageDivisor}}
 	}
 	return r.Zoned.Outages
 }
@@ -136,11 +136,11 @@
 	affected := r.affectedHosts(outage)
 	if r.Zoned.SecondAddresses {
 		for _, host := range affected {
-			host.SilenceSecond(true)
+			host.SetSecondAddressSilent(true)
 		}
 		sleep(ctx, duration)
 		for _, host := range affected {
-			host.SilenceSecond(false)
+			host.SetSecondAddressSilent(false)
 		}
 		return
 	}
--- a/internal/lab/processrig/zoneresult.go
+++ b/internal/lab/processrig/zoneresult.go
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	result := &ZoneResult{
-		FleetBytesPerSecond: float64(r.fleetRelay.bytes.Load()) / float64(len(r.gateways)) / r.For.Seconds(),
+		FleetBytesPerSecond: float64(r.fleetRelay.bytes.Load()) / float64(len(r.gateways)) / r.Duration.Seconds(),
 	}
 	for _, host := range r.hosts {
 		if host.OverloadedInSlowStart() {
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -42,12 +42,12 @@
 // Address returns the address at which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Cut stops the forwarding of bytes until Mend is called. New connections are still accepted, but nothing is forwarded on
+// Cut stops the forwarding of bytes until Resume is called. New connections are still accepted, but nothing is forwarded on
 // them.
 func (r *Relay) Cut() { r.setCut(true) }
 
-// Mend resumes the forwarding after Cut, including the bytes that were held back.
-func (r *Relay) Mend() { r.setCut(false) }
+// Resume resumes the forwarding after Cut, including the bytes that were held back.
+func (r *Relay) Resume() { r.setCut(false) }
 
 func (r *Relay) setCut(cut bool) {
 	r.mu.Lock()
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -16,12 +16,12 @@
 
 // Options configures a run.
 type Options struct {
-	Seed    uint64
-	Program string
-	Rate    float64 // requests per second
-	Replace int     // number of hosts that were replaced after the endpoint list in the configuration was written
-	Forget  bool    // deliberate defect: the store caches no routing state, so it must bring no gain
-	Log     func(format string, args ...any)
+	Seed           uint64
+	Program        string
+	Rate           float64 // requests per second
+	ReplacedHosts  int     // number of hosts that were replaced after the endpoint list in the configuration was written
+	BreakWarmStart bool    // deliberate defect: the store caches no routing state, so it must bring no gain
+	Log            func(format string, args ...any)
 }
 
 // Side is the outcome of the run with the store or of the run without it.
@@ -41,7 +41,7 @@
 	WithoutBasis Side    `json:"without"`
 }
 
-// ReplaceError reports that Options.Replace is out of range.
+// ReplaceError reports that Options.ReplacedHosts is out of range.
 type ReplaceError struct{ Hosts int }
 
 func (e *ReplaceError) Error() string {
@@ -65,8 +65,8 @@
 	if options.Log == nil {
 		options.Log = func(string, ...any) {}
 	}
-	if options.Replace < 0 || options.Replace > hostCount-2 {
-		return nil, &ReplaceError{options.Replace}
+	if options.ReplacedHosts < 0 || options.ReplacedHosts > hostCount-2 {
+		return nil, &ReplaceError{options.ReplacedHosts}
 	}
 	without, err := runOnce(ctx, options, false)
 	if err != nil {
@@ -144,7 +144,7 @@
 
 // replaceHosts starts new hosts, closes the same number of old ones, and publishes the new endpoint list.
 func (r *rig) replaceHosts() error {
-	replaced := r.options.Replace
+	replaced := r.options.ReplacedHosts
 	if err := r.addHosts(replaced, "new-"); err != nil {
 		return err
 	}
@@ -166,8 +166,8 @@
 // drawSuccessor returns a random replica. If hosts were replaced, it is one of the new hosts.
 func (r *rig) drawSuccessor(random *rand.Rand) *emulator.Host {
 	successor := r.hosts[1+random.IntN(hostCount-1)]
-	if r.options.Replace > 0 {
-		successor = r.hosts[hostCount+random.IntN(r.options.Replace)]
+	if r.options.ReplacedHosts > 0 {
+		successor = r.hosts[hostCount+random.IntN(r.options.ReplacedHosts)]
 	}
 	return successor
 }
--- a/internal/lab/restart/rig.go
+++ b/internal/lab/restart/rig.go
@@ -208,7 +208,7 @@
 	}
 	r.settingsFile = filepath.Join(r.directory, instanceNames[0]+".json")
 	err = r.editSettings(func(edited *settings.Settings) {
-		if !r.options.Forget {
+		if !r.options.BreakWarmStart {
 			edited.WarmStart = &settings.WarmStart{}
 		}
 	})
