--- a/balance/admission.go
+++ b/balance/admission.go
@@ -26,9 +26,9 @@
 	pausedUntil int64 // no attempt is sent before this time
 }
 
-// admits reports whether a host may be sent a request now: it is not excluded, it is healthy, this gateway
-// and the fleet are within their limits of attempts in flight, its slow start allows it, and the request is
-// not shed.
+// admits reports whether a host may be sent a request now: it is neither excluded nor paused, it is healthy,
+// this gateway and the fleet are within their limits of attempts in flight, its slow start allows it, and the
+// request is not shed.
 func (r *Router) admits(req *pendingRequest, host *hostState) bool {
 	if host.excluded || r.now < host.pausedUntil {
 		return false
@@ -40,9 +40,9 @@
 }
 
 // healthAdmits reports whether the health of a host allows an attempt. An unhealthy host gets a single
-// attempt as a trial when half of its backoff has passed. In a deployment with health checks, a successful
-// check ends the unhealthy state, and the trial is allowed only at the longest backoff, for hosts whose
-// health checks fail although requests would succeed.
+// attempt as a trial, at the earliest half a backoff before its next health check is due. In a deployment
+// with health checks, a successful check ends the unhealthy state, and the trial is allowed only at the
+// longest backoff, for hosts whose health checks fail although requests would succeed.
 func (r *Router) healthAdmits(host *hostState) bool {
 	if host.health == healthy {
 		return true
--- a/balance/api.go
+++ b/balance/api.go
@@ -158,8 +158,8 @@
 // The kinds of events, with the fields of Event that they use.
 const (
 	EndpointsEvent          EventKind = iota // Endpoints and Complete; or only PollFailed
-	RequestEvent                             // Request, Class, Group, Key to WorkHint: a new request
-	OutcomeEvent                             // Request, Attempt to Report: an attempt has ended
+	RequestEvent                             // fields Request to WorkHint: a new request
+	OutcomeEvent                             // Request, and fields Attempt to Report: an attempt has ended
 	ClientDisconnectedEvent                  // Request: its client has disconnected
 	TimerEvent                               // the time of a TimerAction has come
 	HealthCheckEvent                         // Host, Result, Latency, Report
--- a/balance/connections.go
+++ b/balance/connections.go
@@ -2,7 +2,7 @@
 
 const (
 	maxIdleTimeout           = 30e6 // µs; idle timeout while no host's connection table is full
-	idleTimeoutGrowthDivisor = 20   // a shortened idle timeout grows by itself divided by this each second
+	idleTimeoutGrowthDivisor = 20   // a shortened idle timeout divided by this is its growth per second
 	fullTableRefusals        = 2    // refused dials in a row that mark a connection table as full
 )
 
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -78,7 +78,7 @@
 	}
 	host.zone = endpoint.Zone
 	host.state = endpoint.State
-	startedAt := min(endpoint.StartedAt, r.now) // a clock that is ahead must not delay the host
+	startedAt := min(endpoint.StartedAt, r.now) // a host clock that is ahead must not prolong slow start
 	if startedAt > host.startedAt {
 		host.startedAt = startedAt
 		host.crashed = false
--- a/balance/health.go
+++ b/balance/health.go
@@ -31,7 +31,7 @@
 	crashed     bool  // refused or reset connections repeatedly: its caches will be cold when it returns
 	unhealthyAt int64 // when it was last found unhealthy
 	backoff     int64 // µs between tries of an unhealthy host
-	nextTryAt   int64 // no health check or trial is due before this time
+	nextTryAt   int64 // when the next health check is due; a trial is allowed half a backoff earlier
 
 	checkPending bool  // the result of a health check is awaited
 	rechecked    bool  // a health check whose connection broke has been repeated
@@ -63,8 +63,8 @@
 }
 
 // markSuspect stops sending to a host until a health check shows whether it is healthy: a lossy link is not a
-// crash, and only a host that crashed returns with cold caches. Without health checks, the host is marked
-// unhealthy at once.
+// crash, and only a host that crashed returns with cold caches. Without health checks, the host is marked as
+// unhealthy and crashed at once.
 func (r *Router) markSuspect(host *hostState) {
 	if !r.settings.HealthChecks {
 		r.markUnhealthy(host, true)
@@ -129,7 +129,7 @@
 	return true
 }
 
-// checkUnhealthyMembers starts the health checks that are due of members of a group that are not healthy. It
+// checkUnhealthyMembers starts the health checks that are due for members of a group that are not healthy. It
 // runs when a request for the group arrives, so that a gateway with little traffic checks seldom.
 func (r *Router) checkUnhealthyMembers(group *groupState) {
 	for _, member := range group.members {
--- a/balance/primary.go
+++ b/balance/primary.go
@@ -14,7 +14,7 @@
 type hostRole struct {
 	role         Role
 	roleAsOf     int64 // time of the evidence for role
-	wasPrimary   bool  // the host was seen as primary, and no later answer showed it as a replica
+	wasPrimary   bool  // listed, reported or restored as primary, and no later answer showed it as a replica
 	triedInRound int   // round of the group in which writes last tried the host
 	nextSearchAt int64 // no search checks the host before this time
 }
@@ -103,8 +103,8 @@
 }
 
 // guessNextPrimary makes the next member, in the order of ids after the last one tried, the guessed primary.
-// It skips members that were tried in this round and members that were recently reported as replicas. At the
-// end of the round there is no primary, and writes wait.
+// It skips members that were tried in this round, were recently reported as replicas, are excluded or are not
+// healthy. At the end of the round there is no primary, and writes wait.
 func (r *Router) guessNextPrimary(group *groupState, last *hostState) {
 	start := slices.Index(group.members, last) + 1
 	group.primary = nil
@@ -168,8 +168,8 @@
 	return host
 }
 
-// primaryForRead returns the primary if a read may go there now, or nil. A host that was only guessed to be
-// the primary does not qualify: its data may be of any age.
+// primaryForRead returns the primary if a read may go there now, or nil. A member that writes try only
+// because it is the next one in the order of ids does not qualify: its data may be of any age.
 func (r *Router) primaryForRead(req *pendingRequest) *hostState {
 	host := req.group.primary
 	if host == nil || !host.wasPrimary || host.role == Replica || !r.admits(req, host) {
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -148,9 +148,9 @@
 	return lateWithoutValue || unservedRead || r.expired(req)
 }
 
-// expired reports whether a request that is not in flight can no longer succeed: its deadline passes before
-// the next maintenance run, a repeat of it might no longer be deduplicated, or the shutdown leaves it too
-// little time.
+// expired reports whether a request that is not in flight can no longer succeed: its deadline or that of the
+// shutdown is at most two maintenance intervals away, a repeat of it might no longer be deduplicated, or the
+// shutdown leaves it too little time.
 func (r *Router) expired(req *pendingRequest) bool {
 	timeIsUp := r.now+2*r.maintenanceInterval() >= min(req.deadline, r.shutdownDeadline)
 	return timeIsUp || r.deduplicationLapsed(req, r.now) || r.tooLateForShutdown(req)
--- a/balance/replicas.go
+++ b/balance/replicas.go
@@ -174,7 +174,7 @@
 
 // lessLoaded reports whether a read goes to host a rather than b because of their load. All gateways have the
 // same view of the load, so if each moved all of its reads to the less loaded host, they would overload it.
-// Each moves only a part: of the reads that start before the next digest, as many as balance the difference.
+// Each therefore moves only as many of the reads that start before the next digest as balance the difference.
 func (r *Router) lessLoaded(a, b *hostState) bool {
 	loadA, starting := r.gossip.Load(r.now, a.id)
 	loadB, _ := r.gossip.Load(r.now, b.id)
@@ -185,9 +185,9 @@
 	return difference+starting/2 > starting*r.rand.Fraction()
 }
 
-// primaryOrWait returns the primary for a read that no replica can take now, or nil if the read is to wait.
-// The primary has all that a session has just written. For a read with bounded staleness, health checks
-// first show whether a replica has caught up.
+// primaryOrWait returns the primary for a read that no replica can take now, or nil if the read is to wait. A
+// read of its session's own writes goes to the primary at once, which has all of them. A read with bounded
+// staleness first waits for health checks, which show whether a replica has caught up.
 func (r *Router) primaryOrWait(req *pendingRequest, minPosition int64, freshReplicaBusy bool) *hostState {
 	primary := r.primaryForRead(req)
 	prefersReplica := primary == nil || req.class.Consistency == BoundedStaleness
@@ -236,8 +236,8 @@
 	}
 }
 
-// isPositionChecked reports whether a health check of a host is pending or was started recently. If neither
-// is the case, it starts one and reports whether that was allowed.
+// isPositionChecked starts a health check of a host, unless one is pending or was started recently. It
+// returns false if a check was needed but could not be started.
 func (r *Router) isPositionChecked(host *hostState) bool {
 	if host.checkPending || r.now-host.checkedAt < r.searchInterval() {
 		return true
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -101,7 +101,7 @@
 	return min(req.class.LatencyObjective/2, longest)
 }
 
-// finish marks a request as answered, and removes it once its last attempt has ended.
+// finish marks a request as needing no further action, and removes it once its last attempt has ended.
 func (r *Router) finish(req *pendingRequest) {
 	req.finished = true
 	if req.host == nil {
--- a/balance/router.go
+++ b/balance/router.go
@@ -184,8 +184,8 @@
 func (r *Router) log(entry LogEntry) { r.emit(Action{Kind: LogAction, Log: &entry}) }
 
 // spreadOverFleet returns a random wait, in µs, before an action for which a single gateway would wait the
-// given time. The wait grows with the square root of the number of gateways: since it is random, gateways do
-// not act in step, and the first one to act informs the others by gossip.
+// given time. The wait is random, so that gateways do not act in step. It grows with the square root of the
+// number of gateways, since the first one to act informs the others by gossip.
 func (r *Router) spreadOverFleet(wait int64) int64 {
 	if r.settings.Gateways < 2 {
 		return wait
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -18,8 +18,8 @@
 	host.latencyShare = 0
 }
 
-// slowStartShare returns the part of its capacity that a host in slow start has at least. The part grows
-// linearly from Settings.SlowStartInitialShare to 1; at 1, slowStartShare ends the slow start of the host.
+// slowStartShare returns a lower bound for the part of its capacity that a host in slow start has. The bound
+// grows linearly from Settings.SlowStartInitialShare to 1; at 1, slowStartShare ends the slow start.
 func (r *Router) slowStartShare(host *hostState) float64 {
 	age := r.now - host.slowStartAt
 	duration := r.settings.SlowStartDuration
--- a/balance/state.go
+++ b/balance/state.go
@@ -36,7 +36,7 @@
 	sessionKey int64 // of its session, if hasSession
 
 	objectiveAt int64 // an answer by then meets the latency objective
-	halfTimeAt  int64 // half of the time to the deadline has passed
+	halfTimeAt  int64 // when half of the time to the deadline has passed
 	deadline    int64
 	minPosition int64   // with ReadYourWrites: a position that covers the session's writes
 	lateness    int     // order in the queue: above 0 if the objective can no longer be met
@@ -56,8 +56,8 @@
 	hasSession  bool
 	dialed      bool // the attempt in flight needed a new connection
 	reachedHost bool // a host has received the request
-	shed        bool // load shedding withheld a host with capacity from it
-	finished    bool // the final answer was given; only the last attempt is still pending
+	shed        bool // load shedding withheld it from a host that had capacity
+	finished    bool // it needs no further action; only its last attempt is still pending
 }
 
 // isWrite reports whether only the primary accepts the request.
