--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -5,9 +5,9 @@
 	minDigestInterval     = 40_000    // microseconds; more frequent digests would contain no newer reports
 	relaxedIntervalFactor = 2         // usual interval, as a multiple of the time in which requests pay for a digest
 	rateWarmup            = 1_000_000 // microseconds from the first report until the attempt rate is known
-	// At the latest after this fraction of the freshness window the next digest is due, because positions would
-	// otherwise become too old to be used. Once the attempt rate is known, the digest must also be paid for by
-	// requests.
+	// The next digest is due at the latest after this fraction of the freshness window, because positions would
+	// otherwise become too old to be used. Once the attempt rate is known, a digest is due only after requests have
+	// paid for it.
 	urgentNumerator   = 2
 	urgentDenominator = 5
 )
@@ -106,8 +106,9 @@
 	return load
 }
 
-// nextInterval returns the time in microseconds from a digest of the given size, in bytes, until the next one: as soon
-// as the byte budget of the group's requests allows it, within the limits above.
+// nextInterval returns the time in microseconds from a digest of the given size, in bytes, until the next one: usually
+// relaxedIntervalFactor times the time in which requests pay for a digest, within the limits above. Each attempt pays
+// BytesPerRequest bytes.
 func (s *State) nextInterval(now int64, group *groupState, size int) int64 {
 	cost := float64(size * (s.conf.Gateways - 1)) // bytes
 	paidInterval := maxInterval * 2.0
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// AddHost adds a host of a group. Messages about other hosts are ignored.
+// AddHost adds a host of a group. Facts about hosts that were not added are ignored.
 func (s *State) AddHost(id string, groupID int64) {
 	if !s.conf.enabled() || s.hosts[id] != nil {
 		return
--- a/internal/gossip/host.go
+++ b/internal/gossip/host.go
@@ -74,8 +74,8 @@
 // times within the objective do not count, because without load they differ between deployments.
 func (s *State) OverloadRatio() float64 { return s.overloadRatio }
 
-// RecordLatencyShare records an answer of a host: its response time as a share of the latency objective, and whether it
-// was an error.
+// RecordLatencyShare records an attempt at a host: its response time, or the time that it has been in flight so far, as
+// a share of the latency objective, and whether the host answered with an error.
 func (s *State) RecordLatencyShare(id string, share float64, failed bool) {
 	s.overloadRatio -= overloadWeight * s.overloadRatio
 	if share >= 1 {
@@ -106,8 +106,8 @@
 	}
 }
 
-// Load returns how many attempts other gateways have in flight at a host, and how many attempts of the group are
-// starting that no digest contains yet. Both are 0 without a recent digest.
+// Load returns how many attempts other gateways have in flight at a host, and an estimate of the attempts of the group
+// that have started but are in no digest yet. Both are 0 without a recent digest.
 func (s *State) Load(now int64, id string) (inFlight, starting float64) {
 	host := s.hosts[id]
 	if host == nil {
