--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -36,7 +36,7 @@
 	Write    bool
 	Deadline int64 // when to stop waiting, in microseconds on the loop's clock
 	Body     Body
-	// Expired reports that the attempt must not be sent any more. It is called just before the first byte is written,
+	// Expired reports whether the attempt must no longer be sent. It is called just before the first byte is written,
 	// because the decision to send it may have been made before a connection was open.
 	Expired func() bool
 }
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -1,6 +1,6 @@
 package gateway
 
-// The log lines of trace level follow each request by its id. Below trace level each costs only a comparison.
+// The log lines of trace level follow each request by its id. If that level is disabled, each costs only a comparison.
 
 func (g *Gateway) traceAccepted(id int64, request *Request) {
 	if line := g.log.Trace(); line.Enabled() {
