--- a/internal/zonefailover/evidence.go
+++ b/internal/zonefailover/evidence.go
@@ -19,9 +19,9 @@
 // EvidenceCollector gathers what one gateway observes of each zone: the outcomes of attempts and health checks, host by
 // host, over some seconds.
 //
-// A zone is unhealthy when most of its hosts, of more than one group, fail while another zone mostly does not. One
-// failing host or one failing group does not make a zone unhealthy. A gateway whose own network link fails observes
-// failures in all zones, and reports none as unhealthy.
+// A zone is unhealthy when most of its hosts fail, in more than one group if it has more than one, while another zone
+// is not failing. One failing host, or one failing group of several, does not make a zone unhealthy. A gateway whose
+// own network link fails observes failures in all zones, and reports none as unhealthy.
 type EvidenceCollector struct {
 	conf           EvidenceConfig
 	hosts          map[string]*hostEvidence
@@ -181,8 +181,8 @@
 	c.ratesUpdatedAt = now
 }
 
-// health returns the health of a zone. If the zone is failing and is this gateway's own, or no other zone is healthy,
-// the fault may be the gateway's own link, and the zone's health is unknown.
+// health returns the health of a zone. If the zone is failing and is this gateway's own, or all other observed zones
+// are failing too, the fault may be the gateway's own link, and the zone's health is unknown.
 func (c *EvidenceCollector) health(zones []zoneEvidence, i, ownZone int) Health {
 	if zones[i].observed < c.conf.MinHosts {
 		return Unknown
