--- a/internal/agreement/agreement.go
+++ b/internal/agreement/agreement.go
@@ -4,10 +4,10 @@
 // Each gateway publishes what it observes as its vote. The value that follows from the votes is proposed for the next
 // epoch of a topic by one gateway, or by several at the same time; the merge order of proposals (crdt.HighestEpoch)
 // makes all gateways converge on one of them. It takes effect at a time far enough ahead for nearly all gateways to
-// have received it; a gateway that receives it later applies it later, and counts that (Lateness). Two gateways have
-// different values in effect for no longer than the time between their receiving the decision. No value is proposed
-// without a quorum: a gateway that finds no more than half of the members alive proposes nothing, and the last decision
-// stays in effect until it expires.
+// have received it; a gateway that receives it later applies it later, and counts that (Lateness). The time for which
+// two gateways have different values in effect is at most the time between their receipts of the decision. No value is
+// proposed without a quorum: a gateway that finds no more than half of the members alive proposes nothing, and the last
+// decision stays in effect until it expires.
 //
 // This is weaker than consensus: two proposers within one majority may both succeed, and the value that loses may have
 // been in effect at some gateways for a short time. It is therefore suitable only for values that are safe either way,
@@ -113,7 +113,7 @@
 	since int64
 }
 
-// Lateness counts decisions that were received after they had taken effect.
+// Lateness counts the decisions received, and those of them that were received after they had taken effect.
 type Lateness struct {
 	Decisions, Late int
 	Max             int64 // microseconds
