--- a/balance/replicas.go
+++ b/balance/replicas.go
@@ -222,7 +222,7 @@
 	checked := 0
 	for i := range members {
 		member := members[(start+i)%len(members)]
-		if member.health != healthy || member == req.group.primary || !r.isPositionChecked(member) {
+		if member.health != healthy || member == req.group.primary || !r.ensurePositionCheck(member) {
 			continue
 		}
 		if member.checkPending {
@@ -236,9 +236,9 @@
 	}
 }
 
-// isPositionChecked starts a health check of a host, unless one is pending or was started recently. It
+// ensurePositionCheck starts a health check of a host, unless one is pending or was started recently. It
 // returns false if a check was needed but could not be started.
-func (r *Router) isPositionChecked(host *hostState) bool {
+func (r *Router) ensurePositionCheck(host *hostState) bool {
 	if host.checkPending || r.now-host.checkedAt < r.searchInterval() {
 		return true
 	}
