--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -49,7 +49,7 @@
 	}
 	attempt := Attempt{
 		Request: id, Number: req.attempts, Host: action.Host, Write: req.Write, Deadline: deadline, Body: req.Body,
-		Expired: func() bool { return g.clientDisconnected(id) || !g.router.AttemptStillValid(g.clock.Now(), id) },
+		Expired: func() bool { return g.finishedOrDisconnected(id) || !g.router.AttemptStillValid(g.clock.Now(), id) },
 	}
 	req.attempts++
 	if req.attempts > 1 {
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -42,9 +42,9 @@
 	g.handle(balance.Event{Kind: balance.ClientDisconnectedEvent, Request: id})
 }
 
-// clientDisconnected reports whether a request is finished, after checking the client's connection itself. It is
+// finishedOrDisconnected reports whether a request is finished, after checking the client's connection itself. It is
 // called just before the first byte of an attempt is written, when the event of a disconnection may still be queued.
-func (g *Gateway) clientDisconnected(id int64) bool {
+func (g *Gateway) finishedOrDisconnected(id int64) bool {
 	req := g.requests[id]
 	if req != nil && !req.finished && req.Client.Disconnected() {
 		g.ClientDisconnected(id)
