--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Messages are in network byte order. Both kinds begin with the version (1 byte) and the sending time (4 bytes: the low
-// half of the milliseconds since 1970). The numbers below are sizes in bytes unless bits are stated.
+// Messages are in network byte order. Reports and digests begin with the version (1 byte) and the sending time (4
+// bytes: the low half of the milliseconds since 1970). The numbers below are sizes in bytes unless bits are stated.
 //
 //	report  for each host: hash of its id 3, age 2 (milliseconds from its position to the sending time; all ones:
 //	        unknown), role 2 bits and latency share 6 bits, the sender's attempts in flight 1, and the attempts
