--- a/internal/store/core/core.go
+++ b/internal/store/core/core.go
@@ -16,7 +16,7 @@
 // Errors that answer a proposal or read.
 var (
 	ErrNoLeader       = errors.New("store: no leader is known; nothing was done")
-	ErrOutcomeUnknown = errors.New("store: the outcome is not known in time; the command may still be applied. Retry it with the same session and sequence number")
+	ErrOutcomeUnknown = errors.New("store: the outcome is unknown; the command may still be applied. Retry it with the same session and sequence number")
 	ErrBusy           = errors.New("store: too many proposals are waiting; nothing was done. Retry later")
 	ErrHalted         = errors.New("store: this instance has halted and applies no more commands")
 )
@@ -111,8 +111,8 @@
 	}
 }
 
-// mayReceive reports whether a message may come from another instance. Raft's local messages come from this instance
-// only, and snapshots arrive in chunks instead of as a raft message.
+// mayReceive reports whether a message from another instance may be passed to raft. It must name the instance that sent
+// it. Raft's local messages come from this instance only, and snapshots arrive in chunks instead of as a raft message.
 func mayReceive(message *raftpb.Message, from uint64) bool {
 	kind := message.GetType()
 	return !raft.IsLocalMsg(kind) && kind != raftpb.MsgSnap && message.GetFrom() == from
--- a/internal/store/core/proposals.go
+++ b/internal/store/core/proposals.go
@@ -67,7 +67,7 @@
 }
 
 // ProposeMembershipChange proposes a change of the members together with the command that records it. The token is
-// answered as by Propose.
+// answered as by Propose, except that ErrBusy and ErrHalted do not occur.
 func (c *Core) ProposeMembershipChange(token uint64, change *raftpb.ConfChangeV2, command *machine.Command) {
 	if c.leader == raft.None {
 		c.answer(token, ErrNoLeader, machine.Result{})
--- a/internal/store/core/reads.go
+++ b/internal/store/core/reads.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// expireRequests fails the proposals and reads that have waited too long. It also requests a read index periodically,
-// which measures the staleness of the state; a single request might get lost.
+// expireRequests fails the proposals and reads that have waited too long. It also requests a read index at every
+// refreshInterval, to measure the staleness of the state. If one of these requests is lost, the next one replaces it.
 func (c *Core) expireRequests() {
 	c.abandonProposals(func(proposal pendingProposal) bool { return c.now >= proposal.deadline })
 	if c.leader == raft.None { // without a leader no answer can arrive; the client may try another instance
--- a/internal/store/core/transfer.go
+++ b/internal/store/core/transfer.go
@@ -112,8 +112,8 @@
 // receivers returns the members to which snapshots are being sent, in a fixed order.
 func (c *Core) receivers() []uint64 { return slices.Sorted(maps.Keys(c.outgoing)) }
 
-// sendChunks sends as many chunks as the windows of the transfers and their common rate limit allow, and abandons
-// transfers without progress.
+// sendChunks sends as many chunks as the windows of the transfers and their common rate limit allow. It abandons
+// transfers without progress, and all outgoing ones once this instance is not the leader.
 func (c *Core) sendChunks() {
 	for from, transfer := range c.incoming {
 		if c.now-transfer.lastActivityAt > abandonAfterTicks {
--- a/internal/store/core/work.go
+++ b/internal/store/core/work.go
@@ -48,8 +48,9 @@
 	return work
 }
 
-// sortMessages separates the messages that may be sent before the save from the others. A leader may replicate entries
-// while it writes them itself. All other messages may acknowledge something that must be durable first.
+// sortMessages separates the messages that may be sent before the save from the others, and starts a transfer for each
+// snapshot message. A leader may replicate entries while it writes them itself. All other messages may acknowledge
+// something that must be durable first.
 func (c *Core) sortMessages(work *Work, messages []*raftpb.Message) {
 	isLeader := c.IsLeader()
 	for _, message := range messages {
@@ -66,7 +67,8 @@
 	}
 }
 
-// setLeader records a change of leader. The checks of learners and the time for the logical clock start anew.
+// setLeader records a change of leader. It resets the checks of learners, and the start of the time that the leader next
+// adds to the logical clock.
 func (c *Core) setLeader(leader uint64) {
 	if leader == c.leader {
 		return
