--- a/internal/store/machine/command.go
+++ b/internal/store/machine/command.go
@@ -51,7 +51,8 @@
 	Value                  // the key's value; does not hold for a key that does not exist
 )
 
-// Compare is a condition on a key. It holds if the target equals Number, or Value if the target is Value.
+// Compare is a condition on a key. It holds if the target equals Number. The target Value is compared with the field
+// Value instead.
 type Compare struct {
 	NS     string `msgpack:"n"`
 	Key    string `msgpack:"k"`
@@ -112,7 +113,7 @@
 	OK                Code = iota
 	NoSession              // unknown session: never opened, or dropped because there were too many
 	OldSeq                 // a later command of the session was already applied
-	NoLease                // the lease has ended
+	NoLease                // unknown lease: never granted, or ended
 	Malformed              // an unknown operation, or an invalid name
 	RevisionCompacted      // the revision is one that was compacted already
 	BadAmount              // a time, revision or format out of bounds
--- a/internal/store/machine/events.go
+++ b/internal/store/machine/events.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// MinRetainedEvents is the smallest number of the latest events that are kept for watches. When there are twice as
-// many, the older half is dropped.
+// MinRetainedEvents is about the number of the latest events that remain for watches when older ones are dropped, which
+// happens when there are twice as many. A CompactKind command may leave fewer.
 const MinRetainedEvents = 16384
 
 // EventHandler handles the events of a watch up to a revision. If complete is false, events up to that revision were
--- a/internal/store/machine/machine.go
+++ b/internal/store/machine/machine.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// WithFormat sets the newest supported format of commands, as if the build were another one, and returns the machine.
+// WithFormat sets the newest supported format of commands in place of the constant Format, and returns the machine.
 func (m *Machine) WithFormat(format uint8) *Machine {
 	m.format = format
 	return m
