--- a/internal/store/node/join.go
+++ b/internal/store/node/join.go
@@ -30,9 +30,9 @@
 	Config func() (Config, error)
 }
 
-// OpenOrJoin opens an instance's directory and starts it. If the directory is empty, the instance has no vote, even if a
-// member has its name: it first joins through one of the given addresses, and retries until it is accepted or refused or
-// the context ends.
+// OpenOrJoin opens an instance's directory and starts it. An instance with an empty directory has no vote, even if a
+// member already has its name: it first joins through one of the given addresses, and retries until it is accepted or
+// refused or the context ends.
 func OpenOrJoin(ctx context.Context, conf Config, join JoinOptions) (*Node, error) {
 	for {
 		n, err := Open(conf) //nolint:contextcheck // the instance outlives the call
--- a/internal/store/node/requests.go
+++ b/internal/store/node/requests.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// send writes one response. If that fails, it closes the connection.
+// send writes one response. If the write fails, it closes the connection.
 func (cc *clientConn) send(response *frame.Response) error {
 	encoded, err := frame.AppendValue(nil, frame.ResponseKind, response)
 	if err != nil {
--- a/internal/store/node/server.go
+++ b/internal/store/node/server.go
@@ -135,7 +135,7 @@
 	case role != pki.Instance:
 		return fmt.Errorf("the certificate of %s is not that of an instance", owner)
 	case hello.Cluster != v.cluster:
-		return fmt.Errorf("%w: it belongs to cluster %016x, this instance to %016x", transport.ErrRemoved, hello.Cluster, v.cluster)
+		return fmt.Errorf("%w: the peer belongs to cluster %016x, the instance that it dialed to %016x", transport.ErrRemoved, hello.Cluster, v.cluster)
 	case v.removed[hello.ID]:
 		return fmt.Errorf("%w: %016x was removed", transport.ErrRemoved, hello.ID)
 	}
@@ -144,7 +144,7 @@
 		return fmt.Errorf("the id %016x belongs to member %s, but the certificate to %s", hello.ID, member.Name, owner)
 	}
 	if !recorded && len(v.members) > 0 {
-		return fmt.Errorf("this instance does not know a member with the id %016x yet", hello.ID)
+		return fmt.Errorf("the instance that was dialed has no member record with the id %016x yet", hello.ID)
 	}
 	return nil
 }
