--- a/internal/store/disk/read.go
+++ b/internal/store/disk/read.go
@@ -73,8 +73,8 @@
 	return l, loaded, nil
 }
 
-// readSegment reads one segment. An incomplete end is accepted only in the last segment and only after the first synced
-// bytes, which are known to have been synced; synced is -1 if that is unknown.
+// readSegment reads one segment. synced is the number of bytes at its start that are known to be synced; -1: unknown. An
+// incomplete end is accepted only in the last segment and only after those bytes.
 func (l *Log) readSegment(seq uint64, isLast bool, synced int64, loaded *Loaded) error {
 	name := segmentName(seq)
 	data, err := l.fs.Read(name)
@@ -234,8 +234,9 @@
 		first = l.SnapshotMeta.GetIndex() + 1
 	}
 	if l.SnapshotMeta == nil && (len(l.Entries) == 0 || index < first) {
-		// Older segments were removed because a snapshot covers their entries. The first remaining entries may be ones
-		// that were later replaced, starting from an index in a removed segment.
+		// Older segments were removed because a snapshot covers their entries. The entries read so far may have been
+		// replaced later by a batch that begins at a lower index, which a removed segment held. The list then starts
+		// anew with that batch.
 		first = index
 		l.Entries = nil
 	}
