--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -19,8 +19,8 @@
 
 const (
 	minThreads = 2
-	// maxThreads bounds GOMAXPROCS. With fewer threads than cores, requests wait for threads that the store's goroutines
-	// occupy; see docs/store.md.
+	// maxThreads bounds GOMAXPROCS, which is the number of cores up to this bound: with fewer threads than cores, requests
+	// wait for threads that the store's goroutines occupy; see docs/store.md.
 	maxThreads = 8
 )
 
@@ -38,7 +38,7 @@
 	cache   *warmstart.Cache // nil if warm start is off
 
 	mu       sync.Mutex
-	status   documents.Running // report on the revision of the gateway document that this instance runs
+	status   documents.Running // report on the last revision of the gateway document that was evaluated
 	document []byte            // body of the last revision that was evaluated; nil if there is none
 	changed  chan struct{}     // holds a value while a changed status waits to be reported
 }
