--- a/internal/storecmd/backup.go
+++ b/internal/storecmd/backup.go
@@ -182,7 +182,7 @@
 		Args:  app.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if (data == "") == (file == "") {
-				return app.Usage("needs --data or --file")
+				return app.Usage("needs exactly one of --data and --file")
 			}
 			verify := func() (*summary, error) { return verifyDir(data) }
 			if file != "" {
