--- a/internal/frontend/client.go
+++ b/internal/frontend/client.go
@@ -18,7 +18,7 @@
 
 	started       bool // the startup message was answered
 	overLimit     bool // above the connection limit: accepted only to receive an error
-	active        bool // the client has sent a request, and the connection has not been ended
+	active        bool // the client has sent a request, and its connection does not linger yet
 	skipUntilSync bool // an extended query was rejected: commands are ignored until the next Sync
 
 	// The stages in which a connection ends, in their usual order.
--- a/internal/frontend/closing.go
+++ b/internal/frontend/closing.go
@@ -4,7 +4,8 @@
 // sending something, and a reset discards the answers that the client has not read yet. The server therefore closes its
 // write side first and keeps the socket open until the client has closed its side or lingerTimeout is over.
 
-// retryInterval is the time in microseconds that a client has to read its answers before the next step is tried again.
+// retryInterval is the time in microseconds after which a step that could not be taken yet is tried again, for example
+// because a client has not read its answers.
 const retryInterval = 5e3
 
 // Closed implements eventloop.Handler.
@@ -35,8 +36,9 @@
 }
 
 // closeIfDrained begins the lingering close of a connection on which no answer is due, and reports whether it did. It
-// does nothing if further bytes of the client have arrived. While it lingers the connection counts as open. A client
-// that has sent no request cannot lose an answer, so its connection is closed at once and the descriptor is freed.
+// does nothing if further bytes of the client have arrived, or if answers are unsent. While it lingers the connection
+// counts as open. A client that has sent no request cannot lose an answer, so its connection is closed at once and the
+// descriptor is freed.
 func (c *client) closeIfDrained() bool {
 	hadRequest := c.active
 	if !c.beginLinger(c.conn.CloseWrite) {
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -12,7 +12,8 @@
 )
 
 // sweep closes the clients whose time is over, except those with a request in flight or whose next bytes have arrived.
-// If the unsent answers of all clients exceed the memory limit, it closes the client with the most unsent bytes.
+// If the unsent answers of all clients exceed the memory limit, it closes the client with the most unsent bytes. It also
+// enforces the connection limit.
 func (s *Server) sweep() {
 	now := s.loop.Now()
 	var unsent int64
@@ -78,14 +79,15 @@
 
 // evictOne closes one client to make room for another, and reports whether it found one. It tries in this order:
 //
-//   - Clients that have not sent a startup message, the longest waiting first. Normal clients send it at once.
-//   - If at least half of the allowed connections have sent no request: these, the longest waiting first, so that no
-//     number of them can displace clients with requests.
+//   - Clients that have sent no startup message within inputGracePeriod, the longest waiting first. Normal clients send
+//     it at once.
+//   - Clients that have sent no request, the longest waiting first, if they hold at least half of the allowed
+//     connections. So no number of them can displace clients with requests.
 //   - The client that has been idle longest between requests, and then those without a request. A new client has sent no
 //     request either at first; evicting only such clients would let clients that send one request and stay connected
 //     lock out all later ones.
 //
-// A client is not evicted if it has not read its last answer, which it would lose, or if its next bytes have arrived.
+// A client is not evicted if part of its last answer is unsent, which it would lose, or if its next bytes have arrived.
 func (s *Server) evictOne() bool {
 	now := s.loop.Now()
 	return s.evictWithoutStartup(now) || s.evictIdle(now)
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -13,8 +13,8 @@
 	// maxUnsent is the number of unsent answer bytes of a client above which its next command is delayed.
 	maxUnsent = 64 << 10
 
-	// maxCommitLead is how far ahead of this gateway's clock, in microseconds, the commit may lie that a read must
-	// include. Clocks differ between machines.
+	// maxCommitLead is how far, in microseconds, the commit that a read must include may be ahead of this gateway's
+	// clock. Clocks differ between machines.
 	maxCommitLead = 60e6
 )
 
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -123,9 +123,9 @@
 	s.finishShutdown()
 }
 
-// CloseRemaining ends the connections that Shutdown has left open. A client whose message is incomplete gets an error.
-// If further bytes of a client have arrived, they are read first. CloseRemaining repeats itself until no client is
-// left.
+// CloseRemaining ends, with an error, the connections of clients whose message is still incomplete. If further bytes of
+// a client have arrived, they are read first. Other connections end after their last answer. CloseRemaining repeats
+// itself every retryInterval until no client is left.
 func (s *Server) CloseRemaining() {
 	for c := range s.clients {
 		isReceiving := len(c.partial) > 0 && !c.awaitingAnswer && len(c.pipeline) == 0
