--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -217,7 +217,7 @@
 	return balance.Failed
 }
 
-// resultOfError returns the result that an error code of a host proves.
+// resultOfError returns the result that corresponds to an error code of a host.
 func resultOfError(code string) balance.Result {
 	switch code {
 	case pgwire.CodeReadOnly, pgwire.CodeSnapshotTooOld:
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -152,7 +152,7 @@
 	c.answer = answer{}
 	h := c.host
 	if c.address != h.address || h.removed {
-		c.state = busy // neither dialing nor idle, so that close changes no count or list of these
+		c.state = busy // it is no longer counted as dialing or listed as idle: close must not undo that again
 		c.terminate()
 		return
 	}
@@ -208,8 +208,9 @@
 	c.end(outcome)
 }
 
-// end closes the connection and reports the outcome of its attempt. If the connection was still being dialed, and more
-// attempts wait for the host than other dials are pending, that is the attempt that has waited longest.
+// end closes the connection and reports the outcome of its attempt. A connection that is still being dialed has no
+// attempt: if more attempts wait for the host than other dials are pending, the outcome is reported for the attempt that
+// has waited longest.
 func (c *conn) end(outcome gateway.Outcome) {
 	stateBefore := c.state
 	at := c.attempt
