--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -161,7 +161,7 @@
 }
 
 // PeerClosed reports whether the peer or the network has ended the connection, even if the handler has not been notified
-// yet. If unread bytes precede the end, the state of the TCP connection shows it.
+// yet. If unread bytes precede the end, only the state of the TCP connection shows the end.
 func (c *Conn) PeerClosed() bool {
 	if c.closed || c.nb == nil {
 		return true
@@ -232,8 +232,8 @@
 }
 
 // shutdownUnlessReleased shuts down both directions of the socket. The engine may write to the socket on its own
-// goroutine and close it after an error. It marks the connection as closed first, under its own lock, which is checked
-// here.
+// goroutine and close it after an error. Before it closes the socket, it marks the connection as closed under the
+// engine's lock of the connection. The mark is checked here under the same lock.
 func (c *Conn) shutdownUnlessReleased() {
 	c.nb.Lock()
 	defer c.nb.Unlock()
--- a/internal/eventloop/engine.go
+++ b/internal/eventloop/engine.go
@@ -88,7 +88,8 @@
 }
 
 // waitForEngine waits until the engine's goroutines run. When they start they reset the flag that stops them, so a stop
-// before that would be lost and they would run forever.
+// before that would be lost and they would run forever. The goroutine that serves connections runs once it has reported
+// the end of a connection, which is opened and closed here.
 func (l *Loop) waitForEngine() {
 	if l.acceptLimiter != nil {
 		<-l.acceptLimiter.engineStarted
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -140,7 +140,7 @@
 }
 
 // Now returns the time in microseconds since 1970. It is read from the system's clock once and then only advances,
-// even if that clock is set back. A time in Unix milliseconds is exact on it.
+// even if that clock is set back. Unix times in milliseconds convert to it without rounding.
 func (l *Loop) Now() int64 { return l.startUnix + time.Since(l.startedAt).Microseconds() }
 
 // Post runs f on the loop's goroutine.
@@ -236,9 +236,9 @@
 // Stop ends Run after the events that are being handled. Sockets stay open until Close is called or the process ends.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Close ends Run, unless it has ended, and then the engine with its sockets and goroutines, in a process that
-// continues to run. It must not be called on the loop's goroutine. A process that exits need not call it: the system
-// closes the sockets without waiting.
+// Close ends Run, if it has not ended yet, and then stops the engine, which closes its sockets and ends its goroutines.
+// It must not be called on the loop's goroutine. A process that exits need not call it: the system closes the sockets
+// without waiting.
 func (l *Loop) Close() {
 	l.waitForEngine()
 	l.Post(l.Stop)
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// Timer is one function call at a time in the future.
+// Timer is a function call that is scheduled for a given time.
 type Timer struct {
 	loop  *Loop
 	at    int64 // microseconds on the loop's clock
