--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -39,7 +39,7 @@
 	maxWait    = 3600e6 // microseconds
 )
 
-// decimalsOfMicros is the number of decimals of a value in milliseconds that is read in microseconds.
+// decimalsOfMicros is the scale at which ParseDecimal reads a value in milliseconds as a number of microseconds.
 const decimalsOfMicros = 3
 
 // Errors of ParseQuery. Their texts are sent to the client.
