--- a/internal/app/lifecycle.go
+++ b/internal/app/lifecycle.go
@@ -93,9 +93,9 @@
 	s.killAt = killAt
 }
 
-// closeInTime closes the component after the loop has ended. It reports whether the component was closed by half of
-// exitMargin before the earliest kill. If not, the process may end meanwhile: the component's stored data survives this
-// as it survives a kill.
+// closeInTime closes the component after the loop has ended. It waits until half of exitMargin before the earliest kill,
+// and reports whether the component was closed by then. If not, the process may end meanwhile: the component's stored
+// data survives this as it survives a kill.
 func (s *server) closeInTime(component Component) bool {
 	closed := make(chan struct{})
 	go func() {
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -144,7 +144,7 @@
 
 // pollsBeforeKnownList reports whether the gateway requests the complete list from discovery before it uses the known
 // list of its configuration. A discovery agent on this machine has the current list, and by the protocol that list
-// counts as delivered to the gateway from its start. The known list may be older.
+// counts as delivered as soon as the gateway starts. The known list may be older.
 func (s *server) pollsBeforeKnownList(t timeouts) bool {
 	return s.conf.KnownEndpoints != nil && !s.conf.Settings.MustSubscribe && t.firstList > 0
 }
