--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -24,12 +24,13 @@
 	// minRetryWait and maxRetryWait limit the mean wait of a gateway that does not share the service.
 	minRetryWait = 5e4
 	maxRetryWait = 5e5
-	// minResponseTimeout limits the time until an answer begins. It doubles after each failure, up to maxResponseTimeout.
+	// minResponseTimeout is the shortest limit of the time until an answer begins. The limit doubles after each failure,
+	// up to maxResponseTimeout.
 	minResponseTimeout = 4e5
 	maxResponseTimeout = 2e6
 	// maxMeanWait limits the mean wait so that the next call begins within updateDeadline after the service becomes
-	// reachable again. At that moment the previous call may just have begun to wait for its answer, and a wait may be
-	// longer than its mean by half.
+	// reachable again, and minResponseTimeout is left for its answer. At that moment the previous call may just have
+	// begun to wait for its answer, and a wait may be longer than its mean by half.
 	maxMeanWait = (updateDeadline - maxResponseTimeout - minResponseTimeout) * 2 / 3
 	// callCost is a conservative estimate of the service's time for one call.
 	callCost = 6e4
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -8,7 +8,7 @@
 // ErrWatchSilent reports that no sign of life arrived within silenceTimeout, or no answer within the response timeout.
 var ErrWatchSilent = errors.New("nothing received for too long")
 
-// ErrWatchEnded reports that the service completed its response. To a watch it does so only when it shuts down.
+// ErrWatchEnded reports that the service completed its response. It completes that of a watch only when it shuts down.
 var ErrWatchEnded = errors.New("the service ended the response")
 
 // errSuperseded ends a call that was replaced by another one, or whose watch was closed. It is never reported.
