--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -38,7 +38,7 @@
 		_ = conn.Close() // the write error is returned
 		return nil, err  // not wrapped, because the library checks network errors by type
 	}
-	_ = conn.SetDeadline(time.Time{}) // as above; the library sets its own deadlines
+	_ = conn.SetDeadline(time.Time{}) // if this fails, later writes fail too; the library sets its own deadlines
 	return conn, nil
 }
 
