--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -39,7 +39,8 @@
 	messageRingSize = 1024 // of the inbox, and of the outbox
 )
 
-// message is a message received from a member or to be sent to one. A message to send without a member is a broadcast.
+// message is a message received from a member or to be sent to one. A message to be sent that names no member is a
+// broadcast.
 type message struct {
 	member, key string
 	data        []byte
--- a/internal/fleet/loop.go
+++ b/internal/fleet/loop.go
@@ -208,8 +208,8 @@
 	}
 }
 
-// decide votes, proposes what follows from all votes, drops expired entries, and logs events of zones and the number of
-// elements dropped from full rings.
+// decide casts this gateway's vote, proposes the decision that follows from all votes, drops expired entries, and logs
+// events of zones and the number of elements dropped from full rings.
 func (c *Component) decide(now int64, members agreement.Members) {
 	if vote, isNew := c.zones.Vote(now, c.evidence.Assess(now, c.zones.OwnZone())); isNew {
 		c.broadcast(vote)
