--- a/internal/warmstart/plan.go
+++ b/internal/warmstart/plan.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	minPositionAdvance = 2_000_000  // microseconds; smallest advance of a log position, or age of a changed limit's record, to be written
+	// minPositionAdvance is also the age that a record must have for a changed concurrency limit to be written.
+	minPositionAdvance = 2_000_000  // microseconds by which a log position must have advanced to be written again
 	refreshInterval    = 10_000_000 // microseconds after which an unchanged record is written again
 	minLimitChange     = 0.25       // minimum relative change of a concurrency limit to be written
 	maxOps             = 64         // maximum number of operations in one transaction
