--- a/internal/warmstart/plan.go
+++ b/internal/warmstart/plan.go
@@ -149,11 +149,11 @@
 		next.Position = stored.Position // a position never decreases
 		next.PositionAt = stored.PositionAt
 	}
-	roleChanged := observed.Unhealthy != stored.Down || observed.Primary != stored.Primary
+	healthOrRoleChanged := observed.Unhealthy != stored.Down || observed.Primary != stored.Primary
 	slowStartChanged := (observed.SlowStartUntil > now) != (stored.SlowStartUntil > now)
-	write = hostWrite{observed.Host, next, roleChanged || slowStartChanged}
-	writtenByAnother := stored.At > now-MaxClockSkew && stored.By != c.conf.Name
-	if isUnobserved(observed) || writtenByAnother {
+	write = hostWrite{observed.Host, next, healthOrRoleChanged || slowStartChanged}
+	justWrittenByAnother := stored.At > now-MaxClockSkew && stored.By != c.conf.Name
+	if isUnobserved(observed) || justWrittenByAnother {
 		return write, false
 	}
 	age := now - stored.At
