--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -13,7 +13,7 @@
 	rig.answer(id, host, ConnectionRefused, RoleUnknown, 0)
 	for range 2 {
 		if rig.host(host).health != suspect {
-			t.Fatal("the host is not suspect before a health check has failed twice")
+			t.Fatal("the host is not suspect while fewer than two health checks were refused")
 		}
 		rig.endCheck(host, ConnectionRefused)
 	}
@@ -21,6 +21,7 @@
 		t.Fatal("the host is not unhealthy after two refused health checks")
 	}
 	rig.now += 1000 * ms
+	// A refused health check of a host that is already unhealthy shows that the host has crashed.
 	rig.endCheck(host, ConnectionRefused)
 	rig.now += 5000 * ms
 	rig.report(host, false, rig.now)
@@ -29,8 +30,8 @@
 	}
 }
 
-// A link that breaks connections occasionally is no evidence against a host. After a second health check,
-// which succeeds, the host gets as many requests as before, without a slow start.
+// One broken connection does not show that a host is unhealthy: a lossy link breaks connections occasionally.
+// If the second health check succeeds, the host gets as many requests as before, without a slow start.
 func TestOneBrokenHealthCheckDoesNotMakeAHostUnhealthy(t *testing.T) {
 	for _, result := range []Result{ConnectionRefused, ConnectionReset} {
 		rig := readyRig(t, testSettings())
@@ -46,10 +47,10 @@
 		}
 		rig.report(host.id, false, rig.now)
 		if host.health != healthy || host.warmingUp || host.concurrencyLimit != limit {
-			t.Errorf("%v: not as before the break after an answered health check: %+v", result, *host)
+			t.Errorf("%v: after an answered health check, not as before the break: %+v", result, *host)
 		}
 		if !rig.router.admits(&pendingRequest{class: rig.class(boundedRead)}, host) {
-			t.Errorf("%v: gets no requests after an answered health check: %+v", result, *host)
+			t.Errorf("%v: the host gets no requests after an answered health check: %+v", result, *host)
 		}
 		if rig.router.idleTimeout != maxIdleTimeout {
 			t.Errorf("%v: idle timeout %d us, want no change", result, rig.router.idleTimeout)
@@ -57,7 +58,8 @@
 	}
 }
 
-// A single health check of a healthy host whose connection breaks makes the host only suspect.
+// If a health check of a healthy host ends with a broken connection, the host becomes suspect, not unhealthy.
+// An earlier break, after which the host answered a health check, does not count.
 func TestBrokenHealthCheckMakesAHealthyHostSuspect(t *testing.T) {
 	for _, result := range []Result{ConnectionRefused, ConnectionReset} {
 		rig := readyRig(t, testSettings())
@@ -69,7 +71,7 @@
 		rig.report(host.id, false, rig.now)
 		rig.router.startHealthCheck(host, requiredCheck)
 		rig.now += ms
-		host.checkedAt = rig.now // after the last answer of the host
+		host.checkedAt = rig.now // later than the host's last answer; otherwise the result is ignored
 		rig.endCheck(host.id, result)
 		if host.health != suspect {
 			t.Errorf("%v: health state %d, want suspect", result, host.health)
@@ -77,6 +79,8 @@
 	}
 }
 
+// A broken connection starts a health check. The host gets no requests until it has answered the check, and
+// then gets them without a slow start.
 func TestBrokenConnectionIsDecidedByAHealthCheck(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(unsafeWrite)
@@ -85,7 +89,7 @@
 	}
 	id, actions := rig.request(unsafeWrite)
 	if sentTo(actions, id) != "" {
-		t.Fatal("sent before the health check was answered")
+		t.Fatal("the write was sent before the health check was answered")
 	}
 	actions = append(rig.report("a", true, rig.now), rig.advance(40*ms)...)
 	if sentTo(actions, id) != "a" || rig.host("a").warmingUp {
@@ -93,6 +97,8 @@
 	}
 }
 
+// Once the backoff of an unhealthy host has reached its maximum, a request tries the host, even if all its
+// health checks fail.
 func TestHostWhoseHealthChecksFailIsTriedByARequest(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	rig.host("c").excluded = true
@@ -119,14 +125,16 @@
 		case "b":
 			rig.answer(id, "b", Succeeded, Replica, rig.now)
 			if rig.host("b").health != healthy {
-				t.Fatal("the host is not healthy after a trial that succeeded")
+				t.Fatal("the host is not healthy after a request to it succeeded")
 			}
 			return
 		}
 	}
-	t.Fatal("the host was never tried again")
+	t.Fatal("no request was sent to the unhealthy host b within 20 s")
 }
 
+// A host that rejects a health check for lack of capacity is alive: it becomes healthy and gets
+// requests again.
 func TestOverloadedHealthCheckMakesAHostHealthy(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(keyedWrite)
@@ -143,9 +151,9 @@
 	if !hasCheck(rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)) {
 		t.Fatal("want a health check of a suspect host")
 	}
-	rig.advance(10000 * ms) // and its result is lost
+	rig.advance(10000 * ms) // the result of the health check never arrives
 	if _, actions := rig.request(keyedWrite); !hasCheck(actions) {
-		t.Error("the host is never checked again")
+		t.Error("no second health check after the result of the first was lost")
 	}
 }
 
@@ -158,7 +166,7 @@
 	rig.now += ms
 	rig.endCheck("a", NotSent)
 	if host.health == unhealthy || host.group.primary != host {
-		t.Error("a health check that was not sent made the host unhealthy")
+		t.Error("a health check that was not sent made the host unhealthy or demoted the primary")
 	}
 }
 
@@ -168,7 +176,7 @@
 		settings := fleetSettings(1)
 		settings.TickInterval = tick
 		fleet := newFleet(t, settings, hostList(5)...)
-		fleet.roleOf = primaryIs("nobody")
+		fleet.roleOf = primaryIs("nobody") // no host is the primary
 		fleet.serviceTime = func(string, int) (int64, Result) { return ms, NotPrimary }
 		fleet.request(0, unsafeWrite)
 		fleet.run(300*ms, unsafeWrite, 500*ms)
@@ -176,6 +184,6 @@
 	}
 	short, long := checks(1*ms), checks(20*ms)
 	if short > long*3/2 {
-		t.Errorf("%d health checks with a tick of 1 ms, %d with 20 ms", short, long)
+		t.Errorf("%d health checks with a tick of 1 ms, more than 1.5 times the %d with 20 ms", short, long)
 	}
 }
--- a/balance/shutdown_test.go
+++ b/balance/shutdown_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// beginShutdown passes a ShutdownEvent with a deadline after a duration.
+// beginShutdown passes a ShutdownEvent. Its deadline is the given duration from now.
 func (rig *routerRig) beginShutdown(duration int64) {
 	rig.handle(Event{Kind: ShutdownEvent, Deadline: rig.now + duration})
 }
 
-// A request in flight at the end of a shutdown gets a final answer before it; otherwise it would be lost
-// with the process. A request that may have been executed is failed, unless a repeat is harmless.
+// A request in flight gets its final answer before the shutdown deadline; otherwise it would be lost with the
+// process. A request that may have been executed is failed, unless it is safe to retry.
 func TestShutdownEndsRequestsInFlight(t *testing.T) {
 	for class, want := range map[int]ActionKind{
 		eventualRead: RejectAction, unsafeWrite: FailAction,
@@ -23,11 +23,11 @@
 		}
 		actions = rig.advance(90 * ms)
 		if !hasAction(actions, want, id) || !hasAction(actions, CancelAction, id) {
-			t.Errorf("class %d: not the expected final answer and a cancellation: %+v", class, actions)
+			t.Errorf("class %d: wrong final answer or no cancellation: %+v", class, actions)
 		}
 		rig.answer(id, host, Canceled, RoleUnknown, 0)
 		if len(rig.router.requests) > 0 {
-			t.Errorf("class %d: the finished request is still stored", class)
+			t.Errorf("class %d: the router still holds the finished request", class)
 		}
 	}
 }
@@ -48,11 +48,11 @@
 	rig.reportAll(rig.now)
 	id, actions = rig.request(unsafeWrite)
 	if !hasAction(actions, RejectAction, id) || sentTo(actions, id) != "" {
-		t.Errorf("a write with 400 of the required 500 ms is not rejected: %+v", actions)
+		t.Errorf("a write that needs 500 ms is not rejected with 400 ms left: %+v", actions)
 	}
 	id, actions = rig.request(eventualRead)
 	if sentTo(actions, id) == "" {
-		t.Errorf("a read with 400 of the required 300 ms is not sent: %+v", actions)
+		t.Errorf("a read that needs 300 ms is not sent with 400 ms left: %+v", actions)
 	}
 	rig.lastRequest++
 	shortDeadline := Event{
@@ -76,6 +76,6 @@
 	rig.beginShutdown(1500 * ms)
 	actions = rig.advance(1020 * ms)
 	if !hasAction(actions, RejectAction, id) {
-		t.Errorf("a write with 480 of the required 500 ms is not rejected: %+v", rig.router.requests[id])
+		t.Errorf("a write that needs 500 ms is not rejected with 480 ms left: %+v", rig.router.requests[id])
 	}
 }
