--- a/internal/storecmd/storetest/storetest.go
+++ b/internal/storecmd/storetest/storetest.go
@@ -1,5 +1,5 @@
-// Package storetest creates a store of one instance on this machine for tests, and runs store commands. Only tests import
-// it.
+// Package storetest helps tests of the store's commands: it creates a store of one instance on this machine, and runs
+// commands on it. Only tests import it.
 package storetest
 
 import (
@@ -13,18 +13,20 @@
 	"cloverrock/internal/lab/loopback"
 )
 
+// configuration is a valid configuration of a gateway with one class of requests.
 const configuration = `{"name":"a","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"tickMs":5,
 		"classes":[{"name":"x","aimMs":1,"deadlineMs":1,"repeat":"read_like"}],"extra":{"classRead":["loose"]},"limits":{"maxAttempts":1}}}`
 
-// Fixture is a store whose only instance is "a", with a gateway's configuration.
+// Fixture is the directory and the environment in which a test runs commands. New puts a store into it.
 type Fixture struct {
 	T         *testing.T
-	Dir       string // the subdirectory "store" holds the files of the store
-	Getenv    func(string) string
+	Dir       string              // the subdirectory "store" holds the settings, certificates and data of the store
+	Getenv    func(string) string // returns the environment variables of the commands
 	extension app.Extension
 }
 
-// New creates a store with its certificates, settings and data directory. It does not start the instance.
+// New creates a store whose only instance is "a", with its certificates, settings and data directory, and the
+// configuration file of a gateway, whose discovery address the environment overrides. It does not start the instance.
 func New(t *testing.T, extension app.Extension) *Fixture {
 	t.Helper()
 	f := Empty(t, extension)
@@ -41,7 +43,7 @@
 	return f
 }
 
-// Empty returns a fixture with an empty directory.
+// Empty returns a fixture with an empty directory and no environment variables.
 func Empty(t *testing.T, extension app.Extension) *Fixture {
 	t.Helper()
 	return &Fixture{T: t, Dir: t.TempDir(), Getenv: func(string) string { return "" }, extension: extension}
@@ -70,7 +72,8 @@
 	return data
 }
 
-// Run runs a command as the operator and returns its output. If the exit code is not the given one, the test fails.
+// Run runs the command whose arguments are the words of line, as the operator, and returns its output. If the exit code
+// is not code, the test fails. "store init" gets no --as flag, because it creates the operator's file.
 func (f *Fixture) Run(code int, line string) string {
 	f.T.Helper()
 	var out bytes.Buffer
@@ -79,12 +82,13 @@
 		args = append(args, "--as", f.Path("store", "operator.json"))
 	}
 	if got := app.Main(args, f.Getenv, &out, &out, f.extension); got != code {
-		f.T.Fatalf("%s: exit code %d, output %s", line, got, out.String())
+		f.T.Fatalf("%s: unexpected exit code %d, output: %s", line, got, out.String())
 	}
 	return out.String()
 }
 
-// PutDocument commits a revision of the document "gateway", and returns the output of the command; see Run.
+// PutDocument commits body as a revision of the document "gateway" and returns the output of the command. If the exit
+// code is not code, the test fails.
 func (f *Fixture) PutDocument(body string, code int) string {
 	f.T.Helper()
 	path := f.Path("doc.json")
