--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -79,18 +79,18 @@
 // readHeader decodes the version and the sending time, in microseconds.
 func readHeader(now int64, b []byte) (version byte, sentAt int64, body []byte, err error) {
 	if len(b) < headerSize || len(b) > MaxMessage {
-		return 0, 0, nil, fmt.Errorf("%w: %d bytes", errMalformedMessage, len(b))
+		return 0, 0, nil, fmt.Errorf("%w: %d bytes, outside the permitted range", errMalformedMessage, len(b))
 	}
 	version = b[0]
 	if version != reportVersion && version != digestVersion {
-		return 0, 0, nil, fmt.Errorf("%w: version %d", errMalformedMessage, version)
+		return 0, 0, nil, fmt.Errorf("%w: unknown version %d", errMalformedMessage, version)
 	}
 	// The low bits repeat every 49 days. Of all times with these low bits, the one nearest to now is the sending time.
 	nowMillis := now / millisecond
 	lead := int32(binary.BigEndian.Uint32(b[1:]) - uint32(nowMillis))
 	sentAt = (nowMillis + int64(lead)) * millisecond
 	if sentAt > now+maxClockLead {
-		return 0, 0, nil, fmt.Errorf("%w: sent in the future", errMalformedMessage)
+		return 0, 0, nil, fmt.Errorf("%w: sent too far in the future", errMalformedMessage)
 	}
 	return version, sentAt, b[headerSize:], nil
 }
@@ -129,10 +129,10 @@
 		r.LatencyShare = math.Exp2((float64(packed) - codeOfShareOne) / codesPerDoubling)
 	}
 	if role > Replica {
-		return r, fmt.Errorf("%w: role %d", errMalformedMessage, role)
+		return r, fmt.Errorf("%w: unknown role %d", errMalformedMessage, role)
 	}
 	if r.Position < 0 {
-		return r, fmt.Errorf("%w: position %d", errMalformedMessage, r.Position)
+		return r, fmt.Errorf("%w: negative position %d", errMalformedMessage, r.Position)
 	}
 	return r, nil
 }
@@ -232,7 +232,7 @@
 func readDigest(sentAt int64, b []byte) (digest, error) {
 	const bodyHeader = digestHeaderSize - headerSize
 	if len(b) < bodyHeader || (len(b)-bodyHeader)%entrySize != 0 {
-		return digest{}, fmt.Errorf("%w: digest of %d bytes", errMalformedMessage, len(b))
+		return digest{}, fmt.Errorf("%w: digest of %d bytes is not a header and whole entries", errMalformedMessage, len(b))
 	}
 	d := digest{group: readUint24(b), interval: int64(b[3]) * intervalStep}
 	if packedRate := b[4] &^ primaryFirstBit; packedRate > 0 {
@@ -242,7 +242,7 @@
 	for b = b[bodyHeader:]; len(b) > 0; b = b[entrySize:] {
 		e := readEntry(sentAt, b, isPrimary)
 		if e.Position < 0 {
-			return digest{}, fmt.Errorf("%w: position %d", errMalformedMessage, e.Position)
+			return digest{}, fmt.Errorf("%w: negative position %d", errMalformedMessage, e.Position)
 		}
 		d.entries = append(d.entries, e)
 		isPrimary = false
--- a/internal/gossip/report.go
+++ b/internal/gossip/report.go
@@ -44,7 +44,7 @@
 // facts in it about known hosts.
 func (s *State) receiveReport(now, sentAt int64, from int, body []byte) ([]HostFact, error) {
 	if len(body)%reportSize != 0 {
-		return nil, fmt.Errorf("%w: report of %d bytes", errMalformedMessage, len(body))
+		return nil, fmt.Errorf("%w: report of %d bytes is not made of whole entries", errMalformedMessage, len(body))
 	}
 	reports := make([]report, 0, len(body)/reportSize)
 	for ; len(body) > 0; body = body[reportSize:] {
