--- a/internal/agreement/agreement.go
+++ b/internal/agreement/agreement.go
@@ -71,7 +71,7 @@
 // timestampSize is the size of an encoded time, in bytes.
 const timestampSize = 8
 
-var errTruncatedDecision = errors.New("agreement: truncated decision")
+var errTruncatedDecision = errors.New("agreement: decision is shorter than its length byte requires")
 
 // decodeDecision is the inverse of encode. The slices of the result share the entry's memory.
 func decodeDecision(e *crdt.Entry) (Decision, error) {
--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -35,7 +35,7 @@
 const authenticationOk = "\x00\x00\x00\x00"
 
 var (
-	errUnexpectedMessage = errors.New("not allowed at this point")
+	errUnexpectedMessage = errors.New("not allowed in this state of the connection")
 	errMalformedMessage  = errors.New("malformed")
 )
 
