--- a/cmd/cloverrock-lab/soak.go
+++ b/cmd/cloverrock-lab/soak.go
@@ -40,7 +40,7 @@
 				return err
 			}
 			if faulty > 0 {
-				return fmt.Errorf("%w: in %d of %d runs", errFaultFound, faulty, seeds)
+				return fmt.Errorf("%w: the checks failed in %d of %d runs", errFaultFound, faulty, seeds)
 			}
 			return nil
 		},
--- a/cmd/cloverrock-lab/storesim.go
+++ b/cmd/cloverrock-lab/storesim.go
@@ -47,7 +47,7 @@
 				return err
 			}
 			if len(run.violations) > 0 {
-				return fmt.Errorf("%w: %d of %d seeds", errFaultFound, len(run.violations), run.seeds)
+				return fmt.Errorf("%w: invariants were violated with %d of %d seeds", errFaultFound, len(run.violations), run.seeds)
 			}
 			return nil
 		},
--- a/internal/lab/chaos/check.go
+++ b/internal/lab/chaos/check.go
@@ -147,7 +147,7 @@
 	}
 	status := &core.Status{}
 	if err := json.Unmarshal(answer.Body, status); err != nil {
-		return nil, fmt.Errorf("status: %w", err)
+		return nil, fmt.Errorf("decode the status of an instance: %w", err)
 	}
 	return status, nil
 }
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -10,8 +10,9 @@
 	"cloverrock/internal/pgwire"
 )
 
-// ErrConnectionClosed reports that a new connection was closed before its first answer. It counts as a rejection.
-var ErrConnectionClosed = fmt.Errorf("%w: its new connection was closed", ErrRejected)
+// ErrConnectionClosed reports that a new connection was refused, or was closed before its first answer. It counts as a
+// rejection.
+var ErrConnectionClosed = fmt.Errorf("%w: no complete answer on a new connection", ErrRejected)
 
 // closeRaceWindow is the race window after a request was written on an idle connection. If the gateway closes the
 // connection within it, the gateway may not have read the request. If it closes the connection later, it had read it.
