--- a/internal/storecmd/storetest/storetest.go
+++ b/internal/storecmd/storetest/storetest.go
@@ -13,8 +13,8 @@
 	"cloverrock/internal/lab/loopback"
 )
 
-// configuration is a valid configuration of a gateway with one class of requests.
-const configuration = `{"name":"a","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"tickMs":5,
+// gatewayConfig is a valid configuration of a gateway with one class of requests.
+const gatewayConfig = `{"name":"a","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"tickMs":5,
 		"classes":[{"name":"x","aimMs":1,"deadlineMs":1,"repeat":"read_like"}],"extra":{"classRead":["loose"]},"limits":{"maxAttempts":1}}}`
 
 // Fixture is the directory and the environment in which a test runs commands. New puts a store into it.
@@ -30,16 +30,16 @@
 func New(t *testing.T, extension app.Extension) *Fixture {
 	t.Helper()
 	f := Empty(t, extension)
-	free, err := loopback.Reserve(1)
+	addresses, err := loopback.Reserve(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf := filepath.Join(f.Dir, "config.json")
-	f.Write(conf, []byte(configuration))
+	configPath := filepath.Join(f.Dir, "config.json")
+	f.Write(configPath, []byte(gatewayConfig))
 	f.Getenv = func(key string) string {
-		return map[string]string{"EDGE_CONFIG": conf, "EDGE_DISCOVERY": "127.0.0.1:3"}[key]
+		return map[string]string{"EDGE_CONFIG": configPath, "EDGE_DISCOVERY": "127.0.0.1:3"}[key]
 	}
-	f.Run(0, "store init --dir "+f.Path("store")+" --local --member a="+free[0])
+	f.Run(0, "store init --dir "+f.Path("store")+" --local --member a="+addresses[0])
 	return f
 }
 
@@ -73,25 +73,25 @@
 }
 
 // Run runs the command whose arguments are the words of line, as the operator, and returns its output. If the exit code
-// is not code, the test fails. "store init" gets no --as flag, because it creates the operator's file.
-func (f *Fixture) Run(code int, line string) string {
+// is not wantCode, the test fails. "store init" gets no --as flag, because it creates the operator's file.
+func (f *Fixture) Run(wantCode int, line string) string {
 	f.T.Helper()
 	var out bytes.Buffer
 	args := strings.Fields(line)
 	if !strings.Contains(line, "init") {
 		args = append(args, "--as", f.Path("store", "operator.json"))
 	}
-	if got := app.Main(args, f.Getenv, &out, &out, f.extension); got != code {
+	if got := app.Main(args, f.Getenv, &out, &out, f.extension); got != wantCode {
 		f.T.Fatalf("%s: unexpected exit code %d, output: %s", line, got, out.String())
 	}
 	return out.String()
 }
 
 // PutDocument commits body as a revision of the document "gateway" and returns the output of the command. If the exit
-// code is not code, the test fails.
-func (f *Fixture) PutDocument(body string, code int) string {
+// code is not wantCode, the test fails.
+func (f *Fixture) PutDocument(body string, wantCode int) string {
 	f.T.Helper()
 	path := f.Path("doc.json")
 	f.Write(path, []byte(body))
-	return f.Run(code, "store put gateway --file "+path)
+	return f.Run(wantCode, "store put gateway --file "+path)
 }
