--- a/internal/storecmd/storetest/storetest.go
+++ b/internal/storecmd/storetest/storetest.go
@@ -1,5 +1,5 @@
-// Package storetest creates a store of one instance on this machine for tests, and runs store commands. Only tests import
-// it.
+// Package storetest helps tests of the store's commands: it creates a store of one instance on this machine, and runs
+// commands on it. Only tests import it.
 package storetest
 
 import (
@@ -13,35 +13,37 @@
 	"cloverrock/internal/lab/loopback"
 )
 
-const configuration = `{"name":"a","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"tickMs":5,
+// gatewayConfig is a valid configuration of a gateway with one class of requests.
+const gatewayConfig = `{"name":"a","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"tickMs":5,
 		"classes":[{"name":"x","aimMs":1,"deadlineMs":1,"repeat":"read_like"}],"extra":{"classRead":["loose"]},"limits":{"maxAttempts":1}}}`
 
-// Fixture is a store whose only instance is "a", with a gateway's configuration.
+// Fixture is the directory and the environment in which a test runs commands. New puts a store into it.
 type Fixture struct {
 	T         *testing.T
-	Dir       string // the subdirectory "store" holds the files of the store
-	Getenv    func(string) string
+	Dir       string              // the subdirectory "store" holds the settings, certificates and data of the store
+	Getenv    func(string) string // returns the environment variables of the commands
 	extension app.Extension
 }
 
-// New creates a store with its certificates, settings and data directory. It does not start the instance.
+// New creates a store whose only instance is "a", with its certificates, settings and data directory, and the
+// configuration file of a gateway, whose discovery address the environment overrides. It does not start the instance.
 func New(t *testing.T, extension app.Extension) *Fixture {
 	t.Helper()
 	f := Empty(t, extension)
-	free, err := loopback.Reserve(1)
+	addresses, err := loopback.Reserve(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf := filepath.Join(f.Dir, "config.json")
-	f.Write(conf, []byte(configuration))
+	configPath := filepath.Join(f.Dir, "config.json")
+	f.Write(configPath, []byte(gatewayConfig))
 	f.Getenv = func(key string) string {
-		return map[string]string{"EDGE_CONFIG": conf, "EDGE_DISCOVERY": "127.0.0.1:3"}[key]
+		return map[string]string{"EDGE_CONFIG": configPath, "EDGE_DISCOVERY": "127.0.0.1:3"}[key]
 	}
-	f.Run(0, "store init --dir "+f.Path("store")+" --local --member a="+free[0])
+	f.Run(0, "store init --dir "+f.Path("store")+" --local --member a="+addresses[0])
 	return f
 }
 
-// Empty returns a fixture with an empty directory.
+// Empty returns a fixture with an empty directory and no environment variables.
 func Empty(t *testing.T, extension app.Extension) *Fixture {
 	t.Helper()
 	return &Fixture{T: t, Dir: t.TempDir(), Getenv: func(string) string { return "" }, extension: extension}
@@ -70,24 +72,26 @@
 	return data
 }
 
-// Run runs a command as the operator and returns its output. If the exit code is not the given one, the test fails.
-func (f *Fixture) Run(code int, line string) string {
+// Run runs the command whose arguments are the words of line, as the operator, and returns its output. If the exit code
+// is not wantCode, the test fails. "store init" gets no --as flag, because it creates the operator's file.
+func (f *Fixture) Run(wantCode int, line string) string {
 	f.T.Helper()
 	var out bytes.Buffer
 	args := strings.Fields(line)
 	if !strings.Contains(line, "init") {
 		args = append(args, "--as", f.Path("store", "operator.json"))
 	}
-	if got := app.Main(args, f.Getenv, &out, &out, f.extension); got != code {
-		f.T.Fatalf("%s: exit code %d, output %s", line, got, out.String())
+	if got := app.Main(args, f.Getenv, &out, &out, f.extension); got != wantCode {
+		f.T.Fatalf("%s: unexpected exit code %d, output: %s", line, got, out.String())
 	}
 	return out.String()
 }
 
-// PutDocument commits a revision of the document "gateway", and returns the output of the command; see Run.
-func (f *Fixture) PutDocument(body string, code int) string {
+// PutDocument commits body as a revision of the document "gateway" and returns the output of the command. If the exit
+// code is not wantCode, the test fails.
+func (f *Fixture) PutDocument(body string, wantCode int) string {
 	f.T.Helper()
 	path := f.Path("doc.json")
 	f.Write(path, []byte(body))
-	return f.Run(code, "store put gateway --file "+path)
+	return f.Run(wantCode, "store put gateway --file "+path)
 }
