--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -81,7 +81,7 @@
 
 // A broken connection starts a health check. The host gets no requests until it has answered the check, and
 // then gets them without a slow start.
-func TestBrokenConnectionIsDecidedByAHealthCheck(t *testing.T) {
+func TestBrokenConnectionStartsAHealthCheck(t *testing.T) {
 	rig := readyRig(t, testSettings())
 	id, _ := rig.request(unsafeWrite)
 	if !hasCheck(rig.answer(id, "a", ConnectionReset, RoleUnknown, 0)) {
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -10,9 +10,9 @@
 	"cloverrock/internal/pgwire"
 )
 
-// ErrConnectionClosed reports that a new connection was refused, or was closed before its first answer. It counts as a
+// ErrNoAnswerOnNewConnection reports that a new connection was refused, or was closed before its first answer. It counts as a
 // rejection.
-var ErrConnectionClosed = fmt.Errorf("%w: no complete answer on a new connection", ErrRejected)
+var ErrNoAnswerOnNewConnection = fmt.Errorf("%w: no complete answer on a new connection", ErrRejected)
 
 // closeRaceWindow is the race window after a request was written on an idle connection. If the gateway closes the
 // connection within it, the gateway may not have read the request. If it closes the connection later, it had read it.
@@ -99,7 +99,7 @@
 	if isTimeout(err) {
 		return err
 	}
-	return fmt.Errorf("%w: %w", ErrConnectionClosed, err)
+	return fmt.Errorf("%w: %w", ErrNoAnswerOnNewConnection, err)
 }
 
 func isTimeout(err error) bool {
--- a/internal/lab/processrig/evaluate.go
+++ b/internal/lab/processrig/evaluate.go
@@ -46,7 +46,7 @@
 
 func (r *rig) evaluateSample(sample emulator.Sample) {
 	rejected := errors.Is(sample.Err, emulator.ErrRejected)
-	closed := errors.Is(sample.Err, emulator.ErrConnectionClosed)
+	closed := errors.Is(sample.Err, emulator.ErrNoAnswerOnNewConnection)
 	disturbed := r.wasDisturbed(sample)
 	answered := sample.Err == nil || rejected
 	if answered && sample.Latency > emulator.Classes[sample.Class].Deadline {
