--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -94,7 +94,7 @@
 }
 
 // newConnectionError converts the error of a request that got no answer on a new connection: all errors except timeouts
-// become ErrConnectionClosed.
+// become ErrNoAnswerOnNewConnection.
 func newConnectionError(err error) error {
 	if isTimeout(err) {
 		return err
