--- a/internal/app/lifecycle.go
+++ b/internal/app/lifecycle.go
@@ -67,7 +67,7 @@
 	}
 	restart = s.conf.RestartOnlyChanges(conf)
 	if len(restart) > 0 {
-		s.log.Warn().Strs("keys", restart).Msg("app: reload left out keys that need a restart")
+		s.log.Warn().Strs("keys", restart).Msg("app: changed keys take effect only after a restart")
 	}
 	s.log.Info().Str("discovery", conf.Discovery).Msg("app: configuration reloaded")
 	s.watch.SetAddress(conf.Discovery)
--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -202,7 +202,7 @@
 		if a.lastMessage == pgwire.MsgCommandComplete {
 			return balance.Succeeded
 		}
-		c.pool.log.Warn().Str("host", c.host.id).Msg("backend: host answered without a row")
+		c.pool.log.Warn().Str("host", c.host.id).Msg("backend: host answered without a row, attempt failed")
 		return balance.Failed
 	}
 	result := resultOfError(a.hostError.Code)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -65,7 +65,7 @@
 	select {
 	case <-d.opened:
 	case <-time.After(set.Store.StartWait()):
-		log.Warn().Msg("store: local copy not ready, gateway starts without it")
+		log.Warn().Msg("store: instance not open within the start wait, gateway starts without it")
 	}
 	return d
 }
--- a/internal/store/node/run.go
+++ b/internal/store/node/run.go
@@ -200,7 +200,7 @@
 func (n *Node) snapshotWritten(snapshot *core.Snapshot, err error) {
 	release := n.core.SnapshotSaved(snapshot, err)
 	if err != nil {
-		n.log.Warn().Err(err).Msg("store: saving a snapshot failed, log kept")
+		n.log.Warn().Err(err).Msg("store: saving a snapshot failed, log entries not removed")
 		return
 	}
 	if release > 0 {
@@ -210,6 +210,6 @@
 		err = disk.RemoveObsolete(n.dir, snapshot.Meta.GetIndex())
 	}
 	if err != nil {
-		n.log.Warn().Err(err).Msg("store: removing old files failed")
+		n.log.Warn().Err(err).Msg("store: removing obsolete log segments or snapshots failed")
 	}
 }
