--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -35,7 +35,7 @@
 const authenticationOk = "\x00\x00\x00\x00"
 
 var (
-	errUnexpectedMessage = errors.New("not allowed at this point")
+	errUnexpectedMessage = errors.New("not allowed in this state of the connection")
 	errMalformedMessage  = errors.New("malformed")
 )
 
@@ -202,7 +202,7 @@
 		if a.lastMessage == pgwire.MsgCommandComplete {
 			return balance.Succeeded
 		}
-		c.pool.log.Warn().Str("host", c.host.id).Msg("backend: host answered without a row")
+		c.pool.log.Warn().Str("host", c.host.id).Msg("backend: host answered without a row, attempt failed")
 		return balance.Failed
 	}
 	result := resultOfError(a.hostError.Code)
@@ -217,7 +217,7 @@
 	return balance.Failed
 }
 
-// resultOfError returns the result that an error code of a host proves.
+// resultOfError returns the result that corresponds to an error code of a host.
 func resultOfError(code string) balance.Result {
 	switch code {
 	case pgwire.CodeReadOnly, pgwire.CodeSnapshotTooOld:
--- a/internal/lab/chaos/cluster.go
+++ b/internal/lab/chaos/cluster.go
@@ -21,23 +21,23 @@
 	"cloverrock/internal/store/pki"
 )
 
-// ErrNoProgram reports that the gateway's program is not in the directory of the running program.
-var ErrNoProgram = errors.New("the program under test is missing; build it into the directory of this one")
+// ErrNoProgram reports that the gateway's program was not found in the directory of the running program.
+var ErrNoProgram = errors.New("the program under test was not found; build it into the directory of the running program")
 
 const (
-	snapshotEntries = 2000 // entries between snapshots
-	tickMS          = 20   // of the instances' clocks
+	snapshotEntries = 2000 // log entries between snapshots
+	tickMS          = 20   // interval of the instances' clock ticks
 )
 
-// direction is the connections from one instance to another.
-type direction struct{ from, to int }
+// instancePair identifies the connections from one instance to another by their indexes.
+type instancePair struct{ from, to int }
 
-// cluster is the processes with the relays between them.
+// cluster holds the processes of the store and the relays between them.
 type cluster struct {
 	directory, program string
 	loseSyncs          bool
 	instances          []*instance
-	relays             map[direction]*relay.Relay
+	relays             map[instancePair]*relay.Relay
 }
 
 // instance is one process of the store.
@@ -47,24 +47,24 @@
 	dataDirectory string
 	log           *os.File
 
-	mu          sync.Mutex
-	command     *exec.Cmd
-	ended       chan struct{}
-	down        bool // it was killed on purpose
-	unaskedEnds int  // times that it ended by itself
+	mu              sync.Mutex
+	command         *exec.Cmd
+	ended           chan struct{}
+	killedOnPurpose bool // whether it was killed on purpose since its last start
+	unexpectedExits int  // number of times that it ended without being killed
 }
 
-// newCluster founds a store in a directory.
+// newCluster creates a store in a directory and the relays between its instances. It does not start the instances.
 func newCluster(directory string, options Options) (*cluster, error) {
 	c := &cluster{
 		directory: directory, program: options.Program, loseSyncs: options.LoseSyncs,
-		relays: map[direction]*relay.Relay{},
+		relays: map[instancePair]*relay.Relay{},
 	}
-	if err := c.found(options.Instances); err != nil {
+	if err := c.initStore(options.Instances); err != nil {
 		return nil, err
 	}
 	for i := range c.instances {
-		if err := c.connect(i); err != nil {
+		if err := c.openRelays(i); err != nil {
 			c.close()
 			return nil, err
 		}
@@ -72,7 +72,7 @@
 	return c, nil
 }
 
-func (c *cluster) found(instances int) error {
+func (c *cluster) initStore(instances int) error {
 	addresses, err := loopback.Reserve(instances)
 	if err != nil {
 		return err
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// connect opens the relays from one instance to the others and writes them into its settings.
-func (c *cluster) connect(i int) error {
+// openRelays opens the relays from one instance to the others and writes them into its settings.
+func (c *cluster) openRelays(i int) error {
 	routes := map[string]string{}
 	for j, other := range c.instances {
 		if i == j {
@@ -104,7 +104,7 @@
 		if err != nil {
 			return err
 		}
-		c.relays[direction{i, j}] = opened
+		c.relays[instancePair{i, j}] = opened
 		routes[other.name] = opened.Address()
 	}
 	file := c.instances[i].settingsFile
@@ -122,60 +122,60 @@
 	return os.WriteFile(file, text, 0o600)
 }
 
-func (c *cluster) start(started *instance) error {
-	started.mu.Lock()
-	defer started.mu.Unlock()
-	if started.log == nil {
-		file, err := os.Create(filepath.Join(c.directory, started.name+".log"))
+func (c *cluster) start(target *instance) error {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	if target.log == nil {
+		file, err := os.Create(filepath.Join(c.directory, target.name+".log"))
 		if err != nil {
 			return err
 		}
-		started.log = file
+		target.log = file
 	}
-	args := []string{"store", "serve", "--settings", started.settingsFile}
+	args := []string{"store", "serve", "--settings", target.settingsFile}
 	if c.loseSyncs {
 		args = append(args, "--rehearse-lost-syncs")
 	}
 	command := exec.Command(c.program, args...)
-	command.Stdout = started.log
-	command.Stderr = started.log
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the run
+	command.Stdout = target.log
+	command.Stderr = target.log
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // kill the process if the run dies
 	ended := make(chan struct{})
-	started.command = command
-	started.ended = ended
-	started.down = false
+	target.command = command
+	target.ended = ended
+	target.killedOnPurpose = false
 	if err := command.Start(); err != nil {
 		return err
 	}
 	go func() {
 		defer close(ended)
-		_ = command.Wait() // how it ended does not matter
-		started.noteEnd()
+		_ = command.Wait() // the exit status is not checked
+		target.recordExit()
 	}()
 	return nil
 }
 
-func (i *instance) noteEnd() {
+func (i *instance) recordExit() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if !i.down {
-		i.unaskedEnds++
+	if !i.killedOnPurpose {
+		i.unexpectedExits++
 	}
 }
 
-// signalKill kills the process without waiting for its end.
+// signalKill kills the process without waiting until it has ended.
 func (i *instance) signalKill() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.down = true
+	i.killedOnPurpose = true
 	_ = i.command.Process.Kill() // it may have ended already
 }
 
-// kill kills a process, if it was started, and waits for its end. With powerLoss it then removes the data from its
-// directory that was not synced.
+// kill kills the process, if it was started, and waits until it has ended. With powerLoss it then emulates a power loss by
+// discarding the data in its directory that was not synced.
 func (i *instance) kill(powerLoss bool) error {
 	i.mu.Lock()
-	i.down = true
+	i.killedOnPurpose = true
 	command := i.command
 	ended := i.ended
 	i.mu.Unlock()
@@ -195,12 +195,12 @@
 	return disk.DiscardUnsynced(directory)
 }
 
-// unaskedEnds returns how many times processes ended although nobody killed them.
-func (c *cluster) unaskedEnds() int {
+// unexpectedExits returns the number of times that processes ended without being killed.
+func (c *cluster) unexpectedExits() int {
 	sum := 0
 	for _, instance := range c.instances {
 		instance.mu.Lock()
-		sum += instance.unaskedEnds
+		sum += instance.unexpectedExits
 		instance.mu.Unlock()
 	}
 	return sum
@@ -209,9 +209,9 @@
 // close kills all processes and closes the relays.
 func (c *cluster) close() {
 	for _, instance := range c.instances {
-		_ = instance.kill(false) // fails only for a loss of power
+		_ = instance.kill(false) // fails only with powerLoss
 		if instance.log != nil {
-			_ = instance.log.Close() // the process had a descriptor of its own
+			_ = instance.log.Close() // the process had its own copy of the descriptor
 		}
 	}
 	for _, opened := range c.relays {
@@ -219,8 +219,8 @@
 	}
 }
 
-// client returns a client with the operator's credentials. It tries the instances from first on, or only that one if
-// single is set. attempt is the timeout of one try.
+// client returns a client with the operator's credentials. It tries the instances in order, beginning with first, or only
+// that one if single is set. attempt is the timeout of each attempt.
 func (c *cluster) client(first int, single bool, attempt time.Duration) (*client.Client, error) {
 	credentials, err := pki.LoadTLS(pki.Files{
 		Certificate: filepath.Join(c.directory, "operator.pem"),
@@ -238,7 +238,7 @@
 	return client.New(config), nil
 }
 
-// FindProgram returns the path of the gateway's program in the directory of this one.
+// FindProgram returns the path of the gateway's program in the directory of the running program.
 func FindProgram() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/lab/emulator/protocol.go
+++ b/internal/lab/emulator/protocol.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	messageHead = 5       // type and length
-	maxMessage  = 1 << 20 // bytes
+	messageHeaderBytes = 5       // type and length
+	maxMessageBytes    = 1 << 20 // bytes
 
 	healthCheck = "SHOW vitals"
 )
 
-// errMessageSize is a message whose length cannot be right.
+// errMessageSize reports a length field that is too small or too large for a message.
 var errMessageSize = errors.New("emulator: message length out of range")
 
-// ReadMessage reads one message of the protocol from a stream.
+// ReadMessage reads one protocol message from a stream.
 func ReadMessage(reader *bufio.Reader) (pgwire.Message, error) {
-	head, err := reader.Peek(messageHead)
+	head, err := reader.Peek(messageHeaderBytes)
 	if err != nil {
 		return pgwire.Message{}, err
 	}
 	size := 1 + int(head[1])<<24 + int(head[2])<<16 + int(head[3])<<8 + int(head[4])
-	if size < messageHead || size > maxMessage {
+	if size < messageHeaderBytes || size > maxMessageBytes {
 		return pgwire.Message{}, fmt.Errorf("%w: %d bytes", errMessageSize, size)
 	}
 	text := make([]byte, size)
@@ -43,14 +43,14 @@
 	return message, err
 }
 
-// serve answers the queries of one connection. A host that hangs, or a silent listener, takes them and answers none.
+// serve answers the queries of one connection. A hanging host, and a silent listener, read queries without answering them.
 func (h *Host) serve(connection net.Conn, silent *atomic.Bool) {
 	reader := bufio.NewReader(connection)
 	if err := skipStartup(reader); err != nil {
 		return
 	}
-	greeting := pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil))
-	if _, err := connection.Write(greeting); err != nil {
+	startupResponse := pgwire.AppendReadyForQuery(pgwire.AppendAuthenticationOk(nil))
+	if _, err := connection.Write(startupResponse); err != nil {
 		return
 	}
 	for {
@@ -58,7 +58,7 @@
 		if err != nil || message.Type != 'Q' {
 			return
 		}
-		if h.hanging.Load() || silent.Load() || h.hangsOnce(string(message.Body)) {
+		if h.hanging.Load() || silent.Load() || h.observeAndDrawHang(string(message.Body)) {
 			continue
 		}
 		if _, err := connection.Write(h.answerQuery(string(message.Body))); err != nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-// hangsOnce reports the statement to the observer, and whether it gets no answer.
-func (h *Host) hangsOnce(text string) bool {
+// observeAndDrawHang reports the statement to the observer. It returns true if this statement gets no answer.
+func (h *Host) observeAndDrawHang(text string) bool {
 	if h.observe == nil || strings.HasPrefix(text, healthCheck) {
 		return false
 	}
@@ -78,7 +78,7 @@
 
 func isWrite(text string) bool { return strings.Contains(text, "INSERT") }
 
-// skipStartup reads the startup message, which has no type.
+// skipStartup reads the startup message, which has no type byte.
 func skipStartup(reader *bufio.Reader) error {
 	head, err := reader.Peek(4)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return err
 }
 
-// answerQuery executes a statement and returns the answer, with the host's role and position behind it.
+// answerQuery executes a statement and returns the answer. The host's role and log position follow the result.
 func (h *Host) answerQuery(text string) []byte {
 	answer := h.execute(text)
 	role, position := h.status()
@@ -108,7 +108,7 @@
 			Severity: "ERROR", Code: pgwire.CodeReadOnly, Message: "not the primary",
 		})
 	}
-	h.work()
+	h.simulateWork()
 	if write {
 		h.Writes.Add(1)
 	}
@@ -119,7 +119,7 @@
 	return pgwire.AppendCommandComplete(pgwire.AppendRow(nil, "body", value), "SELECT 1")
 }
 
-// status is the host's own report: its role (1: primary), and its log position in milliseconds.
+// status returns the host's role (1: primary) and its log position in milliseconds, as the host reports them.
 func (h *Host) status() (role int, position int64) {
 	if h.primary.Load() {
 		return 1, time.Now().UnixMilli()
--- a/internal/lab/fleetmodel/fleetmodel.go
+++ b/internal/lab/fleetmodel/fleetmodel.go
@@ -1,6 +1,6 @@
-// Package fleetmodel simulates a fleet of gateways in front of many hosts in one process, in simulated time. The routers
-// are those of package balance, hosts are queues, and clients retry. It shows within seconds the combined effect of many
-// gateways whose behavior is harmless alone. The same options give the same result.
+// Package fleetmodel simulates a fleet of gateways and their hosts in one process, in simulated time. The routers are those
+// of package balance, hosts are modeled as queues, and clients retry. It shows within seconds the load that many gateways
+// cause together although each alone causes little. The same options give the same result.
 package fleetmodel
 
 import (
@@ -15,11 +15,11 @@
 	millisecond = int64(1000)
 	second      = 1000 * millisecond
 
-	// startTime is the clock at the start: far enough from 0 for log positions to lie before it.
+	// startTime is the clock at the start. It is far enough from 0 for positive log positions before the start.
 	startTime = 1000 * second
 )
 
-// randomStream separates the model's random numbers from those of other users of the same seed.
+// randomStream separates the model's random numbers from those that others draw from the same seed.
 const randomStream = 7
 
 type simulation struct {
@@ -32,13 +32,13 @@
 	hostByID      map[string]*host
 	primary       []*host // by group
 	gateways      []*gateway
-	inFlight      map[int64]*request // by the request id that the gateway has for the current try
-	lastRequest   int64              // last request id in use
-	spreadSamples int                // number of values added up in Result.CV1s
+	inFlight      map[int64]*request // by the request id of the current try
+	lastRequest   int64              // the last request id given to a try
+	spreadSamples int                // number of values added to Result.CV1s
 	result        Result
 }
 
-// Run simulates a day. The error is that of balance.New for settings that it rejects.
+// Run simulates one run, which the package calls a day. It returns the error of balance.New if that rejects the settings.
 func Run(options Options) (*Result, error) {
 	s := &simulation{
 		options:  options,
@@ -57,7 +57,7 @@
 		}
 	}
 	s.scheduleDay()
-	s.playUntil(startTime + int64(options.Seconds)*second)
+	s.runUntil(startTime + int64(options.Seconds)*second)
 	samples := float64(max(s.spreadSamples, 1))
 	s.result.CV1s /= samples
 	s.result.FairCV1s /= samples
@@ -74,7 +74,7 @@
 				up:              true,
 				idleConnections: map[int]int{},
 				speed:           meanSpeed * (1 + speedDeviation*s.random.NormFloat64()),
-				startedAt:       -startTime, // long before the start: warmed up
+				startedAt:       -startTime, // so long before the start that the host is warmed up
 				advancedTo:      startTime,
 				applied:         startTime - initialLag,
 			}
@@ -87,17 +87,17 @@
 
 // scheduleDay schedules the first request, the measurements and the faults.
 func (s *simulation) scheduleDay() {
-	s.schedule(0, s.arrival)
+	s.schedule(0, s.arrive)
 	s.schedule(second, s.measureSpread)
 	if s.options.OutagePart > 0 {
-		s.schedule(int64(s.options.OutageAt)*second, s.outage)
+		s.schedule(int64(s.options.OutageAt)*second, s.startOutage)
 	}
 	if s.options.ReleasePart > 0 {
-		s.schedule(int64(s.options.ReleaseAt)*second, s.release)
+		s.schedule(int64(s.options.ReleaseAt)*second, s.startRelease)
 	}
 }
 
-func (s *simulation) playUntil(end int64) {
+func (s *simulation) runUntil(end int64) {
 	for len(s.events) > 0 && s.events[0].at <= end {
 		next := heap.Pop(&s.events).(event)
 		s.now = next.at
@@ -105,22 +105,22 @@
 	}
 }
 
-// currentSecond returns the counts of the second that the clock is in.
+// currentSecond returns the counts of the current second.
 func (s *simulation) currentSecond() *Second {
 	i := min(int((s.now-startTime)/second), len(s.result.Seconds)-1)
 	return &s.result.Seconds[i]
 }
 
-// measureSpread measures, once a second, how evenly the replicas of each group were used.
+// measureSpread measures, once a second, how evenly the attempts were spread over the replicas of each group.
 func (s *simulation) measureSpread() {
 	for group := range s.options.Groups {
-		s.measureGroup(group)
+		s.measureGroupSpread(group)
 	}
 	s.schedule(second, s.measureSpread)
 }
 
-func (s *simulation) measureGroup(group int) {
-	const settled = startTime + 2*second // by then the gateways have had reports of the hosts
+func (s *simulation) measureGroupSpread(group int) {
+	const settled = startTime + 2*second // by then the gateways have received reports of the hosts
 	var counts []float64
 	sum := 0.0
 	for _, member := range s.hosts[group*s.options.Members : (group+1)*s.options.Members] {
--- a/internal/lab/processrig/faults.go
+++ b/internal/lab/processrig/faults.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	reconnectTime     = 100 * time.Millisecond // from a gateway's return until it accepts connections
+	reconnectTime     = 100 * time.Millisecond // from the return of a gateway until it accepts connections
 	restartReadyLimit = 10 * time.Second
-	shutdownMargin    = 700 * time.Millisecond // beyond the longest deadline, for a graceful shutdown
+	shutdownMargin    = 700 * time.Millisecond // for a graceful shutdown, beyond the longest deadline of a request
 )
 
-// beginFaults schedules the faults of the run.
-func (r *rig) beginFaults(ctx context.Context, wait *sync.WaitGroup) {
+// scheduleFaults starts a goroutine for each fault and each outage of the run, which waits until its time.
+func (r *rig) scheduleFaults(ctx context.Context, wait *sync.WaitGroup) {
 	for _, event := range r.events {
-		wait.Go(func() { r.carryOut(ctx, event) })
+		wait.Go(func() { r.injectFault(ctx, event) })
 	}
 	if r.Zoned == nil {
 		return
 	}
-	for _, outage := range r.hostOutages() {
-		wait.Go(func() { r.playOutage(ctx, outage) })
+	for _, outage := range r.plannedOutages() {
+		wait.Go(func() { r.simulateOutage(ctx, outage) })
 	}
 }
 
-// carryOut begins a fault of a gateway at its time and ends it.
-func (r *rig) carryOut(ctx context.Context, event Event) {
+// injectFault waits until the time of the event, begins its fault and ends it after the event's duration.
+func (r *rig) injectFault(ctx context.Context, event Event) {
 	if !r.sleepUntil(ctx, event.AtMS) {
 		return
 	}
@@ -41,66 +41,67 @@
 		gateway.signal(syscall.SIGSTOP)
 		sleep(ctx, duration)
 		gateway.signal(syscall.SIGCONT)
-		r.noteDisturbed(gateway, from)
+		r.recordDisturbance(gateway, from)
 	case Kill:
 		gateway.kill()
 		sleep(ctx, duration)
 		if err := r.startGateway(event.Gateway); err != nil {
 			r.Log("%v", err)
 		}
-		r.noteDisturbed(gateway, from)
-	case Restart: // no disturbance: requests that the gateway has accepted must be answered
+		r.recordDisturbance(gateway, from)
+	case Restart: // not a disturbance: requests that the gateway has accepted must be answered
 		r.restart(ctx, event.Gateway, duration)
 	case Join:
 		r.discoveries[event.Gateway].Publish(r.lists.full)
-	case Cut, Late, Lossy: // no disturbance of requests
-		r.datagrams.setLink(event.Gateway, linkOf(event))
+	case Cut, Late, Lossy: // not a disturbance: the gateway goes on serving requests
+		r.datagrams.setFaults(event.Gateway, datagramFaultsOf(event))
 		sleep(ctx, duration)
-		r.datagrams.setLink(event.Gateway, link{})
+		r.datagrams.setFaults(event.Gateway, datagramFaults{})
 	}
 }
 
-func linkOf(event Event) link {
-	return link{
-		cutFrom: event.From, cutTo: event.To, lossy: event.Fault == Lossy,
+func datagramFaultsOf(event Event) datagramFaults {
+	return datagramFaults{
+		cutFrom: event.CutFrom, cutTo: event.CutTo, lossy: event.Fault == Lossy,
 		delay: time.Duration(event.Delay) * time.Millisecond,
 	}
 }
 
-func (r *rig) noteDisturbed(gateway *gatewayProcess, from time.Time) {
+func (r *rig) recordDisturbance(gateway *gatewayProcess, from time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	gateway.disturbed = append(gateway.disturbed, interval{from, time.Now().Add(reconnectTime)})
 }
 
-// restart restarts a gateway gracefully. Clients open new connections to it until frontDelay after the signal, as through a
-// load balancer, and use open ones until it has ended. The restart completes even if the run ends meanwhile.
-func (r *rig) restart(ctx context.Context, i int, frontDelay time.Duration) {
+// restart restarts a gateway gracefully, as behind a load balancer that reacts to the shutdown after loadBalancerDelay:
+// until then clients still open new connections to the gateway. They use their open connections until the process has
+// ended. The restart completes even if the run ends in the meantime.
+func (r *rig) restart(ctx context.Context, i int, loadBalancerDelay time.Duration) {
 	ctx = context.WithoutCancel(ctx)
 	gateway := r.gateways[i]
 	signaled := time.Now()
-	if r.Break == BreakAbrupt {
+	if r.Defect == BreakAbrupt {
 		gateway.signal(syscall.SIGKILL)
 	} else {
 		gateway.signal(syscall.SIGTERM)
 	}
-	sleep(ctx, frontDelay)
+	sleep(ctx, loadBalancerDelay)
 	gateway.draining.Store(true)
 	r.waitShutdown(gateway, signaled.Add(longestDeadline()+shutdownMargin))
 	if err := r.startGateway(i); err != nil {
 		r.Log("%v", err)
 		return
 	}
-	up, cancel := context.WithTimeout(ctx, restartReadyLimit)
+	readyContext, cancel := context.WithTimeout(ctx, restartReadyLimit)
 	defer cancel()
-	if err := r.waitReady(up, i); err != nil {
+	if err := r.waitReady(readyContext, i); err != nil {
 		r.Log("%v", err)
 		return
 	}
 	gateway.draining.Store(false)
 }
 
-// waitShutdown waits until the gateway has ended, and kills it if it has not by the limit.
+// waitShutdown waits until the gateway has ended. If it has not ended by the limit, it is killed and counted.
 func (r *rig) waitShutdown(gateway *gatewayProcess, limit time.Time) {
 	select {
 	case <-gateway.ended:
@@ -120,12 +121,12 @@
 	return longest
 }
 
-// sleepUntil waits until the given time after the start, and returns false if the run ends before.
+// sleepUntil waits until the given time after the start of the run. It returns false if the run ends earlier.
 func (r *rig) sleepUntil(ctx context.Context, milliseconds int64) bool {
 	return sleep(ctx, time.Until(r.start.Add(time.Duration(milliseconds)*time.Millisecond)))
 }
 
-// sleep waits, and returns false if the run ends before.
+// sleep waits for the duration. It returns false if the run ends earlier.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/warmstart/plan.go
+++ b/internal/warmstart/plan.go
@@ -10,6 +10,7 @@
 )
 
 const (
+	// minPositionAdvance is also the age that a record must have for a changed concurrency limit to be written.
 	minPositionAdvance = 2_000_000  // microseconds by which a log position must have advanced to be written again
 	refreshInterval    = 10_000_000 // microseconds after which an unchanged record is written again
 	minLimitChange     = 0.25       // minimum relative change of a concurrency limit to be written
@@ -148,11 +149,11 @@
 		next.Position = stored.Position // a position never decreases
 		next.PositionAt = stored.PositionAt
 	}
-	roleChanged := observed.Unhealthy != stored.Down || observed.Primary != stored.Primary
+	healthOrRoleChanged := observed.Unhealthy != stored.Down || observed.Primary != stored.Primary
 	slowStartChanged := (observed.SlowStartUntil > now) != (stored.SlowStartUntil > now)
-	write = hostWrite{observed.Host, next, roleChanged || slowStartChanged}
-	writtenByAnother := stored.At > now-MaxClockSkew && stored.By != c.conf.Name
-	if isUnobserved(observed) || writtenByAnother {
+	write = hostWrite{observed.Host, next, healthOrRoleChanged || slowStartChanged}
+	justWrittenByAnother := stored.At > now-MaxClockSkew && stored.By != c.conf.Name
+	if isUnobserved(observed) || justWrittenByAnother {
 		return write, false
 	}
 	age := now - stored.At
